--- a/benchmarks/fronts.cpp
+++ b/benchmarks/fronts.cpp
@@ -18,13 +18,13 @@
 #include <memory>
 #include <sstream>
 
-#include "ext_proc/messages.h"
-#include "grpc/calls.h"
-#include "loop/loop.h"
-#include "loop/sockets.h"
-#include "pg/messages.h"
-#include "standins/node.h"
-#include "startup/startup.h"
+#include "config/router_config.h"
+#include "protocol/ext_proc/messages.h"
+#include "protocol/grpc/server_calls.h"
+#include "protocol/postgres/messages.h"
+#include "runtime/event_loop/event_loop.h"
+#include "runtime/event_loop/sockets.h"
+#include "testing/fake_servers/fake_node.h"
 
 using namespace gulltrestle;
 
@@ -32,13 +32,13 @@
 
 Span ms(std::int64_t n) { return Span::millis(n); }
 
-std::string portOf(const loop::Descriptor& held) {
+std::string portOf(const event_loop::Descriptor& held) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
   getsockname(held.number(), reinterpret_cast<sockaddr*>(&address), &size);
   return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
 }
-std::string freeAddress() { return portOf(loop::listenOn("127.0.0.1", 0)); }
+std::string freeAddress() { return portOf(event_loop::listenOn("127.0.0.1", 0)); }
 
 // The program on a core of its own, and the CPU it has used.
 struct Program {
@@ -91,8 +91,8 @@
 
 // Txns that are asked for by schedule or, without a rate, as fast as they are answered; so many at a time.
 struct Load {
-  explicit Load(loop::Loop& onLoop) : loop(onLoop) {}
-  loop::Loop& loop;
+  explicit Load(event_loop::Loop& onLoop) : loop(onLoop) {}
+  event_loop::Loop& loop;
   double rate = 0;  // a second; 0: as fast as they are answered
   bool on = true;
   Instant begunAt;
@@ -131,7 +131,7 @@
 // --- Through the external processor.
 
 struct Proxy final : http2::Handler {
-  Proxy(loop::Loop& loop, Load& toLoad, loop::Descriptor descriptor)
+  Proxy(event_loop::Loop& loop, Load& toLoad, event_loop::Descriptor descriptor)
       : load(toLoad),
         stream(loop, std::move(descriptor)),
         session(http2::Session::Side::client, {4000}, *this) {}
@@ -141,7 +141,7 @@
     bool granted = false;
   };
   Load& load;
-  loop::Stream stream;
+  event_loop::Stream stream;
   http2::Session session;
   std::map<http2::StreamId, Call> calls;
   std::string unsent;
@@ -209,37 +209,37 @@
       if (unsent.empty()) return;
       const std::string_view all = unsent;
       const auto done = stream.write({&all, 1});
-      if (done.how != loop::Io::some) return;
+      if (done.how != event_loop::Io::some) return;
       unsent.erase(0, done.size);
     }
   }
 };
 
-loop::Task runProxy(Proxy& proxy) {
+event_loop::Task runProxy(Proxy& proxy) {
   while (!proxy.stream.canWrite()) co_await proxy.stream.changed();
   for (;;) {
     static char bytes[256 * 1024];
     const auto got = proxy.stream.read(bytes);
-    if (got.how == loop::Io::some) proxy.session.received(proxy.load.loop.now(), {bytes, got.size});
+    if (got.how == event_loop::Io::some) proxy.session.received(proxy.load.loop.now(), {bytes, got.size});
     proxy.flush();
-    if (got.how != loop::Io::some) co_await proxy.stream.changed();
+    if (got.how != event_loop::Io::some) co_await proxy.stream.changed();
   }
 }
 
 // --- Through the PostgreSQL front, with nodes that answer at once.
 
 struct Wire {
-  Wire(loop::Loop& loop, loop::Descriptor descriptor) : stream(loop, std::move(descriptor)) {}
-  loop::Stream stream;
+  Wire(event_loop::Loop& loop, event_loop::Descriptor descriptor) : stream(loop, std::move(descriptor)) {}
+  event_loop::Stream stream;
   std::string kept;
   bool over = false;
   void read() {
     static char bytes[64 * 1024];
     for (;;) {
       const auto got = stream.read(bytes);
-      if (got.how == loop::Io::some) kept.append(bytes, got.size);
-      if (got.how == loop::Io::ended || got.how == loop::Io::failed) over = true;
-      if (got.how != loop::Io::some) return;
+      if (got.how == event_loop::Io::some) kept.append(bytes, got.size);
+      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) over = true;
+      if (got.how != event_loop::Io::some) return;
     }
   }
   void write(const std::string& bytes) {
@@ -248,25 +248,26 @@
   }
 };
 
-loop::Task runNode(loop::Loop& loop, loop::Descriptor descriptor) {
+event_loop::Task runNode(event_loop::Loop& loop, event_loop::Descriptor descriptor) {
   Wire wire(loop, std::move(descriptor));
-  static const std::string row = pg::message('T', std::string("\0\1t\0", 4) + std::string(18, '\0')) +
-                                 pg::message('D', std::string("\0\1\0\0\0\4", 6) + "body") +
-                                 pg::message('C', std::string("SELECT 1") + '\0') +
-                                 pg::message('S', std::string("part\0replica\0", 13)) + pg::readyForQuery();
+  static const std::string row = postgres::message('T', std::string("\0\1t\0", 4) + std::string(18, '\0')) +
+                                 postgres::message('D', std::string("\0\1\0\0\0\4", 6) + "body") +
+                                 postgres::message('C', std::string("SELECT 1") + '\0') +
+                                 postgres::message('S', std::string("part\0replica\0", 13)) +
+                                 postgres::readyForQuery();
   for (bool begun = false; !wire.over;) {
     wire.read();
     std::string_view left = wire.kept;
     std::string out;
     if (!begun) {
-      begun = pg::takeOpening(left).has_value();
-      if (begun) out += pg::welcome();
+      begun = postgres::takeOpening(left).has_value();
+      if (begun) out += postgres::welcome();
     }
     while (begun) {
-      const auto message = pg::takeMessage(left, 1 << 20);
+      const auto message = postgres::takeMessage(left, 1 << 20);
       if (!message) break;
       if (message->type == 'Q')
-        out += message->body.size() == 1 ? pg::emptyQueryResponse() + pg::readyForQuery() : row;
+        out += message->body.size() == 1 ? postgres::emptyQueryResponse() + postgres::readyForQuery() : row;
     }
     wire.kept.erase(0, wire.kept.size() - left.size());
     if (!out.empty()) wire.write(out);
@@ -274,35 +275,37 @@
   }
 }
 
-loop::Task acceptNodes(loop::Loop& loop, loop::Stream& listener) {
+event_loop::Task acceptNodes(event_loop::Loop& loop, event_loop::Stream& listener) {
   for (;;) {
-    loop::Descriptor taken;
-    if (listener.accept(taken) == loop::Io::some)
+    event_loop::Descriptor taken;
+    if (listener.accept(taken) == event_loop::Io::some)
       loop.spawn(runNode(loop, std::move(taken)));
     else
       co_await listener.changed();
   }
 }
 
-loop::Task runClient(loop::Loop& loop, Load& load, std::string address) {
+event_loop::Task runClient(event_loop::Loop& loop, Load& load, std::string address) {
   static std::uint64_t last = 0;
-  const auto to = startup::readAddress("pg", address);
-  Wire wire(loop, loop::startConnecting(to.host, to.port));
+  const auto to = config::readAddress("pg", address);
+  Wire wire(loop, event_loop::startConnecting(to.host, to.port));
   while (!wire.stream.canWrite()) co_await wire.stream.changed();
-  wire.write(pg::startup("worker", "catalog"));
+  wire.write(postgres::startup("worker", "catalog"));
   Instant at;
   const auto slot = [&] {
     load.ready([&](Instant due) {
       at = due;
-      wire.write(pg::message('Q', "SELECT body FROM objects WHERE oid = '7f3a9c21e0b4d655' /* id=t" +
-                                      std::to_string(++last) + ",c=look,t=acme,d=4000,cluster=1 */" + '\0'));
+      wire.write(postgres::message('Q', "SELECT body FROM objects WHERE oid = '7f3a9c21e0b4d655' /* id=t" +
+                                            std::to_string(++last) + ",c=look,t=acme,d=4000,cluster=1 */" +
+                                            '\0'));
     });
   };
   while (!wire.over) {
     wire.read();
     std::string_view left = wire.kept;
     bool committed = false;
-    for (auto message = pg::takeMessage(left, 1 << 20); message; message = pg::takeMessage(left, 1 << 20)) {
+    for (auto message = postgres::takeMessage(left, 1 << 20); message;
+         message = postgres::takeMessage(left, 1 << 20)) {
       if (message->type == 'D') committed = true;
       if (message->type != 'Z') continue;
       if (at != Instant()) load.done(at, committed);
@@ -320,14 +323,14 @@
 
 Result measure(const char* path, int core, bool throughProxy, std::size_t atATime, double rate,
                double seconds) {
-  loop::Loop loop;
-  standins::Discovery discovery(loop);
-  std::vector<std::unique_ptr<loop::Stream>> nodes;
+  event_loop::Loop loop;
+  fake_servers::Discovery discovery(loop);
+  std::vector<std::unique_ptr<event_loop::Stream>> nodes;
   for (int i = 0; i < 3; ++i) {
-    loop::Descriptor listener = loop::listenOn("127.0.0.1", 0);
+    event_loop::Descriptor listener = event_loop::listenOn("127.0.0.1", 0);
     const std::string name(1, static_cast<char>('a' + i));
     discovery.set({name, portOf(listener), "up", i == 0, 1});
-    nodes.push_back(std::make_unique<loop::Stream>(loop, std::move(listener)));
+    nodes.push_back(std::make_unique<event_loop::Stream>(loop, std::move(listener)));
     loop.spawn(acceptNodes(loop, *nodes.back()));
   }
   Program program(path, core, discovery.address());
@@ -335,14 +338,14 @@
   load.rate = rate;
   std::vector<std::unique_ptr<Proxy>> proxies;
   Result result{};
-  const auto script = [&]() -> loop::Task {
+  const auto script = [&]() -> event_loop::Task {
     co_await loop.sleepUntil(loop.now() + ms(500));
     load.begunAt = loop.now();
     if (throughProxy) {
-      const auto to = startup::readAddress("proxy", program.proxy);
+      const auto to = config::readAddress("proxy", program.proxy);
       const std::size_t links = std::min<std::size_t>(4, atATime);
       for (std::size_t i = 0; i < links; ++i) {
-        proxies.push_back(std::make_unique<Proxy>(loop, load, loop::startConnecting(to.host, to.port)));
+        proxies.push_back(std::make_unique<Proxy>(loop, load, event_loop::startConnecting(to.host, to.port)));
         for (std::size_t n = 0; n < atATime / links; ++n) proxies.back()->slot();
         loop.spawn(runProxy(*proxies.back()));
       }
--- a/benchmarks/start.sh
+++ b/benchmarks/start.sh
@@ -6,8 +6,8 @@
 work=$(mktemp -d)
 trap 'rm -r "$work"' EXIT
 for routers in 10 100 300; do
-  "$build/gulltrestle_days" play storm --routers $routers --csv "$work/without$routers.csv" > /dev/null &
-  "$build/gulltrestle_days" play storm --routers $routers --ramp --csv "$work/with$routers.csv" > /dev/null &
+  "$build/gulltrestle_fleet_simulator" play storm --routers $routers --csv "$work/without$routers.csv" > /dev/null &
+  "$build/gulltrestle_fleet_simulator" play storm --routers $routers --ramp --csv "$work/with$routers.csv" > /dev/null &
 done
 wait
 gnuplot << END
--- a/benchmarks/votes.cpp
+++ b/benchmarks/votes.cpp
@@ -24,8 +24,8 @@
   return std::chrono::duration<double>(Clock::now() - began).count();
 }
 
-claims::Keeper::Change vote(std::uint64_t number) {
-  claims::Keeper::Change change;
+idempotency::Keeper::Change vote(std::uint64_t number) {
+  idempotency::Keeper::Change change;
   change.id = change.entry.id = "9b1f03aa5c7e" + std::to_string(number);
   change.entry.token = {"r1", 7, number};
   return change;
@@ -88,7 +88,7 @@
   {
     store::Store store(folder, "r1", 1, {{1, {"r1"}}});
     for (std::uint64_t n = 0; n < ids;) {
-      std::vector<claims::Keeper::Change> changes;
+      std::vector<idempotency::Keeper::Change> changes;
       while (changes.size() < kTogether && n < ids) changes.push_back(vote(++n));
       const auto ticket = store.write(std::move(changes));
       for (bool durable = false; !durable;) {
@@ -102,9 +102,9 @@
   const auto began = Clock::now();
   store::Store store(folder, "r1", 2, {{1, {"r1"}}});
   const double opened = secondsSince(began);
-  claims::KeeperBounds bounds;
+  idempotency::KeeperBounds bounds;
   bounds.most = ids + 1;
-  const claims::Keeper keeper(Instant::atMicros(1), "r1", bounds, store.takeKept());
+  const idempotency::Keeper keeper(Instant::atMicros(1), "r1", bounds, store.takeKept());
   std::cout << ids << " ids, a file of " << static_cast<double>(std::filesystem::file_size(file)) / 1e6
             << " MB: opened and checked in " << opened << " s, a keeper that holds " << keeper.size()
             << " after " << secondsSince(began) << " s, " << resident() - before << " MB\n";
--- a/examples/toy_proxy.cpp
+++ b/examples/toy_proxy.cpp
@@ -3,8 +3,8 @@
 #include <csignal>
 #include <iostream>
 
-#include "standins/node.h"
-#include "standins/proxy.h"
+#include "testing/fake_servers/fake_node.h"
+#include "testing/fake_servers/fake_proxy.h"
 
 using namespace gulltrestle;
 
@@ -13,14 +13,15 @@
 constexpr unsigned short kDiscoveryPort = 8500;  // as examples/config.json has it
 
 struct Toy {
-  loop::Loop loop;
-  standins::Discovery discovery{loop, kDiscoveryPort};
-  standins::Node primary{loop, "primary", true}, one{loop, "replica-1", false}, two{loop, "replica-2", false};
-  standins::Proxy proxy{loop, setup()};
+  event_loop::Loop loop;
+  fake_servers::Discovery discovery{loop, kDiscoveryPort};
+  fake_servers::Node primary{loop, "primary", true}, one{loop, "replica-1", false},
+      two{loop, "replica-2", false};
+  fake_servers::Proxy proxy{loop, setup()};
   int asked = 0;
 
-  static standins::ProxySetup setup() {
-    standins::ProxySetup made;
+  static fake_servers::ProxySetup setup() {
+    fake_servers::ProxySetup made;
     made.processor = "127.0.0.1:9002";
     return made;
   }
@@ -34,7 +35,7 @@
                               {"x-txn-group", "1"},
                               {"x-txn-session", "toy"}};
     if (!writeAge.empty()) headers.push_back({"x-txn-write-age-ms", writeAge});
-    proxy.ask(headers, type == "order", Span::millis(900), [this, type](const standins::Answer& answer) {
+    proxy.ask(headers, type == "order", Span::millis(900), [this, type](const fake_servers::Answer& answer) {
       std::string from = "nobody";
       for (const auto* node : {&primary, &one, &two})
         if (node->address() == answer.from) from = node->id();
@@ -44,12 +45,12 @@
   }
 };
 
-loop::Task play(Toy& toy) {
+event_loop::Task play(Toy& toy) {
   // Once for every tenth request.
   const auto busy = [&toy, last = 0](const std::string&) mutable {
-    if (toy.asked % 10 != 0 || toy.asked == last) return standins::Fault::none;
+    if (toy.asked % 10 != 0 || toy.asked == last) return fake_servers::Fault::none;
     last = toy.asked;
-    return standins::Fault::turnAway;
+    return fake_servers::Fault::turnAway;
   };
   for (auto* node : {&toy.primary, &toy.one, &toy.two}) {
     toy.discovery.set({node->id(), node->address(), "up", node->primary, 1});
--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -5,14 +5,14 @@
 #include <map>
 #include <system_error>
 
-#include "loop/loop.h"
-#include "loop/sockets.h"
-#include "pg/answer.h"
-#include "pg/messages.h"
-#include "pg/statement.h"
+#include "protocol/postgres/answer.h"
+#include "protocol/postgres/messages.h"
+#include "protocol/postgres/statement.h"
+#include "runtime/event_loop/event_loop.h"
+#include "runtime/event_loop/sockets.h"
 
 using namespace gulltrestle;
-using loop::Io;
+using event_loop::Io;
 
 namespace {
 
@@ -36,51 +36,52 @@
 }
 
 std::string status(std::string_view name, std::string_view value) {
-  return pg::message('S', std::string(name) + '\0' + std::string(value) + '\0');
+  return postgres::message('S', std::string(name) + '\0' + std::string(value) + '\0');
 }
 
 std::string row(std::string_view name, std::uint32_t type, const std::string& value, const char* tag) {
   const std::string column = std::string(name) + '\0' + number(0, 4) + number(0, 2) + number(type, 4) +
                              number(0xFFFF, 2) + number(0xFFFFFFFF, 4) + number(0, 2);
-  return pg::message('T', number(1, 2) + column) +
-         pg::message('D', number(1, 2) + number(static_cast<std::uint32_t>(value.size()), 4) + value) +
-         pg::message('C', std::string(tag) + '\0');
+  return postgres::message('T', number(1, 2) + column) +
+         postgres::message('D', number(1, 2) + number(static_cast<std::uint32_t>(value.size()), 4) + value) +
+         postgres::message('C', std::string(tag) + '\0');
 }
 
 // What a node answers at a moment; `isPrimary` tells which kind it is.
 std::string answer(std::string_view text, bool isPrimary, Instant now) {
   const Instant position = isPrimary ? now : now - kLag;
   const std::string role = status("part", isPrimary ? "master" : "replica");
-  if (pg::isBlank(text)) return pg::emptyQueryResponse() + pg::readyForQuery();
-  if (text == pg::kShowReport)
+  if (postgres::isBlank(text)) return postgres::emptyQueryResponse() + postgres::readyForQuery();
+  if (text == postgres::kShowReport)
     return row("gauges", 25,
                "x0=" + std::to_string((position - Instant()).inSeconds()) + (isPrimary ? ",x1=1" : ",x1=0"),
                "SHOW") +
-           pg::readyForQuery();
+           postgres::readyForQuery();
   try {
-    const auto statement = pg::readStatement(text);
+    const auto statement = postgres::readStatement(text);
     std::cout << (isPrimary ? "primary: " : "replica: ") << text << std::endl;
     auto& versions = objects[std::string(statement.key)];
     if (!statement.writes) {
       std::string hex;
       for (const Version& version : versions)
         if (version.commit <= position) hex = version.hex;
-      return row("body", 17, "\\x" + hex, "SELECT 1") + role + pg::readyForQuery();
+      return row("body", 17, "\\x" + hex, "SELECT 1") + role + postgres::readyForQuery();
     }
-    if (!isPrimary) return pg::error("ERROR", "25006", "this is no primary") + role + pg::readyForQuery();
+    if (!isPrimary)
+      return postgres::error("ERROR", "25006", "this is no primary") + role + postgres::readyForQuery();
     const auto from = text.find("'\\x") + 3;
     versions.push_back({now, std::string(text.substr(from, text.find('\'', from) - from))});
     // The commit's time is rounded up to milliseconds.
     const auto commit = std::to_string((now.inMicros() + 999) / 1000);
     return row("body", 17, "\\x" + versions.back().hex, "INSERT 0 1") + role +
-           status("caught_up_to", commit) + pg::readyForQuery();
-  } catch (const pg::BadStatement& bad) {
-    return pg::error("ERROR", bad.code(), bad.what()) + role + pg::readyForQuery();
+           status("caught_up_to", commit) + postgres::readyForQuery();
+  } catch (const postgres::BadStatement& bad) {
+    return postgres::error("ERROR", bad.code(), bad.what()) + role + postgres::readyForQuery();
   }
 }
 
 // Takes all that has come; false once the other side has ended or was reset.
-bool readAll(loop::Stream& from, std::string& kept) {
+bool readAll(event_loop::Stream& from, std::string& kept) {
   while (from.canRead()) {
     std::array<char, 4096> bytes;
     const auto got = from.read(bytes);
@@ -90,7 +91,7 @@
   return true;
 }
 
-bool write(loop::Stream& to, std::string& unsent) {
+bool write(event_loop::Stream& to, std::string& unsent) {
   while (!unsent.empty()) {
     const std::string_view all = unsent;
     const auto done = to.write({&all, 1});
@@ -100,26 +101,26 @@
   return true;
 }
 
-loop::Task serveNode(loop::Loop& all, loop::Descriptor descriptor, bool isPrimary) {
-  loop::Stream stream(all, std::move(descriptor));
+event_loop::Task serveNode(event_loop::Loop& all, event_loop::Descriptor descriptor, bool isPrimary) {
+  event_loop::Stream stream(all, std::move(descriptor));
   std::string kept, unsent;
   bool started = false;
   try {
     while (readAll(stream, kept)) {
       std::string_view bytes = kept;
-      if (!started && (started = pg::takeOpening(bytes).has_value())) unsent += pg::welcome();
+      if (!started && (started = postgres::takeOpening(bytes).has_value())) unsent += postgres::welcome();
       while (started) {
-        const auto message = pg::takeMessage(bytes, kLongest);
+        const auto message = postgres::takeMessage(bytes, kLongest);
         if (!message) break;
         if (message->type == 'X') co_return;
         auto body = message->body;
-        if (message->type == 'Q') unsent += answer(pg::takeText(body), isPrimary, all.now());
+        if (message->type == 'Q') unsent += answer(postgres::takeText(body), isPrimary, all.now());
       }
       kept.erase(0, kept.size() - bytes.size());
       if (!write(stream, unsent)) co_return;
       co_await stream.changed();
     }
-  } catch (const pg::Malformed& bad) {
+  } catch (const postgres::Malformed& bad) {
     std::cout << "a router sent what can't be read: " << bad.what() << std::endl;
   }
 }
@@ -141,8 +142,8 @@
   return size + "\r\n" + text + "\r\n";
 }
 
-loop::Task serveDiscovery(loop::Loop& all, loop::Descriptor descriptor) {
-  loop::Stream stream(all, std::move(descriptor));
+event_loop::Task serveDiscovery(event_loop::Loop& all, event_loop::Descriptor descriptor) {
+  event_loop::Stream stream(all, std::move(descriptor));
   std::string kept, unsent;
   bool watching = false;
   Instant nextLine;
@@ -168,12 +169,12 @@
   }
 }
 
-using Serve = std::function<loop::Task(loop::Descriptor)>;
+using Serve = std::function<event_loop::Task(event_loop::Descriptor)>;
 
-loop::Task acceptAll(loop::Loop& all, unsigned short port, Serve serve) {
-  loop::Stream listener(all, loop::listenOn(kHost, port));
+event_loop::Task acceptAll(event_loop::Loop& all, unsigned short port, Serve serve) {
+  event_loop::Stream listener(all, event_loop::listenOn(kHost, port));
   for (;;) {
-    loop::Descriptor taken;
+    event_loop::Descriptor taken;
     if (listener.accept(taken) == Io::some)
       all.spawn(serve(std::move(taken)));
     else
@@ -181,8 +182,8 @@
   }
 }
 
-loop::Task untilTold(loop::Loop& all) {
-  loop::Stream signals(all, loop::signals());
+event_loop::Task untilTold(event_loop::Loop& all) {
+  event_loop::Stream signals(all, event_loop::signals());
   co_await signals.changed();
   all.stop();
 }
@@ -190,14 +191,15 @@
 }  // namespace
 
 int main() {
-  loop::Loop all;
+  event_loop::Loop all;
   int code = 0;
   for (const auto port : kNodes)
-    all.spawn(acceptAll(all, port, [&all, port](loop::Descriptor taken) {
+    all.spawn(acceptAll(all, port, [&all, port](event_loop::Descriptor taken) {
       return serveNode(all, std::move(taken), port == kNodes[0]);
     }));
-  all.spawn(acceptAll(all, kDiscovery,
-                      [&all](loop::Descriptor taken) { return serveDiscovery(all, std::move(taken)); }));
+  all.spawn(acceptAll(all, kDiscovery, [&all](event_loop::Descriptor taken) {
+    return serveDiscovery(all, std::move(taken));
+  }));
   all.spawn(untilTold(all));
   std::cout << "simulated nodes on ports 7001 (primary), 7002 and 7003, discovery on 8500" << std::endl;
   all.run([](Instant) { return Instant(); },
--- a/src/commands/commands.cpp
+++ b/src/cli/command_line.cpp
@@ -1,14 +1,14 @@
-#include "commands/commands.h"
+#include "cli/command_line.h"
 
 #include <CLI/CLI.hpp>
 #include <functional>
 #include <ostream>
 
-#include "commands/status.h"
-#include "commands/store.h"
-#include "commands/work.h"
+#include "cli/status_command.h"
+#include "cli/store_command.h"
+#include "cli/work_command.h"
 
-namespace gulltrestle::commands {
+namespace gulltrestle::cli {
 
 int run(int count, const char* const* words, std::ostream& out, std::ostream& complaints) {
   CLI::App app("gulltrestle: without a command it serves, as the file that BALANCER_CONFIG names says",
@@ -33,4 +33,4 @@
   }
 }
 
-}  // namespace gulltrestle::commands
+}  // namespace gulltrestle::cli
--- a/src/commands/status.cpp
+++ b/src/cli/status_command.cpp
@@ -1,11 +1,11 @@
-#include "commands/status.h"
+#include "cli/status_command.h"
 
 #include <fstream>
 #include <memory>
 #include <nlohmann/json.hpp>
 #include <ostream>
 
-namespace gulltrestle::commands {
+namespace gulltrestle::cli {
 
 namespace {
 
@@ -96,4 +96,4 @@
   command->callback([asked, &out, &todo] { todo = [asked, &out] { return show(*asked, out); }; });
 }
 
-}  // namespace gulltrestle::commands
+}  // namespace gulltrestle::cli
--- a/src/commands/status.h
+++ b/src/cli/status_command.h
@@ -5,9 +5,9 @@
 #include <functional>
 #include <iosfwd>
 
-namespace gulltrestle::commands {
+namespace gulltrestle::cli {
 
 // Exit codes: 0: all is let in everywhere; 3: something is awaited; 1: the document can't be read.
 void addStatus(CLI::App& app, std::ostream& out, std::function<int()>& todo);
 
-}  // namespace gulltrestle::commands
+}  // namespace gulltrestle::cli
--- a/src/commands/store.cpp
+++ b/src/cli/store_command.cpp
@@ -1,11 +1,11 @@
-#include "commands/store.h"
+#include "cli/store_command.h"
 
 #include <memory>
 #include <ostream>
 
 #include "store/store.h"
 
-namespace gulltrestle::commands {
+namespace gulltrestle::cli {
 
 namespace {
 
@@ -78,4 +78,4 @@
   })->add_option("--most", asked->most, "How many ids at most");
 }
 
-}  // namespace gulltrestle::commands
+}  // namespace gulltrestle::cli
--- a/src/commands/store.h
+++ b/src/cli/store_command.h
@@ -5,9 +5,9 @@
 #include <functional>
 #include <iosfwd>
 
-namespace gulltrestle::commands {
+namespace gulltrestle::cli {
 
 // Adds the sub-command. What was asked for is left in `todo`, which returns the exit code.
 void addStore(CLI::App& app, std::ostream& out, std::function<int()>& todo);
 
-}  // namespace gulltrestle::commands
+}  // namespace gulltrestle::cli
--- a/src/peers/slices.h
+++ b/src/cluster/chunks.h
@@ -3,9 +3,9 @@
 
 #include <vector>
 
-#include "peers/words.h"
+#include "cluster/messages.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 // `sizeOf`: about how many bytes one takes.
 template <typename All, typename Size>
@@ -34,4 +34,4 @@
   return out;
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/desk.cpp
+++ b/src/cluster/claim_dispatcher.cpp
@@ -1,14 +1,14 @@
-#include "peers/desk.h"
+#include "cluster/claim_dispatcher.h"
 
 #include <algorithm>
 
-#include "peers/slices.h"
+#include "cluster/chunks.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
-using claims::Claimant;
-using claims::Keeper;
-using claims::Vote;
+using idempotency::Claimant;
+using idempotency::Keeper;
+using idempotency::Vote;
 
 namespace {
 
@@ -20,13 +20,13 @@
   for (const auto& keeper : setup.keepers) names.push_back(keeper.name);
   return names;
 }
-std::optional<claims::KeeperNumber> rowOf(const Setup& setup, const std::string& name) {
+std::optional<idempotency::KeeperNumber> rowOf(const Setup& setup, const std::string& name) {
   for (std::size_t i = 0; i < setup.keepers.size(); ++i)
     if (setup.keepers[i].name == name) return i;
   return std::nullopt;
 }
-std::map<std::string, members::Incarnation> membersOf(const std::optional<claims::Kept>& kept) {
-  std::map<std::string, members::Incarnation> members;
+std::map<std::string, membership::Incarnation> membersOf(const std::optional<idempotency::Kept>& kept) {
+  std::map<std::string, membership::Incarnation> members;
   if (kept)
     for (const auto& [router, start] : kept->members) members[router] = {start.number, start.draw};
   return members;
@@ -38,14 +38,14 @@
   return terms;
 }
 
-std::string joined(const core::Value& value) {
+std::string joined(const transactions::Value& value) {
   return std::string(value[0]).append(value[1]).append(value[2]);
 }
 
 }  // namespace
 
-Desk::Desk(core::Ledger& ledger, const Terms& terms, const Setup& setup, const std::string& name,
-           std::uint64_t draw, std::optional<claims::Kept> kept, Effects& effects)
+Desk::Desk(transactions::Ledger& ledger, const Terms& terms, const Setup& setup, const std::string& name,
+           std::uint64_t draw, std::optional<idempotency::Kept> kept, Effects& effects)
     : ledger_(ledger),
       setup_(setup),
       name_(name),
@@ -127,7 +127,7 @@
   effects_.reply(stream, Entered{newest});
 }
 
-void Desk::entered(claims::KeeperNumber keeper, const members::Incarnation& newest) {
+void Desk::entered(idempotency::KeeperNumber keeper, const membership::Incarnation& newest) {
   membership_.entered(ledger_.now(), keeper, newest);
   claimant_.reached(keeper, membership_.speaksAt(keeper));
 }
@@ -141,7 +141,7 @@
 
 void Desk::hear(StreamKey stream, const Speaker& speaker, const Word& word) {
   const auto token = [&](std::uint64_t number) {
-    return claims::Token{speaker.router, speaker.draw, number};
+    return idempotency::Token{speaker.router, speaker.draw, number};
   };
   membership_.roll()->heard(
       ledger_.now(), speaker.router, speaker.draw,
@@ -211,7 +211,7 @@
       if (waiting.stream == 0) return toDisk(waiting);
       return effects_.refuse(waiting.stream, "the disk of this keeper fails");
     case Waiting::What::work: {
-      const work::Held before = worker_.held();
+      const maintenance::Held before = worker_.held();
       const auto answer = worker_.wrote(durable);
       // All learn of it ahead of the answer to any word that they say from here on.
       if (worker_.held() != before)
@@ -229,10 +229,10 @@
 // --- Streams to keepers
 
 Word Desk::hello() const {
-  return Hello{name_, setup_.list(), draw_, keeper_ ? keeper_->start() : claims::Start{}};
+  return Hello{name_, setup_.list(), draw_, keeper_ ? keeper_->start() : idempotency::Start{}};
 }
 
-void Desk::replied(claims::KeeperNumber number, std::string_view bytes) {
+void Desk::replied(idempotency::KeeperNumber number, std::string_view bytes) {
   const Reply reply = readReply(bytes);
   const std::string& name = setup_.keepers.at(number).name;
   if (const auto* vote = std::get_if<VoteOf>(&reply)) {
@@ -270,7 +270,7 @@
   logState();
 }
 
-void Desk::lost(claims::KeeperNumber keeper) {
+void Desk::lost(idempotency::KeeperNumber keeper) {
   claimant_.reached(keeper, false);
   membership_.lost(keeper);
   worker_.lost(keeper);
@@ -287,12 +287,12 @@
   claimant_.begin(ledger_.now(), txn, std::string(id), patience);
 }
 
-void Desk::commits(TxnId txn, const core::Value& value) { claimant_.commits(txn, joined(value)); }
+void Desk::commits(TxnId txn, const transactions::Value& value) { claimant_.commits(txn, joined(value)); }
 
-void Desk::over(TxnId txn, core::Fate fate) {
-  claimant_.over(txn, fate == core::Fate::committed  ? Claimant::Fate::committed
-                      : fate == core::Fate::neverRan ? Claimant::Fate::neverRan
-                                                     : Claimant::Fate::unknown);
+void Desk::over(TxnId txn, transactions::Fate fate) {
+  claimant_.over(txn, fate == transactions::Fate::committed  ? Claimant::Fate::committed
+                      : fate == transactions::Fate::neverRan ? Claimant::Fate::neverRan
+                                                             : Claimant::Fate::unknown);
 }
 
 void Desk::force() { service_.force(setup_.forced, setup_.forcedBy); }
@@ -342,7 +342,7 @@
 void Desk::endTurn() {
   const Instant now = ledger_.now();
   Instant due = claimant_.due(now);
-  const members::Progress progress{service_.progress(), worker_.known(), worker_.clear()};
+  const membership::Progress progress{service_.progress(), worker_.known(), worker_.clear()};
   for (const auto& [keeper, said] : membership_.turn(now, progress)) {
     if (const auto* beat = std::get_if<Beat>(&said)) worker_.beats(now, keeper, beat->number);
     std::visit(
@@ -401,4 +401,4 @@
   effects_.log("claims.keeper", fields);
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/desk.h
+++ b/src/cluster/claim_dispatcher.h
@@ -8,15 +8,15 @@
 #include <string>
 #include <vector>
 
-#include "claims/claimant.h"
-#include "claims/keeper.h"
-#include "core/guard.h"
-#include "core/ledger.h"
-#include "peers/setup.h"
-#include "peers/words.h"
-#include "peers/worker.h"
+#include "cluster/cluster_config.h"
+#include "cluster/maintenance_service.h"
+#include "cluster/messages.h"
+#include "idempotency/claim_coordinator.h"
+#include "idempotency/voting_member.h"
+#include "transactions/execution_gate.h"
+#include "transactions/transaction_table.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 using StreamKey = std::uint64_t;  // of a router's stream to this keeper; 0: this router itself
 using Ticket = std::uint64_t;
@@ -24,12 +24,12 @@
 class Effects {
  public:
   virtual ~Effects() = default;
-  virtual void toKeeper(claims::KeeperNumber keeper, const Word& word) = 0;
+  virtual void toKeeper(idempotency::KeeperNumber keeper, const Word& word) = 0;
   virtual void reply(StreamKey stream, const Reply& reply) = 0;
   // Ends a stream of somebody who does not belong, or says what makes no sense.
   virtual void refuse(StreamKey stream, std::string_view why) = 0;
   // To be made durable; wrote() tells.
-  virtual Ticket write(std::vector<claims::Keeper::Change> changes) = 0;
+  virtual Ticket write(std::vector<idempotency::Keeper::Change> changes) = 0;
   virtual void log(std::string_view event, const std::string& fields) = 0;
   // What is settled of work on machines says so: this router stands on one that leaves.
   virtual void endItself() = 0;
@@ -37,27 +37,27 @@
   virtual void announce(std::uint64_t version, const std::set<std::string>& out) = 0;
 };
 
-class Desk final : public core::Guard {
+class Desk final : public transactions::Guard {
  public:
   // `kept`: where this router is a keeper. `draw`: of this start, from all 64-bit numbers.
-  Desk(core::Ledger& ledger, const Terms& terms, const Setup& setup, const std::string& name,
-       std::uint64_t draw, std::optional<claims::Kept> kept, Effects& effects);
+  Desk(transactions::Ledger& ledger, const Terms& terms, const Setup& setup, const std::string& name,
+       std::uint64_t draw, std::optional<idempotency::Kept> kept, Effects& effects);
 
   // --- Streams of other routers to this keeper
   void said(StreamKey stream, std::string_view bytes);
   void ended(StreamKey stream);
   // --- This router's streams to other keepers
   Word hello() const;
-  void replied(claims::KeeperNumber keeper, std::string_view bytes);  // throws Malformed
-  void lost(claims::KeeperNumber keeper);
+  void replied(idempotency::KeeperNumber keeper, std::string_view bytes);  // throws Malformed
+  void lost(idempotency::KeeperNumber keeper);
   // --- The disk
   void wrote(Ticket ticket, bool durable);
 
   // --- The ledger. What is decided is told to it at the end of a turn.
   void asked(TxnId txn, std::string_view id, Span patience) override;
-  void commits(TxnId txn, const core::Value& value) override;
-  void over(TxnId txn, core::Fate fate) override;
-  void listed(ListKind kind, std::uint64_t version, std::vector<core::Addressed>& list) override;
+  void commits(TxnId txn, const transactions::Value& value) override;
+  void over(TxnId txn, transactions::Fate fate) override;
+  void listed(ListKind kind, std::uint64_t version, std::vector<transactions::Addressed>& list) override;
 
   void endTurn();
   // What the ledger has told since.
@@ -70,12 +70,12 @@
   Worker& worker() { return worker_; }
   const Worker& worker() const { return worker_; }
 
-  const claims::Claimant& claimant() const { return claimant_; }
+  const idempotency::Claimant& claimant() const { return claimant_; }
   Service& service() { return service_; }
   const Service& service() const { return service_; }
   const Membership& membership() const { return membership_; }
-  const claims::Keeper* keeper() const { return keeper_ ? &*keeper_ : nullptr; }
-  std::optional<claims::KeeperNumber> own() const { return own_; }
+  const idempotency::Keeper* keeper() const { return keeper_ ? &*keeper_ : nullptr; }
+  std::optional<idempotency::KeeperNumber> own() const { return own_; }
 
  private:
   struct Speaker {
@@ -87,17 +87,17 @@
     StreamKey stream = 0;
     std::uint64_t number = 0;
     std::string id;  // enter: of the router
-    claims::Token token;
-    claims::Start knew;
+    idempotency::Token token;
+    idempotency::Start knew;
   };
   void hear(StreamKey stream, const Speaker& speaker, const Word& word);
   void greet(StreamKey stream, const Hello& hello);
-  void give(StreamKey stream, std::uint64_t number, const claims::Vote& vote);
+  void give(StreamKey stream, std::uint64_t number, const idempotency::Vote& vote);
   void enter(StreamKey stream, const Speaker& speaker, std::uint64_t number);
   void tellEntered(StreamKey stream, const std::string& router);
-  void entered(claims::KeeperNumber keeper, const members::Incarnation& newest);
+  void entered(idempotency::KeeperNumber keeper, const membership::Incarnation& newest);
   void workOn(StreamKey stream, const Word& word);
-  void workSaid(StreamKey stream, const work::Acceptor::Answer& answer);
+  void workSaid(StreamKey stream, const maintenance::Acceptor::Answer& answer);
   void workTurn(Instant now);
   void forgetWork();
   void toDisk(std::optional<Waiting> waiting = {});
@@ -113,23 +113,23 @@
   void logState();
   void logOnce(std::string_view event, const std::string& fields);
 
-  core::Ledger& ledger_;
+  transactions::Ledger& ledger_;
   Setup setup_;
   std::string name_;
   std::uint64_t draw_;
   Effects& effects_;
-  claims::Claimant claimant_;
-  std::optional<claims::Keeper> keeper_;
+  idempotency::Claimant claimant_;
+  std::optional<idempotency::Keeper> keeper_;
   recovery::Leaving leaving_;
   Service service_;
-  std::optional<claims::KeeperNumber> own_;  // this router's row among the keepers
+  std::optional<idempotency::KeeperNumber> own_;  // this router's row among the keepers
   Membership membership_;
   Worker worker_;
   std::map<StreamKey, Speaker> speakers_;  // those that have greeted
   std::map<Ticket, Waiting> waiting_;
-  std::map<claims::KeeperNumber, std::string> heard_;
+  std::map<idempotency::KeeperNumber, std::string> heard_;
   Instant due_, strangerAt_;  // when one who does not belong was last logged
-  std::optional<claims::Keeper::State> logged_;
+  std::optional<idempotency::Keeper::State> logged_;
 };
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/work.cpp
+++ b/src/cluster/claim_dispatcher_maintenance.cpp
@@ -1,9 +1,9 @@
 // The desk's part in work on machines: words of rounds from streams to this keeper and its disk, and back.
-#include "peers/desk.h"
+#include "cluster/claim_dispatcher.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
-using claims::Keeper;
+using idempotency::Keeper;
 
 void Desk::workOn(StreamKey stream, const Word& word) {
   const auto heard = worker_.hear(word, keeper_->state() == Keeper::State::votes);
@@ -12,7 +12,7 @@
   toDisk(Waiting{Waiting::What::work, stream, 0, "", {}, {}});
 }
 
-void Desk::workSaid(StreamKey stream, const work::Acceptor::Answer& answer) {
+void Desk::workSaid(StreamKey stream, const maintenance::Acceptor::Answer& answer) {
   if (stream == 0) return worker_.told(ledger_.now(), *own_, answer);
   effects_.reply(stream, WorkAnswer{answer});
 }
@@ -29,7 +29,7 @@
   if (counts && worker_.isWhole()) worker_.answersItself(now);
   const bool strained = ledger_.isReduced() || !service_.hasReturned();
   for (const Word& word : worker_.turn(now, membership_, service_, strained, counts))
-    for (claims::KeeperNumber keeper = 0; keeper < setup_.keepers.size(); ++keeper)
+    for (idempotency::KeeperNumber keeper = 0; keeper < setup_.keepers.size(); ++keeper)
       if (keeper == own_)
         hear(0, {name_, draw_}, word);
       else
@@ -41,4 +41,4 @@
   }
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/setup.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -1,15 +1,15 @@
-#include "peers/setup.h"
+#include "cluster/cluster_config.h"
 
 #include <algorithm>
 
-#include "startup/section.h"
+#include "config/config_section.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 namespace {
 
-using startup::BadKey;
-using startup::Section;
+using config::BadKey;
+using config::Section;
 
 // A keeper talks to each of the others, and each router to all of them; more don't make it safer.
 constexpr std::size_t kMostKeepers = 9;
@@ -27,10 +27,10 @@
 }
 
 // Those before, the oldest first, and the present one.
-std::vector<claims::List> listsOf(Section& top, const json::Value& all, const Setup& setup) {
+std::vector<idempotency::List> listsOf(Section& top, const json::Value& all, const Setup& setup) {
   constexpr const char* kKey = "keepers_before";
   constexpr const char* kFault = "is no list of lists of names";
-  std::vector<claims::List> lists;
+  std::vector<idempotency::List> lists;
   if (top.has(kKey)) {
     const json::Value& before = *all.find(kKey);
     if (before.kind != json::Value::Kind::list) throw BadKey(kKey, kFault);
@@ -38,14 +38,14 @@
   }
   lists.push_back({lists.size() + 1, {}});
   for (const auto& place : setup.keepers) lists.back().names.insert(place.name);
-  if (const auto fault = claims::faultIn(lists); !fault.empty()) throw BadKey(kKey, fault);
+  if (const auto fault = idempotency::faultIn(lists); !fault.empty()) throw BadKey(kKey, fault);
   return lists;
 }
 
 void readWork(Section work, Setup& setup) {
   setup.workFolder = work.text("folder", "");
   setup.announceFile = work.text("announce_file", "");
-  work::Bounds& bounds = setup.work;
+  maintenance::Bounds& bounds = setup.work;
   bounds.discoveryIsTold = !setup.announceFile.empty();
   const auto few = [&](const char* key, unsigned otherwise) {
     return static_cast<unsigned>(work.whole(key, otherwise, 1, 100));
@@ -62,7 +62,7 @@
   bounds.caughtUp = work.millis("caught_up_ms", bounds.caughtUp, 0, kLongest);
   bounds.rest = work.millis("rest_ms", bounds.rest, 0, kLongest);
   work.end();
-  // Keepers that forgot rely on rounds that end well before they vote again (work/acceptor.h).
+  // Keepers that forgot rely on rounds that end well before they vote again (maintenance/acceptor.h).
   setup.mostRound = std::min(setup.mostRound, setup.keeper.retention * 0.25);
 }
 
@@ -74,7 +74,7 @@
   if (keepers.keys().size() > kMostKeepers) throw BadKey("keepers", "are more than 9");
   if (keepers.keys().size() % 2 == 0) throw BadKey("keepers", "are an even number: one of them is of no use");
   for (const auto& key : keepers.keys()) {
-    setup.keepers.push_back({key, startup::readAddress(keepers.path(key), keepers.text(key, ""))});
+    setup.keepers.push_back({key, config::readAddress(keepers.path(key), keepers.text(key, ""))});
     setup.routers.insert(key);
   }
   std::sort(setup.keepers.begin(), setup.keepers.end(), [](auto& a, auto& b) { return a.name < b.name; });
@@ -135,10 +135,10 @@
 }
 
 Setup readSetup(std::string_view text, const std::string& name, Span longest) {
-  return read(startup::readText(text), name, longest);
+  return read(config::readText(text), name, longest);
 }
 Setup readSetupFile(const std::string& path, const std::string& name, Span longest) {
-  return read(startup::readFile(path), name, longest);
+  return read(config::readFile(path), name, longest);
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/setup.h
+++ b/src/cluster/cluster_config.h
@@ -8,26 +8,26 @@
 #include <string_view>
 #include <vector>
 
-#include "claims/claimant.h"
-#include "claims/keeper.h"
-#include "recovery/ramp.h"
-#include "recovery/stages.h"
-#include "startup/startup.h"
-#include "work/facts.h"
+#include "config/router_config.h"
+#include "idempotency/claim_coordinator.h"
+#include "idempotency/voting_member.h"
+#include "maintenance/fleet_state.h"
+#include "recovery/admission_ramp.h"
+#include "recovery/recovery_stages.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 struct Setup {
   struct Place {
     std::string name;
-    startup::Address address;
+    config::Address address;
   };
-  std::vector<Place> keepers;       // in the order of their names
-  std::vector<claims::List> lists;  // all that there were of keepers, the present one last
-  std::set<std::string> routers;    // all that belong, keepers included
-  std::string folder;               // of this router's store; empty: it is no keeper
-  claims::KeeperBounds keeper;
-  claims::ClaimantBounds claimant;
+  std::vector<Place> keepers;            // in the order of their names
+  std::vector<idempotency::List> lists;  // all that there were of keepers, the present one last
+  std::set<std::string> routers;         // all that belong, keepers included
+  std::string folder;                    // of this router's store; empty: it is no keeper
+  idempotency::KeeperBounds keeper;
+  idempotency::ClaimantBounds claimant;
   std::size_t mostConnections =
       0;  // to this keeper; by default twice as many as there are routers, for what lingers
 
@@ -38,7 +38,7 @@
   std::string forcedBy;
 
   // --- Work on machines
-  work::Bounds work;
+  maintenance::Bounds work;
   Span mostRound = Span::millis(2000);  // well below retention
   std::string workFolder;               // operators' requests are put there; empty: none are taken here
   std::string announceFile;             // nodes that are out, for whoever feeds discovery; empty: none
@@ -48,8 +48,8 @@
 };
 
 // `name`: of this router; `longest`: that a client waits for a txn that may run only once. Throws
-// startup::BadKey, which names the key. Keys that are not known are faults, too.
+// config::BadKey, which names the key. Keys that are not known are faults, too.
 Setup readSetup(std::string_view text, const std::string& name, Span longest);
 Setup readSetupFile(const std::string& path, const std::string& name, Span longest);
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/peers.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -1,4 +1,4 @@
-#include "peers/peers.h"
+#include "cluster/cluster_server.h"
 
 #include <signal.h>
 #include <spdlog/spdlog.h>
@@ -7,11 +7,11 @@
 #include <cstdio>
 #include <fstream>
 
-#include "loop/sockets.h"
+#include "runtime/event_loop/sockets.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
-using loop::Io;
+using event_loop::Io;
 
 namespace {
 
@@ -39,12 +39,12 @@
   try {
     return std::make_unique<store::Store>(setup.folder, name, draw, setup.lists);
   } catch (const store::Refused& bad) {
-    throw startup::BadKey("keepers", bad.what());
-  } catch (const store::Unusable& bad) { throw startup::BadKey("store", bad.what()); }
+    throw config::BadKey("keepers", bad.what());
+  } catch (const store::Unusable& bad) { throw config::BadKey("store", bad.what()); }
 }
 
-listener::Bounds boundsOf(const Setup& setup) {
-  listener::Bounds bounds;
+grpc_server::Bounds boundsOf(const Setup& setup) {
+  grpc_server::Bounds bounds;
   bounds.calls.connection.mostStreams = 4;
   bounds.calls.longestMessage = kLongestMessage;
   bounds.mostConnections = setup.mostConnections;
@@ -54,7 +54,7 @@
 }  // namespace
 
 struct Peers::Talk final : http2::Handler {
-  Talk(loop::Loop& onLoop, loop::Descriptor descriptor)
+  Talk(event_loop::Loop& onLoop, event_loop::Descriptor descriptor)
       : stream(onLoop, std::move(descriptor)), session(http2::Session::Side::client, {}, *this) {}
 
   void headers(http2::StreamId, http2::Headers) override {}
@@ -76,7 +76,7 @@
     if (over) stream.wake();
   }
 
-  loop::Stream stream;
+  event_loop::Stream stream;
   http2::Session session;
   http2::StreamId call = 0;
   std::string kept, unsent;
@@ -84,13 +84,13 @@
   Instant deafAt;  // never: no answer is awaited
 };
 
-Peers::Peers(loop::Loop& loop, core::Ledger& ledger, const Terms& terms, const Setup& setup,
+Peers::Peers(event_loop::Loop& loop, transactions::Ledger& ledger, const Terms& terms, const Setup& setup,
              const std::string& name, std::function<Setup()> read)
     : loop_(loop), ledger_(ledger), setup_(setup), chance_(drawn()), read_(std::move(read)) {
   const std::uint64_t draw = drawn();
   store_ = storeOf(setup_, name, draw);
   ledger_.see(loop_.now());
-  std::optional<claims::Kept> kept;
+  std::optional<idempotency::Kept> kept;
   if (store_) {
     if (!store_->setAside().empty())
       spdlog::error("event=store.damaged set_aside=\"{}\"", store_->setAside());
@@ -105,14 +105,14 @@
   }
   Span longest;
   for (const auto& type : terms.types) longest = std::max(longest, type.deadline);
-  setup_.work.fence = work::fenceOf(longest);
+  setup_.work.fence = maintenance::fenceOf(longest);
   if (!setup_.workFolder.empty()) requests_.emplace(setup_.workFolder);
   Effects& effects = *this;
-  listener::Receiver& receiver = *this;
+  grpc_server::Receiver& receiver = *this;
   desk_ = std::make_unique<Desk>(ledger_, terms, setup_, name, draw, std::move(kept), effects);
-  for (claims::KeeperNumber keeper = 0; keeper < setup_.keepers.size(); ++keeper)
+  for (idempotency::KeeperNumber keeper = 0; keeper < setup_.keepers.size(); ++keeper)
     if (keeper == desk_->own())
-      listener_ = std::make_unique<listener::Listener>(
+      listener_ = std::make_unique<grpc_server::Listener>(
           loop_, setup_.keepers[keeper].address, std::string(kMethod), boundsOf(setup_), "peers", receiver);
     else
       loop_.spawn(talk(keeper));
@@ -132,7 +132,7 @@
 
 // --- Effects
 
-void Peers::toKeeper(claims::KeeperNumber keeper, const Word& word) {
+void Peers::toKeeper(idempotency::KeeperNumber keeper, const Word& word) {
   const auto at = talks_.find(keeper);
   if (at == talks_.end()) return;
   Talk& talk = *at->second;
@@ -187,8 +187,8 @@
   if (requestsAt_ != Instant() && now - requestsAt_ < kRequestsPause) return;
   requestsAt_ = now;
   for (auto& [name, text] : requests_->take()) try {
-      desk_->worker().asked(name, work::readAsk(text));
-    } catch (const work::BadAsk& bad) { requests_->answer(name, bad.what()); }
+      desk_->worker().asked(name, maintenance::readAsk(text));
+    } catch (const maintenance::BadAsk& bad) { requests_->answer(name, bad.what()); }
   if (const std::string fault = requests_->takeFault(); !fault.empty())
     spdlog::error("event=work.folder_fails why=\"{}\"", fault);
 }
@@ -241,14 +241,14 @@
                figures.longest.inMicros() / 1000, desk_->keeper()->size());
 }
 
-loop::Task Peers::watchDisk() {
+event_loop::Task Peers::watchDisk() {
   // Without it nothing that the disk says would be heard: it is tried for as long as there is no descriptor.
   int own = ::dup(store_->descriptor());
   while (own < 0) {
     co_await loop_.sleepUntil(loop_.now() + kAgainFirst);
     own = ::dup(store_->descriptor());
   }
-  loop::Stream stream(loop_, loop::Descriptor(own));
+  event_loop::Stream stream(loop_, event_loop::Descriptor(own));
   for (;;) {
     stream.readBlocked();
     ledger_.see(loop_.now());
@@ -267,18 +267,18 @@
 
 // --- A stream to a keeper, begun anew whenever it is gone
 
-loop::Task Peers::talk(claims::KeeperNumber keeper) {
+event_loop::Task Peers::talk(idempotency::KeeperNumber keeper) {
   const auto& place = setup_.keepers[keeper];
   Span pause = kAgainFirst;
   for (;;) {
     try {
-      loop::Descriptor descriptor = loop::startConnecting(place.address.host, place.address.port);
+      event_loop::Descriptor descriptor = event_loop::startConnecting(place.address.host, place.address.port);
       if (descriptor) {
         Talk talk(loop_, std::move(descriptor));
         const Instant by = loop_.now() + kDeaf;
         talk.stream.wakeAt(by);
         while (!talk.stream.canWrite() && loop_.now() < by) co_await talk.stream.changed();
-        talk.up = talk.stream.canWrite() && loop::isConnected(talk.stream.descriptor());
+        talk.up = talk.stream.canWrite() && event_loop::isConnected(talk.stream.descriptor());
         if (talk.up) {
           talk.call = talk.session.request({{":method", "POST"},
                                             {":scheme", "http"},
@@ -288,7 +288,7 @@
                                             {"te", "trailers"}});
           struct Up {
             Peers& peers;
-            claims::KeeperNumber keeper;
+            idempotency::KeeperNumber keeper;
             ~Up() {
               peers.talks_.erase(keeper);
               peers.desk_->lost(keeper);
@@ -335,4 +335,4 @@
   }
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/peers.h
+++ b/src/cluster/cluster_server.h
@@ -10,22 +10,22 @@
 #include <random>
 #include <string>
 
+#include "cluster/claim_dispatcher.h"
+#include "cluster/cluster_config.h"
+#include "cluster/request_directory.h"
+#include "cluster/status_document.h"
 #include "gateway/gateway.h"
-#include "listener/listener.h"
-#include "loop/loop.h"
-#include "peers/desk.h"
-#include "peers/setup.h"
-#include "peers/spool.h"
-#include "peers/status.h"
+#include "runtime/event_loop/event_loop.h"
+#include "runtime/grpc_server/grpc_server.h"
 #include "store/store.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
-class Peers final : public gateway::Part, private Effects, private listener::Receiver {
+class Peers final : public gateway::Part, private Effects, private grpc_server::Receiver {
  public:
-  // Throws startup::BadKey where the store or the address to listen on can't be had.
-  // `read`: reads the configuration anew; it may throw startup::BadKey.
-  Peers(loop::Loop& loop, core::Ledger& ledger, const Terms& terms, const Setup& setup,
+  // Throws config::BadKey where the store or the address to listen on can't be had.
+  // `read`: reads the configuration anew; it may throw config::BadKey.
+  Peers(event_loop::Loop& loop, transactions::Ledger& ledger, const Terms& terms, const Setup& setup,
         const std::string& name, std::function<Setup()> read);
   ~Peers() override;
 
@@ -47,10 +47,10 @@
  private:
   struct Talk;  // a stream to a keeper
 
-  void toKeeper(claims::KeeperNumber keeper, const Word& word) override;
+  void toKeeper(idempotency::KeeperNumber keeper, const Word& word) override;
   void reply(StreamKey stream, const Reply& reply) override;
   void refuse(StreamKey stream, std::string_view why) override;
-  Ticket write(std::vector<claims::Keeper::Change> changes) override {
+  Ticket write(std::vector<idempotency::Keeper::Change> changes) override {
     return store_->write(std::move(changes));
   }
   void log(std::string_view event, const std::string& fields) override;
@@ -58,28 +58,28 @@
   void announce(std::uint64_t version, const std::set<std::string>& out) override;
 
   void seen(Instant now) override { ledger_.see(now); }
-  void opened(listener::CallKey) override {}
-  void message(listener::CallKey call, std::string_view bytes) override {
+  void opened(grpc_server::CallKey) override {}
+  void message(grpc_server::CallKey call, std::string_view bytes) override {
     ++talked_.wordsTaken;
     desk_->said(call, bytes);
   }
-  void halfClosed(listener::CallKey call) override { listener_->finish(call, grpc::Status::ok, ""); }
-  void ended(listener::CallKey call) override { desk_->ended(call); }
+  void halfClosed(grpc_server::CallKey call) override { listener_->finish(call, grpc::Status::ok, ""); }
+  void ended(grpc_server::CallKey call) override { desk_->ended(call); }
 
-  loop::Task talk(claims::KeeperNumber keeper);
-  loop::Task watchDisk();
+  event_loop::Task talk(idempotency::KeeperNumber keeper);
+  event_loop::Task watchDisk();
   void logCounts(Instant now);
   void writeStatus(Instant now);
   void readRequests(Instant now);
 
-  loop::Loop& loop_;
-  core::Ledger& ledger_;
+  event_loop::Loop& loop_;
+  transactions::Ledger& ledger_;
   Setup setup_;
   std::unique_ptr<store::Store> store_;
   std::unique_ptr<Desk> desk_;
-  std::unique_ptr<listener::Listener> listener_;
+  std::unique_ptr<grpc_server::Listener> listener_;
   std::optional<Spool> requests_;
-  std::map<claims::KeeperNumber, Talk*> talks_;  // those that are up
+  std::map<idempotency::KeeperNumber, Talk*> talks_;  // those that are up
   std::mt19937_64 chance_;
   std::function<Setup()> read_;
   Instant saidAt_, statusAt_, requestsAt_;
@@ -89,4 +89,4 @@
   bool faulty_ = false;  // the disk, as it was last logged
 };
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/news.cpp
+++ b/src/cluster/gossip.cpp
@@ -1,14 +1,14 @@
 // The desk's news of nodes and primaries: from lists, from others, to the disk and to keepers.
 #include <algorithm>
 
-#include "peers/desk.h"
-#include "peers/slices.h"
+#include "cluster/chunks.h"
+#include "cluster/claim_dispatcher.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
-using claims::Keeper;
+using idempotency::Keeper;
 
-void Desk::listed(ListKind kind, std::uint64_t version, std::vector<core::Addressed>& list) {
+void Desk::listed(ListKind kind, std::uint64_t version, std::vector<transactions::Addressed>& list) {
   std::vector<ListEntry*> entries;
   std::size_t named = 0, later = 0;
   for (auto& [entry, address] : list) {
@@ -71,4 +71,4 @@
   effects_.write(std::move(changes));
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/worker.cpp
+++ b/src/cluster/maintenance_service.cpp
@@ -1,14 +1,14 @@
-#include "peers/worker.h"
+#include "cluster/maintenance_service.h"
 
 #include <algorithm>
 
-#include "work/order.h"
+#include "maintenance/scheduling.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
-using members::View;
-using work::Acceptor;
-using work::Phase;
+using maintenance::Acceptor;
+using maintenance::Phase;
+using membership::View;
 
 namespace {
 
@@ -19,8 +19,9 @@
 
 }  // namespace
 
-Worker::Worker(core::Ledger& ledger, Place place, std::uint64_t draw, const work::Bounds& bounds,
-               Span mostRound, std::optional<std::pair<std::string, bool>> kept, Log log)
+Worker::Worker(transactions::Ledger& ledger, Place place, std::uint64_t draw,
+               const maintenance::Bounds& bounds, Span mostRound,
+               std::optional<std::pair<std::string, bool>> kept, Log log)
     : ledger_(ledger),
       place_(std::move(place)),
       draw_(draw),
@@ -37,11 +38,11 @@
 
 // --- At the router
 
-void Worker::beats(Instant now, work::KeeperNumber keeper, std::uint64_t number) {
+void Worker::beats(Instant now, maintenance::KeeperNumber keeper, std::uint64_t number) {
   lease_.said(now, keeper, number);
 }
 
-void Worker::answered(work::KeeperNumber keeper, const Reports& reports) {
+void Worker::answered(maintenance::KeeperNumber keeper, const Reports& reports) {
   if (reports.counts) lease_.answered(keeper, reports.beat);
 }
 
@@ -50,9 +51,9 @@
   lease_.answered(*place_.own, ownBeat_);
 }
 
-void Worker::holds(work::KeeperNumber keeper, const work::Held& held) {
+void Worker::holds(maintenance::KeeperNumber keeper, const maintenance::Held& held) {
   if (held.stamp.version == 0) return;
-  const work::Plan before = known_.settled();
+  const maintenance::Plan before = known_.settled();
   try {
     known_.told(keeper, held);
   } catch (const std::exception& bad) {
@@ -60,10 +61,10 @@
   }
   const std::string version = " version=" + std::to_string(known_.settled().version);
   for (const auto& m : known_.settled().machines) {
-    const work::Machine* old = before.find(m.name);
+    const maintenance::Machine* old = before.find(m.name);
     if (!old || old->phase != m.phase || old->order != m.order)
-      log_("work.machine", "machine=" + m.name + " phase=" + std::string(work::nameOf(m.phase)) + version +
-                               " why=\"" + m.why + "\"");
+      log_("work.machine", "machine=" + m.name + " phase=" + std::string(maintenance::nameOf(m.phase)) +
+                               version + " why=\"" + m.why + "\"");
   }
 }
 
@@ -90,7 +91,7 @@
   return answer;
 }
 
-void Worker::told(Instant now, work::KeeperNumber keeper, const Acceptor::Answer& answer) {
+void Worker::told(Instant now, maintenance::KeeperNumber keeper, const Acceptor::Answer& answer) {
   if (!round_) return;
   using What = Acceptor::Answer::What;
   if (answer.what == What::promised) round_->promised(now, keeper, answer.ballot, answer.held);
@@ -98,7 +99,7 @@
   if (answer.what == What::refused) round_->refused(now, answer.ballot, answer.promised);
 }
 
-void Worker::asked(std::string request, work::Ask ask) {
+void Worker::asked(std::string request, maintenance::Ask ask) {
   if (!round_) return answers_.push_back({std::move(request), "this router is no keeper"});
   if (asks_.size() >= kMostAsks) return answers_.push_back({std::move(request), "too many requests wait"});
   asks_.emplace_back(std::move(request), std::move(ask));
@@ -106,8 +107,9 @@
 
 // --- Turns
 
-work::Facts Worker::factsOf(const Membership& membership, const Service& service, bool strained) const {
-  work::Facts facts;
+maintenance::Facts Worker::factsOf(const Membership& membership, const Service& service,
+                                   bool strained) const {
+  maintenance::Facts facts;
   facts.strained = strained;
   std::map<std::uint64_t, Instant> newest;
   const auto seen = service.firstHand();
@@ -126,13 +128,13 @@
   for (const auto& one : seen) {
     const auto at = facts.nodes.find(one.node);
     if (at == facts.nodes.end()) continue;
-    work::NodeFact& node = at->second;
-    node.serves = node.live && one.age <= work::kHeard;
+    maintenance::NodeFact& node = at->second;
+    node.serves = node.live && one.age <= maintenance::kHeard;
     if (one.role != Role::unknown) node.primary = one.role == Role::primary;
     if (one.position) node.behind = std::max(Span(), newest[node.group] - (*one.position + one.age));
   }
   const auto& view = membership.view();
-  const std::size_t wanted = work::majorityOf(place_.keepers.size());
+  const std::size_t wanted = maintenance::majorityOf(place_.keepers.size());
   for (const auto& name : view.routers()) {
     const auto member = view.of(name);
     auto& router = facts.routers[name];
@@ -156,7 +158,7 @@
 
 // Nodes of groups with work: whether they serve is known from their own word alone.
 void Worker::askNodes(Instant now) {
-  if (now - askedAt_ < work::kAsk) return;
+  if (now - askedAt_ < maintenance::kAsk) return;
   askedAt_ = now;
   std::set<std::uint64_t> groups;
   for (const auto& m : known_.settled().machines)
@@ -169,22 +171,23 @@
 }
 
 // What was read, changed by all that waits, is to be written.
-void Worker::change(Instant now, const work::Round::Read& found, std::vector<Word>& words) {
+void Worker::change(Instant now, const maintenance::Round::Read& found, std::vector<Word>& words) {
   proposed_ = {};
-  const work::Held& read = found.held;
+  const maintenance::Held& read = found.held;
   if (!found.isSettled) return words.push_back(WorkWrite{round_->write(read.stamp, read.value)});
-  work::Plan plan = work::readPlan(read.value);
+  maintenance::Plan plan = maintenance::readPlan(read.value);
   plan.version = read.stamp.version + 1;
   for (const auto& [request, ask] : asks_)
-    proposed_.answers.push_back({request, work::carryOut(plan, request, ask, facts_, foreman_.bounds())});
+    proposed_.answers.push_back(
+        {request, maintenance::carryOut(plan, request, ask, facts_, foreman_.bounds())});
   const bool asked = std::any_of(proposed_.answers.begin(), proposed_.answers.end(),
                                  [](const auto& answer) { return answer.why.empty(); });
   // By what is settled now, not by what it was when the round began.
   proposed_.steps = foreman_.advance(now, plan, facts_);
   proposed_.version = plan.version;
   const bool changed = asked || !proposed_.steps.empty();
-  words.push_back(WorkWrite{round_->write(changed ? work::Stamp{plan.version, draw_} : read.stamp,
-                                          changed ? work::encoded(plan) : read.value)});
+  words.push_back(WorkWrite{round_->write(changed ? maintenance::Stamp{plan.version, draw_} : read.stamp,
+                                          changed ? maintenance::encoded(plan) : read.value)});
 }
 
 void Worker::settle() {
@@ -193,8 +196,8 @@
   foreman_.settled();
   lookedAt_ = Instant();  // it is looked at anew by what is settled now
   for (const auto& step : proposed_.steps)
-    log_("work.step", "machine=" + step.machine + " from=" + std::string(work::nameOf(step.from)) +
-                          " to=" + std::string(work::nameOf(step.to)) +
+    log_("work.step", "machine=" + step.machine + " from=" + std::string(maintenance::nameOf(step.from)) +
+                          " to=" + std::string(maintenance::nameOf(step.to)) +
                           " version=" + std::to_string(proposed_.version) + " why=\"" + step.why + "\"");
   for (auto& answer : proposed_.answers) {
     std::erase_if(asks_, [&](const auto& asked) { return asked.first == answer.request; });
@@ -254,8 +257,8 @@
   return std::pair(known(), known_.out());
 }
 
-std::string Worker::awaits(const work::Machine& machine) const {
+std::string Worker::awaits(const maintenance::Machine& machine) const {
   return round_ ? foreman_.awaits(now_, known_.settled(), machine, facts_) : "";
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -1,11 +1,11 @@
-#include "peers/membership.h"
+#include "cluster/membership.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
-using members::Entry;
-using members::KeeperNumber;
-using members::Roll;
-using members::View;
+using membership::Entry;
+using membership::KeeperNumber;
+using membership::Roll;
+using membership::View;
 
 namespace {
 
@@ -21,7 +21,7 @@
 
 Membership::Membership(Instant now, const std::set<std::string>& list, std::string name, std::uint64_t draw,
                        std::vector<std::string> keepers, std::optional<KeeperNumber> own,
-                       std::map<std::string, members::Incarnation> kept, Log log)
+                       std::map<std::string, membership::Incarnation> kept, Log log)
     : name_(std::move(name)),
       keepers_(std::move(keepers)),
       own_(own),
@@ -36,18 +36,18 @@
 
 // --- At the router
 
-void Membership::greeted(Instant now, KeeperNumber keeper, const members::Incarnation& newest) {
+void Membership::greeted(Instant now, KeeperNumber keeper, const membership::Incarnation& newest) {
   up_.insert(keeper);
   entry_.greeted(now, keeper, newest);
   logEntry();
 }
 
-void Membership::entered(Instant now, KeeperNumber keeper, const members::Incarnation& newest) {
+void Membership::entered(Instant now, KeeperNumber keeper, const membership::Incarnation& newest) {
   entry_.answered(now, keeper, newest);
   logEntry();
 }
 
-void Membership::reported(KeeperNumber keeper, const std::vector<members::Report>& reports) {
+void Membership::reported(KeeperNumber keeper, const std::vector<membership::Report>& reports) {
   view_.told(keeper, reports);
   logSteps();
 }
@@ -59,7 +59,7 @@
   logSteps();
 }
 
-std::vector<Membership::Word> Membership::turn(Instant now, const members::Progress& progress) {
+std::vector<Membership::Word> Membership::turn(Instant now, const membership::Progress& progress) {
   if (roll_) {
     roll_->turn(now);
     roll_->heard(now, name_, entry_.incarnation().draw, progress);
@@ -90,7 +90,7 @@
 void Membership::logSteps() {
   for (const auto& step : view_.takeSteps())
     log_(step.to == View::State::out ? "members.out" : "members.back",
-         "router=" + step.router + " state=" + std::string(members::nameOf(step.to)) +
+         "router=" + step.router + " state=" + std::string(membership::nameOf(step.to)) +
              " incarnation=" + std::to_string(step.incarnation) +
              " silent_at=" + std::to_string(step.silentAt) + " of=" + std::to_string(keepers_.size()));
 }
@@ -105,4 +105,4 @@
   if (roll_) roll_->list(now, list);
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/words.cpp
+++ b/src/cluster/messages.cpp
@@ -1,21 +1,21 @@
-#include "peers/words.h"
+#include "cluster/messages.h"
 
-#include "words.pb.h"
+#include "cluster_messages.pb.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 namespace {
 
-void set(wire::Start& to, const claims::Start& start) {
+void set(wire::Start& to, const idempotency::Start& start) {
   to.set_number(start.number);
   to.set_draw(start.draw);
 }
-claims::Start read(const wire::Start& from) { return {from.number(), from.draw()}; }
-void set(wire::Start& to, const members::Incarnation& start) {
+idempotency::Start read(const wire::Start& from) { return {from.number(), from.draw()}; }
+void set(wire::Start& to, const membership::Incarnation& start) {
   to.set_number(start.number);
   to.set_draw(start.draw);
 }
-members::Incarnation incarnation(const wire::Start& from) { return {from.number(), from.draw()}; }
+membership::Incarnation incarnation(const wire::Start& from) { return {from.number(), from.draw()}; }
 
 void set(wire::Reports& to, const Reports& reports) {
   for (const auto& report : reports.reports) {
@@ -38,7 +38,7 @@
       throw Malformed("a hearing that is not known");
     reports.reports.push_back({one.router(),
                                incarnation(one.incarnation()),
-                               static_cast<members::Hearing>(one.hearing()),
+                               static_cast<membership::Hearing>(one.hearing()),
                                {one.progress(), one.known(), one.clear()}});
   }
   reports.beat = from.beat();
@@ -46,32 +46,32 @@
   return reports;
 }
 
-void set(wire::Ballot& to, const work::Ballot& ballot) {
+void set(wire::Ballot& to, const maintenance::Ballot& ballot) {
   to.set_number(ballot.number);
   to.set_draw(ballot.draw);
 }
-work::Ballot read(const wire::Ballot& from) { return {from.number(), from.draw()}; }
-void set(wire::Held& to, const work::Held& held) {
+maintenance::Ballot read(const wire::Ballot& from) { return {from.number(), from.draw()}; }
+void set(wire::Held& to, const maintenance::Held& held) {
   set(*to.mutable_ballot(), held.ballot);
   to.set_version(held.stamp.version);
   to.set_draw(held.stamp.draw);
   to.set_value(held.value);
 }
-work::Held read(const wire::Held& from) {
+maintenance::Held read(const wire::Held& from) {
   return {read(from.ballot()), {from.version(), from.draw()}, from.value()};
 }
-void set(wire::Answer& to, const work::Acceptor::Answer& answer) {
+void set(wire::Answer& to, const maintenance::Acceptor::Answer& answer) {
   // The same names in the same order.
   to.set_what(static_cast<wire::Answer::What>(answer.what));
   set(*to.mutable_ballot(), answer.ballot);
   set(*to.mutable_promised(), answer.promised);
-  if (answer.what == work::Acceptor::Answer::What::promised) set(*to.mutable_held(), answer.held);
+  if (answer.what == maintenance::Acceptor::Answer::What::promised) set(*to.mutable_held(), answer.held);
 }
-work::Acceptor::Answer read(const wire::Answer& from) {
+maintenance::Acceptor::Answer read(const wire::Answer& from) {
   if (from.what() < wire::Answer::PROMISED || from.what() > wire::Answer::REFUSED)
     throw Malformed("an answer that is not known");
-  return {static_cast<work::Acceptor::Answer::What>(from.what()), read(from.ballot()), read(from.promised()),
-          read(from.held())};
+  return {static_cast<maintenance::Acceptor::Answer::What>(from.what()), read(from.ballot()),
+          read(from.promised()), read(from.held())};
 }
 
 void set(wire::Nodes& to, const Nodes& nodes) {
@@ -199,9 +199,9 @@
                   [&](const VoteOf& r) {
                     auto& vote = *out.mutable_vote();
                     vote.set_number(r.number);
-                    vote.set_what(r.vote.what == claims::Vote::What::yours   ? wire::Vote::YOURS
-                                  : r.vote.what == claims::Vote::What::taken ? wire::Vote::TAKEN
-                                                                             : wire::Vote::SILENT);
+                    vote.set_what(r.vote.what == idempotency::Vote::What::yours   ? wire::Vote::YOURS
+                                  : r.vote.what == idempotency::Vote::What::taken ? wire::Vote::TAKEN
+                                                                                  : wire::Vote::SILENT);
                     vote.set_committed(r.vote.committed);
                     vote.set_value(r.vote.value);
                   },
@@ -257,10 +257,11 @@
   if (in.has_answer()) return WorkAnswer{read(in.answer())};
   if (in.has_holds()) return WorkHeld{read(in.holds())};
   if (!in.has_vote()) throw Malformed("a reply that is not known");
-  VoteOf vote{in.vote().number(), {claims::Vote::What::silent, in.vote().committed(), in.vote().value()}};
-  if (in.vote().what() == wire::Vote::YOURS) vote.vote.what = claims::Vote::What::yours;
-  if (in.vote().what() == wire::Vote::TAKEN) vote.vote.what = claims::Vote::What::taken;
+  VoteOf vote{in.vote().number(),
+              {idempotency::Vote::What::silent, in.vote().committed(), in.vote().value()}};
+  if (in.vote().what() == wire::Vote::YOURS) vote.vote.what = idempotency::Vote::What::yours;
+  if (in.vote().what() == wire::Vote::TAKEN) vote.vote.what = idempotency::Vote::What::taken;
   return vote;
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/words.h
+++ b/src/cluster/messages.h
@@ -7,13 +7,13 @@
 #include <variant>
 #include <vector>
 
-#include "claims/words.h"
-#include "peers/membership.h"
-#include "peers/service.h"
-#include "recovery/leaving.h"
-#include "work/acceptor.h"
+#include "cluster/membership.h"
+#include "cluster/recovery_service.h"
+#include "idempotency/claim_types.h"
+#include "maintenance/acceptor.h"
+#include "recovery/drain_registry.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 constexpr std::string_view kMethod = "/gulltrestle.peers.Keeper/Talk";
 
@@ -25,7 +25,7 @@
 struct Hello {
   std::string router, keepers;
   std::uint64_t draw = 0;
-  claims::Start keeper;  // number 0: it is none
+  idempotency::Start keeper;  // number 0: it is none
 };
 struct Claim {
   std::string id;
@@ -43,28 +43,28 @@
 using Nodes = std::vector<recovery::News>;   // to a keeper, and back
 using Primaries = std::vector<PrimaryNews>;  // likewise
 struct WorkRead {                            // a round on the plan of work
-  work::Ballot ballot;
+  maintenance::Ballot ballot;
 };
 struct WorkWrite {
-  work::Held held;
+  maintenance::Held held;
 };
 using Word =
     std::variant<Hello, Claim, Release, Committed, Nodes, Primaries, Enter, Beat, WorkRead, WorkWrite>;
 
 struct Heard {
   std::uint64_t number = 0;
-  claims::Start knew;
-  members::Incarnation speaks;  // the newest start of the router that has entered there
+  idempotency::Start knew;
+  membership::Incarnation speaks;  // the newest start of the router that has entered there
 };
 struct VoteOf {
   std::uint64_t number = 0;
-  claims::Vote vote;
+  idempotency::Vote vote;
 };
 struct WorkAnswer {  // to a round
-  work::Acceptor::Answer answer;
+  maintenance::Acceptor::Answer answer;
 };
 struct WorkHeld {  // what that keeper has on disk, whenever it changes, and ahead of its greeting's answer
-  work::Held held;
+  maintenance::Held held;
 };
 using Reply = std::variant<Heard, VoteOf, Nodes, Primaries, Seen, Entered, Reports, WorkAnswer, WorkHeld>;
 
@@ -74,4 +74,4 @@
 Word readWord(std::string_view bytes);
 Reply readReply(std::string_view bytes);
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/service.cpp
+++ b/src/cluster/recovery_service.cpp
@@ -1,6 +1,6 @@
-#include "peers/service.h"
+#include "cluster/recovery_service.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 using recovery::Ramp;
 using recovery::Stage;
@@ -23,7 +23,8 @@
 
 }  // namespace
 
-Service::Service(core::Ledger& ledger, const Terms& terms, double firstTxns, std::uint64_t seed, Log log)
+Service::Service(transactions::Ledger& ledger, const Terms& terms, double firstTxns, std::uint64_t seed,
+                 Log log)
     : ledger_(ledger),
       log_(std::move(log)),
       stages_(terms.types, terms.routers, terms.probesAllowed, seed),
@@ -158,4 +159,4 @@
   return groups.empty() ? 0 : static_cast<unsigned>(least);
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/service.h
+++ b/src/cluster/recovery_service.h
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "core/door.h"
-#include "core/ledger.h"
-#include "recovery/ramp.h"
-#include "recovery/sightings.h"
-#include "recovery/stages.h"
+#include "recovery/admission_ramp.h"
+#include "recovery/peer_observations.h"
+#include "recovery/recovery_stages.h"
+#include "transactions/admission_controller.h"
+#include "transactions/transaction_table.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 // Of one router, as it tells those that start.
 struct Seen {
@@ -28,11 +28,11 @@
   recovery::Primary primary;
 };
 
-class Service final : public core::Door {
+class Service final : public transactions::Door {
  public:
   using Log = std::function<void(std::string_view event, const std::string& fields)>;
   // `firstTxns`: a second and node, over all routers, that the ramp begins with.
-  Service(core::Ledger& ledger, const Terms& terms, double firstTxns, std::uint64_t seed, Log log);
+  Service(transactions::Ledger& ledger, const Terms& terms, double firstTxns, std::uint64_t seed, Log log);
 
   // --- The ledger
   std::optional<Span> rejects(GroupId group, std::size_t type) override;
@@ -69,7 +69,7 @@
   const std::string& forcedBy() const { return forcedBy_; }
 
  private:
-  core::Ledger& ledger_;
+  transactions::Ledger& ledger_;
   Log log_;
   recovery::Sightings sightings_;
   recovery::Stages stages_;
@@ -84,4 +84,4 @@
   std::string forcedBy_;
 };
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/spool.cpp
+++ b/src/cluster/request_directory.cpp
@@ -1,4 +1,4 @@
-#include "peers/spool.h"
+#include "cluster/request_directory.h"
 
 #include <cstdio>
 #include <filesystem>
@@ -6,7 +6,7 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 using Json = nlohmann::ordered_json;
 
@@ -67,4 +67,4 @@
 
 std::string Spool::takeFault() { return std::exchange(fault_, ""); }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/spool.h
+++ b/src/cluster/request_directory.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 // False: it could not be written.
 bool writeWhole(const std::string& path, const std::string& content);
@@ -35,4 +35,4 @@
   std::set<std::string> open_;
 };
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/status.cpp
+++ b/src/cluster/status_document.cpp
@@ -1,8 +1,8 @@
-#include "peers/status.h"
+#include "cluster/status_document.h"
 
 #include <nlohmann/json.hpp>
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 using Json = nlohmann::ordered_json;
 
@@ -31,7 +31,7 @@
   for (const auto& router : view.routers()) {
     const auto member = view.of(router);
     Json one{{"router", router},
-             {"state", members::nameOf(member.state)},
+             {"state", membership::nameOf(member.state)},
              {"start", member.incarnation},
              {"stage", recovery::nameOf(static_cast<recovery::Stage>(
                            std::min(member.progress.stage, static_cast<unsigned>(recovery::Stage::all))))}};
@@ -47,7 +47,7 @@
   work["machines"] = Json::array();
   for (const auto& m : worker.plan().machines) {
     Json one{{"machine", m.name},
-             {"phase", work::nameOf(m.phase)},
+             {"phase", maintenance::nameOf(m.phase)},
              {"why", m.why},
              {"by", m.by},
              {"tries", m.tries}};
@@ -75,7 +75,7 @@
   all["members"] = membersOf(membership);
   const Worker& worker = desk.worker();
   all["work"] = workOf(now, worker);
-  if (const claims::Keeper* keeper = desk.keeper()) {
+  if (const idempotency::Keeper* keeper = desk.keeper()) {
     all["keeper"] = {{"state", nameOf(keeper->state())}, {"ids", keeper->size()}};
     if (const auto unheard = keeper->unheard(); !unheard.empty()) all["keeper"]["waits_for"] = unheard;
   }
@@ -96,4 +96,4 @@
   return all.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/peers/status.h
+++ b/src/cluster/status_document.h
@@ -3,10 +3,10 @@
 
 #include <string>
 
-#include "peers/desk.h"
+#include "cluster/claim_dispatcher.h"
 #include "store/store.h"
 
-namespace gulltrestle::peers {
+namespace gulltrestle::cluster {
 
 // Words that went over this router's streams since it started.
 struct Talked {
@@ -17,4 +17,4 @@
 // `disk`: of this router's store; null: it is no keeper.
 std::string statusOf(Instant now, const Desk& desk, const store::Figures* disk, const Talked& talked);
 
-}  // namespace gulltrestle::peers
+}  // namespace gulltrestle::cluster
--- a/src/startup/section.cpp
+++ b/src/config/config_section.cpp
@@ -1,10 +1,10 @@
-#include "startup/section.h"
+#include "config/config_section.h"
 
 #include <charconv>
 #include <fstream>
 #include <sstream>
 
-namespace gulltrestle::startup {
+namespace gulltrestle::config {
 
 using json::Value;
 
@@ -95,4 +95,4 @@
     if (!known_.contains(name)) throw BadKey(path(name), "is not known here");
 }
 
-}  // namespace gulltrestle::startup
+}  // namespace gulltrestle::config
--- a/src/startup/section.h
+++ b/src/config/config_section.h
@@ -4,10 +4,10 @@
 #include <set>
 #include <string>
 
-#include "json/json.h"
-#include "startup/startup.h"
+#include "config/router_config.h"
+#include "protocol/json/json.h"
 
-namespace gulltrestle::startup {
+namespace gulltrestle::config {
 
 // The whole of a file. Throws BadKey.
 json::Value readFile(const std::string& path);
@@ -40,4 +40,4 @@
   std::set<std::string> known_;
 };
 
-}  // namespace gulltrestle::startup
+}  // namespace gulltrestle::config
--- a/src/startup/startup.cpp
+++ b/src/config/router_config.cpp
@@ -1,4 +1,4 @@
-#include "startup/startup.h"
+#include "config/router_config.h"
 
 #include <arpa/inet.h>
 #include <sys/resource.h>
@@ -9,7 +9,7 @@
 #include <map>
 #include <sstream>
 
-namespace gulltrestle::startup {
+namespace gulltrestle::config {
 
 namespace {
 
@@ -20,8 +20,8 @@
 // Nor below this, in MiB, for its code, its buffers and a few long values: it takes one to six in service.
 constexpr double kLeastMemory = 8;
 
-// The settings as terms::Source words them.
-class Flat final : public terms::Source {
+// The settings as deployment::Source words them.
+class Flat final : public deployment::Source {
  public:
   explicit Flat(const Value& settings) { add("", settings); }
   std::optional<std::string_view> find(std::string_view name) const override {
@@ -171,8 +171,8 @@
   start.descriptors =
       static_cast<std::size_t>(number(limits, "sockets", "limits.sockets", kFewestDescriptors, 1e7));
   try {
-    start.told = terms::read(Flat(need(all, "settings", "settings", Value::Kind::object, "an object")));
-  } catch (const terms::BadField& bad) { throw BadKey("settings", bad.what()); }
+    start.told = deployment::read(Flat(need(all, "settings", "settings", Value::Kind::object, "an object")));
+  } catch (const deployment::BadField& bad) { throw BadKey("settings", bad.what()); }
   if (const Value* known = all.find("known"); known && known->kind != Value::Kind::null) {
     try {
       start.known = readList(*known, start.told.zone);
@@ -210,4 +210,4 @@
   return kept;
 }
 
-}  // namespace gulltrestle::startup
+}  // namespace gulltrestle::config
--- a/src/startup/startup.h
+++ b/src/config/router_config.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "json/json.h"
-#include "terms/terms.h"
+#include "deployment/routing_config.h"
+#include "protocol/json/json.h"
 
-namespace gulltrestle::startup {
+namespace gulltrestle::config {
 
 // What can't be started with; the message names the key and the fault.
 class BadKey : public std::runtime_error {
@@ -42,7 +42,7 @@
   std::size_t memoryBytes = 0;
   std::size_t descriptors = 0;
   NodeList known;
-  terms::Told told;
+  deployment::Told told;
 };
 
 // Whose word counts where a variable of the environment and the file both name something: the variable's at
@@ -67,4 +67,4 @@
 
 Address readAddress(std::string_view key, std::string_view text);
 
-}  // namespace gulltrestle::startup
+}  // namespace gulltrestle::config
--- a/src/levels/table.cpp
+++ b/src/degradation/admission_table.cpp
@@ -1,8 +1,8 @@
-#include "levels/table.h"
+#include "degradation/admission_table.h"
 
 #include <algorithm>
 
-namespace gulltrestle::levels {
+namespace gulltrestle::degradation {
 
 namespace {
 
@@ -81,4 +81,4 @@
   }
 }
 
-}  // namespace gulltrestle::levels
+}  // namespace gulltrestle::degradation
--- a/src/levels/table.h
+++ b/src/degradation/admission_table.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "levels/levels.h"
+#include "degradation/degradation_controller.h"
 
-namespace gulltrestle::levels {
+namespace gulltrestle::degradation {
 
 // A row a level above 0, as the module takes it.
 using Table = std::vector<Reduction>;
@@ -33,4 +33,4 @@
 
 std::string_view nameOf(Admit admit);
 
-}  // namespace gulltrestle::levels
+}  // namespace gulltrestle::degradation
--- a/src/levels/levels.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -1,8 +1,8 @@
-#include "levels/levels.h"
+#include "degradation/degradation_controller.h"
 
 #include <algorithm>
 
-namespace gulltrestle::levels {
+namespace gulltrestle::degradation {
 
 namespace {
 
@@ -199,4 +199,4 @@
   return changes;
 }
 
-}  // namespace gulltrestle::levels
+}  // namespace gulltrestle::degradation
--- a/src/levels/levels.h
+++ b/src/degradation/degradation_controller.h
@@ -1,6 +1,6 @@
 // How far service is reduced: the level of each group, from how long txns of it take. One value out of what
-// is observed; what a level refuses is its table's (levels/table.h), who is refused is the module's. No I/O,
-// no clock.
+// is observed; what a level refuses is its table's (degradation/admission_table.h), who is refused is the
+// module's. No I/O, no clock.
 //
 //   state     what it is                                   goes to
 //   steady    the level has held                           raised: the standing wait is over the upper bound
@@ -23,7 +23,7 @@
 #include "base/time.h"
 #include "routing/router.h"
 
-namespace gulltrestle::levels {
+namespace gulltrestle::degradation {
 
 using Level = unsigned;  // 0: full service
 constexpr Level kMostLevel = 4;
@@ -114,4 +114,4 @@
   Instant nextDue_;
 };
 
-}  // namespace gulltrestle::levels
+}  // namespace gulltrestle::degradation
--- a/src/reduced/setup.cpp
+++ b/src/degradation_service/degradation_config.cpp
@@ -1,20 +1,20 @@
-#include "reduced/setup.h"
+#include "degradation_service/degradation_config.h"
 
 #include <algorithm>
 
-#include "startup/section.h"
+#include "config/config_section.h"
 
-namespace gulltrestle::reduced {
+namespace gulltrestle::degradation_service {
 
 namespace {
 
-using startup::BadKey;
-using startup::Section;
+using config::BadKey;
+using config::Section;
 
 // A level that an operator sets, and who did: a name is wanted, as others will wonder.
-levels::Level set(Section& top, const std::string& key, std::string& by) {
+degradation::Level set(Section& top, const std::string& key, std::string& by) {
   Section section = top.section(key);
-  const auto level = static_cast<levels::Level>(section.whole("level", 0, 0, levels::kMostLevel));
+  const auto level = static_cast<degradation::Level>(section.whole("level", 0, 0, degradation::kMostLevel));
   if (!section.has("level")) throw BadKey(section.path("level"), "is missing");
   by = section.text("by", "");
   if (by.empty()) throw BadKey(section.path("by"), "is missing: who sets it");
@@ -23,9 +23,9 @@
 }
 
 Admit admitOf(Section& row, const std::string& type, Admit otherwise) {
-  const std::string word = row.text(type, std::string(levels::nameOf(otherwise)));
+  const std::string word = row.text(type, std::string(degradation::nameOf(otherwise)));
   for (const Admit admit : {Admit::all, Admit::ready, Admit::spare, Admit::none})
-    if (levels::nameOf(admit) == word) return admit;
+    if (degradation::nameOf(admit) == word) return admit;
   throw BadKey(row.path(type), "'" + word + "' is none of all, ready, spare, none");
 }
 
@@ -46,7 +46,7 @@
   if (top.has("cap")) bounds.cap = set(top, "cap", setup.cappedBy);
   setup.statusFile = top.text("status_file", "");
   setup.statusEvery = top.millis("status_every_ms", setup.statusEvery, 100, 3'600'000);
-  setup.table = levels::tableOf(types);
+  setup.table = degradation::tableOf(types);
   Section table = top.section("table");
   for (std::size_t at = 0; at < setup.table.size(); ++at) {
     Section row = table.section(std::to_string(at + 1));
@@ -57,8 +57,8 @@
   table.end();
   top.end();
   try {
-    levels::check(setup.table, types);
-  } catch (const levels::BadTable& bad) { throw BadKey("table", bad.what()); }
+    degradation::check(setup.table, types);
+  } catch (const degradation::BadTable& bad) { throw BadKey("table", bad.what()); }
   return setup;
 }
 
@@ -66,12 +66,12 @@
 
 Setup readSetup(std::string_view text, const std::vector<TxnType>& types,
                 const std::vector<std::string>& typeNames) {
-  return read(startup::readText(text), types, typeNames);
+  return read(config::readText(text), types, typeNames);
 }
 
 Setup readSetupFile(const std::string& path, const std::vector<TxnType>& types,
                     const std::vector<std::string>& typeNames) {
-  return read(startup::readFile(path), types, typeNames);
+  return read(config::readFile(path), types, typeNames);
 }
 
-}  // namespace gulltrestle::reduced
+}  // namespace gulltrestle::degradation_service
--- a/src/reduced/setup.h
+++ b/src/degradation_service/degradation_config.h
@@ -5,23 +5,23 @@
 #include <string_view>
 #include <vector>
 
-#include "levels/table.h"
-#include "startup/startup.h"
+#include "config/router_config.h"
+#include "degradation/admission_table.h"
 
-namespace gulltrestle::reduced {
+namespace gulltrestle::degradation_service {
 
 struct Setup {
-  levels::Bounds bounds;
-  levels::Table table;
+  degradation::Bounds bounds;
+  degradation::Table table;
   std::string pinnedBy, cappedBy;  // who did, for those who wonder
   std::string statusFile;          // empty: none is written
   Span statusEvery = Span::millis(5000);
 };
 
-// Throws startup::BadKey, which names the key.
+// Throws config::BadKey, which names the key.
 Setup readSetup(std::string_view text, const std::vector<TxnType>& types,
                 const std::vector<std::string>& typeNames);
 Setup readSetupFile(const std::string& path, const std::vector<TxnType>& types,
                     const std::vector<std::string>& typeNames);
 
-}  // namespace gulltrestle::reduced
+}  // namespace gulltrestle::degradation_service
--- a/src/reduced/reduced.cpp
+++ b/src/degradation_service/degradation_service.cpp
@@ -1,10 +1,10 @@
-#include "reduced/reduced.h"
+#include "degradation_service/degradation_service.h"
 
 #include <cstdio>
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-namespace gulltrestle::reduced {
+namespace gulltrestle::degradation_service {
 
 namespace {
 
@@ -14,7 +14,7 @@
 constexpr std::size_t kMostLogged = 20;
 
 // The part of a txn type's txns that was refused as it came, since the start.
-double refusedOf(const levels::Levels::Counts& counts) {
+double refusedOf(const degradation::Levels::Counts& counts) {
   const auto asked = counts.answered + counts.gaveUp + counts.refused;
   return asked > 0 ? static_cast<double>(counts.refused) / static_cast<double>(asked) : 0;
 }
@@ -27,15 +27,15 @@
 
 }  // namespace
 
-Reduced::Reduced(core::Ledger& ledger, Setup setup, std::vector<std::string> typeNames, std::uint64_t seed,
-                 std::function<Setup()> read, Log log)
+Reduced::Reduced(transactions::Ledger& ledger, Setup setup, std::vector<std::string> typeNames,
+                 std::uint64_t seed, std::function<Setup()> read, Log log)
     : ledger_(ledger),
       setup_(std::move(setup)),
       typeNames_(std::move(typeNames)),
       read_(std::move(read)),
       log_(std::move(log)),
       levels_(setup_.bounds, seed) {
-  ledger_.reduceBy(levels_, setup_.table, [this](const levels::Change& change) { changed(change); });
+  ledger_.reduceBy(levels_, setup_.table, [this](const degradation::Change& change) { changed(change); });
   log_("event=levels.on up=" + figure(setup_.bounds.up) + " down=" + figure(setup_.bounds.down) + by());
 }
 
@@ -48,7 +48,7 @@
   return out;
 }
 
-void Reduced::changed(const levels::Change& change) {
+void Reduced::changed(const degradation::Change& change) {
   log_("event=levels.changed group=" + std::to_string(change.group) + " from=" + std::to_string(change.from) +
        " to=" + std::to_string(change.to) + " cause=" + std::string(nameOf(change.cause)) +
        " wait=" + figure(change.wait) + " txns=" + std::to_string(change.txns) + by());
@@ -59,7 +59,7 @@
     Setup anew = read_();
     setup_ = std::move(anew);
     levels_.bound(setup_.bounds);
-    ledger_.reduceBy(levels_, setup_.table, [this](const levels::Change& change) { changed(change); });
+    ledger_.reduceBy(levels_, setup_.table, [this](const degradation::Change& change) { changed(change); });
     log_("event=levels.read_anew" + by());
   } catch (const std::exception& bad) {
     log_("event=levels.not_taken why=\"" + std::string(bad.what()) + "\"");
@@ -69,7 +69,7 @@
 std::string Reduced::status(Instant now) const {
   nlohmann::ordered_json all;
   all["time_ms"] = now.inMicros() / 1000;
-  levels::Level highest = 0;
+  degradation::Level highest = 0;
   for (const auto& [id, group] : levels_.all()) highest = std::max(highest, group.level);
   all["level"] = highest;
   if (setup_.bounds.pinned) all["pinned"] = {{"level", *setup_.bounds.pinned}, {"by", setup_.pinnedBy}};
@@ -133,4 +133,4 @@
   log_("event=levels.now reduced=" + std::to_string(reduced) + line + by());
 }
 
-}  // namespace gulltrestle::reduced
+}  // namespace gulltrestle::degradation_service
--- a/src/reduced/reduced.h
+++ b/src/degradation_service/degradation_service.h
@@ -6,17 +6,17 @@
 #include <string>
 #include <vector>
 
-#include "core/ledger.h"
+#include "degradation_service/degradation_config.h"
 #include "gateway/gateway.h"
-#include "reduced/setup.h"
+#include "transactions/transaction_table.h"
 
-namespace gulltrestle::reduced {
+namespace gulltrestle::degradation_service {
 
 class Reduced final : public gateway::Part {
  public:
   using Log = std::function<void(const std::string& line)>;
-  // `read`: reads the configuration anew; it may throw startup::BadKey.
-  Reduced(core::Ledger& ledger, Setup setup, std::vector<std::string> typeNames, std::uint64_t seed,
+  // `read`: reads the configuration anew; it may throw config::BadKey.
+  Reduced(transactions::Ledger& ledger, Setup setup, std::vector<std::string> typeNames, std::uint64_t seed,
           std::function<Setup()> read, Log log);
 
   void listHeard() override {}
@@ -32,16 +32,16 @@
   std::string status(Instant now) const;
 
  private:
-  void changed(const levels::Change& change);
+  void changed(const degradation::Change& change);
   std::string by() const;
 
-  core::Ledger& ledger_;
+  transactions::Ledger& ledger_;
   Setup setup_;
   std::vector<std::string> typeNames_;
   std::function<Setup()> read_;
   Log log_;
-  levels::Levels levels_;
+  degradation::Levels levels_;
   Instant toldAt_, loggedAt_;
 };
 
-}  // namespace gulltrestle::reduced
+}  // namespace gulltrestle::degradation_service
--- a/src/terms/terms.cpp
+++ b/src/deployment/routing_config.cpp
@@ -1,9 +1,9 @@
-#include "terms/terms.h"
+#include "deployment/routing_config.h"
 
 #include <charconv>
 #include <cmath>
 
-namespace gulltrestle::terms {
+namespace gulltrestle::deployment {
 
 namespace {
 
@@ -151,4 +151,4 @@
   return told;
 }
 
-}  // namespace gulltrestle::terms
+}  // namespace gulltrestle::deployment
--- a/src/terms/terms.h
+++ b/src/deployment/routing_config.h
@@ -12,7 +12,7 @@
 
 #include "routing/router.h"
 
-namespace gulltrestle::terms {
+namespace gulltrestle::deployment {
 
 // A field that can't be taken; the message names it.
 class BadField : public std::runtime_error {
@@ -64,4 +64,4 @@
 
 Told read(const Source& settings);
 
-}  // namespace gulltrestle::terms
+}  // namespace gulltrestle::deployment
--- a/src/calls/calls.cpp
+++ b/src/discovery/poll_schedule.cpp
@@ -1,8 +1,8 @@
-#include "calls/calls.h"
+#include "discovery/poll_schedule.h"
 
 #include <algorithm>
 
-namespace gulltrestle::calls {
+namespace gulltrestle::discovery {
 
 namespace {
 
@@ -39,4 +39,4 @@
   return kPause * (times * (1 << std::min(failed_++, kDoublings)));
 }
 
-}  // namespace gulltrestle::calls
+}  // namespace gulltrestle::discovery
--- a/src/calls/calls.h
+++ b/src/discovery/poll_schedule.h
@@ -11,7 +11,7 @@
 
 #include "base/time.h"
 
-namespace gulltrestle::calls {
+namespace gulltrestle::discovery {
 
 class ListCalls {
  public:
@@ -35,4 +35,4 @@
   int failed_ = 0;
 };
 
-}  // namespace gulltrestle::calls
+}  // namespace gulltrestle::discovery
--- a/src/fronts/ext_proc/mapping.cpp
+++ b/src/downstream/ext_proc/header_mapping.cpp
@@ -1,11 +1,11 @@
-#include "fronts/ext_proc/mapping.h"
+#include "downstream/ext_proc/header_mapping.h"
 
 #include <algorithm>
 #include <charconv>
 
-#include "core/session.h"
+#include "transactions/session_id.h"
 
-namespace gulltrestle::fronts::ext_proc {
+namespace gulltrestle::downstream::ext_proc {
 
 namespace {
 
@@ -43,9 +43,10 @@
   return *value;
 }
 
-grants::Written writtenOf(std::string_view word) {
-  if (word == "none") return grants::Written::nothing;
-  return word == "some" || word == "whole" ? grants::Written::something : grants::Written::unknown;
+endpoint_leases::Written writtenOf(std::string_view word) {
+  if (word == "none") return endpoint_leases::Written::nothing;
+  return word == "some" || word == "whole" ? endpoint_leases::Written::something
+                                           : endpoint_leases::Written::unknown;
 }
 
 }  // namespace
@@ -70,14 +71,15 @@
   asked.txn.patience = asked.ask.patience =
       std::min(Span::millis(static_cast<std::int64_t>(patience)), type.deadline);
   if (type.level == ReadLevel::session) {
-    asked.txn.session = core::sessionOf(need(headers, names_.session));
+    asked.txn.session = transactions::sessionOf(need(headers, names_.session));
     asked.txn.writeAge = Span();  // it owes nothing
     if (const auto* age = find(headers, names_.writeAge); age && carried_) {
       const auto millis = number(names_.writeAge, *age, kMostMs);
       if (millis > 0) asked.txn.writeAge = Span::millis(static_cast<std::int64_t>(millis));
     }
   } else if (type.level == ReadLevel::write) {
-    if (const auto* session = find(headers, names_.session)) asked.txn.session = core::sessionOf(*session);
+    if (const auto* session = find(headers, names_.session))
+      asked.txn.session = transactions::sessionOf(*session);
   }
   if (const auto* attempt = find(headers, names_.attempt))
     asked.ask.attempt =
@@ -87,15 +89,15 @@
   return asked;
 }
 
-grants::Report Mapping::report(const wire::Headers& headers) const {
-  grants::Report report;
+endpoint_leases::Report Mapping::report(const wire::Headers& headers) const {
+  endpoint_leases::Report report;
   if (const auto* status = find(headers, ":status"))
     report.status = static_cast<int>(whole(*status, 999).value_or(0));
   if (const auto* written = find(headers, names_.written)) report.written = writtenOf(*written);
   if (const auto* said = find(headers, names_.nodeOutcome)) report.said = *said;
   if (const auto* sentTo = find(headers, names_.sentTo)) report.sentTo = *sentTo;
-  for (const auto& [name, value] : headers) standing::readField(names_.node, name, value, report.standing);
+  for (const auto& [name, value] : headers) load_report::readField(names_.node, name, value, report.standing);
   return report;
 }
 
-}  // namespace gulltrestle::fronts::ext_proc
+}  // namespace gulltrestle::downstream::ext_proc
--- a/src/fronts/ext_proc/mapping.h
+++ b/src/downstream/ext_proc/header_mapping.h
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "ext_proc/messages.h"
-#include "grants/book.h"
-#include "grants/ends.h"
+#include "endpoint_leases/attempt_outcome.h"
+#include "endpoint_leases/lease_registry.h"
+#include "protocol/ext_proc/messages.h"
+#include "protocol/load_report/load_report.h"
 #include "routing/router.h"
-#include "standing/standing.h"
 
-namespace gulltrestle::fronts::ext_proc {
+namespace gulltrestle::downstream::ext_proc {
 
 namespace wire = gulltrestle::ext_proc;
 
@@ -29,7 +29,7 @@
               retryAfterMs = "x-txn-retry-after-ms";
   // Of a node's answer, with those of its standing.
   std::string nodeOutcome = "x-node-outcome", sentTo = "x-txn-sent-to";
-  standing::Names node;
+  load_report::Names node;
 };
 
 // What can't be taken for a txn; the message names the header.
@@ -44,12 +44,12 @@
 
   struct Asked {
     Txn txn;  // without a number and earlier tries
-    grants::Ask ask;
+    endpoint_leases::Ask ask;
   };
   // Throws BadHeader.
   Asked read(const wire::Headers& headers) const;
   // Never throws: what can't be read is left out, so that nothing is learnt from it.
-  grants::Report report(const wire::Headers& headers) const;
+  endpoint_leases::Report report(const wire::Headers& headers) const;
 
   const HeaderNames& names() const { return names_; }
 
@@ -60,4 +60,4 @@
   bool carried_;
 };
 
-}  // namespace gulltrestle::fronts::ext_proc
+}  // namespace gulltrestle::downstream::ext_proc
--- a/src/fronts/ext_proc/streams.cpp
+++ b/src/downstream/ext_proc/request_streams.cpp
@@ -1,12 +1,12 @@
-#include "fronts/ext_proc/streams.h"
+#include "downstream/ext_proc/request_streams.h"
 
 #include <algorithm>
 #include <vector>
 
-namespace gulltrestle::fronts::ext_proc {
+namespace gulltrestle::downstream::ext_proc {
 
-using grants::Outcome;
-using grants::Verdict;
+using endpoint_leases::Outcome;
+using endpoint_leases::Verdict;
 
 namespace {
 
@@ -38,8 +38,8 @@
 
 }  // namespace
 
-Streams::Streams(core::Ledger& ledger, Mapping mapping, grants::Book book, grants::DrainRule rule,
-                 Bounds bounds, Effects& effects)
+Streams::Streams(transactions::Ledger& ledger, Mapping mapping, endpoint_leases::Book book,
+                 endpoint_leases::DrainRule rule, Bounds bounds, Effects& effects)
     : ledger_(ledger),
       mapping_(std::move(mapping)),
       book_(std::move(book)),
@@ -130,7 +130,7 @@
 
 void Streams::ask(StreamKey key, Stream& stream) {
   if (stream.stage == Stage::opened)
-    stream.hold = grants::holdOf(ledger_.now(), stream.asked.txn.patience, bounds_.messageTime);
+    stream.hold = endpoint_leases::holdOf(ledger_.now(), stream.asked.txn.patience, bounds_.messageTime);
   const Verdict verdict = book_.asked(ledger_.now(), key, stream.asked.ask);
   if (verdict.what == Verdict::What::wait) {
     stream.stage = Stage::waiting;
@@ -166,7 +166,7 @@
   setDue(key, stream, stream.hold.askAt != Instant() ? stream.hold.askAt : stream.hold.answerBy);
 }
 
-bool Streams::granted(TxnId txn, const carriers::delegated::Grant& grant) {
+bool Streams::granted(TxnId txn, const upstream::delegated::Grant& grant) {
   const auto owner = owners_.find(txn);
   if (owner == owners_.end()) return false;
   const StreamKey key = owner->second;
@@ -193,7 +193,7 @@
 // --- Reporting
 
 void Streams::report(StreamKey key, Stream& stream, const wire::Headers& headers) {
-  const grants::Report report = mapping_.report(headers);
+  const endpoint_leases::Report report = mapping_.report(headers);
   if (report.sentTo && *report.sentTo != stream.grant.address) {
     ++counts_.misused;
     logBounded("ext_proc.misused", "told=" + stream.grant.address + " sent_to=" + quoted(*report.sentTo));
@@ -201,7 +201,7 @@
   stream.stage = Stage::reported;
   stream.endTold = true;
   setDue(key, stream, {});
-  const End how = grants::endOf(report, stream.grant.address);
+  const End how = endpoint_leases::endOf(report, stream.grant.address);
   book_.ended(ledger_.now(), stream.asked.ask.id, key, how);
   const bool owed = ledger_.isOwed(stream.txn);
   carrier_.reported(stream.txn, report);
@@ -213,12 +213,14 @@
 
 // --- Answers
 
-void Streams::committed(core::OwnerId owner, const core::Value&) { decided(owner, Outcome::committed, {}); }
-void Streams::refused(core::OwnerId owner, Span after, unsigned level) {
+void Streams::committed(transactions::OwnerId owner, const transactions::Value&) {
+  decided(owner, Outcome::committed, {});
+}
+void Streams::refused(transactions::OwnerId owner, Span after, unsigned level) {
   if (const auto at = streams_.find(owner); at != streams_.end()) at->second.level = level;
   decided(owner, Outcome::refused, after);
 }
-void Streams::rolledBack(core::OwnerId owner) { decided(owner, Outcome::rolledBack, {}); }
+void Streams::rolledBack(transactions::OwnerId owner) { decided(owner, Outcome::rolledBack, {}); }
 
 void Streams::decided(StreamKey key, Outcome outcome, Span retryAfter) {
   const auto at = streams_.find(key);
@@ -355,4 +357,4 @@
   said = {ledger_.now(), 0};
 }
 
-}  // namespace gulltrestle::fronts::ext_proc
+}  // namespace gulltrestle::downstream::ext_proc
--- a/src/fronts/ext_proc/streams.h
+++ b/src/downstream/ext_proc/request_streams.h
@@ -1,6 +1,6 @@
 // Streams of proxies that ask for each request where it goes: their phases, the txns they stand for, and what
-// each is told. One stream is one try; grants::Book says which streams are tries of one txn. It reads no
-// socket and no clock.
+// each is told. One stream is one try; endpoint_leases::Book says which streams are tries of one txn. It
+// reads no socket and no clock.
 #pragma once
 
 #include <map>
@@ -10,16 +10,16 @@
 #include <utility>
 #include <vector>
 
-#include "carriers/delegated/delegated.h"
-#include "core/ledger.h"
-#include "ext_proc/messages.h"
-#include "fronts/ext_proc/mapping.h"
-#include "grants/book.h"
-#include "grants/worth.h"
+#include "downstream/ext_proc/header_mapping.h"
+#include "endpoint_leases/lease_duration.h"
+#include "endpoint_leases/lease_registry.h"
+#include "protocol/ext_proc/messages.h"
+#include "transactions/transaction_table.h"
+#include "upstream/delegated/delegated_transport.h"
 
-namespace gulltrestle::fronts::ext_proc {
+namespace gulltrestle::downstream::ext_proc {
 
-using grants::StreamKey;
+using endpoint_leases::StreamKey;
 
 // How a stream is ended here, in the words of gRPC that its server gives.
 enum class Close { done, invalid, overdue, full, unavailable };
@@ -38,13 +38,13 @@
 struct Bounds {
   std::size_t mostStreams = 1000;
   Span openLimit = Span::millis(2000);  // a stream must have asked by then
-  grants::MessageTime messageTime;
+  endpoint_leases::MessageTime messageTime;
 };
 
-class Streams final : private core::Front, private carriers::delegated::Granting {
+class Streams final : private transactions::Front, private upstream::delegated::Granting {
  public:
-  Streams(core::Ledger& ledger, Mapping mapping, grants::Book book, grants::DrainRule rule, Bounds bounds,
-          Effects& effects);
+  Streams(transactions::Ledger& ledger, Mapping mapping, endpoint_leases::Book book,
+          endpoint_leases::DrainRule rule, Bounds bounds, Effects& effects);
 
   // Events. The ledger has been told when.
   void opened(StreamKey stream);
@@ -57,7 +57,7 @@
   Instant nextDue() const;
   void stop() { stopped_ = true; }  // nothing new is taken
   bool empty() const { return streams_.empty(); }
-  core::Carrier& carrier() { return carrier_; }
+  transactions::Carrier& carrier() { return carrier_; }
 
   // Since the start, for logs and status.
   struct Counts {
@@ -81,9 +81,9 @@
     Stage stage = Stage::opened;
     Mapping::Asked asked;
     TxnId txn = 0;
-    grants::Hold hold;
-    carriers::delegated::Grant grant;
-    std::optional<grants::Outcome> given;  // by the module, while nothing could be told
+    endpoint_leases::Hold hold;
+    upstream::delegated::Grant grant;
+    std::optional<endpoint_leases::Outcome> given;  // by the module, while nothing could be told
     Span retryAfter;
     unsigned level = 0;  // of reduced service, by which it was refused
     bool halfClosed = false, endTold = false;
@@ -91,17 +91,17 @@
   };
 
   // Front.
-  void committed(core::OwnerId owner, const core::Value& value) override;
-  void refused(core::OwnerId owner, Span retryAfter, unsigned level) override;
-  void rolledBack(core::OwnerId owner) override;
+  void committed(transactions::OwnerId owner, const transactions::Value& value) override;
+  void refused(transactions::OwnerId owner, Span retryAfter, unsigned level) override;
+  void rolledBack(transactions::OwnerId owner) override;
   bool needsValue() const override { return false; }
   // Granting.
-  bool granted(TxnId txn, const carriers::delegated::Grant& grant) override;
+  bool granted(TxnId txn, const upstream::delegated::Grant& grant) override;
 
   void ask(StreamKey key, Stream& stream);
   void report(StreamKey key, Stream& stream, const wire::Headers& headers);
-  void decided(StreamKey key, grants::Outcome outcome, Span retryAfter);
-  void immediate(StreamKey key, Stream& stream, grants::Outcome outcome, Span retryAfter,
+  void decided(StreamKey key, endpoint_leases::Outcome outcome, Span retryAfter);
+  void immediate(StreamKey key, Stream& stream, endpoint_leases::Outcome outcome, Span retryAfter,
                  std::string_view why);
   void bad(StreamKey key, Stream& stream, std::string_view why);
   void invalid(StreamKey key, std::string_view why);
@@ -109,12 +109,12 @@
   void setDue(StreamKey key, Stream& stream, Instant due);
   void logBounded(std::string_view event, const std::string& fields);
 
-  core::Ledger& ledger_;
+  transactions::Ledger& ledger_;
   Mapping mapping_;
-  grants::Book book_;
+  endpoint_leases::Book book_;
   Bounds bounds_;
   Effects& effects_;
-  carriers::delegated::Delegated carrier_;
+  upstream::delegated::Delegated carrier_;
   std::map<StreamKey, Stream> streams_;
   std::map<TxnId, StreamKey> owners_;  // of txns that are owed an answer or have a grant out
   std::set<StreamKey> waiting_;
@@ -128,4 +128,4 @@
   bool stopped_ = false;
 };
 
-}  // namespace gulltrestle::fronts::ext_proc
+}  // namespace gulltrestle::downstream::ext_proc
--- a/src/fronts/pg/arrivals.h
+++ b/src/downstream/postgres/arrival_times.h
@@ -7,7 +7,7 @@
 
 #include "base/time.h"
 
-namespace gulltrestle::fronts::pg {
+namespace gulltrestle::downstream::postgres {
 
 class Arrivals {
  public:
@@ -41,4 +41,4 @@
   std::vector<Mark> marks_;
 };
 
-}  // namespace gulltrestle::fronts::pg
+}  // namespace gulltrestle::downstream::postgres
--- a/src/fronts/pg/clients.cpp
+++ b/src/downstream/postgres/client_sessions.cpp
@@ -1,16 +1,16 @@
-#include "fronts/pg/clients.h"
+#include "downstream/postgres/client_sessions.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/session.h"
-#include "pg/answer.h"
-#include "pg/statement.h"
+#include "protocol/postgres/answer.h"
+#include "protocol/postgres/statement.h"
+#include "transactions/session_id.h"
 
-namespace gulltrestle::fronts::pg {
+namespace gulltrestle::downstream::postgres {
 
-using core::ConnectionEnd;
-namespace wire = gulltrestle::pg;
+using transactions::ConnectionEnd;
+namespace wire = gulltrestle::postgres;
 
 namespace {
 
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-Clients::Clients(core::Ledger& ledger, core::Carrier& carrier, const Terms& terms,
+Clients::Clients(transactions::Ledger& ledger, transactions::Carrier& carrier, const Terms& terms,
                  const std::vector<std::string>& typeNames, Bounds bounds, Effects& effects)
     : ledger_(ledger), carrier_(carrier), bounds_(bounds), effects_(effects) {
   for (std::size_t row = 0; row < terms.types.size(); ++row) {
@@ -168,7 +168,7 @@
     txn.type = type->second;
     txn.group = statement.group;
     if (level >= ReadLevel::write || level == ReadLevel::session)
-      txn.session = core::sessionOf(statement.key);
+      txn.session = transactions::sessionOf(statement.key);
     if (level == ReadLevel::session) {
       txn.writeAge = Span();  // it owes nothing
       if (statement.afterMs.value_or(0) > 0)
@@ -212,7 +212,7 @@
 }
 
 // The connection is closed after what was written has gone.
-void Clients::drop(ClientId id, core::ConnectionEnd why) {
+void Clients::drop(ClientId id, transactions::ConnectionEnd why) {
   const auto subject = [id] { return "client " + std::to_string(id); };
   if (!ledger_.invariants().close(ledger_.now(), isWaiting(id), subject)) return;
   traceClose(id, nameOf(why));
@@ -285,17 +285,17 @@
 
 // --- Final answers
 
-void Clients::committed(core::OwnerId owner, const core::Value& value) {
+void Clients::committed(transactions::OwnerId owner, const transactions::Value& value) {
   effects_.writeClient(owner, {value[0], value[1], value[2], wire::readyForQuery()});
   answered(owner);
 }
 
-void Clients::refused(core::OwnerId owner, Span retryAfter, unsigned level) {
+void Clients::refused(transactions::OwnerId owner, Span retryAfter, unsigned level) {
   effects_.writeClient(owner, {wire::refused(retryAfter.inMicros() / 1000, level), wire::readyForQuery()});
   answered(owner);
 }
 
-void Clients::rolledBack(core::OwnerId owner) {
+void Clients::rolledBack(transactions::OwnerId owner) {
   effects_.writeClient(owner, {wire::rolledBack(), wire::readyForQuery()});
   answered(owner);
 }
@@ -330,4 +330,4 @@
   for (const ClientId id : idle) drop(id, ConnectionEnd::shuttingDown);
 }
 
-}  // namespace gulltrestle::fronts::pg
+}  // namespace gulltrestle::downstream::postgres
--- a/src/fronts/pg/clients.h
+++ b/src/downstream/postgres/client_sessions.h
@@ -9,12 +9,12 @@
 #include <string_view>
 #include <vector>
 
-#include "core/connection_end.h"
-#include "core/ledger.h"
-#include "fronts/pg/arrivals.h"
-#include "pg/messages.h"
+#include "downstream/postgres/arrival_times.h"
+#include "protocol/postgres/messages.h"
+#include "transactions/connection_close.h"
+#include "transactions/transaction_table.h"
 
-namespace gulltrestle::fronts::pg {
+namespace gulltrestle::downstream::postgres {
 
 using ClientId = std::uint64_t;
 
@@ -22,7 +22,7 @@
 class Effects {
  public:
   virtual ~Effects() = default;
-  virtual void writeClient(ClientId client, core::Parts parts) = 0;
+  virtual void writeClient(ClientId client, transactions::Parts parts) = 0;
   // Hands over what the client has sent meanwhile, and all that follows.
   virtual void readClient(ClientId client) = 0;
   // Closes once all is written.
@@ -34,10 +34,10 @@
   std::size_t mostAsking = 0;  // connections that clients keep for txns; 0: any number
 };
 
-class Clients final : private core::Front {
+class Clients final : private transactions::Front {
  public:
   // `carrier`: takes their txns to nodes.
-  Clients(core::Ledger& ledger, core::Carrier& carrier, const Terms& terms,
+  Clients(transactions::Ledger& ledger, transactions::Carrier& carrier, const Terms& terms,
           const std::vector<std::string>& typeNames, Bounds bounds, Effects& effects);
 
   // Events. The ledger has been told when.
@@ -80,9 +80,9 @@
   };
 
   // Front.
-  void committed(core::OwnerId owner, const core::Value& value) override;
-  void refused(core::OwnerId owner, Span retryAfter, unsigned level) override;
-  void rolledBack(core::OwnerId owner) override;
+  void committed(transactions::OwnerId owner, const transactions::Value& value) override;
+  void refused(transactions::OwnerId owner, Span retryAfter, unsigned level) override;
+  void rolledBack(transactions::OwnerId owner) override;
 
   bool takeOpening(ClientId id, Client& client, std::string_view& bytes);
   bool takeMessage(ClientId id, Client& client, std::string_view& bytes, std::size_t before);
@@ -93,14 +93,14 @@
   void answered(ClientId id);
   void nextOf(ClientId id);
   // What it is owed has been answered; `why`: for the trace.
-  void drop(ClientId id, core::ConnectionEnd why);
+  void drop(ClientId id, transactions::ConnectionEnd why);
   void traceClose(ClientId id, std::string_view why) const;
   void makeRoomToAsk();
   void awaitMessage(ClientId id, Client& client, Instant due);
   bool isFresh(const Client& client, Span limit) const;
 
-  core::Ledger& ledger_;
-  core::Carrier& carrier_;
+  transactions::Ledger& ledger_;
+  transactions::Carrier& carrier_;
   std::map<std::string, std::size_t, std::less<>> types_;
   std::vector<ReadLevel> levels_;
   Bounds bounds_;
@@ -112,4 +112,4 @@
   std::size_t asking_ = 0;  // clients that had a txn
 };
 
-}  // namespace gulltrestle::fronts::pg
+}  // namespace gulltrestle::downstream::postgres
--- a/src/grants/ends.cpp
+++ b/src/endpoint_leases/attempt_outcome.cpp
@@ -1,6 +1,6 @@
-#include "grants/ends.h"
+#include "endpoint_leases/attempt_outcome.h"
 
-namespace gulltrestle::grants {
+namespace gulltrestle::endpoint_leases {
 
 namespace {
 
@@ -42,4 +42,4 @@
   return elsewhere(report, told) || report.written == Written::nothing ? Standing() : report.standing;
 }
 
-}  // namespace gulltrestle::grants
+}  // namespace gulltrestle::endpoint_leases
--- a/src/grants/ends.h
+++ b/src/endpoint_leases/attempt_outcome.h
@@ -7,7 +7,7 @@
 
 #include "routing/router.h"
 
-namespace gulltrestle::grants {
+namespace gulltrestle::endpoint_leases {
 
 // What is known to have been written to a node.
 enum class Written { unknown, nothing, something };
@@ -36,4 +36,4 @@
 // The Standing that may be learnt of the node that was told: none if another answered.
 Standing learnt(const Report& report, const std::string& told);
 
-}  // namespace gulltrestle::grants
+}  // namespace gulltrestle::endpoint_leases
--- a/src/grants/worth.cpp
+++ b/src/endpoint_leases/lease_duration.cpp
@@ -1,8 +1,8 @@
-#include "grants/worth.h"
+#include "endpoint_leases/lease_duration.h"
 
 #include <algorithm>
 
-namespace gulltrestle::grants {
+namespace gulltrestle::endpoint_leases {
 
 namespace {
 
@@ -50,4 +50,4 @@
   return hold;
 }
 
-}  // namespace gulltrestle::grants
+}  // namespace gulltrestle::endpoint_leases
--- a/src/grants/worth.h
+++ b/src/endpoint_leases/lease_duration.h
@@ -7,7 +7,7 @@
 
 #include "base/time.h"
 
-namespace gulltrestle::grants {
+namespace gulltrestle::endpoint_leases {
 
 // What binds a grant, from the deployment's settings.
 struct DrainRule {
@@ -41,4 +41,4 @@
 };
 Hold holdOf(Instant now, Span patience, const MessageTime& time);
 
-}  // namespace gulltrestle::grants
+}  // namespace gulltrestle::endpoint_leases
--- a/src/grants/book.cpp
+++ b/src/endpoint_leases/lease_registry.cpp
@@ -1,8 +1,8 @@
-#include "grants/book.h"
+#include "endpoint_leases/lease_registry.h"
 
 #include <algorithm>
 
-namespace gulltrestle::grants {
+namespace gulltrestle::endpoint_leases {
 
 namespace {
 
@@ -190,4 +190,4 @@
   return next;
 }
 
-}  // namespace gulltrestle::grants
+}  // namespace gulltrestle::endpoint_leases
--- a/src/grants/book.h
+++ b/src/endpoint_leases/lease_registry.h
@@ -27,10 +27,10 @@
 #include <unordered_map>
 #include <utility>
 
-#include "grants/ends.h"
+#include "endpoint_leases/attempt_outcome.h"
 #include "routing/router.h"
 
-namespace gulltrestle::grants {
+namespace gulltrestle::endpoint_leases {
 
 using StreamKey = std::uint64_t;  // a stream's own number; never 0
 
@@ -120,4 +120,4 @@
   std::deque<std::pair<Instant, std::string>> repeatables_, others_;
 };
 
-}  // namespace gulltrestle::grants
+}  // namespace gulltrestle::endpoint_leases
--- a/src/gateway/effects.h
+++ b/src/gateway/effects.h
@@ -3,17 +3,17 @@
 
 #include <string>
 
-#include "carriers/pg/links.h"
-#include "fronts/pg/clients.h"
+#include "downstream/postgres/client_sessions.h"
+#include "upstream/postgres/connection_pool.h"
 
 namespace gulltrestle::gateway {
 
-using carriers::pg::LinkId;
-using core::ConnectionEnd;
-using core::Parts;
-using fronts::pg::ClientId;
+using downstream::postgres::ClientId;
+using transactions::ConnectionEnd;
+using transactions::Parts;
+using upstream::postgres::LinkId;
 
-class Effects : public fronts::pg::Effects, public carriers::pg::Effects {
+class Effects : public downstream::postgres::Effects, public upstream::postgres::Effects {
  public:
   virtual void stopListening() = 0;
   virtual void askForList() = 0;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -7,12 +7,12 @@
 #include <string_view>
 #include <vector>
 
-#include "core/ledger.h"
 #include "gateway/effects.h"
+#include "transactions/transaction_table.h"
 
 namespace gulltrestle::gateway {
 
-using core::Addressed;
+using transactions::Addressed;
 
 // What the settings and the limits leave for connections.
 struct Bounds {
@@ -43,7 +43,7 @@
 
   // Before the first event.
   void add(Part& part) { parts_.push_back(&part); }
-  core::Ledger& ledger() { return ledger_; }
+  transactions::Ledger& ledger() { return ledger_; }
 
   // Events. Each tells when it was seen.
   void clientOpened(Instant now, ClientId client);
@@ -80,9 +80,9 @@
  private:
   Bounds bounds_;
   Effects& effects_;
-  core::Ledger ledger_;
-  carriers::pg::Links links_;
-  fronts::pg::Clients clients_;
+  transactions::Ledger ledger_;
+  upstream::postgres::Links links_;
+  downstream::postgres::Clients clients_;
   std::vector<Part*> parts_;
   Instant stopAt_;
   std::string discovery_;                                      // its address
--- a/src/claims/claimant.cpp
+++ b/src/idempotency/claim_coordinator.cpp
@@ -1,8 +1,8 @@
-#include "claims/claimant.h"
+#include "idempotency/claim_coordinator.h"
 
 #include <algorithm>
 
-namespace gulltrestle::claims {
+namespace gulltrestle::idempotency {
 
 namespace {
 
@@ -151,4 +151,4 @@
   return due_.empty() ? Instant() : due_.begin()->first;
 }
 
-}  // namespace gulltrestle::claims
+}  // namespace gulltrestle::idempotency
--- a/src/claims/claimant.h
+++ b/src/idempotency/claim_coordinator.h
@@ -25,9 +25,9 @@
 #include <utility>
 #include <vector>
 
-#include "claims/words.h"
+#include "idempotency/claim_types.h"
 
-namespace gulltrestle::claims {
+namespace gulltrestle::idempotency {
 
 using TxnKey = std::uint64_t;  // whatever the caller names a txn by
 using ClaimNumber = std::uint64_t;
@@ -109,4 +109,4 @@
   Counts counts_;
 };
 
-}  // namespace gulltrestle::claims
+}  // namespace gulltrestle::idempotency
--- a/src/claims/words.h
+++ b/src/idempotency/claim_types.h
@@ -12,7 +12,7 @@
 
 #include "base/time.h"
 
-namespace gulltrestle::claims {
+namespace gulltrestle::idempotency {
 
 // One claim. No two have the same, of whatever router and start.
 struct Token {
@@ -54,4 +54,4 @@
 // More than half: any two such sets share a keeper.
 constexpr std::size_t majorityOf(std::size_t keepers) { return keepers / 2 + 1; }
 
-}  // namespace gulltrestle::claims
+}  // namespace gulltrestle::idempotency
--- a/src/claims/lists.cpp
+++ b/src/idempotency/voter_lists.cpp
@@ -1,8 +1,8 @@
-#include "claims/lists.h"
+#include "idempotency/voter_lists.h"
 
 #include <algorithm>
 
-namespace gulltrestle::claims {
+namespace gulltrestle::idempotency {
 
 namespace {
 
@@ -65,4 +65,4 @@
   return moved >= majorityOf(list.names.size());
 }
 
-}  // namespace gulltrestle::claims
+}  // namespace gulltrestle::idempotency
--- a/src/claims/lists.h
+++ b/src/idempotency/voter_lists.h
@@ -31,9 +31,9 @@
 #include <string>
 #include <vector>
 
-#include "claims/words.h"
+#include "idempotency/claim_types.h"
 
-namespace gulltrestle::claims {
+namespace gulltrestle::idempotency {
 
 // Who the keepers are; which list that is, counted from 1.
 struct List {
@@ -67,4 +67,4 @@
 // Whether the list is over, by the keepers that are known to serve under the present one.
 bool isOver(const List& list, const std::set<std::string>& onPresent);
 
-}  // namespace gulltrestle::claims
+}  // namespace gulltrestle::idempotency
--- a/src/claims/keeper.cpp
+++ b/src/idempotency/voting_member.cpp
@@ -1,8 +1,8 @@
-#include "claims/keeper.h"
+#include "idempotency/voting_member.h"
 
 #include <algorithm>
 
-namespace gulltrestle::claims {
+namespace gulltrestle::idempotency {
 
 std::string_view nameOf(Keeper::State state) {
   constexpr std::string_view kNames[] = {"moving", "unheard", "silent", "votes"};
@@ -188,4 +188,4 @@
   return next == Instant() ? silentUntil_ : std::min(next, silentUntil_);
 }
 
-}  // namespace gulltrestle::claims
+}  // namespace gulltrestle::idempotency
--- a/src/claims/keeper.h
+++ b/src/idempotency/voting_member.h
@@ -4,7 +4,7 @@
 //   state     what it is                                 gives votes  goes to
 //   moving    its list of keepers has changed, and the   no           unheard: they are over
 //             lists before may not be over
-//             (claims/lists.h)
+//             (idempotency/voter_lists.h)
 //   unheard   it has started, and does not know whether  no           votes, or silent: more than half of the
 //             its disk is the one it last had                         keepers, itself counted, have told the
 //                                                                     newest start of it that they knew of;
@@ -41,10 +41,10 @@
 #include <utility>
 #include <vector>
 
-#include "claims/lists.h"
-#include "claims/words.h"
+#include "idempotency/claim_types.h"
+#include "idempotency/voter_lists.h"
 
-namespace gulltrestle::claims {
+namespace gulltrestle::idempotency {
 
 struct KeeperBounds {
   // How long a vote counts, by the keeper's own running clock and anew from each start, as no clock of the
@@ -68,7 +68,7 @@
       primaries;                         // of each group, and the newest version of a list when it was one
   std::map<std::string, Start> members;  // the newest start of each router, by the number that it speaks by
   Lists lists;
-  std::string work;  // work/acceptor.h
+  std::string work;  // maintenance/acceptor.h
 };
 
 class Keeper {
@@ -155,4 +155,4 @@
 
 std::string_view nameOf(Keeper::State state);
 
-}  // namespace gulltrestle::claims
+}  // namespace gulltrestle::idempotency
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -5,20 +5,20 @@
 #include <memory>
 #include <optional>
 
-#include "about/about.h"
-#include "logging/logging.h"
-#include "loop/sockets.h"
-#include "reduced/reduced.h"
-#include "server/server.h"
-#include "startup/startup.h"
+#include "config/router_config.h"
+#include "degradation_service/degradation_service.h"
+#include "observability/build_info/build_info.h"
+#include "observability/logging/transaction_logging.h"
+#include "runtime/event_loop/sockets.h"
+#include "runtime/server/server.h"
 
 #ifdef GULLTRESTLE_EXT_PROC
-#include "processor/processor.h"
+#include "runtime/ext_proc_server/ext_proc_server.h"
 #endif
 
 #ifdef GULLTRESTLE_FLEET
-#include "commands/commands.h"
-#include "peers/peers.h"
+#include "cli/command_line.h"
+#include "cluster/cluster_server.h"
 #endif
 
 namespace {
@@ -43,7 +43,7 @@
     if (named(variable).empty()) return std::nullopt;
     try {
       return readFile();
-    } catch (const startup::BadKey& bad) {
+    } catch (const config::BadKey& bad) {
       add(variable, bad.what());
       return std::nullopt;
     }
@@ -64,12 +64,12 @@
 
 void logLine(const std::string& line) { spdlog::info("{}", line); }
 
-void tellStart(const startup::Start& start) {
+void tellStart(const config::Start& start) {
   std::string on;
   for (const char* variable : {kLevels, kLogging, kProcessor, kFleet})
     if (!named(variable).empty()) on += (on.empty() ? "" : ",") + std::string(variable);
-  spdlog::info("event=start version={} built_in={} on={} name={} types={} routers={}", about::version(),
-               about::partsBuiltIn(), on.empty() ? "none" : on, start.name, start.told.typeNames.size(),
+  spdlog::info("event=start version={} built_in={} on={} name={} types={} routers={}", build_info::version(),
+               build_info::partsBuiltIn(), on.empty() ? "none" : on, start.name, start.told.typeNames.size(),
                start.told.terms.routers);
 }
 
@@ -83,32 +83,33 @@
 #endif
 
 void serve() {
-  const startup::Start start = startup::readStart();
+  const config::Start start = config::readStart();
   const auto& told = start.told;
   const auto readLevels = [&told] {
-    return reduced::readSetupFile(named(kLevels), told.terms.types, told.typeNames);
+    return degradation_service::readSetupFile(named(kLevels), told.terms.types, told.typeNames);
   };
   const auto readLogging = [] { return logging::readSetupFile(named(kLogging)); };
   Faults faults;
-  faults.needs(kProcessor, about::hasExternalProcessor(), "the external processor");
-  faults.needs(kFleet, about::hasFleet(), "what several routers settle among themselves");
+  faults.needs(kProcessor, build_info::hasExternalProcessor(), "the external processor");
+  faults.needs(kFleet, build_info::hasFleet(), "what several routers settle among themselves");
   const auto levels = faults.read(kLevels, readLevels);
   const auto logs = faults.read(kLogging, readLogging);
   server::Beside beside;
   beside.reducedByLevel = levels.has_value();
 #ifdef GULLTRESTLE_EXT_PROC
-  const auto processing = faults.read(kProcessor, [] { return processor::readSetupFile(named(kProcessor)); });
+  const auto processing =
+      faults.read(kProcessor, [] { return ext_proc_server::readSetupFile(named(kProcessor)); });
   if (processing) {
-    beside.descriptors += processing->mostConnections + processor::kMostProbes;
+    beside.descriptors += processing->mostConnections + ext_proc_server::kMostProbes;
     beside.openTxns = processing->streams.mostStreams;
   }
 #endif
 #ifdef GULLTRESTLE_FLEET
   const auto readFleet = [&] {
-    return peers::readSetupFile(named(kFleet), start.name, longestOnceOnly(told.terms));
+    return cluster::readSetupFile(named(kFleet), start.name, longestOnceOnly(told.terms));
   };
   const auto fleet = faults.read(kFleet, readFleet);
-  if (fleet) beside.descriptors += peers::Peers::descriptors(*fleet);
+  if (fleet) beside.descriptors += cluster::Peers::descriptors(*fleet);
 #endif
   faults.raise();
   tellStart(start);
@@ -116,11 +117,11 @@
   server::Server server(start, beside);
   std::optional<logging::Logging> logging;
   if (logs) server.add(logging.emplace(server.ledger().trace(), *logs, readLogging, logLine));
-  std::optional<reduced::Reduced> service;
+  std::optional<degradation_service::Reduced> service;
   if (levels)
     server.add(service.emplace(server.ledger(), *levels, told.typeNames, start.seed, readLevels, logLine));
 #ifdef GULLTRESTLE_EXT_PROC
-  std::optional<processor::Processor> part;
+  std::optional<ext_proc_server::Processor> part;
   if (processing) {
     // Names this start in the tokens of its grants: the time in microseconds tells two starts apart.
     const std::string name = start.name + "." + std::to_string(server.loop().now().inMicros());
@@ -128,7 +129,7 @@
   }
 #endif
 #ifdef GULLTRESTLE_FLEET
-  std::optional<peers::Peers> others;
+  std::optional<cluster::Peers> others;
   if (fleet)
     server.add(others.emplace(server.loop(), server.ledger(), told.terms, *fleet, start.name, readFleet));
 #endif
@@ -138,11 +139,12 @@
 // The words of the command line; none: it serves.
 int command(int count, char** words) {
   if (std::string(words[1]) == "--version") {
-    std::cout << "gulltrestle " << about::version() << ", built in: " << about::partsBuiltIn() << "\n";
+    std::cout << "gulltrestle " << build_info::version() << ", built in: " << build_info::partsBuiltIn()
+              << "\n";
     return 0;
   }
 #ifdef GULLTRESTLE_FLEET
-  return commands::run(count, words, std::cout, std::cerr);
+  return cli::run(count, words, std::cout, std::cerr);
 #else
   std::cerr << "gulltrestle: " << count - 1 << " words on the command line, and no commands are built in\n";
   return 2;
@@ -154,7 +156,7 @@
 int main(int count, char** words) {
   try {
     if (count > 1) return command(count, words);
-    loop::holdSignals();
+    event_loop::holdSignals();
     spdlog::set_pattern("%H:%M:%S.%e %L %v");
     spdlog::flush_on(spdlog::level::info);
     serve();
--- a/src/work/acceptor.cpp
+++ b/src/maintenance/acceptor.cpp
@@ -1,8 +1,8 @@
-#include "work/acceptor.h"
+#include "maintenance/acceptor.h"
 
 #include <nlohmann/json.hpp>
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 using Json = nlohmann::json;
 using What = Acceptor::Answer::What;
@@ -66,4 +66,4 @@
   return done.answer;
 }
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/acceptor.h
+++ b/src/maintenance/acceptor.h
@@ -10,8 +10,9 @@
 // An answer comes once what it says is durable. Guards against a keeper that forgot: while it learns it
 // counts in no reading, so what it forgot is read from others; a write brings it what is settled now. That a
 // round which it had promised not to hear comes to it again is ruled out by time: it takes part again only
-// when it votes (claims/keeper.h: after the time of retention), and rounds last a part of that. Hurts where
-// more than half of the disks are lost at once: nothing is settled any more, until operators begin anew.
+// when it votes (idempotency/voting_member.h: after the time of retention), and rounds last a part of that.
+// Hurts where more than half of the disks are lost at once: nothing is settled any more, until operators
+// begin anew.
 #pragma once
 
 #include <deque>
@@ -19,9 +20,9 @@
 #include <string>
 #include <utility>
 
-#include "work/words.h"
+#include "maintenance/maintenance_plan.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 class Acceptor {
  public:
@@ -65,4 +66,4 @@
   std::deque<Waiting> waiting_;
 };
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/facts.h
+++ b/src/maintenance/fleet_state.h
@@ -8,7 +8,7 @@
 
 #include "base/time.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 // A node that said nothing for so long does not serve; where there is work in its group it is asked that
 // often.
@@ -58,4 +58,4 @@
   Span fence = fenceOf(Span::millis(5'000));
 };
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/lease.h
+++ b/src/maintenance/lease.h
@@ -3,9 +3,9 @@
 //
 // Counted from when the word was said that was answered: whatever was settled before that moment, one of
 // those that answered held it, and told it ahead of its answer. A keeper counts a router as silent after
-// members::Roll::kSilence, by its own running clock, from when it heard the word: later than it was said, and
-// half a second more than a lease lasts, which is what two running clocks may differ in that time. So once
-// more than half call a router silent it has no lease.
+// membership::Roll::kSilence, by its own running clock, from when it heard the word: later than it was said,
+// and half a second more than a lease lasts, which is what two running clocks may differ in that time. So
+// once more than half call a router silent it has no lease.
 #pragma once
 
 #include <algorithm>
@@ -15,13 +15,13 @@
 #include <utility>
 #include <vector>
 
-#include "work/words.h"
+#include "maintenance/maintenance_plan.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 class Lease {
  public:
-  // Below members::Roll::kSilence, above what two lost words take.
+  // Below membership::Roll::kSilence, above what two lost words take.
   static constexpr Span kLasts = Span::millis(3000);
 
   explicit Lease(std::size_t keepers) : keepers_(keepers) {}
@@ -59,4 +59,4 @@
   std::map<KeeperNumber, Instant> at_;
 };
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/steps.cpp
+++ b/src/maintenance/maintenance_leader.cpp
@@ -1,10 +1,10 @@
-#include "work/steps.h"
+#include "maintenance/maintenance_leader.h"
 
 #include <algorithm>
 
-#include "work/order.h"
+#include "maintenance/scheduling.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 namespace {
 
@@ -311,4 +311,4 @@
   return "";
 }
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/steps.h
+++ b/src/maintenance/maintenance_leader.h
@@ -1,6 +1,6 @@
 // How the plan goes on, step by step: who has to say what before a machine goes from one phase to the next,
 // and when that is given up. One keeper carries it on at a time, the foreman; each change is settled as a
-// whole (work/round.h), so two that both believe to be it do no harm. No I/O, no clock.
+// whole (maintenance/proposal_round.h), so two that both believe to be it do no harm. No I/O, no clock.
 //
 // A machine is told free once each router that belongs, and each that left the list lately, has either
 //   - said, by the start that speaks now, that it keeps to the plan and that nothing of it is out there; a
@@ -20,10 +20,10 @@
 #include <string>
 #include <vector>
 
-#include "work/facts.h"
-#include "work/words.h"
+#include "maintenance/fleet_state.h"
+#include "maintenance/maintenance_plan.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 struct Step {
   std::string machine;
@@ -84,4 +84,4 @@
 std::string stop(Plan& plan, const std::string& request, const std::string& machine, const std::string& by);
 std::string done(Plan& plan, const std::string& request, const std::string& machine, const std::string& by);
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/words.cpp
+++ b/src/maintenance/maintenance_plan.cpp
@@ -1,10 +1,10 @@
-#include "work/words.h"
+#include "maintenance/maintenance_plan.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 using Json = nlohmann::json;
 
@@ -77,4 +77,4 @@
   return plan;
 }
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/words.h
+++ b/src/maintenance/maintenance_plan.h
@@ -10,7 +10,7 @@
 
 #include "base/time.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 using KeeperNumber = std::size_t;  // row in the list of keepers
 
@@ -77,4 +77,4 @@
 std::string encoded(const Plan& plan);
 Plan readPlan(const std::string& text);
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/asks.cpp
+++ b/src/maintenance/operator_requests.cpp
@@ -1,11 +1,11 @@
-#include "work/asks.h"
+#include "maintenance/operator_requests.h"
 
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "work/steps.h"
+#include "maintenance/maintenance_leader.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 using Json = nlohmann::ordered_json;
 
@@ -132,4 +132,4 @@
   return done(plan, request, asked.machine, asked.by);
 }
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/asks.h
+++ b/src/maintenance/operator_requests.h
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-#include "work/facts.h"
-#include "work/words.h"
+#include "maintenance/fleet_state.h"
+#include "maintenance/maintenance_plan.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 // Names the key that is wrong.
 class BadAsk : public std::runtime_error {
@@ -32,4 +32,4 @@
 std::string carryOut(Plan& plan, const std::string& request, const Ask& ask, const Facts& facts,
                      const Bounds& bounds);
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/known.cpp
+++ b/src/maintenance/plan_view.cpp
@@ -1,8 +1,8 @@
-#include "work/known.h"
+#include "maintenance/plan_view.h"
 
 #include <algorithm>
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 bool Known::told(KeeperNumber keeper, const Held& held) {
   const auto at = told_.find(keeper);
@@ -25,7 +25,7 @@
   out_.clear();
   next_.clear();
   routers_.clear();
-  // What is not settled is one change ahead of what is (work/round.h).
+  // What is not settled is one change ahead of what is (maintenance/proposal_round.h).
   const auto take = [&](const Plan& plan, bool knowsBefore) {
     for (const auto& m : plan.machines) {
       const bool mayHaveLeft = !knowsBefore && m.since == plan.version && m.phase != Phase::next;
@@ -40,4 +40,4 @@
     if (told.held.ballot > settledBy_) take(told.plan, settled_.version + 1 >= told.plan.version);
 }
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/known.h
+++ b/src/maintenance/plan_view.h
@@ -10,9 +10,9 @@
 #include <set>
 #include <string>
 
-#include "work/words.h"
+#include "maintenance/maintenance_plan.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 class Known {
  public:
@@ -43,4 +43,4 @@
   std::set<std::string> out_, next_, routers_;
 };
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/round.cpp
+++ b/src/maintenance/proposal_round.cpp
@@ -1,9 +1,9 @@
-#include "work/round.h"
+#include "maintenance/proposal_round.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 namespace {
 
@@ -75,4 +75,4 @@
   return state_ == State::rests ? restsUntil_ : until_;
 }
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/round.h
+++ b/src/maintenance/proposal_round.h
@@ -11,7 +11,7 @@
 //           time is up
 //
 // Two that try at once end each other's rounds; the pause parts them. A round that lasted too long is given
-// up: what it read may be old, and keepers that forgot rely on that (work/acceptor.h).
+// up: what it read may be old, and keepers that forgot rely on that (maintenance/acceptor.h).
 #pragma once
 
 #include <map>
@@ -20,9 +20,9 @@
 #include <set>
 #include <string>
 
-#include "work/words.h"
+#include "maintenance/maintenance_plan.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 class Round {
  public:
@@ -73,4 +73,4 @@
   Instant until_, restsUntil_;
 };
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/order.cpp
+++ b/src/maintenance/scheduling.cpp
@@ -1,10 +1,10 @@
-#include "work/order.h"
+#include "maintenance/scheduling.h"
 
 #include <algorithm>
 #include <set>
 #include <tuple>
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 namespace {
 
@@ -163,4 +163,4 @@
   return hindranceOfRouters({}, alone, lively, bounds);
 }
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/work/order.h
+++ b/src/maintenance/scheduling.h
@@ -15,10 +15,10 @@
 #include <optional>
 #include <string>
 
-#include "work/facts.h"
-#include "work/words.h"
+#include "maintenance/fleet_state.h"
+#include "maintenance/maintenance_plan.h"
 
-namespace gulltrestle::work {
+namespace gulltrestle::maintenance {
 
 // Why this machine can't go now; empty: it can. Counts what is away for any reason, this machine left out.
 std::string hindrance(const Plan& plan, const Machine& machine, const Facts& facts, const Bounds& bounds);
@@ -34,4 +34,4 @@
 // What would hinder it however long it waits; empty: nothing. For requests.
 std::string impossible(const Machine& machine, const Facts& facts, const Bounds& bounds);
 
-}  // namespace gulltrestle::work
+}  // namespace gulltrestle::maintenance
--- a/src/members/roll.cpp
+++ b/src/membership/failure_detector.cpp
@@ -1,6 +1,6 @@
-#include "members/roll.h"
+#include "membership/failure_detector.h"
 
-namespace gulltrestle::members {
+namespace gulltrestle::membership {
 
 Roll::Roll(Instant now, const std::set<std::string>& list, std::map<std::string, Incarnation> kept)
     : others_(std::move(kept)), turnedAt_(now) {
@@ -98,4 +98,4 @@
   return out;
 }
 
-}  // namespace gulltrestle::members
+}  // namespace gulltrestle::membership
--- a/src/members/roll.h
+++ b/src/membership/failure_detector.h
@@ -21,14 +21,14 @@
 #include <utility>
 #include <vector>
 
-#include "members/words.h"
+#include "membership/membership_types.h"
 
-namespace gulltrestle::members {
+namespace gulltrestle::membership {
 
 class Roll {
  public:
-  // Routers say something each second (members/beats.h); three that did not come are more than a busy
-  // machine.
+  // Routers say something each second (membership/heartbeat_timer.h); three that did not come are more than a
+  // busy machine.
   static constexpr Span kSilence = Span::millis(3500);
   // How often turn() has to be called; a longer gap is time in which this keeper stood still.
   static constexpr Span kTurn = Span::millis(500);
@@ -79,4 +79,4 @@
   std::vector<std::pair<std::string, Incarnation>> changes_;
 };
 
-}  // namespace gulltrestle::members
+}  // namespace gulltrestle::membership
--- a/src/members/beats.h
+++ b/src/membership/heartbeat_timer.h
@@ -9,7 +9,7 @@
 
 #include "base/time.h"
 
-namespace gulltrestle::members {
+namespace gulltrestle::membership {
 
 class Beats {
  public:
@@ -34,4 +34,4 @@
   Instant next_;
 };
 
-}  // namespace gulltrestle::members
+}  // namespace gulltrestle::membership
--- a/src/members/entry.cpp
+++ b/src/membership/join_protocol.cpp
@@ -1,8 +1,8 @@
-#include "members/entry.h"
+#include "membership/join_protocol.h"
 
 #include <algorithm>
 
-namespace gulltrestle::members {
+namespace gulltrestle::membership {
 
 namespace {
 
@@ -83,4 +83,4 @@
   return Instant();
 }
 
-}  // namespace gulltrestle::members
+}  // namespace gulltrestle::membership
--- a/src/members/entry.h
+++ b/src/membership/join_protocol.h
@@ -25,9 +25,9 @@
 #include <utility>
 #include <vector>
 
-#include "members/words.h"
+#include "membership/membership_types.h"
 
-namespace gulltrestle::members {
+namespace gulltrestle::membership {
 
 class Entry {
  public:
@@ -72,4 +72,4 @@
 
 std::string_view nameOf(Entry::State state);
 
-}  // namespace gulltrestle::members
+}  // namespace gulltrestle::membership
--- a/src/members/words.h
+++ b/src/membership/membership_types.h
@@ -8,7 +8,7 @@
 
 #include "base/time.h"
 
-namespace gulltrestle::members {
+namespace gulltrestle::membership {
 
 using KeeperNumber = std::size_t;  // row in the list of keepers
 
@@ -55,4 +55,4 @@
 // More than half.
 constexpr std::size_t majorityOf(std::size_t keepers) { return keepers / 2 + 1; }
 
-}  // namespace gulltrestle::members
+}  // namespace gulltrestle::membership
--- a/src/members/view.cpp
+++ b/src/membership/membership_view.cpp
@@ -1,10 +1,10 @@
-#include "members/view.h"
+#include "membership/membership_view.h"
 
 #include <algorithm>
 #include <functional>
 #include <map>
 
-namespace gulltrestle::members {
+namespace gulltrestle::membership {
 
 namespace {
 
@@ -96,4 +96,4 @@
                                                 [&](const auto& one) { return one.second.state == state; }));
 }
 
-}  // namespace gulltrestle::members
+}  // namespace gulltrestle::membership
--- a/src/members/view.h
+++ b/src/membership/membership_view.h
@@ -17,9 +17,9 @@
 #include <utility>
 #include <vector>
 
-#include "members/words.h"
+#include "membership/membership_types.h"
 
-namespace gulltrestle::members {
+namespace gulltrestle::membership {
 
 class View {
  public:
@@ -69,4 +69,4 @@
 
 std::string_view nameOf(View::State state);
 
-}  // namespace gulltrestle::members
+}  // namespace gulltrestle::membership
--- a/src/about/about.cpp
+++ b/src/observability/build_info/build_info.cpp
@@ -1,6 +1,6 @@
-#include "about/about.h"
+#include "observability/build_info/build_info.h"
 
-namespace gulltrestle::about {
+namespace gulltrestle::build_info {
 
 std::string_view version() { return GULLTRESTLE_VERSION; }
 
@@ -27,4 +27,4 @@
   return out.empty() ? "none" : out;
 }
 
-}  // namespace gulltrestle::about
+}  // namespace gulltrestle::build_info
--- a/src/about/about.h
+++ b/src/observability/build_info/build_info.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-namespace gulltrestle::about {
+namespace gulltrestle::build_info {
 
 std::string_view version();
 bool hasExternalProcessor();
@@ -12,4 +12,4 @@
 // The names of the optional parts that were built in, separated by commas; "none" where there are none.
 std::string partsBuiltIn();
 
-}  // namespace gulltrestle::about
+}  // namespace gulltrestle::build_info
--- a/src/logging/setup.h
+++ b/src/observability/logging/logging_config.h
@@ -10,7 +10,7 @@
   bool txns = false;  // each txn from its arrival to its answer, and why connections are closed
 };
 
-// Throws startup::BadKey, which names the key.
+// Throws config::BadKey, which names the key.
 Setup readSetup(std::string_view text);
 Setup readSetupFile(const std::string& path);
 
--- a/src/logging/logging.cpp
+++ b/src/observability/logging/transaction_logging.cpp
@@ -1,8 +1,8 @@
-#include "logging/logging.h"
+#include "observability/logging/transaction_logging.h"
 
 namespace gulltrestle::logging {
 
-Logging::Logging(core::Trace& trace, const Setup& setup, std::function<Setup()> read, Log log)
+Logging::Logging(transactions::Trace& trace, const Setup& setup, std::function<Setup()> read, Log log)
     : trace_(trace), read_(std::move(read)), log_(std::move(log)) {
   take(setup);
 }
--- a/src/logging/logging.h
+++ b/src/observability/logging/transaction_logging.h
@@ -5,17 +5,17 @@
 #include <functional>
 #include <string>
 
-#include "core/trace.h"
 #include "gateway/gateway.h"
-#include "logging/setup.h"
+#include "observability/logging/logging_config.h"
+#include "transactions/trace.h"
 
 namespace gulltrestle::logging {
 
 class Logging final : public gateway::Part {
  public:
   using Log = std::function<void(const std::string& line)>;
-  // `read`: reads the configuration anew; it may throw startup::BadKey.
-  Logging(core::Trace& trace, const Setup& setup, std::function<Setup()> read, Log log);
+  // `read`: reads the configuration anew; it may throw config::BadKey.
+  Logging(transactions::Trace& trace, const Setup& setup, std::function<Setup()> read, Log log);
 
   void listHeard() override {}
   void endTurn() override {}
@@ -29,7 +29,7 @@
  private:
   void take(const Setup& setup);
 
-  core::Trace& trace_;
+  transactions::Trace& trace_;
   std::function<Setup()> read_;
   Log log_;
 };
--- a/src/ext_proc/messages.cpp
+++ b/src/protocol/ext_proc/messages.cpp
@@ -1,4 +1,4 @@
-#include "ext_proc/messages.h"
+#include "protocol/ext_proc/messages.h"
 
 #include <algorithm>
 #include <cstdint>
--- a/src/grpc/calls.cpp
+++ b/src/protocol/grpc/server_calls.cpp
@@ -1,4 +1,4 @@
-#include "grpc/calls.h"
+#include "protocol/grpc/server_calls.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/grpc/calls.h
+++ b/src/protocol/grpc/server_calls.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "http2/session.h"
+#include "protocol/http2/session.h"
 
 namespace gulltrestle::grpc {
 
--- a/src/http/response.cpp
+++ b/src/protocol/http1/response.cpp
@@ -1,10 +1,10 @@
-#include "http/response.h"
+#include "protocol/http1/response.h"
 
 #include <algorithm>
 #include <cctype>
 #include <charconv>
 
-namespace gulltrestle::http {
+namespace gulltrestle::http1 {
 
 namespace {
 
@@ -114,4 +114,4 @@
          "\r\nAccept: application/json\r\n\r\n";
 }
 
-}  // namespace gulltrestle::http
+}  // namespace gulltrestle::http1
--- a/src/http/response.h
+++ b/src/protocol/http1/response.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace gulltrestle::http {
+namespace gulltrestle::http1 {
 
 class Malformed : public std::runtime_error {
  public:
@@ -46,4 +46,4 @@
 
 std::string get(std::string_view path, std::string_view host);
 
-}  // namespace gulltrestle::http
+}  // namespace gulltrestle::http1
--- a/src/http2/session.cpp
+++ b/src/protocol/http2/session.cpp
@@ -1,4 +1,4 @@
-#include "http2/session.h"
+#include "protocol/http2/session.h"
 
 #include <nghttp2/nghttp2.h>
 
--- a/src/json/json.cpp
+++ b/src/protocol/json/json.cpp
@@ -1,4 +1,4 @@
-#include "json/json.h"
+#include "protocol/json/json.h"
 
 #include <cctype>
 #include <charconv>
--- a/src/standing/standing.cpp
+++ b/src/protocol/load_report/load_report.cpp
@@ -1,9 +1,9 @@
-#include "standing/standing.h"
+#include "protocol/load_report/load_report.h"
 
 #include <charconv>
 #include <optional>
 
-namespace gulltrestle::standing {
+namespace gulltrestle::load_report {
 
 namespace {
 
@@ -31,4 +31,4 @@
   }
 }
 
-}  // namespace gulltrestle::standing
+}  // namespace gulltrestle::load_report
--- a/src/standing/standing.h
+++ b/src/protocol/load_report/load_report.h
@@ -6,7 +6,7 @@
 
 #include "routing/router.h"
 
-namespace gulltrestle::standing {
+namespace gulltrestle::load_report {
 
 // Their names, in lower case.
 struct Names {
@@ -18,4 +18,4 @@
 // Adds to `said` what one header tells. What can't be read tells nothing.
 void readField(const Names& names, std::string_view name, std::string_view value, Standing& said);
 
-}  // namespace gulltrestle::standing
+}  // namespace gulltrestle::load_report
--- a/src/pg/answer.cpp
+++ b/src/protocol/postgres/answer.cpp
@@ -1,9 +1,9 @@
-#include "pg/answer.h"
+#include "protocol/postgres/answer.h"
 
 #include <charconv>
 #include <cmath>
 
-namespace gulltrestle::pg {
+namespace gulltrestle::postgres {
 
 namespace {
 
@@ -192,4 +192,4 @@
 
 std::string rolledBack() { return error("ERROR", kMayHaveRun, "rolled back: it may or may not have run"); }
 
-}  // namespace gulltrestle::pg
+}  // namespace gulltrestle::postgres
--- a/src/pg/answer.h
+++ b/src/protocol/postgres/answer.h
@@ -5,9 +5,9 @@
 #include <optional>
 #include <string_view>
 
-#include "pg/messages.h"
+#include "protocol/postgres/messages.h"
 
-namespace gulltrestle::pg {
+namespace gulltrestle::postgres {
 
 // What an error says of the query.
 enum class Verdict {
@@ -60,4 +60,4 @@
 
 constexpr std::string_view kShowReport = "SHOW gauges";
 
-}  // namespace gulltrestle::pg
+}  // namespace gulltrestle::postgres
--- a/src/pg/messages.cpp
+++ b/src/protocol/postgres/messages.cpp
@@ -1,6 +1,6 @@
-#include "pg/messages.h"
+#include "protocol/postgres/messages.h"
 
-namespace gulltrestle::pg {
+namespace gulltrestle::postgres {
 
 namespace {
 
@@ -161,4 +161,4 @@
   return made;
 }
 
-}  // namespace gulltrestle::pg
+}  // namespace gulltrestle::postgres
--- a/src/pg/messages.h
+++ b/src/protocol/postgres/messages.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace gulltrestle::pg {
+namespace gulltrestle::postgres {
 
 class Malformed : public std::runtime_error {
  public:
@@ -66,4 +66,4 @@
 // The head of a Query message for a statement of that size; statement and a zero byte follow it.
 std::string queryHead(std::size_t statementSize);
 
-}  // namespace gulltrestle::pg
+}  // namespace gulltrestle::postgres
--- a/src/pg/statement.cpp
+++ b/src/protocol/postgres/statement.cpp
@@ -1,9 +1,9 @@
-#include "pg/statement.h"
+#include "protocol/postgres/statement.h"
 
 #include <charconv>
 #include <string>
 
-namespace gulltrestle::pg {
+namespace gulltrestle::postgres {
 
 namespace {
 
@@ -97,4 +97,4 @@
   return read;
 }
 
-}  // namespace gulltrestle::pg
+}  // namespace gulltrestle::postgres
--- a/src/pg/statement.h
+++ b/src/protocol/postgres/statement.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <string_view>
 
-#include "pg/messages.h"
+#include "protocol/postgres/messages.h"
 
-namespace gulltrestle::pg {
+namespace gulltrestle::postgres {
 
 // A statement that can't be taken: an SQLSTATE and what is wrong.
 class BadStatement : public std::runtime_error {
@@ -37,4 +37,4 @@
 
 bool isBlank(std::string_view text);  // nothing but spaces and semicolons
 
-}  // namespace gulltrestle::pg
+}  // namespace gulltrestle::postgres
--- a/src/recovery/ramp.cpp
+++ b/src/recovery/admission_ramp.cpp
@@ -1,4 +1,4 @@
-#include "recovery/ramp.h"
+#include "recovery/admission_ramp.h"
 
 #include <algorithm>
 
--- a/src/recovery/leaving.cpp
+++ b/src/recovery/drain_registry.cpp
@@ -1,4 +1,4 @@
-#include "recovery/leaving.h"
+#include "recovery/drain_registry.h"
 
 #include <algorithm>
 #include <set>
--- a/src/recovery/sightings.cpp
+++ b/src/recovery/peer_observations.cpp
@@ -1,4 +1,4 @@
-#include "recovery/sightings.h"
+#include "recovery/peer_observations.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/recovery/stages.cpp
+++ b/src/recovery/recovery_stages.cpp
@@ -1,4 +1,4 @@
-#include "recovery/stages.h"
+#include "recovery/recovery_stages.h"
 
 #include <algorithm>
 
--- a/src/recovery/stages.h
+++ b/src/recovery/recovery_stages.h
@@ -32,8 +32,8 @@
 #include <string_view>
 #include <vector>
 
-#include "recovery/leaving.h"
-#include "recovery/sightings.h"
+#include "recovery/drain_registry.h"
+#include "recovery/peer_observations.h"
 
 namespace gulltrestle::recovery {
 
--- a/src/loop/descriptor.h
+++ b/src/runtime/event_loop/descriptor.h
@@ -5,7 +5,7 @@
 
 #include <utility>
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
 class Descriptor {
  public:
@@ -27,4 +27,4 @@
   int number_ = -1;
 };
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/loop/loop.cpp
+++ b/src/runtime/event_loop/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "loop/loop.h"
+#include "runtime/event_loop/event_loop.h"
 
 #include <sys/epoll.h>
 
@@ -10,9 +10,9 @@
 #include <system_error>
 #include <utility>
 
-#include "loop/persist.h"
+#include "runtime/event_loop/retry_system_call.h"
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
 namespace {
 
@@ -200,4 +200,4 @@
   disarm(stream);
 }
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/loop/loop.h
+++ b/src/runtime/event_loop/event_loop.h
@@ -10,11 +10,11 @@
 #include <vector>
 
 #include "base/time.h"
-#include "loop/descriptor.h"
-#include "loop/stream.h"
-#include "loop/task.h"
+#include "runtime/event_loop/descriptor.h"
+#include "runtime/event_loop/stream.h"
+#include "runtime/event_loop/task.h"
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
 class Loop {
  public:
@@ -90,4 +90,4 @@
   std::unordered_map<void*, Task> tasks_;  // by the address of the frame
 };
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/loop/persist.cpp
+++ b/src/runtime/event_loop/retry_system_call.cpp
@@ -1,4 +1,4 @@
-#include "loop/persist.h"
+#include "runtime/event_loop/retry_system_call.h"
 
 #include <cerrno>
 #include <chrono>
@@ -9,7 +9,7 @@
 #include <thread>
 #include <utility>
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
 namespace {
 
@@ -61,4 +61,4 @@
   }
 }
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/loop/persist.h
+++ b/src/runtime/event_loop/retry_system_call.h
@@ -4,7 +4,7 @@
 
 #include <functional>
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
 // Whether a call that failed so may go well a little later, as far as the manual pages tell.
 bool isPassing(int error);
@@ -14,4 +14,4 @@
 // error is none that passes or the process is told to end, else after five seconds.
 int persist(const char* what, const std::function<int()>& call);
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/loop/sockets.cpp
+++ b/src/runtime/event_loop/sockets.cpp
@@ -1,4 +1,4 @@
-#include "loop/sockets.h"
+#include "runtime/event_loop/sockets.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -12,9 +12,9 @@
 #include <csignal>
 #include <system_error>
 
-#include "loop/persist.h"
+#include "runtime/event_loop/retry_system_call.h"
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
 namespace {
 
@@ -170,4 +170,4 @@
   return taken.ssi_signo == SIGHUP ? Signal::readAnew : Signal::end;
 }
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/loop/sockets.h
+++ b/src/runtime/event_loop/sockets.h
@@ -7,11 +7,12 @@
 #include <string>
 #include <string_view>
 
-#include "loop/descriptor.h"
+#include "runtime/event_loop/descriptor.h"
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
-// Throws std::system_error where the address can't be had, also after a while (loop/persist.h).
+// Throws std::system_error where the address can't be had, also after a while
+// (runtime/event_loop/retry_system_call.h).
 Descriptor listenOn(const std::string& host, unsigned short port);
 // Not up yet when it returns; none where this machine has no descriptor, port or memory for it now. Throws
 // where the address is none.
@@ -38,4 +39,4 @@
 Descriptor signals();
 std::optional<Signal> takeSignal(int descriptor);  // none if there is none left
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/loop/stream.cpp
+++ b/src/runtime/event_loop/stream.cpp
@@ -1,10 +1,10 @@
-#include "loop/stream.h"
+#include "runtime/event_loop/stream.h"
 
 #include <sys/epoll.h>
 
-#include "loop/loop.h"
+#include "runtime/event_loop/event_loop.h"
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
 namespace {
 
@@ -59,7 +59,7 @@
 }
 
 Io Stream::accept(Descriptor& taken) {
-  const Io how = loop::accept(descriptor(), taken);
+  const Io how = event_loop::accept(descriptor(), taken);
   if (how == Io::wouldBlock) readBlocked();
   return how;
 }
@@ -98,4 +98,4 @@
 
 void Stream::wakeAt(Instant at) { loop_.wakeAt(*this, at); }
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/loop/stream.h
+++ b/src/runtime/event_loop/stream.h
@@ -10,10 +10,10 @@
 #include <utility>
 
 #include "base/time.h"
-#include "loop/descriptor.h"
-#include "loop/sockets.h"
+#include "runtime/event_loop/descriptor.h"
+#include "runtime/event_loop/sockets.h"
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
 class Loop;
 
@@ -75,4 +75,4 @@
   std::coroutine_handle<> waiter_;
 };
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/loop/task.h
+++ b/src/runtime/event_loop/task.h
@@ -5,7 +5,7 @@
 #include <exception>
 #include <utility>
 
-namespace gulltrestle::loop {
+namespace gulltrestle::event_loop {
 
 class Task {
  public:
@@ -36,4 +36,4 @@
   std::coroutine_handle<promise_type> handle_;  // owns the frame
 };
 
-}  // namespace gulltrestle::loop
+}  // namespace gulltrestle::event_loop
--- a/src/processor/setup.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_config.cpp
@@ -1,16 +1,16 @@
-#include "processor/setup.h"
+#include "runtime/ext_proc_server/ext_proc_config.h"
 
 #include <algorithm>
 
-#include "startup/section.h"
+#include "config/config_section.h"
 
-namespace gulltrestle::processor {
+namespace gulltrestle::ext_proc_server {
 
 namespace {
 
-using startup::BadKey;
+using config::BadKey;
 
-using startup::Section;
+using config::Section;
 
 // A name of HTTP/2: lower case, without what would end it.
 std::string headerName(Section& section, const std::string& key, const std::string& otherwise) {
@@ -25,11 +25,12 @@
 Setup read(const json::Value& all) {
   Section top(all, "");
   Setup setup;
-  setup.listen = startup::readAddress("listen", top.text("listen", ""));
+  setup.listen = config::readAddress("listen", top.text("listen", ""));
   const std::string placement = top.text("placement", "try");
   if (placement != "try" && placement != "request")
     throw BadKey("placement", "'" + placement + "' is neither try nor request");
-  setup.placement = placement == "try" ? grants::Placement::tries : grants::Placement::request;
+  setup.placement =
+      placement == "try" ? endpoint_leases::Placement::tries : endpoint_leases::Placement::request;
   auto& time = setup.streams.messageTime;
   time.timeout = top.millis("message_timeout_ms", time.timeout, 20, 600'000);
   time.most = top.millis("max_message_timeout_ms", time.most, 0, 600'000);
@@ -71,7 +72,7 @@
 
 }  // namespace
 
-Setup readSetup(std::string_view text) { return read(startup::readText(text)); }
-Setup readSetupFile(const std::string& path) { return read(startup::readFile(path)); }
+Setup readSetup(std::string_view text) { return read(config::readText(text)); }
+Setup readSetupFile(const std::string& path) { return read(config::readFile(path)); }
 
-}  // namespace gulltrestle::processor
+}  // namespace gulltrestle::ext_proc_server
--- a/src/processor/processor.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -1,24 +1,24 @@
-#include "processor/processor.h"
+#include "runtime/ext_proc_server/ext_proc_server.h"
 
 #include <spdlog/spdlog.h>
 
 #include <system_error>
 
-#include "http/response.h"
-#include "loop/sockets.h"
+#include "protocol/http1/response.h"
+#include "runtime/event_loop/sockets.h"
 
-namespace gulltrestle::processor {
+namespace gulltrestle::ext_proc_server {
 
-using fronts::ext_proc::Close;
-using fronts::ext_proc::StreamKey;
-using loop::Io;
+using downstream::ext_proc::Close;
+using downstream::ext_proc::StreamKey;
+using event_loop::Io;
 
 namespace {
 
 // How often the counts are logged while there is anything new.
 constexpr Span kCountsPause = Span::millis(60000);
-listener::Bounds boundsOf(const Setup& setup) {
-  listener::Bounds bounds;
+grpc_server::Bounds boundsOf(const Setup& setup) {
+  grpc_server::Bounds bounds;
   bounds.calls.connection.mostStreams = static_cast<std::uint32_t>(setup.streams.mostStreams);
   bounds.calls.longestMessage = setup.longestMessage;
   bounds.mostConnections = setup.mostConnections;
@@ -43,14 +43,14 @@
 
 }  // namespace
 
-Processor::Processor(loop::Loop& loop, core::Ledger& ledger, const terms::Told& told, const Setup& setup,
-                     const std::string& start)
+Processor::Processor(event_loop::Loop& loop, transactions::Ledger& ledger, const deployment::Told& told,
+                     const Setup& setup, const std::string& start)
     : loop_(loop),
       ledger_(ledger),
       setup_(setup),
       listener_(loop, setup.listen, std::string(ext_proc::kMethod), boundsOf(setup), "ext_proc", *this),
-      streams_(ledger, fronts::ext_proc::Mapping(setup.headers, told.terms, told.typeNames),
-               grants::Book(told.terms.types, setup.placement, setup.remembered, start),
+      streams_(ledger, downstream::ext_proc::Mapping(setup.headers, told.terms, told.typeNames),
+               endpoint_leases::Book(told.terms.types, setup.placement, setup.remembered, start),
                {told.drainGrace, told.toldWithin}, setup.streams, *this),
       probes_(ledger, told.connectLimit, kMostProbes, *this) {
   ledger_.add(streams_.carrier());
@@ -59,7 +59,8 @@
     ledger_.probeBy(probes_);
   }
   spdlog::info("event=ext_proc.listening address={}:{} placement={} start={}", setup.listen.host,
-               setup.listen.port, setup.placement == grants::Placement::tries ? "try" : "request", start);
+               setup.listen.port, setup.placement == endpoint_leases::Placement::tries ? "try" : "request",
+               start);
 }
 
 // Its connections' coroutines refer to it.
@@ -106,37 +107,37 @@
 
 // --- Probes
 
-void Processor::askNode(carriers::http::ProbeId id, const std::string& address) {
+void Processor::askNode(upstream::http::ProbeId id, const std::string& address) {
   asking_[id] = nullptr;
   loop_.spawn(probe(id, address));
 }
 
-void Processor::drop(carriers::http::ProbeId id) {
+void Processor::drop(upstream::http::ProbeId id) {
   const auto at = asking_.find(id);
   if (at == asking_.end()) return;
-  loop::Stream* stream = at->second;
+  event_loop::Stream* stream = at->second;
   asking_.erase(at);
   if (stream) stream->wake();
 }
 
 // One connection a probe: they are few, and a node's word must be of this moment.
-loop::Task Processor::probe(carriers::http::ProbeId id, std::string address) {
+event_loop::Task Processor::probe(upstream::http::ProbeId id, std::string address) {
   Standing said;
   int status = 0;
   try {
-    const auto at = startup::readAddress("addr", address);
-    loop::Descriptor descriptor;
-    if (asking_.contains(id)) descriptor = loop::startConnecting(at.host, at.port);
+    const auto at = config::readAddress("addr", address);
+    event_loop::Descriptor descriptor;
+    if (asking_.contains(id)) descriptor = event_loop::startConnecting(at.host, at.port);
     if (descriptor) {
-      loop::Stream stream(loop_, std::move(descriptor));
+      event_loop::Stream stream(loop_, std::move(descriptor));
       asking_[id] = &stream;
       while (asking_.contains(id) && !stream.canWrite()) co_await stream.changed();
-      http::Response response;
+      http1::Response response;
       response.field = [&](std::string_view name, std::string_view value) {
-        standing::readField(setup_.headers.node, name, value, said);
+        load_report::readField(setup_.headers.node, name, value, said);
       };
-      bool on = asking_.contains(id) && loop::isConnected(stream.descriptor());
-      std::string unsent = http::get(setup_.probePath, address);
+      bool on = asking_.contains(id) && event_loop::isConnected(stream.descriptor());
+      std::string unsent = http1::get(setup_.probePath, address);
       while (on && asking_.contains(id) && !unsent.empty()) {
         const std::string_view all = unsent;
         const auto done = stream.write({&all, 1});
@@ -168,4 +169,4 @@
     probes_.failed(id);
 }
 
-}  // namespace gulltrestle::processor
+}  // namespace gulltrestle::ext_proc_server
--- /dev/null
+++ b/src/runtime/ext_proc_server/ext_proc_server.h
@@ -0,0 +1,66 @@
+// The external processor on sockets: listens for proxies, carries their gRPC streams to the front and its
+// answers back.
+#pragma once
+
+#include <map>
+#include <string>
+
+#include "downstream/ext_proc/request_streams.h"
+#include "gateway/gateway.h"
+#include "runtime/event_loop/event_loop.h"
+#include "runtime/ext_proc_server/ext_proc_config.h"
+#include "runtime/grpc_server/grpc_server.h"
+#include "upstream/http/health_checker.h"
+
+namespace gulltrestle::ext_proc_server {
+
+// Descriptors that probes over HTTP may take.
+constexpr std::size_t kMostProbes = 32;
+
+class Processor final : public gateway::Part,
+                        private grpc_server::Receiver,
+                        private downstream::ext_proc::Effects,
+                        private upstream::http::Effects {
+ public:
+  // Throws where the address to listen on can't be had. `start`: no other start of the program has the same.
+  Processor(event_loop::Loop& loop, transactions::Ledger& ledger, const deployment::Told& told,
+            const Setup& setup, const std::string& start);
+  ~Processor() override;
+
+  void listHeard() override { streams_.listHeard(); }
+  void endTurn() override;
+  void flush() override { listener_.flush(); }
+  Instant nextDue() const override;
+  void stop() override;
+  bool empty() const override { return streams_.empty() && listener_.empty(); }
+
+ private:
+  void seen(Instant now) override { ledger_.see(now); }
+  void opened(grpc_server::CallKey call) override { streams_.opened(call); }
+  void message(grpc_server::CallKey call, std::string_view bytes) override { streams_.message(call, bytes); }
+  void halfClosed(grpc_server::CallKey call) override { streams_.halfClosed(call); }
+  void ended(grpc_server::CallKey call) override { streams_.ended(call); }
+
+  void send(downstream::ext_proc::StreamKey stream, std::string_view message) override;
+  void close(downstream::ext_proc::StreamKey stream, downstream::ext_proc::Close how,
+             std::string_view why) override;
+  void log(std::string_view event, const std::string& fields) override;
+
+  void askNode(upstream::http::ProbeId probe, const std::string& address) override;
+  void drop(upstream::http::ProbeId probe) override;
+
+  event_loop::Task probe(upstream::http::ProbeId id, std::string address);
+
+  event_loop::Loop& loop_;
+  transactions::Ledger& ledger_;
+  Setup setup_;
+  grpc_server::Listener listener_;
+  downstream::ext_proc::Streams streams_;
+  upstream::http::Probes probes_;
+  std::map<upstream::http::ProbeId, event_loop::Stream*>
+      asking_;  // probes that are out, and their connections
+  Instant saidAt_;
+  downstream::ext_proc::Streams::Counts said_;
+};
+
+}  // namespace gulltrestle::ext_proc_server
--- a/src/listener/listener.cpp
+++ b/src/runtime/grpc_server/grpc_server.cpp
@@ -1,14 +1,14 @@
-#include "listener/listener.h"
+#include "runtime/grpc_server/grpc_server.h"
 
 #include <spdlog/spdlog.h>
 
 #include <system_error>
 
-#include "loop/sockets.h"
+#include "runtime/event_loop/sockets.h"
 
-namespace gulltrestle::listener {
+namespace gulltrestle::grpc_server {
 
-using loop::Io;
+using event_loop::Io;
 
 namespace {
 
@@ -17,18 +17,18 @@
 // New connections that are taken in a turn.
 constexpr int kAcceptsATurn = 8;
 
-loop::Descriptor listenAt(const startup::Address& at) {
+event_loop::Descriptor listenAt(const config::Address& at) {
   try {
-    return loop::listenOn(at.host, at.port);
+    return event_loop::listenOn(at.host, at.port);
   } catch (const std::system_error& fault) {
-    throw startup::BadKey("listen", at.host + ":" + std::to_string(at.port) + ": " + fault.what());
+    throw config::BadKey("listen", at.host + ":" + std::to_string(at.port) + ": " + fault.what());
   }
 }
 
 }  // namespace
 
 struct Listener::Connection final : grpc::Receiver {
-  Connection(Listener& owner, ConnectionId number, loop::Descriptor descriptor)
+  Connection(Listener& owner, ConnectionId number, event_loop::Descriptor descriptor)
       : listener(owner),
         id(number),
         stream(owner.loop_, std::move(descriptor)),
@@ -49,21 +49,21 @@
 
   Listener& listener;
   ConnectionId id;
-  loop::Stream stream;
+  event_loop::Stream stream;
   grpc::Calls calls;
   std::string unsent;
   bool broken = false, closing = false;
   Instant idleSince, stuckAt;
 };
 
-Listener::Listener(loop::Loop& loop, const startup::Address& at, std::string method, Bounds bounds,
+Listener::Listener(event_loop::Loop& loop, const config::Address& at, std::string method, Bounds bounds,
                    std::string name, Receiver& receiver)
     : loop_(loop),
       method_(std::move(method)),
       bounds_(bounds),
       name_(std::move(name)),
       receiver_(receiver),
-      socket_(std::make_unique<loop::Stream>(loop, listenAt(at))) {
+      socket_(std::make_unique<event_loop::Stream>(loop, listenAt(at))) {
   loop_.spawn(accept());
 }
 
@@ -133,7 +133,7 @@
   return true;
 }
 
-loop::Task Listener::accept() {
+event_loop::Task Listener::accept() {
   int taken = 0;  // in this turn
   while (!stopped_) {
     if (++taken > kAcceptsATurn) {
@@ -142,7 +142,7 @@
       co_await socket_->changed();
       continue;
     }
-    loop::Descriptor descriptor;
+    event_loop::Descriptor descriptor;
     const Io how = socket_->accept(descriptor);
     if (how == Io::some) {
       // At the bound a new one is closed at once, and the oldest idle one goes, so that the next comes in.
@@ -165,7 +165,7 @@
   socket_.reset();
 }
 
-loop::Task Listener::serve(ConnectionId id, loop::Descriptor descriptor) {
+event_loop::Task Listener::serve(ConnectionId id, event_loop::Descriptor descriptor) {
   try {
     Connection connection(*this, id, std::move(descriptor));
     struct Place {
@@ -209,4 +209,4 @@
   receiver_.seen(loop_.now());
 }
 
-}  // namespace gulltrestle::listener
+}  // namespace gulltrestle::grpc_server
--- a/src/listener/listener.h
+++ b/src/runtime/grpc_server/grpc_server.h
@@ -9,11 +9,11 @@
 #include <set>
 #include <string>
 
-#include "grpc/calls.h"
-#include "loop/loop.h"
-#include "startup/startup.h"
+#include "config/router_config.h"
+#include "protocol/grpc/server_calls.h"
+#include "runtime/event_loop/event_loop.h"
 
-namespace gulltrestle::listener {
+namespace gulltrestle::grpc_server {
 
 using CallKey = std::uint64_t;  // of all connections; never 0
 
@@ -36,9 +36,9 @@
 
 class Listener {
  public:
-  // `name` goes before the events that are logged. Throws startup::BadKey where the address can't be had.
-  Listener(loop::Loop& loop, const startup::Address& at, std::string method, Bounds bounds, std::string name,
-           Receiver& receiver);
+  // `name` goes before the events that are logged. Throws config::BadKey where the address can't be had.
+  Listener(event_loop::Loop& loop, const config::Address& at, std::string method, Bounds bounds,
+           std::string name, Receiver& receiver);
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
   // Its connections' coroutines refer to it: the loop's tasks must have been ended.
@@ -55,18 +55,18 @@
  private:
   using ConnectionId = std::uint32_t;
   struct Connection;
-  loop::Task accept();
-  loop::Task serve(ConnectionId id, loop::Descriptor descriptor);
+  event_loop::Task accept();
+  event_loop::Task serve(ConnectionId id, event_loop::Descriptor descriptor);
   void write(Connection& connection);
   bool makeRoom();
   Connection* of(CallKey call);
 
-  loop::Loop& loop_;
+  event_loop::Loop& loop_;
   std::string method_;
   Bounds bounds_;
   std::string name_;
   Receiver& receiver_;
-  std::unique_ptr<loop::Stream> socket_;
+  std::unique_ptr<event_loop::Stream> socket_;
   std::map<ConnectionId, Connection*> connections_;
   std::set<ConnectionId> touched_;  // may have something to write
   ConnectionId lastConnection_ = 0;
@@ -74,4 +74,4 @@
   std::array<char, 64 * 1024> buffer_;  // what was just read, of any connection
 };
 
-}  // namespace gulltrestle::listener
+}  // namespace gulltrestle::grpc_server
--- a/src/server/server.cpp
+++ b/src/runtime/server/server.cpp
@@ -1,22 +1,22 @@
-#include "server/server.h"
+#include "runtime/server/server.h"
 
 #include <spdlog/spdlog.h>
 
 #include <system_error>
 
-#include "calls/calls.h"
-#include "http/response.h"
-#include "json/json.h"
-#include "loop/sockets.h"
-#include "pg/messages.h"
+#include "discovery/poll_schedule.h"
+#include "protocol/http1/response.h"
+#include "protocol/json/json.h"
+#include "protocol/postgres/messages.h"
+#include "runtime/event_loop/sockets.h"
 
 namespace gulltrestle::server {
 
+using event_loop::Io;
 using gateway::ClientId;
 using gateway::ConnectionEnd;
 using gateway::LinkId;
 using gateway::Parts;
-using loop::Io;
 
 namespace {
 
@@ -30,7 +30,7 @@
 // carry.
 constexpr std::size_t kTxnsPart = 3;
 
-Terms termsOf(const startup::Start& start, const Beside& beside) {
+Terms termsOf(const config::Start& start, const Beside& beside) {
   Terms terms = start.told.terms;
   terms.ownConnections = true;
   terms.mostOpen = start.descriptors / kTxnsPart + beside.openTxns;
@@ -38,13 +38,13 @@
   return terms;
 }
 
-std::size_t linksOf(const startup::Start& start) { return (start.descriptors - kReserved) / kLinksPart; }
+std::size_t linksOf(const config::Start& start) { return (start.descriptors - kReserved) / kLinksPart; }
 
 // A quarter of the memory for statements that are held, and another for what connections keep: buffers grow
 // by doubling, which may take as much again, and nodes' answers come on top.
-std::size_t bytesOf(const startup::Start& start) { return start.memoryBytes / 4; }
+std::size_t bytesOf(const config::Start& start) { return start.memoryBytes / 4; }
 
-gateway::Bounds boundsOf(const startup::Start& start) {
+gateway::Bounds boundsOf(const config::Start& start) {
   return {start.told.idleLimit, start.told.connectLimit, linksOf(start), bytesOf(start),
           start.descriptors / kTxnsPart};
 }
@@ -67,11 +67,11 @@
 // A list of a thousand nodes is a fifth of this.
 constexpr std::size_t kLongestList = 1024 * 1024;
 
-loop::Descriptor listenAt(const startup::Address& at) {
+event_loop::Descriptor listenAt(const config::Address& at) {
   try {
-    return loop::listenOn(at.host, at.port);
+    return event_loop::listenOn(at.host, at.port);
   } catch (const std::system_error& fault) {
-    throw startup::BadKey("listen", at.host + ":" + std::to_string(at.port) + ": " + fault.what());
+    throw config::BadKey("listen", at.host + ":" + std::to_string(at.port) + ": " + fault.what());
   }
 }
 
@@ -84,7 +84,7 @@
 // After a turn that failed: long enough not to spin, and short against any deadline.
 constexpr Span kPauseAfterFault = Span::millis(10);
 
-std::vector<gateway::Addressed> addressed(startup::NodeList list) {
+std::vector<gateway::Addressed> addressed(config::NodeList list) {
   std::vector<gateway::Addressed> made;
   for (auto& node : list.nodes) made.push_back({std::move(node.entry), std::move(node.address)});
   return made;
@@ -93,9 +93,10 @@
 }  // namespace
 
 struct Server::Connection {
-  Connection(loop::Loop& loop, loop::Descriptor descriptor) : stream(loop, std::move(descriptor)) {}
+  Connection(event_loop::Loop& loop, event_loop::Descriptor descriptor)
+      : stream(loop, std::move(descriptor)) {}
 
-  loop::Stream stream;
+  event_loop::Stream stream;
   std::string kept;      // read, and not taken yet
   std::string unsent;    // short writes leave this
   bool offer = false;    // what is kept may be taken now
@@ -131,15 +132,15 @@
   Connection& connection_;
 };
 
-Server::Server(startup::Start start, Beside beside)
+Server::Server(config::Start start, Beside beside)
     : start_(std::move(start)),
-      signals_(std::make_unique<loop::Stream>(loop_, loop::signals())),
-      listener_(std::make_unique<loop::Stream>(loop_, listenAt(start_.listen))),
+      signals_(std::make_unique<event_loop::Stream>(loop_, event_loop::signals())),
+      listener_(std::make_unique<event_loop::Stream>(loop_, listenAt(start_.listen))),
       mostClients_(start_.descriptors - kReserved - linksOf(start_)),
       mostBytes_(bytesOf(start_)),
       gateway_(termsOf(start_, beside), start_.told.typeNames, start_.seed, boundsOf(start_), *this) {
   if (mostClients_ <= beside.descriptors)
-    throw startup::BadKey("limits.sockets", "leaves none for clients beside the other fronts' connections");
+    throw config::BadKey("limits.sockets", "leaves none for clients beside the other fronts' connections");
   mostClients_ -= beside.descriptors;
   for (const auto& type : start_.told.terms.types)
     longestDeadline_ = std::max(longestDeadline_, type.deadline);
@@ -232,7 +233,7 @@
 void Server::askForList() {}  // it is followed all the time
 
 void Server::followDiscovery(const std::string& address) {
-  discovery_ = startup::readAddress("discovery", address);
+  discovery_ = config::readAddress("discovery", address);
   if (toDiscovery_) toDiscovery_->wake();
 }
 
@@ -306,7 +307,7 @@
 // Guards against running out of descriptors: at the bound the client that was idle longest makes room, and
 // where none is idle the new one is refused. May hurt clients that come back often, which connect anew each
 // time.
-loop::Task Server::acceptClients() {
+event_loop::Task Server::acceptClients() {
   int taken = 0;         // in this turn
   bool failed = false;   // the last one could not be taken, which was logged
   Instant failingSince;  // who is taken now may have been waiting since then; never: none was kept waiting
@@ -320,7 +321,7 @@
       co_await listener_->changed();
       continue;
     }
-    loop::Descriptor descriptor;
+    event_loop::Descriptor descriptor;
     const Io how = listener_->accept(descriptor);
     if (how == Io::some || how == Io::wouldBlock) failed = false;
     if (how == Io::wouldBlock) failingSince = Instant();
@@ -345,7 +346,8 @@
   listener_.reset();
 }
 
-loop::Task Server::serveClient(ClientId id, loop::Descriptor descriptor, bool welcome, Instant knockedSince) {
+event_loop::Task Server::serveClient(ClientId id, event_loop::Descriptor descriptor, bool welcome,
+                                     Instant knockedSince) {
   ConnectionEnd how = ConnectionEnd::broken;
   try {
     Connection client(loop_, std::move(descriptor));
@@ -353,7 +355,7 @@
     if (welcome) {
       gateway_.clientOpened(loop_.now(), id);
     } else {
-      send(client, {pg::error("FATAL", pg::kRefused, "refused: too many clients")});
+      send(client, {postgres::error("FATAL", postgres::kRefused, "refused: too many clients")});
       client.closing = true;
     }
     // Where the first report says that something can be read, it may have come with the connection.
@@ -388,7 +390,7 @@
         if (client.askedAt == Instant()) {
           client.askedAt = loop_.now();
           client.stream.wakeAt(client.askedAt + kGoneShows);
-          send(client, {pg::notice("still there?")});
+          send(client, {postgres::notice("still there?")});
         }
       } else if (client.stream.canRead() && !client.ended && mayKeep(id, client)) {
         read(client, take);
@@ -409,7 +411,7 @@
     // connection, and the answer that is on its way is lost with it. Nothing of them is sent on. May hurt
     // where the descriptor is wanted meanwhile.
     if (client.closing && !client.broken && !client.stream.hungUp() && how != ConnectionEnd::clientStuck) {
-      loop::endSending(client.stream.descriptor());
+      event_loop::endSending(client.stream.descriptor());
       const Instant until = loop_.now() + start_.told.connectLimit * kClosingTimes;
       client.stream.wakeAt(until);
       closing_.push_back(id);
@@ -455,20 +457,20 @@
   return bytes_ < mostBytes_;
 }
 
-loop::Task Server::serveLink(LinkId id, std::string address) {
+event_loop::Task Server::serveLink(LinkId id, std::string address) {
   ConnectionEnd how = ConnectionEnd::broken;
   try {
-    const auto to = startup::readAddress("addr", address);
-    loop::Descriptor descriptor;
+    const auto to = config::readAddress("addr", address);
+    event_loop::Descriptor descriptor;
     if (links_.contains(id))
-      descriptor = loop::startConnecting(to.host, to.port);  // else it is closed already
+      descriptor = event_loop::startConnecting(to.host, to.port);  // else it is closed already
     if (!descriptor) {
       how = ConnectionEnd::notOpened;
     } else {
       Connection link(loop_, std::move(descriptor));
       const Place<LinkId> place(*this, links_, id, link);
       while (!link.gone && !link.stream.canWrite()) co_await link.stream.changed();
-      const bool up = !link.gone && loop::isConnected(link.stream.descriptor());
+      const bool up = !link.gone && event_loop::isConnected(link.stream.descriptor());
       if (up)
         gateway_.linkUp(loop_.now(), id);
       else
@@ -493,10 +495,10 @@
 
 // --- Signals and discovery
 
-loop::Task Server::watchSignals() {
+event_loop::Task Server::watchSignals() {
   for (;;) {
-    while (const auto signal = loop::takeSignal(signals_->descriptor())) {
-      if (*signal == loop::Signal::end)
+    while (const auto signal = event_loop::takeSignal(signals_->descriptor())) {
+      if (*signal == event_loop::Signal::end)
         gateway_.shutDown(loop_.now());
       else
         readAnew();
@@ -510,18 +512,18 @@
 void Server::readAnew() {
   gateway_.readAnew(loop_.now());
   try {
-    const auto read = startup::readStart(startup::First::file);
+    const auto read = config::readStart(config::First::file);
     gateway_.configured(loop_.now(), read.discovery.host + ":" + std::to_string(read.discovery.port),
-                        startup::keptUntilRestart(start_, read));
+                        config::keptUntilRestart(start_, read));
   } catch (const std::exception& bad) { gateway_.misconfigured(loop_.now(), bad.what()); }
 }
 
 void Server::takeList(json::Value value, bool isChange) {
-  auto list = startup::readList(value, start_.told.zone);
+  auto list = config::readList(value, start_.told.zone);
   if (list.whole || !isChange) {
     listVersion_ = list.version;
   } else if (list.version < listVersion_) {
-    throw startup::BadKey("version", "goes back");
+    throw config::BadKey("version", "goes back");
   }
   listVersion_ = list.version;
   const auto kind = list.whole ? ListKind::whole : ListKind::changes;
@@ -534,20 +536,20 @@
 
 // Asks for the whole list, then watches it; whenever that ends or fails, again after a pause. Where discovery
 // has moved, the whole list there comes next, without one: what the old place still sends may be old.
-loop::Task Server::followList() {
+event_loop::Task Server::followList() {
   std::string lastWhy;  // a call that fails as the one before did is not logged again
-  calls::ListCalls calls(start_.told.terms.listMustBeAsked, start_.told.drainGrace, start_.seed);
+  discovery::ListCalls calls(start_.told.terms.listMustBeAsked, start_.told.drainGrace, start_.seed);
   for (bool watch = calls.watchesAtOnce() && !start_.known.nodes.empty();;) {
-    const startup::Address at = discovery_;
+    const config::Address at = discovery_;
     const std::string host = at.host + ":" + std::to_string(at.port);
     std::string why = "is silent";
     bool spoilt = false;  // what it told can't be used: the whole list is needed
-    if (loop::Descriptor descriptor = loop::startConnecting(at.host, at.port)) {
+    if (event_loop::Descriptor descriptor = event_loop::startConnecting(at.host, at.port)) {
       Connection from(loop_, std::move(descriptor));
       toDiscovery_ = &from.stream;
       // A drain is known before anything of the same turn is sent.
       from.stream.comesFirst();
-      http::Response response;
+      http1::Response response;
       json::Parser parser;
       std::size_t begun = 0;  // bytes of what the parser has begun
       bool asked = false, heard = false;
@@ -559,7 +561,7 @@
         while (!part.empty()) {
           if (parser.done() && !watch) {
             if (part.find_first_not_of(" \t\r\n") != std::string_view::npos)
-              throw http::Malformed("more than a list");
+              throw http1::Malformed("more than a list");
             return;
           }
           if (begun == 0 && (part[0] == ' ' || part[0] == '\t' || part[0] == '\r' || part[0] == '\n')) {
@@ -569,7 +571,7 @@
           const auto used = parser.feed(part);
           part.remove_prefix(used);
           begun += used;
-          if (begun > kLongestList) throw http::Malformed("the list is too long");
+          if (begun > kLongestList) throw http1::Malformed("the list is too long");
           if (!watch || !parser.done()) continue;
           begun = 0;
           takeList(parser.take(), true);
@@ -590,7 +592,7 @@
           if (from.stream.canWrite() && !asked) {
             asked = true;
             heardAt = loop_.now();
-            send(from, {http::get(watch ? startup::watchPath(listVersion_) : startup::listPath(), host)});
+            send(from, {http1::get(watch ? config::watchPath(listVersion_) : config::listPath(), host)});
           }
           flush(from);
           if (asked && from.stream.canRead())
@@ -600,7 +602,7 @@
               gateway_.listHeard(heardAt);
               const auto used = response.feed(bytes, body);
               if (response.status() != 0 && response.status() != 200)
-                throw http::Malformed("status " + std::to_string(response.status()));
+                throw http1::Malformed("status " + std::to_string(response.status()));
               if (response.status() == 200) calls.answered();
               return used;
             });
--- a/src/server/server.h
+++ b/src/runtime/server/server.h
@@ -7,10 +7,10 @@
 #include <memory>
 #include <string>
 
+#include "config/router_config.h"
 #include "gateway/gateway.h"
-#include "json/json.h"
-#include "loop/loop.h"
-#include "startup/startup.h"
+#include "protocol/json/json.h"
+#include "runtime/event_loop/event_loop.h"
 
 namespace gulltrestle::server {
 
@@ -23,13 +23,13 @@
 class Server final : private gateway::Effects {
  public:
   // Throws where the address to listen on can't be had.
-  explicit Server(startup::Start start, Beside beside = {});
+  explicit Server(config::Start start, Beside beside = {});
   ~Server() override;
 
   // For a front that is added before run(), and outlives the server.
   void add(gateway::Part& part) { gateway_.add(part); }
-  loop::Loop& loop() { return loop_; }
-  core::Ledger& ledger() { return gateway_.ledger(); }
+  event_loop::Loop& loop() { return loop_; }
+  transactions::Ledger& ledger() { return gateway_.ledger(); }
 
   // Serves until it is told to end and all is answered.
   void run();
@@ -51,14 +51,14 @@
   void followDiscovery(const std::string& address) override;
   void log(std::string line) override;
 
-  loop::Task acceptClients();
+  event_loop::Task acceptClients();
   // `knockedSince`: it may have been waiting, with a statement, since then.
-  loop::Task serveClient(gateway::ClientId id, loop::Descriptor descriptor, bool welcome,
-                         Instant knockedSince);
+  event_loop::Task serveClient(gateway::ClientId id, event_loop::Descriptor descriptor, bool welcome,
+                               Instant knockedSince);
   Instant arrivedSince() const;
-  loop::Task serveLink(gateway::LinkId id, std::string address);
-  loop::Task followList();
-  loop::Task watchSignals();
+  event_loop::Task serveLink(gateway::LinkId id, std::string address);
+  event_loop::Task followList();
+  event_loop::Task watchSignals();
 
   void send(Connection& connection, gateway::Parts parts);
   void flush(Connection& connection);
@@ -72,10 +72,10 @@
   void takeList(json::Value value, bool isChange);
   Instant endTurn(Instant now);
 
-  startup::Start start_;
-  loop::Loop loop_;
+  config::Start start_;
+  event_loop::Loop loop_;
   Instant begunAt_ = loop_.now();
-  std::unique_ptr<loop::Stream> signals_, listener_;
+  std::unique_ptr<event_loop::Stream> signals_, listener_;
   std::size_t mostClients_;
   std::size_t mostBytes_, bytes_ = 0;  // that connections may keep, and do
   Span longestDeadline_;
@@ -84,8 +84,8 @@
   std::map<gateway::LinkId, Connection*> links_;
   std::vector<gateway::ClientId> closing_;  // that have been told the end, those that were first in front
   gateway::ClientId lastClient_ = 0;
-  startup::Address discovery_;
-  loop::Stream* toDiscovery_ = nullptr;  // the connection to it, while there is one
+  config::Address discovery_;
+  event_loop::Stream* toDiscovery_ = nullptr;  // the connection to it, while there is one
   std::uint64_t listVersion_ = 0;
   bool accepting_ = true;
   std::array<char, 64 * 1024> buffer_;  // what was just read, of any connection
