--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -27,11 +27,11 @@
 // As text with its length, so that no two rows' parts run into each other.
 std::string part(const std::string& text) { return std::to_string(text.size()) + ":" + text + ","; }
 std::uint64_t sumOf(const std::string& text) { return XXH3_64bits(text.data(), text.size()); }
-std::uint64_t sumOf(const claims::Entry& e) {
+std::uint64_t sumOf(const idempotency::Entry& e) {
   return sumOf("claim " + part(e.id) + part(e.token.router) + part(std::to_string(e.token.start)) +
                part(std::to_string(e.token.number)) + (e.committed ? "1" : "0") + part(e.value));
 }
-std::uint64_t sumOf(const std::string& keeper, const claims::Start& s) {
+std::uint64_t sumOf(const std::string& keeper, const idempotency::Start& s) {
   return sumOf("start " + part(keeper) + part(std::to_string(s.number)) + part(std::to_string(s.draw)));
 }
 std::uint64_t sumOfNode(const std::string& id, std::uint64_t version, bool leaving) {
@@ -40,7 +40,7 @@
 std::uint64_t sumOfPrimary(std::uint64_t group, const std::string& node, std::uint64_t version) {
   return sumOf("primary " + part(std::to_string(group)) + part(node) + std::to_string(version));
 }
-std::uint64_t sumOfMember(const std::string& router, const claims::Start& s) {
+std::uint64_t sumOfMember(const std::string& router, const idempotency::Start& s) {
   return sumOf("member " + part(router) + part(std::to_string(s.number)) + part(std::to_string(s.draw)));
 }
 std::uint64_t sumOfList(std::uint64_t place, std::uint64_t version, const std::string& keeper) {
@@ -185,12 +185,12 @@
   isNew_ = false;
 }
 
-claims::Kept Database::load() {
+idempotency::Kept Database::load() {
   {
     Statement check(*this, "PRAGMA quick_check(1)");
     if (!check.step() || check.text(0) != "ok") throw Damaged("its structure is not sound");
   }
-  claims::Kept kept;
+  idempotency::Kept kept;
   digest_ = 0;
   for (const char* key : {"format", "keeper", "whole", "new_since"}) digest_ ^= sumOf(key, meta(key));
   digest_ ^= sumOf("work", meta("work")) ^ sumOf("work", "");
@@ -198,16 +198,16 @@
   kept.work = meta("work");
   Statement claims(*this, "SELECT id, router, start, number, committed, value FROM claims");
   while (claims.step()) {
-    claims::Entry entry{claims.text(0),
-                        {claims.text(1), claims.number(2), claims.number(3)},
-                        claims.number(4) != 0,
-                        claims.text(5)};
+    idempotency::Entry entry{claims.text(0),
+                             {claims.text(1), claims.number(2), claims.number(3)},
+                             claims.number(4) != 0,
+                             claims.text(5)};
     digest_ ^= sumOf(entry);
     kept.entries.push_back(std::move(entry));
   }
   Statement starts(*this, "SELECT keeper, number, draw FROM starts ORDER BY number");
   while (starts.step()) {
-    const claims::Start start{starts.number(1), starts.number(2)};
+    const idempotency::Start start{starts.number(1), starts.number(2)};
     digest_ ^= sumOf(starts.text(0), start);
     if (starts.text(0).empty())
       kept.own.push_back(start);
@@ -230,7 +230,7 @@
   if (format != "1" && format != "2") {
     Statement members(*this, "SELECT router, number, draw FROM members");
     while (members.step()) {
-      const claims::Start start{members.number(1), members.number(2)};
+      const idempotency::Start start{members.number(1), members.number(2)};
       kept.members[members.text(0)] = start;
       digest_ ^= sumOfMember(members.text(0), start);
     }
@@ -239,10 +239,10 @@
     while (lists.step()) {
       const std::uint64_t place = lists.number(0);
       digest_ ^= sumOfList(place, lists.number(1), lists.text(2));
-      if (place > claims::kMostLists) throw Damaged("it holds too many lists");
+      if (place > idempotency::kMostLists) throw Damaged("it holds too many lists");
       auto& before = kept.lists.before;
       if (place > before.size()) before.resize(place);
-      claims::List& list = place == 0 ? kept.lists.now : before[place - 1];
+      idempotency::List& list = place == 0 ? kept.lists.now : before[place - 1];
       list.version = lists.number(1);
       list.names.insert(lists.text(2));
     }
@@ -260,14 +260,14 @@
   return kept;
 }
 
-void Database::apply(const claims::Keeper::Change& change) {
-  using What = claims::Keeper::Change::What;
+void Database::apply(const idempotency::Keeper::Change& change) {
+  using What = idempotency::Keeper::Change::What;
   switch (change.what) {
     case What::put:
     case What::drop: {
       Statement old(*this, "SELECT router, start, number, committed, value FROM claims WHERE id = ?");
       if (old.with(change.id).step())
-        digest_ ^= sumOf(claims::Entry{
+        digest_ ^= sumOf(idempotency::Entry{
             change.id, {old.text(0), old.number(1), old.number(2)}, old.number(3) != 0, old.text(4)});
       if (change.what == What::drop) {
         Statement(*this, "DELETE FROM claims WHERE id = ?").with(change.id).step();
@@ -348,7 +348,7 @@
       while (old.step()) digest_ ^= sumOfList(old.number(0), old.number(1), old.text(2));
       run("DELETE FROM lists");
       std::uint64_t place = 0;
-      const auto put = [&](const claims::List& list) {
+      const auto put = [&](const idempotency::List& list) {
         for (const auto& name : list.names) {
           digest_ ^= sumOfList(place, list.version, name);
           Statement(*this, "INSERT INTO lists VALUES (?, ?, ?)")
@@ -372,7 +372,7 @@
   }
 }
 
-void Database::commit(const std::vector<const std::vector<claims::Keeper::Change>*>& groups) {
+void Database::commit(const std::vector<const std::vector<idempotency::Keeper::Change>*>& groups) {
   run("BEGIN IMMEDIATE");
   for (const auto* changes : groups)
     for (const auto& change : *changes) apply(change);
--- a/src/store/database.h
+++ b/src/store/database.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "claims/keeper.h"
+#include "idempotency/voting_member.h"
 
 struct sqlite3;
 struct sqlite3_stmt;
@@ -38,16 +38,16 @@
   void begin(const std::string& keeper, bool whole);
   const std::string& keeper() const { return keeper_; }
   // All of it, checked against its checksums. Throws Damaged.
-  claims::Kept load();
+  idempotency::Kept load();
   // All of these or none. Throws Failed, or Damaged; the connection is of no use after that.
-  void commit(const std::vector<const std::vector<claims::Keeper::Change>*>& groups);
+  void commit(const std::vector<const std::vector<idempotency::Keeper::Change>*>& groups);
 
  private:
   class Statement;
   void run(const char* text);
   std::string meta(const char* key);
   void setMeta(const char* key, const std::string& value);
-  void apply(const claims::Keeper::Change& change);
+  void apply(const idempotency::Keeper::Change& change);
   [[noreturn]] void fail(int code);
 
   sqlite3* handle_ = nullptr;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -41,7 +41,7 @@
 }  // namespace
 
 Store::Store(const std::string& folder, const std::string& keeper, std::uint64_t draw,
-             const std::vector<claims::List>& lists)
+             const std::vector<idempotency::List>& lists)
     : folder_(folder), keeper_(keeper) {
   const std::string path = fileIn(folder);
   struct stat found {};
@@ -61,12 +61,12 @@
       }
     if (database_->keeper() != keeper)
       throw Unusable(path + " is the store of the keeper '" + database_->keeper() + "'");
-    const claims::Start start{kept_.own.empty() ? 1 : kept_.own.back().number + 1, draw};
-    using Change = claims::Keeper::Change;
+    const idempotency::Start start{kept_.own.empty() ? 1 : kept_.own.back().number + 1, draw};
+    using Change = idempotency::Keeper::Change;
     std::vector<Change> changes(1);
     changes[0].what = Change::What::start;
     changes[0].start = start;
-    const claims::Moved moved = claims::movedTo(kept_.lists, lists, keeper);
+    const idempotency::Moved moved = idempotency::movedTo(kept_.lists, lists, keeper);
     if (!moved.refused.empty()) throw Refused(moved.refused);
     if (moved.changed) {
       changes.emplace_back();
@@ -101,7 +101,7 @@
   ::close(descriptor_);
 }
 
-Store::Ticket Store::write(std::vector<claims::Keeper::Change> changes) {
+Store::Ticket Store::write(std::vector<idempotency::Keeper::Change> changes) {
   const std::lock_guard lock(mutex_);
   figures_.queued += changes.size();
   queue_.push_back({++last_, std::move(changes)});
@@ -173,7 +173,7 @@
       anew->load();
       database_ = std::move(anew);
     }
-    std::vector<const std::vector<claims::Keeper::Change>*> changes;
+    std::vector<const std::vector<idempotency::Keeper::Change>*> changes;
     for (const auto& queued : group) changes.push_back(&queued.changes);
     database_->commit(changes);
     return true;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-#include "claims/keeper.h"
+#include "idempotency/voting_member.h"
 
 namespace gulltrestle::store {
 
@@ -51,22 +51,22 @@
   // of keepers, the last one. Throws Unusable: the folder is not there, another process has it, it is another
   // keeper's or of a newer version; Refused: the lists may not follow what it last served under.
   Store(const std::string& folder, const std::string& keeper, std::uint64_t draw,
-        const std::vector<claims::List>& lists);
+        const std::vector<idempotency::List>& lists);
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
   // What is queued is written first, if the disk lets it.
   ~Store();
 
-  const claims::Kept& kept() const { return kept_; }
+  const idempotency::Kept& kept() const { return kept_; }
   // For the keeper, which holds it from then on: nothing of it is left here.
-  claims::Kept takeKept() { return std::exchange(kept_, {}); }
+  idempotency::Kept takeKept() { return std::exchange(kept_, {}); }
   // What was found damaged and set aside; empty: nothing was.
   const std::string& setAside() const { return setAside_; }
 
   // Readable when done() has something to tell.
   int descriptor() const { return descriptor_; }
   // Changes go to disk in the order in which they were queued. One ticket for all of them.
-  Ticket write(std::vector<claims::Keeper::Change> changes);
+  Ticket write(std::vector<idempotency::Keeper::Change> changes);
   // `durable`: these changes and all that were queued before are. Else the disk failed: they may be or not;
   // they stay queued and are tried again, but nobody is told.
   struct Done {
@@ -79,14 +79,14 @@
  private:
   struct Queued {
     Ticket ticket;
-    std::vector<claims::Keeper::Change> changes;
+    std::vector<idempotency::Keeper::Change> changes;
     bool told = false;
   };
   void run();
   bool commit(const std::vector<Queued>& group);
 
   std::string folder_, keeper_, setAside_;
-  claims::Kept kept_;
+  idempotency::Kept kept_;
   std::unique_ptr<Database> database_;  // the thread's, once it runs; null while the disk fails
   int descriptor_ = -1;
   mutable std::mutex mutex_;
@@ -105,7 +105,7 @@
 void create(const std::string& folder, const std::string& keeper);
 struct Contents {
   std::string keeper;
-  claims::Kept kept;
+  idempotency::Kept kept;
   std::string damage;  // empty: none
 };
 // Changes nothing.
--- a/src/standins/node.cpp
+++ b/src/testing/fake_servers/fake_node.cpp
@@ -1,19 +1,19 @@
-#include "standins/node.h"
+#include "testing/fake_servers/fake_node.h"
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
 
 #include <charconv>
 
-#include "loop/sockets.h"
+#include "runtime/event_loop/sockets.h"
 
-namespace gulltrestle::standins {
+namespace gulltrestle::fake_servers {
 
 namespace {
 
 constexpr const char* kHost = "127.0.0.1";
 
-std::string addressOf(const loop::Stream& listener) {
+std::string addressOf(const event_loop::Stream& listener) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
   getsockname(listener.descriptor(), reinterpret_cast<sockaddr*>(&address), &size);
@@ -22,8 +22,8 @@
 
 // What one side of a connection has read and not taken yet.
 struct Wire {
-  Wire(loop::Loop& loop, loop::Descriptor descriptor) : stream(loop, std::move(descriptor)) {}
-  loop::Stream stream;
+  Wire(event_loop::Loop& loop, event_loop::Descriptor descriptor) : stream(loop, std::move(descriptor)) {}
+  event_loop::Stream stream;
   std::string kept;
   bool over = false;
 
@@ -31,21 +31,22 @@
     char bytes[4096];
     while (stream.canRead() && !over) {
       const auto got = stream.read(bytes);
-      if (got.how == loop::Io::some) kept.append(bytes, got.size);
-      if (got.how == loop::Io::ended || got.how == loop::Io::failed) over = true;
+      if (got.how == event_loop::Io::some) kept.append(bytes, got.size);
+      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) over = true;
     }
   }
   void write(std::string_view bytes) {
     const auto done = stream.write({&bytes, 1});
-    if (done.how != loop::Io::some) over = true;  // what stand-ins say is short: it fits or the peer is gone
+    if (done.how != event_loop::Io::some)
+      over = true;  // what stand-ins say is short: it fits or the peer is gone
   }
 };
 
 // Serves each connection that comes, for as long as the loop runs.
-loop::Task acceptAll(loop::Stream& listener, std::function<void(loop::Descriptor)> serve) {
+event_loop::Task acceptAll(event_loop::Stream& listener, std::function<void(event_loop::Descriptor)> serve) {
   for (;;) {
-    loop::Descriptor taken;
-    if (listener.accept(taken) == loop::Io::some)
+    event_loop::Descriptor taken;
+    if (listener.accept(taken) == event_loop::Io::some)
       serve(std::move(taken));
     else
       co_await listener.changed();
@@ -62,13 +63,13 @@
 
 }  // namespace
 
-Node::Node(loop::Loop& loop, std::string id, bool isPrimary)
+Node::Node(event_loop::Loop& loop, std::string id, bool isPrimary)
     : primary(isPrimary),
       loop_(loop),
       id_(std::move(id)),
-      listener_(std::make_unique<loop::Stream>(loop, loop::listenOn(kHost, 0))) {
+      listener_(std::make_unique<event_loop::Stream>(loop, event_loop::listenOn(kHost, 0))) {
   loop_.spawn(
-      acceptAll(*listener_, [this](loop::Descriptor taken) { loop_.spawn(serve(std::move(taken))); }));
+      acceptAll(*listener_, [this](event_loop::Descriptor taken) { loop_.spawn(serve(std::move(taken))); }));
 }
 Node::~Node() = default;
 
@@ -81,7 +82,7 @@
          "\r\ncontent-length: 0\r\n\r\n";
 }
 
-loop::Task Node::serve(loop::Descriptor descriptor) {
+event_loop::Task Node::serve(event_loop::Descriptor descriptor) {
   Wire wire(loop_, std::move(descriptor));
   while (!wire.over) {
     wire.read();
@@ -121,10 +122,10 @@
 
 // --- Discovery
 
-Discovery::Discovery(loop::Loop& loop, unsigned short port)
-    : loop_(loop), listener_(std::make_unique<loop::Stream>(loop, loop::listenOn(kHost, port))) {
+Discovery::Discovery(event_loop::Loop& loop, unsigned short port)
+    : loop_(loop), listener_(std::make_unique<event_loop::Stream>(loop, event_loop::listenOn(kHost, port))) {
   loop_.spawn(
-      acceptAll(*listener_, [this](loop::Descriptor taken) { loop_.spawn(serve(std::move(taken))); }));
+      acceptAll(*listener_, [this](event_loop::Descriptor taken) { loop_.spawn(serve(std::move(taken))); }));
 }
 Discovery::~Discovery() = default;
 
@@ -153,7 +154,7 @@
          R"(,"servers":[)" + servers + "]}\n";
 }
 
-loop::Task Discovery::serve(loop::Descriptor descriptor) {
+event_loop::Task Discovery::serve(event_loop::Descriptor descriptor) {
   const std::uint64_t start = starts_;
   Wire wire(loop_, std::move(descriptor));
   for (wire.read(); !wire.over && wire.kept.find("\r\n\r\n") == std::string::npos; wire.read())
@@ -188,4 +189,4 @@
   }
 }
 
-}  // namespace gulltrestle::standins
+}  // namespace gulltrestle::fake_servers
--- a/src/standins/node.h
+++ b/src/testing/fake_servers/fake_node.h
@@ -9,9 +9,9 @@
 #include <string>
 
 #include "base/time.h"
-#include "loop/loop.h"
+#include "runtime/event_loop/event_loop.h"
 
-namespace gulltrestle::standins {
+namespace gulltrestle::fake_servers {
 
 // What a node does with a request, on command.
 enum class Fault {
@@ -26,7 +26,7 @@
 
 class Node {
  public:
-  Node(loop::Loop& loop, std::string id, bool primary);
+  Node(event_loop::Loop& loop, std::string id, bool primary);
   ~Node();
 
   const std::string& id() const { return id_; }
@@ -45,19 +45,19 @@
   std::uint64_t requests = 0, writesAsReplica = 0, probes = 0;
 
  private:
-  loop::Task serve(loop::Descriptor descriptor);
+  event_loop::Task serve(event_loop::Descriptor descriptor);
   std::string head(int status, const std::string& outcome) const;
 
-  loop::Loop& loop_;
+  event_loop::Loop& loop_;
   std::string id_;
-  std::unique_ptr<loop::Stream> listener_;
+  std::unique_ptr<event_loop::Stream> listener_;
 };
 
 // A stand-in for discovery: the list over HTTP, whole or as a watch that brings each change.
 class Discovery {
  public:
   // Any port: one that is free.
-  explicit Discovery(loop::Loop& loop, unsigned short port = 0);
+  explicit Discovery(event_loop::Loop& loop, unsigned short port = 0);
   ~Discovery();
   std::string address() const;
 
@@ -73,13 +73,13 @@
   bool silent = false;  // tells nothing, and goes on accepting
 
  private:
-  loop::Task serve(loop::Descriptor descriptor);
+  event_loop::Task serve(event_loop::Descriptor descriptor);
   std::string list(std::uint64_t after, bool whole) const;
 
-  loop::Loop& loop_;
-  std::unique_ptr<loop::Stream> listener_;
+  event_loop::Loop& loop_;
+  std::unique_ptr<event_loop::Stream> listener_;
   std::map<std::string, std::pair<std::uint64_t, Entry>> entries_;  // with the version that last changed each
   std::uint64_t version_ = 1, starts_ = 1;
 };
 
-}  // namespace gulltrestle::standins
+}  // namespace gulltrestle::fake_servers
--- a/src/standins/proxy.cpp
+++ b/src/testing/fake_servers/fake_proxy.cpp
@@ -1,12 +1,12 @@
-#include "standins/proxy.h"
+#include "testing/fake_servers/fake_proxy.h"
 
 #include <deque>
 
-#include "grpc/calls.h"
-#include "loop/sockets.h"
-#include "startup/startup.h"
+#include "config/router_config.h"
+#include "protocol/grpc/server_calls.h"
+#include "runtime/event_loop/sockets.h"
 
-namespace gulltrestle::standins {
+namespace gulltrestle::fake_servers {
 
 namespace {
 
@@ -25,7 +25,7 @@
 
 // The connection to the processor.
 struct Proxy::Link final : http2::Handler {
-  Link(loop::Loop& onLoop, loop::Descriptor descriptor)
+  Link(event_loop::Loop& onLoop, event_loop::Descriptor descriptor)
       : stream(onLoop, std::move(descriptor)), session(http2::Session::Side::client, {}, *this) {}
 
   void headers(http2::StreamId id, http2::Headers) override { (void)id; }
@@ -71,13 +71,13 @@
     while (!unsent.empty()) {
       const std::string_view all = unsent;
       const auto done = stream.write({&all, 1});
-      if (done.how == loop::Io::failed) over = true;
-      if (done.how != loop::Io::some) break;
+      if (done.how == event_loop::Io::failed) over = true;
+      if (done.how != event_loop::Io::some) break;
       unsent.erase(0, done.size);
     }
   }
 
-  loop::Stream stream;
+  event_loop::Stream stream;
   http2::Session session;
   std::map<http2::StreamId, std::shared_ptr<Call>> calls;
   std::string unsent;
@@ -85,11 +85,12 @@
 };
 
 struct Proxy::Upstream {
-  Upstream(loop::Loop& onLoop, loop::Descriptor descriptor) : stream(onLoop, std::move(descriptor)) {}
-  loop::Stream stream;
+  Upstream(event_loop::Loop& onLoop, event_loop::Descriptor descriptor)
+      : stream(onLoop, std::move(descriptor)) {}
+  event_loop::Stream stream;
 };
 
-Proxy::Proxy(loop::Loop& loop, ProxySetup setup) : loop_(loop), setup_(std::move(setup)) {}
+Proxy::Proxy(event_loop::Loop& loop, ProxySetup setup) : loop_(loop), setup_(std::move(setup)) {}
 Proxy::~Proxy() = default;
 
 void Proxy::ask(ext_proc::Headers headers, bool isWrite, Span patience, std::function<void(Answer)> done) {
@@ -106,24 +107,24 @@
 
 std::shared_ptr<Proxy::Link> Proxy::link() {
   if (link_ && !link_->over && !link_->session.done()) return link_;
-  const auto at = startup::readAddress("processor", setup_.processor);
-  link_ = std::make_shared<Link>(loop_, loop::startConnecting(at.host, at.port));
+  const auto at = config::readAddress("processor", setup_.processor);
+  link_ = std::make_shared<Link>(loop_, event_loop::startConnecting(at.host, at.port));
   loop_.spawn(runLink(link_));
   return link_;
 }
 
-loop::Task Proxy::runLink(std::shared_ptr<Link> link) {
+event_loop::Task Proxy::runLink(std::shared_ptr<Link> link) {
   while (!link->stream.canWrite()) co_await link->stream.changed();
-  link->up = loop::isConnected(link->stream.descriptor());
+  link->up = event_loop::isConnected(link->stream.descriptor());
   if (!link->up) link->over = true;
   link->flush();
   while (!link->over) {
     char bytes[16384];
     if (link->stream.canRead()) {
       const auto got = link->stream.read(bytes);
-      if (got.how == loop::Io::some && !link->session.received(loop_.now(), {bytes, got.size}))
+      if (got.how == event_loop::Io::some && !link->session.received(loop_.now(), {bytes, got.size}))
         link->over = true;
-      if (got.how == loop::Io::ended || got.how == loop::Io::failed) link->over = true;
+      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) link->over = true;
     }
     link->flush();
     if (link->session.done() && link->calls.empty()) link->over = true;
@@ -132,8 +133,8 @@
   link->session.ended();
 }
 
-loop::Task Proxy::exchange(ext_proc::Headers headers, bool isWrite, Instant until,
-                           std::function<void(Answer)> done) {
+event_loop::Task Proxy::exchange(ext_proc::Headers headers, bool isWrite, Instant until,
+                                 std::function<void(Answer)> done) {
   Answer answer;
   for (const auto& header : headers)
     if (header.name == "x-txn-id") answer.txn = header.value;
@@ -222,25 +223,25 @@
         upstream = std::move(idle->second);
         idle_.erase(idle);
       } else {
-        const auto at = startup::readAddress("endpoint", endpoint);
-        upstream = std::make_unique<Upstream>(loop_, loop::startConnecting(at.host, at.port));
+        const auto at = config::readAddress("endpoint", endpoint);
+        upstream = std::make_unique<Upstream>(loop_, event_loop::startConnecting(at.host, at.port));
         while (!upstream->stream.canWrite()) co_await upstream->stream.changed();
       }
-      if (loop::isConnected(upstream->stream.descriptor()) &&
+      if (event_loop::isConnected(upstream->stream.descriptor()) &&
           loop_.now() - grantedAt < Span::millis(within)) {
         const std::string request =
             std::string(isWrite ? "POST" : "GET") + " / HTTP/1.1\r\nx-txn-id: " + answer.txn + "\r\n\r\n";
         const std::string_view all = request;
-        if (upstream->stream.write({&all, 1}).how == loop::Io::some) now = "whole";
+        if (upstream->stream.write({&all, 1}).how == event_loop::Io::some) now = "whole";
       }
       bool ended = now == "none";
       for (const Instant last = std::min(until, loop_.now() + patient.value_or(setup_.tryTimeout));
            !ended && head.find("\r\n\r\n") == std::string::npos && loop_.now() < last;) {
         char bytes[1024];
         const auto got = upstream->stream.read(bytes);
-        if (got.how == loop::Io::some) head.append(bytes, got.size);
-        if (got.how == loop::Io::ended || got.how == loop::Io::failed) ended = true;
-        if (got.how == loop::Io::wouldBlock) co_await loop_.sleepUntil(loop_.now() + kTick);
+        if (got.how == event_loop::Io::some) head.append(bytes, got.size);
+        if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) ended = true;
+        if (got.how == event_loop::Io::wouldBlock) co_await loop_.sleepUntil(loop_.now() + kTick);
       }
       if (head.find("\r\n\r\n") != std::string::npos) {
         status = std::stoi(head.substr(9, 3));
@@ -303,4 +304,4 @@
   done(answer);
 }
 
-}  // namespace gulltrestle::standins
+}  // namespace gulltrestle::fake_servers
--- a/src/standins/proxy.h
+++ b/src/testing/fake_servers/fake_proxy.h
@@ -11,11 +11,11 @@
 #include <random>
 #include <string>
 
-#include "ext_proc/messages.h"
-#include "http2/session.h"
-#include "loop/loop.h"
+#include "protocol/ext_proc/messages.h"
+#include "protocol/http2/session.h"
+#include "runtime/event_loop/event_loop.h"
 
-namespace gulltrestle::standins {
+namespace gulltrestle::fake_servers {
 
 struct ProxySetup {
   std::string processor;     // address:port
@@ -44,7 +44,7 @@
 
 class Proxy {
  public:
-  Proxy(loop::Loop& loop, ProxySetup setup);
+  Proxy(event_loop::Loop& loop, ProxySetup setup);
   ~Proxy();
 
   ProxyFaults faults;
@@ -61,16 +61,16 @@
   struct Link;
   struct Call;
   struct Upstream;
-  loop::Task exchange(ext_proc::Headers headers, bool isWrite, Instant until,
-                      std::function<void(Answer)> done);
-  loop::Task runLink(std::shared_ptr<Link> link);
+  event_loop::Task exchange(ext_proc::Headers headers, bool isWrite, Instant until,
+                            std::function<void(Answer)> done);
+  event_loop::Task runLink(std::shared_ptr<Link> link);
   std::shared_ptr<Link> link();
 
-  loop::Loop& loop_;
+  event_loop::Loop& loop_;
   ProxySetup setup_;
   std::shared_ptr<Link> link_;
   std::multimap<std::string, std::unique_ptr<Upstream>> idle_;  // connections to nodes that may be used again
   std::size_t open_ = 0;
 };
 
-}  // namespace gulltrestle::standins
+}  // namespace gulltrestle::fake_servers
--- a/src/model/nodes.cpp
+++ b/src/tools/fleet_model/node_model.cpp
@@ -1,9 +1,9 @@
-#include "model/nodes.h"
+#include "tools/fleet_model/node_model.h"
 
 #include <algorithm>
 #include <string>
 
-namespace gulltrestle::model {
+namespace gulltrestle::fleet_model {
 
 namespace {
 
@@ -88,8 +88,8 @@
   return std::min(upTo, node.logAt + (now - node.upAt) * kCatchUp);
 }
 
-std::vector<core::Addressed> Nodes::list(Instant now) const {
-  std::vector<core::Addressed> all;
+std::vector<transactions::Addressed> Nodes::list(Instant now) const {
+  std::vector<transactions::Addressed> all;
   for (const Node& node : nodes_) {
     ListEntry entry;
     entry.node = node.id;
@@ -102,4 +102,4 @@
   return all;
 }
 
-}  // namespace gulltrestle::model
+}  // namespace gulltrestle::fleet_model
--- a/src/model/nodes.h
+++ b/src/tools/fleet_model/node_model.h
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "core/nodes.h"
+#include "transactions/endpoint_registry.h"
 
-namespace gulltrestle::model {
+namespace gulltrestle::fleet_model {
 
 // What nodes are like. Spans below zero make no sense; a share is from 0 to 1.
 struct Machines {
@@ -65,7 +65,7 @@
   // Txns that the node has in hand, of all routers.
   double inHand(Instant now, std::size_t node);
   // As discovery would list it, if it knew all of this moment.
-  std::vector<core::Addressed> list(Instant now) const;
+  std::vector<transactions::Addressed> list(Instant now) const;
 
   const std::vector<Node>& all() const { return nodes_; }
   std::size_t at(const NodeId& id) const;
@@ -80,4 +80,4 @@
   std::uint64_t fellOver_ = 0;
 };
 
-}  // namespace gulltrestle::model
+}  // namespace gulltrestle::fleet_model
--- a/src/model/watch.cpp
+++ b/src/tools/fleet_model/scenario_check.cpp
@@ -1,8 +1,8 @@
-#include "model/watch.h"
+#include "tools/fleet_model/scenario_check.h"
 
 #include <cstdio>
 
-namespace gulltrestle::model {
+namespace gulltrestle::fleet_model {
 
 namespace {
 
@@ -65,4 +65,4 @@
   return verdict;
 }
 
-}  // namespace gulltrestle::model
+}  // namespace gulltrestle::fleet_model
--- a/src/model/watch.h
+++ b/src/tools/fleet_model/scenario_check.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "model/days.h"
+#include "tools/fleet_model/scenarios.h"
 
-namespace gulltrestle::model {
+namespace gulltrestle::fleet_model {
 
 struct Verdict {
   std::vector<std::string> faults;  // in words; none: the day passed
@@ -21,4 +21,4 @@
 // What of it does not hold: by the rules, by type, by probes, by nodes pushed over.
 std::vector<std::string> faultsOf(const Day& day, const Result& result, const Result& whole);
 
-}  // namespace gulltrestle::model
+}  // namespace gulltrestle::fleet_model
--- a/src/model/days.cpp
+++ b/src/tools/fleet_model/scenarios.cpp
@@ -1,8 +1,8 @@
-#include "model/days.h"
+#include "tools/fleet_model/scenarios.h"
 
 #include <stdexcept>
 
-namespace gulltrestle::model {
+namespace gulltrestle::fleet_model {
 
 namespace {
 
@@ -100,4 +100,4 @@
   return day;
 }
 
-}  // namespace gulltrestle::model
+}  // namespace gulltrestle::fleet_model
--- a/src/model/days.h
+++ b/src/tools/fleet_model/scenarios.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "model/fleet.h"
+#include "tools/fleet_model/fleet.h"
 
-namespace gulltrestle::model {
+namespace gulltrestle::fleet_model {
 
 struct Day {
   Sheet sheet;
@@ -34,4 +34,4 @@
 // decisions reach that need not be shared out. For a gate.
 Day seenWhole(Day day);
 
-}  // namespace gulltrestle::model
+}  // namespace gulltrestle::fleet_model
--- a/src/experiments/outages.h
+++ b/src/tools/fleet_simulator/outage_orders.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "model/fleet.h"
+#include "tools/fleet_model/fleet.h"
 
-namespace gulltrestle::experiments {
+namespace gulltrestle::fleet_simulator {
 
 // Of work on all replicas: three zones, a machine three replicas of its zone, of three groups; the work
 // itself takes some seconds, as a day of hours would take too long to play.
@@ -15,11 +15,12 @@
 //   names     by name, one after another; off a second after the drain, the next one once it is back
 //   zones     a zone at a time
 const std::vector<std::string>& orderNames();
-// `groups` of a primary and three replicas each, as model::dayOf() has them. Ends: when the last is warm.
+// `groups` of a primary and three replicas each, as fleet_model::dayOf() has them. Ends: when the last is
+// warm.
 struct Schedule {
-  std::vector<model::Trouble::Outage> outages;
+  std::vector<fleet_model::Trouble::Outage> outages;
   double ends = 0;
 };
 Schedule scheduleOf(const std::string& order, std::size_t groups);
 
-}  // namespace gulltrestle::experiments
+}  // namespace gulltrestle::fleet_simulator
--- a/src/wire/line.cpp
+++ b/src/tools/simulator_adapter/message_line.cpp
@@ -1,8 +1,8 @@
-#include "wire/line.h"
+#include "tools/simulator_adapter/message_line.h"
 
 #include <algorithm>
 
-namespace gulltrestle::wire {
+namespace gulltrestle::simulator_adapter {
 
 Line::Line(std::string_view text) {
   std::size_t at = 0;
@@ -26,4 +26,4 @@
   return std::nullopt;
 }
 
-}  // namespace gulltrestle::wire
+}  // namespace gulltrestle::simulator_adapter
--- a/src/wire/line.h
+++ b/src/tools/simulator_adapter/message_line.h
@@ -1,20 +1,20 @@
-// One line of the wire: a tag and its name=value parts, with the typed access of a terms::Source.
+// One line of the wire: a tag and its name=value parts, with the typed access of a deployment::Source.
 #pragma once
 
 #include <optional>
 #include <string_view>
 #include <vector>
 
-#include "terms/terms.h"
+#include "deployment/routing_config.h"
 
-namespace gulltrestle::wire {
+namespace gulltrestle::simulator_adapter {
 
-using terms::BadField;
-using terms::toNumber;
-using terms::toWhole;
+using deployment::BadField;
+using deployment::toNumber;
+using deployment::toWhole;
 
 // Views into the text it was made from, which must outlive it.
-class Line final : public terms::Source {
+class Line final : public deployment::Source {
  public:
   explicit Line(std::string_view text);
 
@@ -32,4 +32,4 @@
   std::vector<Part> parts_;
 };
 
-}  // namespace gulltrestle::wire
+}  // namespace gulltrestle::simulator_adapter
--- a/src/core/door.h
+++ b/src/transactions/admission_controller.h
@@ -6,7 +6,7 @@
 
 #include "routing/router.h"
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 class Door {
  public:
@@ -26,4 +26,4 @@
   virtual void disconnected(const NodeId& node) = 0;
 };
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/core/connection_end.cpp
+++ b/src/transactions/connection_close.cpp
@@ -1,6 +1,6 @@
-#include "core/connection_end.h"
+#include "transactions/connection_close.h"
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 End outcomeOf(ConnectionEnd how, bool writtenWhole) {
   switch (how) {
@@ -93,4 +93,4 @@
   return "unknown";
 }
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/core/connection_end.h
+++ b/src/transactions/connection_close.h
@@ -5,7 +5,7 @@
 
 #include "routing/router.h"
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 enum class ConnectionEnd {
   notOpened,     // no descriptor or address was to be had for it
@@ -33,4 +33,4 @@
 std::string_view nameOf(ConnectionEnd how);
 std::string_view nameOf(End how);
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/core/nodes.cpp
+++ b/src/transactions/endpoint_registry.cpp
@@ -1,8 +1,8 @@
-#include "core/nodes.h"
+#include "transactions/endpoint_registry.h"
 
 #include <utility>
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 std::vector<NodeId> Nodes::listed(ListKind kind, const std::vector<Addressed>& list) {
   if (kind != ListKind::changes)
@@ -39,4 +39,4 @@
   return true;
 }
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/core/nodes.h
+++ b/src/transactions/endpoint_registry.h
@@ -8,7 +8,7 @@
 
 #include "routing/router.h"
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 // An entry of a list, and where that node is reached, as address:port.
 struct Addressed {
@@ -45,4 +45,4 @@
   std::map<NodeId, Node> nodes_;
 };
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/core/guard.h
+++ b/src/transactions/execution_gate.h
@@ -6,10 +6,10 @@
 #include <array>
 #include <string_view>
 
-#include "core/nodes.h"
 #include "routing/router.h"
+#include "transactions/endpoint_registry.h"
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 // What a node answered, as its carrier read it, in up to three slices. Valid during the call only.
 using Value = std::array<std::string_view, 3>;
@@ -31,4 +31,4 @@
   virtual void listed(ListKind kind, std::uint64_t version, std::vector<Addressed>& list) = 0;
 };
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/core/session.h
+++ b/src/transactions/session_id.h
@@ -6,7 +6,7 @@
 
 #include "routing/router.h"
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 inline SessionId sessionOf(std::string_view name) {
   SessionId hash = 14695981039346656037U;
@@ -14,4 +14,4 @@
   return hash;
 }
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/core/trace.h
+++ b/src/transactions/trace.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <string>
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 class Trace {
  public:
@@ -24,4 +24,4 @@
   Take take_;
 };
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/core/ledger.cpp
+++ b/src/transactions/transaction_table.cpp
@@ -1,9 +1,9 @@
-#include "core/ledger.h"
+#include "transactions/transaction_table.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 Ledger::Ledger(const Terms& terms, std::uint64_t seed, std::size_t mostBytes,
                std::function<void()> askForList)
@@ -14,7 +14,7 @@
       nodes_(!terms.onlyDrainingBinds),
       types_(terms.types) {}
 
-void Ledger::reduceBy(levels::Levels& levels, levels::Table table, Changed changed) {
+void Ledger::reduceBy(degradation::Levels& levels, degradation::Table table, Changed changed) {
   levels_ = &levels;
   table_ = std::move(table);
   changed_ = std::move(changed);
@@ -113,7 +113,7 @@
   bool mayHaveRun = live.earlierSentAt != Instant();
   for (const Attempt& attempt : live.attempts) {
     if (attempt.how == End::committed) return Fate::committed;
-    mayHaveRun = mayHaveRun || core::mayHaveRun(attempt.how);
+    mayHaveRun = mayHaveRun || transactions::mayHaveRun(attempt.how);
   }
   return mayHaveRun ? Fate::unknown : Fate::neverRan;
 }
@@ -357,7 +357,7 @@
   levels_->own(std::max(part(live_.size(), mostOpen_), part(heldBytes_, mostBytes_)));
   for (const auto& change : levels_->decide(now_))
     if (changed_) changed_(change);
-  const auto row = [&](levels::Level level) { return level == 0 ? Reduction() : table_.at(level - 1); };
+  const auto row = [&](degradation::Level level) { return level == 0 ? Reduction() : table_.at(level - 1); };
   std::erase_if(reduced_, [&](const auto& told) { return !levels_->all().contains(told.first); });
   for (const auto& [id, now] : levels_->all()) {
     auto& told = reduced_[id];
@@ -449,4 +449,4 @@
   for (Carrier* carrier : carriers_) carrier->forget(node);
 }
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/core/ledger.h
+++ b/src/transactions/transaction_table.h
@@ -17,16 +17,16 @@
 #include <unordered_set>
 #include <vector>
 
-#include "core/connection_end.h"
-#include "core/door.h"
-#include "core/guard.h"
-#include "core/nodes.h"
-#include "core/trace.h"
+#include "degradation/admission_table.h"
 #include "invariants/invariants.h"
-#include "levels/table.h"
 #include "routing/router.h"
+#include "transactions/admission_controller.h"
+#include "transactions/connection_close.h"
+#include "transactions/endpoint_registry.h"
+#include "transactions/execution_gate.h"
+#include "transactions/trace.h"
 
-namespace gulltrestle::core {
+namespace gulltrestle::transactions {
 
 using OwnerId = std::uint64_t;  // whom a front owes an answer, by the front's own number; never 0
 using Parts = std::initializer_list<std::string_view>;
@@ -91,8 +91,8 @@
 
   // Levels of reduced service, which are told what is observed and asked each turn; `changed` is told of each
   // change. Where the terms say that levels reduce.
-  using Changed = std::function<void(const levels::Change&)>;
-  void reduceBy(levels::Levels& levels, levels::Table table, Changed changed);
+  using Changed = std::function<void(const degradation::Change&)>;
+  void reduceBy(degradation::Levels& levels, degradation::Table table, Changed changed);
 
   // Asked before a txn that may run only once comes to the module. Null: none is asked. Before the first txn.
   void guardBy(Guard* guard) { guard_ = guard; }
@@ -237,10 +237,10 @@
   std::map<NodeId, Addressed> last_;  // of each node that lists name, where there is a guard
   std::set<NodeId> out_, outLater_;   // that are kept out, whatever lists say
   Instant outFrom_;                   // of those later; never: none is
-  levels::Levels* levels_ = nullptr;
-  levels::Table table_;
+  degradation::Levels* levels_ = nullptr;
+  degradation::Table table_;
   Changed changed_;
-  std::map<GroupId, std::pair<levels::Level, double>> reduced_;  // as the module was last told
+  std::map<GroupId, std::pair<degradation::Level, double>> reduced_;  // as the module was last told
   std::vector<Carrier*> carriers_;
   Carrier* prober_ = nullptr;
   Instant now_, wakeAt_;
@@ -252,4 +252,4 @@
   TxnId lastTxn_ = 0;
 };
 
-}  // namespace gulltrestle::core
+}  // namespace gulltrestle::transactions
--- a/src/carriers/delegated/delegated.cpp
+++ b/src/upstream/delegated/delegated_transport.cpp
@@ -1,8 +1,8 @@
-#include "carriers/delegated/delegated.h"
+#include "upstream/delegated/delegated_transport.h"
 
-namespace gulltrestle::carriers::delegated {
+namespace gulltrestle::upstream::delegated {
 
-using core::Job;
+using transactions::Job;
 
 void Delegated::carry(Job job, const NodeId& id) {
   const auto* node = ledger_.nodes().find(id);
@@ -11,7 +11,7 @@
   if (!attempt || !node || ledger_.nodes().leaving(id) || out_.contains(job.txn))
     return ledger_.ended(job, id, End::notSent);
   const Instant now = ledger_.now(), cutAt = attempt->cutAt;
-  const Span within = grants::sendWithin(now, attempt->sendBy, rule_, list_);
+  const Span within = endpoint_leases::sendWithin(now, attempt->sendBy, rule_, list_);
   if (within == Span() || !ledger_.maySend(job, id, cutAt - now)) return ledger_.ended(job, id, End::notSent);
   const Out out{job, id, node->address, cutAt};
   out_.emplace(job.txn, out);
@@ -36,19 +36,19 @@
   ledger_.ended(job, id, End::cancelled);
 }
 
-std::optional<End> Delegated::reported(TxnId txn, const grants::Report& report) {
+std::optional<End> Delegated::reported(TxnId txn, const endpoint_leases::Report& report) {
   const auto out = take(txn);
   if (!out) return std::nullopt;
-  const End how = grants::endOf(report, out->address);
+  const End how = endpoint_leases::endOf(report, out->address);
   if (how == End::committed) ledger_.commit(txn, {});
   // The proxy has the connections, and doesn't tell which was the last.
   if (how == End::noConnection || how == End::connectionLost) ledger_.disconnected(out->node);
-  ledger_.ended(out->job, out->node, how, grants::learnt(report, out->address));
+  ledger_.ended(out->job, out->node, how, endpoint_leases::learnt(report, out->address));
   return how;
 }
 
 void Delegated::unreported(TxnId txn) {
-  if (const auto out = take(txn)) ledger_.ended(out->job, out->node, grants::endUnreported(false));
+  if (const auto out = take(txn)) ledger_.ended(out->job, out->node, endpoint_leases::endUnreported(false));
 }
 
 // Guards the places in flight against proxies that never tell an end. May hurt where an answer is still on
@@ -56,8 +56,8 @@
 void Delegated::endTurn() {
   while (!due_.empty() && due_.begin()->first <= ledger_.now()) {
     const auto out = take(TxnId(due_.begin()->second));
-    ledger_.ended(out->job, out->node, grants::endUnreported(true));
+    ledger_.ended(out->job, out->node, endpoint_leases::endUnreported(true));
   }
 }
 
-}  // namespace gulltrestle::carriers::delegated
+}  // namespace gulltrestle::upstream::delegated
--- a/src/carriers/delegated/delegated.h
+++ b/src/upstream/delegated/delegated_transport.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <utility>
 
-#include "core/ledger.h"
-#include "grants/ends.h"
-#include "grants/worth.h"
+#include "endpoint_leases/attempt_outcome.h"
+#include "endpoint_leases/lease_duration.h"
+#include "transactions/transaction_table.h"
 
-namespace gulltrestle::carriers::delegated {
+namespace gulltrestle::upstream::delegated {
 
 struct Grant {
   NodeId node;
@@ -30,18 +30,18 @@
   virtual bool granted(TxnId txn, const Grant& grant) = 0;
 };
 
-class Delegated final : public core::Carrier {
+class Delegated final : public transactions::Carrier {
  public:
-  Delegated(core::Ledger& ledger, grants::DrainRule rule, Granting& granting)
+  Delegated(transactions::Ledger& ledger, endpoint_leases::DrainRule rule, Granting& granting)
       : ledger_(ledger), rule_(rule), granting_(granting) {}
 
-  void carry(core::Job job, const NodeId& node) override;
-  void cancel(core::Job job, const NodeId& node) override;
+  void carry(transactions::Job job, const NodeId& node) override;
+  void cancel(transactions::Job job, const NodeId& node) override;
   void listed(const std::vector<NodeId>&) override {}
   void forget(const NodeId&) override {}
 
   // --- What becomes of a grant. Each ends it; none where the txn has no grant out.
-  std::optional<End> reported(TxnId txn, const grants::Report& report);
+  std::optional<End> reported(TxnId txn, const endpoint_leases::Report& report);
   void unreported(TxnId txn);
 
   // The list was heard, be it with nothing new.
@@ -54,19 +54,19 @@
 
  private:
   struct Out {
-    core::Job job;
+    transactions::Job job;
     NodeId node;
     std::string address;
     Instant reportBy;
   };
   std::optional<Out> take(TxnId txn);
 
-  core::Ledger& ledger_;
-  grants::DrainRule rule_;
+  transactions::Ledger& ledger_;
+  endpoint_leases::DrainRule rule_;
   Granting& granting_;
-  grants::ListAge list_;
+  endpoint_leases::ListAge list_;
   std::map<TxnId, Out> out_;  // one a txn: whoever asks can carry one
   std::set<std::pair<Instant, TxnId>> due_;
 };
 
-}  // namespace gulltrestle::carriers::delegated
+}  // namespace gulltrestle::upstream::delegated
--- a/src/carriers/http/probes.cpp
+++ b/src/upstream/http/health_checker.cpp
@@ -1,12 +1,12 @@
-#include "carriers/http/probes.h"
+#include "upstream/http/health_checker.h"
 
 #include <algorithm>
 #include <vector>
 
-namespace gulltrestle::carriers::http {
+namespace gulltrestle::upstream::http {
 
 // Guards the descriptors: beyond the bound a probe counts as not sent, and the module asks again later.
-void Probes::carry(core::Job job, const NodeId& id) {
+void Probes::carry(transactions::Job job, const NodeId& id) {
   const auto* node = ledger_.nodes().find(id);
   if (job.txn != 0 || !node || out_.size() >= most_) return ledger_.ended(job, id, End::notSent);
   const ProbeId probe = ++last_;
@@ -59,4 +59,4 @@
   dropIf([&](const NodeId& node) { return node == id; });
 }
 
-}  // namespace gulltrestle::carriers::http
+}  // namespace gulltrestle::upstream::http
--- a/src/carriers/http/probes.h
+++ b/src/upstream/http/health_checker.h
@@ -9,9 +9,9 @@
 #include <string_view>
 #include <utility>
 
-#include "core/ledger.h"
+#include "transactions/transaction_table.h"
 
-namespace gulltrestle::carriers::http {
+namespace gulltrestle::upstream::http {
 
 using ProbeId = std::uint64_t;
 
@@ -25,14 +25,14 @@
   virtual void drop(ProbeId probe) = 0;
 };
 
-class Probes final : public core::Carrier {
+class Probes final : public transactions::Carrier {
  public:
   // `limit`: how long an answer is waited for. `most`: how many may be out at a time.
-  Probes(core::Ledger& ledger, Span limit, std::size_t most, Effects& effects)
+  Probes(transactions::Ledger& ledger, Span limit, std::size_t most, Effects& effects)
       : ledger_(ledger), limit_(limit), most_(most), effects_(effects) {}
 
-  void carry(core::Job job, const NodeId& node) override;
-  void cancel(core::Job, const NodeId&) override {}
+  void carry(transactions::Job job, const NodeId& node) override;
+  void cancel(transactions::Job, const NodeId&) override {}
   void listed(const std::vector<NodeId>& moved) override;
   void forget(const NodeId& node) override;
 
@@ -52,7 +52,7 @@
   template <typename Which>
   void dropIf(Which which);
 
-  core::Ledger& ledger_;
+  transactions::Ledger& ledger_;
   Span limit_;
   std::size_t most_;
   Effects& effects_;
@@ -61,4 +61,4 @@
   ProbeId last_ = 0;
 };
 
-}  // namespace gulltrestle::carriers::http
+}  // namespace gulltrestle::upstream::http
--- a/src/carriers/pg/links.cpp
+++ b/src/upstream/postgres/connection_pool.cpp
@@ -1,13 +1,13 @@
-#include "carriers/pg/links.h"
+#include "upstream/postgres/connection_pool.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace gulltrestle::carriers::pg {
+namespace gulltrestle::upstream::postgres {
 
-using core::ConnectionEnd;
-using core::outcomeOf;
-namespace wire = gulltrestle::pg;
+using transactions::ConnectionEnd;
+using transactions::outcomeOf;
+namespace wire = gulltrestle::postgres;
 
 namespace {
 
@@ -109,7 +109,7 @@
         effects_.writeNode(id, {wire::queryHead(wire::kShowReport.size()), wire::kShowReport, {"\0", 1}});
     return;
   }
-  const core::Message& message = ledger_.message(job.txn);
+  const transactions::Message& message = ledger_.message(job.txn);
   const Instant sendBy = attempt->sendBy, cutAt = attempt->cutAt;
   carried_[job] = id;
   const std::string wait = std::to_string(left);
@@ -355,4 +355,4 @@
   }
 }
 
-}  // namespace gulltrestle::carriers::pg
+}  // namespace gulltrestle::upstream::postgres
--- a/src/carriers/pg/links.h
+++ b/src/upstream/postgres/connection_pool.h
@@ -10,10 +10,10 @@
 #include <string_view>
 #include <vector>
 
-#include "core/ledger.h"
-#include "pg/answer.h"
+#include "protocol/postgres/answer.h"
+#include "transactions/transaction_table.h"
 
-namespace gulltrestle::carriers::pg {
+namespace gulltrestle::upstream::postgres {
 
 using LinkId = std::uint64_t;  // a connection to a node
 
@@ -24,7 +24,7 @@
   // Opens a connection to a node; up() or ended() tells what became of it.
   virtual void connect(LinkId link, const std::string& address) = 0;
   // The parts are valid during the call only. True: the last byte is written; else written() tells of it.
-  virtual bool writeNode(LinkId link, core::Parts parts) = 0;
+  virtual bool writeNode(LinkId link, transactions::Parts parts) = 0;
   virtual void closeNode(LinkId link) = 0;
   virtual void log(std::string line) = 0;
 };
@@ -35,14 +35,14 @@
   std::size_t mostLinks = 0;  // connections that may be open at one time
 };
 
-class Links final : public core::Carrier {
+class Links final : public transactions::Carrier {
  public:
-  Links(core::Ledger& ledger, Bounds bounds, Effects& effects)
+  Links(transactions::Ledger& ledger, Bounds bounds, Effects& effects)
       : ledger_(ledger), nodes_(ledger.nodes()), bounds_(bounds), effects_(effects) {}
 
-  void carry(core::Job job, const NodeId& node) override;
-  void cancel(core::Job job, const NodeId& node) override;
-  void withdraw(core::Job job, const NodeId& node) override;
+  void carry(transactions::Job job, const NodeId& node) override;
+  void cancel(transactions::Job job, const NodeId& node) override;
+  void withdraw(transactions::Job job, const NodeId& node) override;
   void listed(const std::vector<NodeId>& moved) override;
   void forget(const NodeId& node) override;
 
@@ -51,7 +51,7 @@
   void written(LinkId link);
   // Returns how much was taken; the rest is offered again, with more behind it.
   std::size_t sent(LinkId link, std::string_view bytes);
-  void ended(LinkId link, core::ConnectionEnd how);
+  void ended(LinkId link, transactions::ConnectionEnd how);
 
   // What has come due ends.
   void endTurn();
@@ -59,7 +59,7 @@
   Instant nextDue() const { return due_.empty() ? Instant() : due_.begin()->first; }
 
  private:
-  using Job = core::Job;
+  using Job = transactions::Job;
   // Clearing: its answer has come; whether more than that comes is not known yet.
   enum class Stage { connecting, starting, idle, busy, clearing };
   struct Link {
@@ -80,20 +80,20 @@
     std::size_t spoilt = 0;    // and how often it did so since
   };
 
-  bool wasDown(const Link& ended, core::ConnectionEnd how) const;
+  bool wasDown(const Link& ended, transactions::ConnectionEnd how) const;
   void openFor(const NodeId& id, Place& place);
   void write(LinkId id, Link& link, Job job);
   void release(LinkId id, Link& link);
   void clear(LinkId id, Link& link, bool more);
   void logSpoilt(const NodeId& id, std::string_view what);
-  void endLink(LinkId id, core::ConnectionEnd how);
+  void endLink(LinkId id, transactions::ConnectionEnd how);
   void endIdle(Place& place);
-  void endWaiting(const NodeId& id, Place& place, core::ConnectionEnd how);
-  void takeAnswer(LinkId id, Link& link, const gulltrestle::pg::Answer& answer, bool more);
+  void endWaiting(const NodeId& id, Place& place, transactions::ConnectionEnd how);
+  void takeAnswer(LinkId id, Link& link, const gulltrestle::postgres::Answer& answer, bool more);
   void setDue(LinkId id, Link& link, Instant due);
 
-  core::Ledger& ledger_;
-  const core::Nodes& nodes_;
+  transactions::Ledger& ledger_;
+  const transactions::Nodes& nodes_;
   Bounds bounds_;
   Effects& effects_;
   std::map<LinkId, Link> links_;
@@ -105,4 +105,4 @@
   LinkId lastLink_ = 0;
 };
 
-}  // namespace gulltrestle::carriers::pg
+}  // namespace gulltrestle::upstream::postgres
--- a/tests/http2.cpp
+++ b/tests/http2.cpp
@@ -4,7 +4,7 @@
 #include <iostream>
 #include <map>
 
-#include "grpc/calls.h"
+#include "protocol/grpc/server_calls.h"
 
 using namespace gulltrestle;
 
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -3,7 +3,7 @@
 #include <functional>
 #include <iostream>
 
-#include "recovery/leaving.h"
+#include "recovery/drain_registry.h"
 
 using namespace gulltrestle;
 using namespace gulltrestle::recovery;
--- a/tests/returning.cpp
+++ b/tests/returning.cpp
@@ -2,9 +2,9 @@
 // `returning CASE`: prints the case's trace.
 #include <iostream>
 
-#include "recovery/ramp.h"
-#include "recovery/sightings.h"
-#include "recovery/stages.h"
+#include "recovery/admission_ramp.h"
+#include "recovery/peer_observations.h"
+#include "recovery/recovery_stages.h"
 #include "trace.h"
 
 using namespace gulltrestle;
