--- a/tests/work.cpp
+++ b/tests/work.cpp
@@ -11,19 +11,19 @@
 #include <set>
 #include <unordered_set>
 
-#include "members/beats.h"
-#include "members/roll.h"
-#include "members/view.h"
-#include "work/acceptor.h"
-#include "work/asks.h"
-#include "work/known.h"
-#include "work/lease.h"
-#include "work/order.h"
-#include "work/round.h"
-#include "work/steps.h"
+#include "maintenance/acceptor.h"
+#include "maintenance/lease.h"
+#include "maintenance/maintenance_leader.h"
+#include "maintenance/operator_requests.h"
+#include "maintenance/plan_view.h"
+#include "maintenance/proposal_round.h"
+#include "maintenance/scheduling.h"
+#include "membership/failure_detector.h"
+#include "membership/heartbeat_timer.h"
+#include "membership/membership_view.h"
 
 using namespace gulltrestle;
-using namespace gulltrestle::work;
+using namespace gulltrestle::maintenance;
 
 namespace {
 
@@ -133,8 +133,8 @@
     std::optional<Lease> lease;
     std::optional<Acceptor> acceptor;
     std::optional<Round> round;
-    std::optional<members::Roll> roll;
-    std::optional<members::View> view;
+    std::optional<membership::Roll> roll;
+    std::optional<membership::View> view;
     std::optional<Foreman> foreman;
     std::vector<std::function<void()>> queued;  // while it stands still
     std::uint64_t clear = 0, beat = 0;
@@ -186,7 +186,7 @@
       if (!disk.whole && bug_ != Bug::forgets) fresh.silentUntil = clock(i) + kRetention;
       fresh.round.emplace(kKeepers, fresh.draw, ms(2000));
       std::set<std::string> list;
-      std::map<std::string, members::Incarnation> kept;
+      std::map<std::string, membership::Incarnation> kept;
       for (std::size_t r = 0; r < kRouters; ++r) list.insert(name(r));
       fresh.roll.emplace(clock(i), list, std::move(kept));
       fresh.foreman.emplace(bounds_);
@@ -247,8 +247,8 @@
         (bug_ == Bug::saysClear ||
          std::none_of(p.out.begin(), p.out.end(), [&](auto& node) { return p.known->out().contains(node); })))
       p.clear = p.known->settled().version;
-    const members::Progress progress{0, p.known->settled().version, p.clear};
-    if (now - p.beatAt >= members::Beats::kPause) {
+    const membership::Progress progress{0, p.known->settled().version, p.clear};
+    if (now - p.beatAt >= membership::Beats::kPause) {
       p.beatAt = now;
       ++p.beat;
       for (std::size_t k = 0; k < kKeepers; ++k) {
@@ -270,7 +270,7 @@
     }
     carryOn(i);
   }
-  void hears(std::size_t k, std::size_t i, const members::Progress& progress, std::uint64_t draw,
+  void hears(std::size_t k, std::size_t i, const membership::Progress& progress, std::uint64_t draw,
              std::uint64_t number, std::uint64_t beat, std::uint64_t life) {
     Process& p = routers_[k];
     if (p.roll->newest(name(i)).number < number) p.told.erase(i), p.held.erase(i);
@@ -307,7 +307,7 @@
     for (const auto& router : routers_[i].view->routers()) {
       const auto member = routers_[i].view->of(router);
       auto& fact = facts.routers[router];
-      fact.lives = member.state == members::View::State::lives;
+      fact.lives = member.state == membership::View::State::lives;
       fact.silent = member.silent.size() >= majorityOf(kKeepers);
       fact.start = member.incarnation;
       fact.known = member.progress.known;
