--- a/benchmarks/fronts.cpp
+++ b/benchmarks/fronts.cpp
@@ -30,7 +30,7 @@
 
 namespace {
 
-Span ms(std::int64_t n) { return Span::millis(n); }
+Duration ms(std::int64_t n) { return Duration::millis(n); }
 
 std::string portOf(const event_loop::Descriptor& held) {
   sockaddr_in address{};
@@ -91,15 +91,15 @@
 
 // Txns that are asked for by schedule or, without a rate, as fast as they are answered; so many at a time.
 struct Load {
-  explicit Load(event_loop::Loop& onLoop) : loop(onLoop) {}
-  event_loop::Loop& loop;
+  explicit Load(event_loop::EventLoop& onLoop) : loop(onLoop) {}
+  event_loop::EventLoop& loop;
   double rate = 0;  // a second; 0: as fast as they are answered
   bool on = true;
   Instant begunAt;
   std::uint64_t due = 0, answered = 0, refused = 0;
   std::vector<double> latencies;                      // ms, from when it was due
   std::deque<std::function<void(Instant due)>> free;  // whoever can ask
-  Instant dueAt(std::uint64_t n) const { return begunAt + Span::seconds(static_cast<double>(n) / rate); }
+  Instant dueAt(std::uint64_t n) const { return begunAt + Duration::seconds(static_cast<double>(n) / rate); }
 
   void ready(std::function<void(Instant)> ask) {
     free.push_back(std::move(ask));
@@ -131,7 +131,7 @@
 // --- Through the external processor.
 
 struct Proxy final : http2::Handler {
-  Proxy(event_loop::Loop& loop, Load& toLoad, event_loop::Descriptor descriptor)
+  Proxy(event_loop::EventLoop& loop, Load& toLoad, event_loop::Descriptor descriptor)
       : load(toLoad),
         stream(loop, std::move(descriptor)),
         session(http2::Session::Side::client, {4000}, *this) {}
@@ -229,7 +229,8 @@
 // --- Through the PostgreSQL front, with nodes that answer at once.
 
 struct Wire {
-  Wire(event_loop::Loop& loop, event_loop::Descriptor descriptor) : stream(loop, std::move(descriptor)) {}
+  Wire(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
+      : stream(loop, std::move(descriptor)) {}
   event_loop::Stream stream;
   std::string kept;
   bool over = false;
@@ -248,7 +249,7 @@
   }
 };
 
-event_loop::Task runNode(event_loop::Loop& loop, event_loop::Descriptor descriptor) {
+event_loop::Task runNode(event_loop::EventLoop& loop, event_loop::Descriptor descriptor) {
   Wire wire(loop, std::move(descriptor));
   static const std::string row = postgres::message('T', std::string("\0\1t\0", 4) + std::string(18, '\0')) +
                                  postgres::message('D', std::string("\0\1\0\0\0\4", 6) + "body") +
@@ -275,7 +276,7 @@
   }
 }
 
-event_loop::Task acceptNodes(event_loop::Loop& loop, event_loop::Stream& listener) {
+event_loop::Task acceptNodes(event_loop::EventLoop& loop, event_loop::Stream& listener) {
   for (;;) {
     event_loop::Descriptor taken;
     if (listener.accept(taken) == event_loop::Io::some)
@@ -285,7 +286,7 @@
   }
 }
 
-event_loop::Task runClient(event_loop::Loop& loop, Load& load, std::string address) {
+event_loop::Task runClient(event_loop::EventLoop& loop, Load& load, std::string address) {
   static std::uint64_t last = 0;
   const auto to = config::readAddress("pg", address);
   Wire wire(loop, event_loop::startConnecting(to.host, to.port));
@@ -323,8 +324,8 @@
 
 Result measure(const char* path, int core, bool throughProxy, std::size_t atATime, double rate,
                double seconds) {
-  event_loop::Loop loop;
-  fake_servers::Discovery discovery(loop);
+  event_loop::EventLoop loop;
+  fake_servers::FakeDiscovery discovery(loop);
   std::vector<std::unique_ptr<event_loop::Stream>> nodes;
   for (int i = 0; i < 3; ++i) {
     event_loop::Descriptor listener = event_loop::listenOn("127.0.0.1", 0);
@@ -357,7 +358,7 @@
     const std::uint64_t before = load.answered, refused = load.refused;
     load.latencies.clear();
     const Instant from = loop.now();
-    co_await loop.sleepUntil(from + Span::seconds(seconds));
+    co_await loop.sleepUntil(from + Duration::seconds(seconds));
     const double done = static_cast<double>(load.answered - before);
     result = {done / (loop.now() - from).inSeconds(),
               (program.cpuSeconds() - cpu) * 1e6 / std::max(1.0, done),
--- a/benchmarks/votes.cpp
+++ b/benchmarks/votes.cpp
@@ -24,8 +24,8 @@
   return std::chrono::duration<double>(Clock::now() - began).count();
 }
 
-idempotency::Keeper::Change vote(std::uint64_t number) {
-  idempotency::Keeper::Change change;
+idempotency::VotingMember::DiskChange vote(std::uint64_t number) {
+  idempotency::VotingMember::DiskChange change;
   change.id = change.entry.id = "9b1f03aa5c7e" + std::to_string(number);
   change.entry.token = {"r1", 7, number};
   return change;
@@ -40,12 +40,12 @@
     while (sent - durable < together) store.write({vote(++sent)});
     pollfd ready{store.descriptor(), POLLIN, 0};
     poll(&ready, 1, 1000);
-    for (const auto& done : store.done()) durable += done.durable;
+    for (const auto& done : store.takeCompleted()) durable += done.durable;
   }
   std::cout << "the store, " << together
             << " out at a time: " << static_cast<double>(durable) / secondsSince(began) << " votes a second, "
-            << static_cast<double>(store.figures().commits) / secondsSince(began) << " commits, longest "
-            << store.figures().longest.inMicros() / 1000.0 << " ms\n";
+            << static_cast<double>(store.statistics().commits) / secondsSince(began) << " commits, longest "
+            << store.statistics().longest.inMicros() / 1000.0 << " ms\n";
 }
 
 void plain(const std::string& file, const char* journal, const char* sync, std::size_t together) {
@@ -88,13 +88,13 @@
   {
     store::Store store(folder, "r1", 1, {{1, {"r1"}}});
     for (std::uint64_t n = 0; n < ids;) {
-      std::vector<idempotency::Keeper::Change> changes;
+      std::vector<idempotency::VotingMember::DiskChange> changes;
       while (changes.size() < kTogether && n < ids) changes.push_back(vote(++n));
       const auto ticket = store.write(std::move(changes));
       for (bool durable = false; !durable;) {
         pollfd ready{store.descriptor(), POLLIN, 0};
         poll(&ready, 1, 1000);
-        for (const auto& done : store.done()) durable = durable || done.ticket == ticket;
+        for (const auto& done : store.takeCompleted()) durable = durable || done.ticket == ticket;
       }
     }
   }
@@ -102,9 +102,9 @@
   const auto began = Clock::now();
   store::Store store(folder, "r1", 2, {{1, {"r1"}}});
   const double opened = secondsSince(began);
-  idempotency::KeeperBounds bounds;
-  bounds.most = ids + 1;
-  const idempotency::Keeper keeper(Instant::atMicros(1), "r1", bounds, store.takeKept());
+  idempotency::VotingMemberLimits bounds;
+  bounds.maxClaims = ids + 1;
+  const idempotency::VotingMember keeper(Instant::atMicros(1), "r1", bounds, store.takeStoredState());
   std::cout << ids << " ids, a file of " << static_cast<double>(std::filesystem::file_size(file)) / 1e6
             << " MB: opened and checked in " << opened << " s, a keeper that holds " << keeper.size()
             << " after " << secondsSince(began) << " s, " << resident() - before << " MB\n";
--- a/examples/toy_proxy.cpp
+++ b/examples/toy_proxy.cpp
@@ -13,15 +13,15 @@
 constexpr unsigned short kDiscoveryPort = 8500;  // as examples/config.json has it
 
 struct Toy {
-  event_loop::Loop loop;
-  fake_servers::Discovery discovery{loop, kDiscoveryPort};
-  fake_servers::Node primary{loop, "primary", true}, one{loop, "replica-1", false},
+  event_loop::EventLoop loop;
+  fake_servers::FakeDiscovery discovery{loop, kDiscoveryPort};
+  fake_servers::FakeNode primary{loop, "primary", true}, one{loop, "replica-1", false},
       two{loop, "replica-2", false};
-  fake_servers::Proxy proxy{loop, setup()};
+  fake_servers::FakeProxy proxy{loop, setup()};
   int asked = 0;
 
-  static fake_servers::ProxySetup setup() {
-    fake_servers::ProxySetup made;
+  static fake_servers::FakeProxyConfig setup() {
+    fake_servers::FakeProxyConfig made;
     made.processor = "127.0.0.1:9002";
     return made;
   }
@@ -35,13 +35,14 @@
                               {"x-txn-group", "1"},
                               {"x-txn-session", "toy"}};
     if (!writeAge.empty()) headers.push_back({"x-txn-write-age-ms", writeAge});
-    proxy.ask(headers, type == "order", Span::millis(900), [this, type](const fake_servers::Answer& answer) {
-      std::string from = "nobody";
-      for (const auto* node : {&primary, &one, &two})
-        if (node->address() == answer.from) from = node->id();
-      std::cout << type << ": " << answer.status << " " << answer.outcome << ", answered by " << from
-                << std::endl;
-    });
+    proxy.ask(headers, type == "order", Duration::millis(900),
+              [this, type](const fake_servers::Answer& answer) {
+                std::string from = "nobody";
+                for (const auto* node : {&primary, &one, &two})
+                  if (node->address() == answer.from) from = node->id();
+                std::cout << type << ": " << answer.status << " " << answer.outcome << ", answered by "
+                          << from << std::endl;
+              });
   }
 };
 
@@ -55,15 +56,15 @@
   for (auto* node : {&toy.primary, &toy.one, &toy.two}) {
     toy.discovery.set({node->id(), node->address(), "up", node->primary, 1});
     node->fault = busy;
-    node->lag = Span::millis(300);
+    node->lag = Duration::millis(300);
   }
   for (;;) {
     toy.ask("order", "");
-    co_await toy.loop.sleepUntil(toy.loop.now() + Span::millis(500));
+    co_await toy.loop.sleepUntil(toy.loop.now() + Duration::millis(500));
     toy.ask("my-own", "500");
-    co_await toy.loop.sleepUntil(toy.loop.now() + Span::millis(500));
+    co_await toy.loop.sleepUntil(toy.loop.now() + Duration::millis(500));
     toy.ask("browse", "");
-    co_await toy.loop.sleepUntil(toy.loop.now() + Span::millis(1000));
+    co_await toy.loop.sleepUntil(toy.loop.now() + Duration::millis(1000));
   }
 }
 
--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -19,7 +19,7 @@
 constexpr const char* kHost = "127.0.0.1";
 constexpr unsigned short kDiscovery = 8500;
 constexpr std::array<unsigned short, 3> kNodes{7001, 7002, 7003};  // the first is the primary
-constexpr Span kLag = Span::millis(300);
+constexpr Duration kLag = Duration::millis(300);
 constexpr std::size_t kLongest = 256 * 1024;
 
 struct Version {
@@ -75,7 +75,7 @@
     const auto commit = std::to_string((now.inMicros() + 999) / 1000);
     return row("body", 17, "\\x" + versions.back().hex, "INSERT 0 1") + role +
            status("caught_up_to", commit) + postgres::readyForQuery();
-  } catch (const postgres::BadStatement& bad) {
+  } catch (const postgres::InvalidStatement& bad) {
     return postgres::error("ERROR", bad.code(), bad.what()) + role + postgres::readyForQuery();
   }
 }
@@ -101,7 +101,7 @@
   return true;
 }
 
-event_loop::Task serveNode(event_loop::Loop& all, event_loop::Descriptor descriptor, bool isPrimary) {
+event_loop::Task serveNode(event_loop::EventLoop& all, event_loop::Descriptor descriptor, bool isPrimary) {
   event_loop::Stream stream(all, std::move(descriptor));
   std::string kept, unsent;
   bool started = false;
@@ -142,7 +142,7 @@
   return size + "\r\n" + text + "\r\n";
 }
 
-event_loop::Task serveDiscovery(event_loop::Loop& all, event_loop::Descriptor descriptor) {
+event_loop::Task serveDiscovery(event_loop::EventLoop& all, event_loop::Descriptor descriptor) {
   event_loop::Stream stream(all, std::move(descriptor));
   std::string kept, unsent;
   bool watching = false;
@@ -155,12 +155,12 @@
       unsent += watching
                     ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(body + "\n")
                     : "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-      nextLine = all.now() + Span::seconds(2);
+      nextLine = all.now() + Duration::seconds(2);
     }
     if (watching) {
       if (all.now() >= nextLine) {
         unsent += chunk("\n");
-        nextLine = all.now() + Span::seconds(2);
+        nextLine = all.now() + Duration::seconds(2);
       }
       stream.wakeAt(nextLine);
     }
@@ -171,7 +171,7 @@
 
 using Serve = std::function<event_loop::Task(event_loop::Descriptor)>;
 
-event_loop::Task acceptAll(event_loop::Loop& all, unsigned short port, Serve serve) {
+event_loop::Task acceptAll(event_loop::EventLoop& all, unsigned short port, Serve serve) {
   event_loop::Stream listener(all, event_loop::listenOn(kHost, port));
   for (;;) {
     event_loop::Descriptor taken;
@@ -182,7 +182,7 @@
   }
 }
 
-event_loop::Task untilTold(event_loop::Loop& all) {
+event_loop::Task untilTold(event_loop::EventLoop& all) {
   event_loop::Stream signals(all, event_loop::signals());
   co_await signals.changed();
   all.stop();
@@ -191,7 +191,7 @@
 }  // namespace
 
 int main() {
-  event_loop::Loop all;
+  event_loop::EventLoop all;
   int code = 0;
   for (const auto port : kNodes)
     all.spawn(acceptAll(all, port, [&all, port](event_loop::Descriptor taken) {
--- a/src/base/samples.h
+++ b/src/base/samples.h
@@ -12,25 +12,25 @@
 
 struct Sample {
   Instant at;
-  double figure;
+  double value;
 };
 
 using Samples = std::deque<Sample>;
 
 template <typename T>
-void keepLast(std::deque<T>& samples, T sample, std::size_t most) {
+void pushBounded(std::deque<T>& samples, T sample, std::size_t most) {
   samples.push_back(std::move(sample));
   if (samples.size() > most) samples.pop_front();
 }
 
 inline double sum(const Samples& samples) {
   return std::accumulate(samples.begin(), samples.end(), 0.0,
-                         [](double before, const Sample& sample) { return before + sample.figure; });
+                         [](double before, const Sample& sample) { return before + sample.value; });
 }
 
 inline double mean(const Samples& samples) { return sum(samples) / static_cast<double>(samples.size()); }
 
-inline double partTrue(const std::deque<bool>& samples) {
+inline double fractionTrue(const std::deque<bool>& samples) {
   return static_cast<double>(std::count(samples.begin(), samples.end(), true)) /
          static_cast<double>(samples.size());
 }
@@ -39,7 +39,7 @@
 inline double quantile(const Samples& samples, std::size_t part) {
   std::vector<double> figures;
   figures.reserve(samples.size());
-  for (const Sample& sample : samples) figures.push_back(sample.figure);
+  for (const Sample& sample : samples) figures.push_back(sample.value);
   const auto at = figures.begin() + static_cast<std::ptrdiff_t>(figures.size() / part);
   std::nth_element(figures.begin(), at, figures.end());
   return *at;
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -7,28 +7,28 @@
 
 namespace gulltrestle {
 
-class Span {
+class Duration {
  public:
-  constexpr Span() = default;
-  static constexpr Span micros(std::int64_t n) { return Span(n); }
-  static constexpr Span millis(std::int64_t n) { return Span(n * 1000); }
-  static constexpr Span seconds(double s) { return Span(static_cast<std::int64_t>(s * 1e6)); }
+  constexpr Duration() = default;
+  static constexpr Duration micros(std::int64_t n) { return Duration(n); }
+  static constexpr Duration millis(std::int64_t n) { return Duration(n * 1000); }
+  static constexpr Duration seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
 
   constexpr std::int64_t inMicros() const { return micros_; }
   constexpr double inSeconds() const { return static_cast<double>(micros_) / 1e6; }
 
-  constexpr auto operator<=>(const Span&) const = default;
-  constexpr Span operator+(Span o) const { return Span(micros_ + o.micros_); }
-  constexpr Span operator-(Span o) const { return Span(micros_ - o.micros_); }
-  constexpr Span operator*(double f) const {
-    return Span(static_cast<std::int64_t>(static_cast<double>(micros_) * f));
+  constexpr auto operator<=>(const Duration&) const = default;
+  constexpr Duration operator+(Duration o) const { return Duration(micros_ + o.micros_); }
+  constexpr Duration operator-(Duration o) const { return Duration(micros_ - o.micros_); }
+  constexpr Duration operator*(double f) const {
+    return Duration(static_cast<std::int64_t>(static_cast<double>(micros_) * f));
   }
-  constexpr double operator/(Span o) const {
+  constexpr double operator/(Duration o) const {
     return static_cast<double>(micros_) / static_cast<double>(o.micros_);
   }
 
  private:
-  explicit constexpr Span(std::int64_t n) : micros_(n) {}
+  explicit constexpr Duration(std::int64_t n) : micros_(n) {}
   std::int64_t micros_ = 0;
 };
 
@@ -40,9 +40,9 @@
   constexpr std::int64_t inMicros() const { return micros_; }
 
   constexpr auto operator<=>(const Instant&) const = default;
-  constexpr Instant operator+(Span s) const { return Instant(micros_ + s.inMicros()); }
-  constexpr Instant operator-(Span s) const { return Instant(micros_ - s.inMicros()); }
-  constexpr Span operator-(Instant o) const { return Span::micros(micros_ - o.micros_); }
+  constexpr Instant operator+(Duration s) const { return Instant(micros_ + s.inMicros()); }
+  constexpr Instant operator-(Duration s) const { return Instant(micros_ - s.inMicros()); }
+  constexpr Duration operator-(Instant o) const { return Duration::micros(micros_ - o.micros_); }
 
  private:
   explicit constexpr Instant(std::int64_t n) : micros_(n) {}
--- a/src/cli/store_command.cpp
+++ b/src/cli/store_command.cpp
@@ -26,8 +26,8 @@
   out << "keeper " << contents.keeper << ": sound\n"
       << "ids " << contents.kept.entries.size() << ", known as committed " << committed << "\n"
       << "starts " << (contents.kept.own.empty() ? 0 : contents.kept.own.back().number) << "; its votes "
-      << (contents.kept.whole ? "count from the next start on"
-                              : "wait out the time of retention at the next start")
+      << (contents.kept.isComplete ? "count from the next start on"
+                                   : "wait out the time of retention at the next start")
       << "\n";
   return 0;
 }
--- a/src/cli/work_command.cpp
+++ b/src/cli/work_command.cpp
@@ -32,7 +32,7 @@
 }
 
 // Put beside and renamed, so that the router finds a whole one; its name is the request's for good.
-int send(const Asked& asked, const maintenance::Ask& ask, std::ostream& out) {
+int send(const Asked& asked, const maintenance::OperatorRequest& ask, std::ostream& out) {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const std::string name =
       std::to_string(std::chrono::duration_cast<std::chrono::microseconds>(now).count()) + "-" +
@@ -98,7 +98,8 @@
   auto* all = app.add_subcommand("work", "Machines that are to be taken out for work, one after another");
   all->require_subcommand(1);
   const auto asked = std::make_shared<Asked>();
-  const auto add = [&](const char* name, const char* what, std::function<maintenance::Ask()> make) {
+  const auto add = [&](const char* name, const char* what,
+                       std::function<maintenance::OperatorRequest()> make) {
     auto* made = all->add_subcommand(name, what);
     made->add_option("FOLDER", asked->folder, "A keeper's work.folder")->required();
     made->add_option("--by", asked->by, "Whose word it is, for the log")->required();
@@ -111,20 +112,22 @@
   add("ask", "Asks for work on the machines that a file names",
       [asked] {
         // Checked here first: a fault is told at once, with its key.
-        maintenance::Ask ask = maintenance::readAsk(contentOf(asked->file));
-        if (ask.what != maintenance::Ask::What::ask)
+        maintenance::OperatorRequest ask = maintenance::readOperatorRequest(contentOf(asked->file));
+        if (ask.kind != maintenance::OperatorRequest::Kind::plan)
           throw std::runtime_error("'" + asked->file + "' asks for no work");
-        ask.by = asked->by;
+        ask.requestedBy = asked->by;
         return ask;
       })
       ->add_option("FILE", asked->file, "The machines, as JSON")
       ->required();
   add("stop", "Stops the work on a machine, or on all", [asked] {
-    return maintenance::Ask{maintenance::Ask::What::stop, asked->by, {}, asked->machine};
+    return maintenance::OperatorRequest{
+        maintenance::OperatorRequest::Kind::stop, asked->by, {}, asked->machine};
   })->add_option("MACHINE", asked->machine, "Without: all");
   add("done", "Gives back a machine that was told free",
       [asked] {
-        return maintenance::Ask{maintenance::Ask::What::done, asked->by, {}, asked->machine};
+        return maintenance::OperatorRequest{
+            maintenance::OperatorRequest::Kind::done, asked->by, {}, asked->machine};
       })
       ->add_option("MACHINE", asked->machine, "Which")
       ->required();
--- a/src/cluster/chunks.h
+++ b/src/cluster/chunks.h
@@ -20,14 +20,14 @@
   }
   return out;
 }
-inline std::vector<Nodes> slices(const Nodes& all) {
+inline std::vector<DrainUpdates> slices(const DrainUpdates& all) {
   return slices(all, [](const auto& news) { return news.node.size(); });
 }
-inline std::vector<Primaries> slices(const Primaries& all) {
+inline std::vector<PrimaryUpdates> slices(const PrimaryUpdates& all) {
   return slices(all, [](const auto& news) { return news.primary.node.size(); });
 }
-inline std::vector<Seen> slices(const Seen& all) {
-  std::vector<Seen> out;
+inline std::vector<ObservationReport> slices(const ObservationReport& all) {
+  std::vector<ObservationReport> out;
   for (auto& some : slices(all.nodes, [](const auto& one) { return one.node.size(); }))
     out.push_back({std::move(some), all.serves});
   if (out.empty()) out.push_back(all);
--- a/src/cluster/cluster_config.h
+++ b/src/cluster/cluster_config.h
@@ -17,31 +17,32 @@
 
 namespace gulltrestle::cluster {
 
-struct Setup {
-  struct Place {
+struct ClusterConfig {
+  struct VoterAddress {
     std::string name;
     config::Address address;
   };
-  std::vector<Place> keepers;            // in the order of their names
-  std::vector<idempotency::List> lists;  // all that there were of keepers, the present one last
-  std::set<std::string> routers;         // all that belong, keepers included
-  std::string folder;                    // of this router's store; empty: it is no keeper
-  idempotency::KeeperBounds keeper;
-  idempotency::ClaimantBounds claimant;
+  std::vector<VoterAddress> voters;           // in the order of their names
+  std::vector<idempotency::VoterList> lists;  // all that there were of keepers, the present one last
+  std::set<std::string> routers;              // all that belong, keepers included
+  std::string folder;                         // of this router's store; empty: it is no keeper
+  idempotency::VotingMemberLimits votingMember;
+  idempotency::ClaimCoordinatorLimits coordinator;
   std::size_t mostConnections =
       0;  // to this keeper; by default twice as many as there are routers, for what lingers
 
-  double firstTxns = recovery::Ramp::kFirst;  // a second and node, over all routers, after a start
-  std::string statusFile;                     // empty: none is written
-  Span statusEvery = Span::millis(1000);
+  double firstTxns =
+      recovery::AdmissionRamp::kInitialRatePerNode;  // a second and node, over all routers, after a start
+  std::string statusFile;                            // empty: none is written
+  Duration statusEvery = Duration::millis(1000);
   std::optional<recovery::Stage> forced;  // by an operator, whose name is said
   std::string forcedBy;
 
   // --- Work on machines
   maintenance::Bounds work;
-  Span mostRound = Span::millis(2000);  // well below retention
-  std::string workFolder;               // operators' requests are put there; empty: none are taken here
-  std::string announceFile;             // nodes that are out, for whoever feeds discovery; empty: none
+  Duration mostRound = Duration::millis(2000);  // well below retention
+  std::string workFolder;    // operators' requests are put there; empty: none are taken here
+  std::string announceFile;  // nodes that are out, for whoever feeds discovery; empty: none
 
   // All keepers, as both ends of a stream must have them.
   std::string list() const;
@@ -49,7 +50,7 @@
 
 // `name`: of this router; `longest`: that a client waits for a txn that may run only once. Throws
 // config::BadKey, which names the key. Keys that are not known are faults, too.
-Setup readSetup(std::string_view text, const std::string& name, Span longest);
-Setup readSetupFile(const std::string& path, const std::string& name, Span longest);
+ClusterConfig readClusterConfig(std::string_view text, const std::string& name, Duration longest);
+ClusterConfig readClusterConfigFile(const std::string& path, const std::string& name, Duration longest);
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -17,33 +17,34 @@
 
 // A keeper that could not be reached is tried again after this, at first and at most; give or take half of
 // it, so that routers that lost it together don't return in step.
-constexpr Span kAgainFirst = Span::millis(100), kAgainMost = Span::millis(2000);
+constexpr Duration kAgainFirst = Duration::millis(100), kAgainMost = Duration::millis(2000);
 // A stream on which a claim was made and nothing came for so long is broken off: a path that swallows what is
 // sent shows no other sign.
-constexpr Span kDeaf = Span::millis(3000);
-// What waits to be written to a keeper. A stream beyond it is broken off.
+constexpr Duration kDeaf = Duration::millis(3000);
+// Kind waits to be written to a keeper. A stream beyond it is broken off.
 constexpr std::size_t kMostUnsent = 1 << 20;
 constexpr std::size_t kLongestMessage = 128 * 1024;
 // How often the folder of requests is looked at.
-constexpr Span kRequestsPause = Span::millis(500);
+constexpr Duration kRequestsPause = Duration::millis(500);
 // How often the counts are logged while there is anything new.
-constexpr Span kCountsPause = Span::millis(60'000);
+constexpr Duration kCountsPause = Duration::millis(60'000);
 
 std::uint64_t drawn() {
   std::random_device chance;
   return static_cast<std::uint64_t>(chance()) << 32 | chance();
 }
 
-std::unique_ptr<store::Store> storeOf(const Setup& setup, const std::string& name, std::uint64_t draw) {
+std::unique_ptr<store::Store> storeOf(const ClusterConfig& setup, const std::string& name,
+                                      std::uint64_t draw) {
   if (setup.folder.empty()) return nullptr;
   try {
     return std::make_unique<store::Store>(setup.folder, name, draw, setup.lists);
-  } catch (const store::Refused& bad) {
-    throw config::BadKey("keepers", bad.what());
-  } catch (const store::Unusable& bad) { throw config::BadKey("store", bad.what()); }
+  } catch (const store::RejectedVoterList& bad) {
+    throw config::ConfigError("keepers", bad.what());
+  } catch (const store::UnusableFolder& bad) { throw config::ConfigError("store", bad.what()); }
 }
 
-grpc_server::Bounds boundsOf(const Setup& setup) {
+grpc_server::Bounds boundsOf(const ClusterConfig& setup) {
   grpc_server::Bounds bounds;
   bounds.calls.connection.mostStreams = 4;
   bounds.calls.longestMessage = kLongestMessage;
@@ -53,8 +54,8 @@
 
 }  // namespace
 
-struct Peers::Talk final : http2::Handler {
-  Talk(event_loop::Loop& onLoop, event_loop::Descriptor descriptor)
+struct ClusterServer::PeerStream final : http2::Handler {
+  PeerStream(event_loop::EventLoop& onLoop, event_loop::Descriptor descriptor)
       : stream(onLoop, std::move(descriptor)), session(http2::Session::Side::client, {}, *this) {}
 
   void headers(http2::StreamId, http2::Headers) override {}
@@ -84,92 +85,94 @@
   Instant deafAt;  // never: no answer is awaited
 };
 
-Peers::Peers(event_loop::Loop& loop, transactions::Ledger& ledger, const Terms& terms, const Setup& setup,
-             const std::string& name, std::function<Setup()> read)
+ClusterServer::ClusterServer(event_loop::EventLoop& loop, transactions::TransactionTable& ledger,
+                             const RoutingConfig& terms, const ClusterConfig& setup, const std::string& name,
+                             std::function<ClusterConfig()> read)
     : loop_(loop), ledger_(ledger), setup_(setup), chance_(drawn()), read_(std::move(read)) {
   const std::uint64_t draw = drawn();
   store_ = storeOf(setup_, name, draw);
-  ledger_.see(loop_.now());
-  std::optional<idempotency::Kept> kept;
+  ledger_.advanceTo(loop_.now());
+  std::optional<idempotency::StoredState> kept;
   if (store_) {
     if (!store_->setAside().empty())
       spdlog::error("event=store.damaged set_aside=\"{}\"", store_->setAside());
     spdlog::info("event=store.opened folder={} start={} whole={} ids={}", setup_.folder,
-                 store_->kept().own.back().number, store_->kept().whole, store_->kept().entries.size());
-    if (!store_->kept().whole)
+                 store_->storedState().own.back().number, store_->storedState().isComplete,
+                 store_->storedState().entries.size());
+    if (!store_->storedState().isComplete)
       spdlog::warn(
           "event=store.not_whole folder={} votes_after_ms={} hint=\"a new installation's folder is made by: "
           "gulltrestle store create FOLDER {}\"",
-          setup_.folder, setup_.keeper.retention.inMicros() / 1000, name);
-    kept = store_->takeKept();
+          setup_.folder, setup_.votingMember.retention.inMicros() / 1000, name);
+    kept = store_->takeStoredState();
   }
-  Span longest;
-  for (const auto& type : terms.types) longest = std::max(longest, type.deadline);
+  Duration longest;
+  for (const auto& type : terms.transactionClasses) longest = std::max(longest, type.deadline);
   setup_.work.fence = maintenance::fenceOf(longest);
   if (!setup_.workFolder.empty()) requests_.emplace(setup_.workFolder);
   Effects& effects = *this;
-  grpc_server::Receiver& receiver = *this;
-  desk_ = std::make_unique<Desk>(ledger_, terms, setup_, name, draw, std::move(kept), effects);
-  for (idempotency::KeeperNumber keeper = 0; keeper < setup_.keepers.size(); ++keeper)
-    if (keeper == desk_->own())
-      listener_ = std::make_unique<grpc_server::Listener>(
-          loop_, setup_.keepers[keeper].address, std::string(kMethod), boundsOf(setup_), "peers", receiver);
+  grpc_server::CallHandler& receiver = *this;
+  desk_ = std::make_unique<ClaimDispatcher>(ledger_, terms, setup_, name, draw, std::move(kept), effects);
+  for (idempotency::VoterIndex keeper = 0; keeper < setup_.voters.size(); ++keeper)
+    if (keeper == desk_->ownIndex())
+      listener_ = std::make_unique<grpc_server::GrpcServer>(
+          loop_, setup_.voters[keeper].address, std::string(kMethod), boundsOf(setup_), "peers", receiver);
     else
       loop_.spawn(talk(keeper));
   if (store_) loop_.spawn(watchDisk());
-  ledger_.guardBy(desk_.get());
-  ledger_.doorBy(&desk_->service());
+  ledger_.setExecutionGate(desk_.get());
+  ledger_.setAdmissionController(&desk_->recovery());
   spdlog::info("event=peers.on keepers=\"{}\" routers={} keeper={}", setup_.list(), setup_.routers.size(),
                store_ != nullptr);
 }
 
 // Its coroutines refer to it.
-Peers::~Peers() {
-  ledger_.guardBy(nullptr);
-  ledger_.doorBy(nullptr);
+ClusterServer::~ClusterServer() {
+  ledger_.setExecutionGate(nullptr);
+  ledger_.setAdmissionController(nullptr);
   loop_.endTasks();
 }
 
 // --- Effects
 
-void Peers::toKeeper(idempotency::KeeperNumber keeper, const Word& word) {
+void ClusterServer::sendToVoter(idempotency::VoterIndex keeper, const PeerMessage& word) {
   const auto at = talks_.find(keeper);
   if (at == talks_.end()) return;
-  Talk& talk = *at->second;
+  PeerStream& talk = *at->second;
   ++talked_.said;
   talk.session.send(talk.call, grpc::framed(encoded(word)));
   // Only these are answered.
-  const bool isAnswered = std::holds_alternative<Hello>(word) || std::holds_alternative<Claim>(word) ||
-                          std::holds_alternative<Beat>(word);
+  const bool isAnswered = std::holds_alternative<Greeting>(word) || std::holds_alternative<Claim>(word) ||
+                          std::holds_alternative<Heartbeat>(word);
   if (talk.deafAt == Instant() && isAnswered) {
     talk.deafAt = loop_.now() + kDeaf;
     talk.stream.wakeAt(talk.deafAt);
   }
 }
 
-void Peers::reply(StreamKey stream, const Reply& said) {
+void ClusterServer::reply(StreamKey stream, const PeerReply& said) {
   ++talked_.answersGiven;
   listener_->send(stream, encoded(said));
 }
 
-void Peers::refuse(StreamKey stream, std::string_view why) {
+void ClusterServer::rejectStream(StreamKey stream, std::string_view why) {
   listener_->finish(stream, grpc::Status::invalidArgument, why);
 }
 
-void Peers::log(std::string_view event, const std::string& fields) {
+void ClusterServer::log(std::string_view event, const std::string& fields) {
   spdlog::info("event={} {}", event, fields);
 }
 
 // --- Turns
 
-void Peers::endTurn() {
+void ClusterServer::endTurn() {
   readRequests(ledger_.now());
   desk_->endTurn();
   logCounts(ledger_.now());
   writeStatus(ledger_.now());
 }
 
-Instant Peers::nextDue() const {
+Instant ClusterServer::nextDue() const {
   Instant due = desk_->nextDue();
   const auto sooner = [&](Instant at) {
     if (due == Instant() || at < due) due = at;
@@ -181,67 +184,67 @@
 
 // --- Work on machines
 
-void Peers::readRequests(Instant now) {
+void ClusterServer::readRequests(Instant now) {
   if (!requests_) return;
-  for (const auto& answer : desk_->worker().takeAnswers()) requests_->answer(answer.request, answer.why);
+  for (const auto& answer : desk_->maintenance().takeAnswers()) requests_->answer(answer.request, answer.why);
   if (requestsAt_ != Instant() && now - requestsAt_ < kRequestsPause) return;
   requestsAt_ = now;
   for (auto& [name, text] : requests_->take()) try {
-      desk_->worker().asked(name, maintenance::readAsk(text));
-    } catch (const maintenance::BadAsk& bad) { requests_->answer(name, bad.what()); }
+      desk_->maintenance().asked(name, maintenance::readOperatorRequest(text));
+    } catch (const maintenance::InvalidRequest& bad) { requests_->answer(name, bad.what()); }
   if (const std::string fault = requests_->takeFault(); !fault.empty())
     spdlog::error("event=work.folder_fails why=\"{}\"", fault);
 }
 
 // As an operator would: it answers what it has taken, and ends.
-void Peers::endItself() { ::raise(SIGTERM); }
+void ClusterServer::terminate() { ::raise(SIGTERM); }
 
-void Peers::announce(std::uint64_t version, const std::set<std::string>& out) {
+void ClusterServer::announce(std::uint64_t version, const std::set<std::string>& out) {
   if (setup_.announceFile.empty()) return;
-  if (!writeWhole(setup_.announceFile, announced(version, out)))
+  if (!replaceFile(setup_.announceFile, announced(version, out)))
     spdlog::error("event=work.announce_failed file=\"{}\"", setup_.announceFile);
 }
 
-void Peers::readAnew() {
+void ClusterServer::reloadConfig() {
   try {
-    desk_->readAnew(read_());
+    desk_->reloadConfig(read_());
   } catch (const std::exception& bad) { spdlog::error("event=peers.not_taken why=\"{}\"", bad.what()); }
 }
 
-void Peers::writeStatus(Instant now) {
+void ClusterServer::writeStatus(Instant now) {
   if (setup_.statusFile.empty() || now - statusAt_ < setup_.statusEvery) return;
   statusAt_ = now;
-  const auto disk = store_ ? std::optional(store_->figures()) : std::nullopt;
-  const bool fails = !writeWhole(setup_.statusFile, statusOf(now, *desk_, disk ? &*disk : nullptr, talked_));
+  const auto disk = store_ ? std::optional(store_->statistics()) : std::nullopt;
+  const bool fails = !replaceFile(setup_.statusFile, statusOf(now, *desk_, disk ? &*disk : nullptr, talked_));
   if (fails && !std::exchange(statusFails_, fails))
     spdlog::error("event=peers.status_failed file=\"{}\"", setup_.statusFile);
   statusFails_ = fails;
 }
 
-void Peers::flush() {
-  // What the ledger has told since the desk's turn goes out now, too.
-  desk_->sayOn();
+void ClusterServer::flush() {
+  // Kind the ledger has told since the desk's turn goes out now, too.
+  desk_->flushDecisions();
   if (listener_) listener_->flush();
   for (auto& [keeper, talk] : talks_) talk->flush();
 }
 
-void Peers::logCounts(Instant now) {
-  const auto& counts = desk_->claimant().counts();
-  if (now - saidAt_ < kCountsPause || counts.asked == saidAsked_) return;
+void ClusterServer::logCounts(Instant now) {
+  const auto& counts = desk_->coordinator().counts();
+  if (now - saidAt_ < kCountsPause || counts.requested == saidAsked_) return;
   saidAt_ = now;
-  saidAsked_ = counts.asked;
+  saidAsked_ = counts.requested;
   spdlog::info(
       "event=claims.counts asked={} admitted={} committed={} rolled_back={} refused={} open={} reached={}",
-      counts.asked, counts.admitted, counts.committed, counts.rolledBack, counts.refused,
-      desk_->claimant().open(), desk_->claimant().reachable());
+      counts.requested, counts.admitted, counts.committed, counts.rolledBack, counts.rejected,
+      desk_->coordinator().open(), desk_->coordinator().reachable());
   if (!store_) return;
-  const auto figures = store_->figures();
+  const auto figures = store_->statistics();
   spdlog::info("event=store.counts commits={} changes={} failures={} queued={} longest_ms={} ids={}",
                figures.commits, figures.changes, figures.failures, figures.queued,
-               figures.longest.inMicros() / 1000, desk_->keeper()->size());
+               figures.longest.inMicros() / 1000, desk_->votingMember()->size());
 }
 
-event_loop::Task Peers::watchDisk() {
+event_loop::Task ClusterServer::watchDisk() {
   // Without it nothing that the disk says would be heard: it is tried for as long as there is no descriptor.
   int own = ::dup(store_->descriptor());
   while (own < 0) {
@@ -251,9 +254,9 @@
   event_loop::Stream stream(loop_, event_loop::Descriptor(own));
   for (;;) {
     stream.readBlocked();
-    ledger_.see(loop_.now());
-    for (const auto& done : store_->done()) desk_->wrote(done.ticket, done.durable);
-    const auto fault = store_->figures().fault;
+    ledger_.advanceTo(loop_.now());
+    for (const auto& done : store_->takeCompleted()) desk_->onWritten(done.ticket, done.durable);
+    const auto fault = store_->statistics().fault;
     if (fault.empty() == faulty_) {
       faulty_ = !fault.empty();
       if (faulty_)
@@ -267,14 +270,14 @@
 
 // --- A stream to a keeper, begun anew whenever it is gone
 
-event_loop::Task Peers::talk(idempotency::KeeperNumber keeper) {
-  const auto& place = setup_.keepers[keeper];
-  Span pause = kAgainFirst;
+event_loop::Task ClusterServer::talk(idempotency::VoterIndex keeper) {
+  const auto& place = setup_.voters[keeper];
+  Duration pause = kAgainFirst;
   for (;;) {
     try {
       event_loop::Descriptor descriptor = event_loop::startConnecting(place.address.host, place.address.port);
       if (descriptor) {
-        Talk talk(loop_, std::move(descriptor));
+        PeerStream talk(loop_, std::move(descriptor));
         const Instant by = loop_.now() + kDeaf;
         talk.stream.wakeAt(by);
         while (!talk.stream.canWrite() && loop_.now() < by) co_await talk.stream.changed();
@@ -287,16 +290,16 @@
                                             {"content-type", "application/grpc"},
                                             {"te", "trailers"}});
           struct Up {
-            Peers& peers;
-            idempotency::KeeperNumber keeper;
+            ClusterServer& peers;
+            idempotency::VoterIndex keeper;
             ~Up() {
               peers.talks_.erase(keeper);
-              peers.desk_->lost(keeper);
+              peers.desk_->onVoterLost(keeper);
             }
           };
           talks_[keeper] = &talk;
           const Up place_up{*this, keeper};
-          toKeeper(keeper, desk_->hello());
+          sendToVoter(keeper, desk_->greeting());
           talk.flush();
           while (!talk.over) {
             if (talk.deafAt != Instant() && loop_.now() >= talk.deafAt) break;
@@ -306,14 +309,14 @@
               if (got.how == Io::ended || got.how == Io::failed) break;
               if (got.how == Io::some) {
                 const Instant now = loop_.now();
-                ledger_.see(now);
+                ledger_.advanceTo(now);
                 talk.deafAt = Instant();
                 if (!talk.session.received(now, {bytes, got.size})) talk.over = true;
                 std::string_view left = talk.kept, message;
                 grpc::Cut cut;
                 while ((cut = grpc::cutMessage(left, kLongestMessage, message)) == grpc::Cut::message) {
                   ++talked_.heard;
-                  desk_->replied(keeper, message);
+                  desk_->onReply(keeper, message);
                   pause = kAgainFirst;
                 }
                 if (cut != grpc::Cut::none) break;
@@ -328,7 +331,7 @@
     } catch (const std::exception& bad) {
       spdlog::warn("event=peers.talk_failed keeper={} why=\"{}\"", place.name, bad.what());
     }
-    ledger_.see(loop_.now());
+    ledger_.advanceTo(loop_.now());
     co_await loop_.sleepUntil(loop_.now() +
                               pause * std::uniform_real_distribution<double>(0.5, 1.5)(chance_));
     pause = std::min(pause * 2, kAgainMost);
--- a/src/cluster/cluster_server.h
+++ b/src/cluster/cluster_server.h
@@ -1,4 +1,4 @@
-// What routers settle among themselves, on sockets and a disk: a stream to each keeper, kept up; a listener
+// Kind routers settle among themselves, on sockets and a disk: a stream to each keeper, kept up; a listener
 // and a store where this router is a keeper. For a private network: whoever can reach the listener and knows
 // the list may speak.
 #pragma once
@@ -21,69 +21,70 @@
 
 namespace gulltrestle::cluster {
 
-class Peers final : public gateway::Part, private Effects, private grpc_server::Receiver {
+class ClusterServer final : public gateway::Component, private Effects, private grpc_server::CallHandler {
  public:
   // Throws config::BadKey where the store or the address to listen on can't be had.
   // `read`: reads the configuration anew; it may throw config::BadKey.
-  Peers(event_loop::Loop& loop, transactions::Ledger& ledger, const Terms& terms, const Setup& setup,
-        const std::string& name, std::function<Setup()> read);
-  ~Peers() override;
+  ClusterServer(event_loop::EventLoop& loop, transactions::TransactionTable& ledger,
+                const RoutingConfig& terms, const ClusterConfig& setup, const std::string& name,
+                std::function<ClusterConfig()> read);
+  ~ClusterServer() override;
 
   // Descriptors that it may take.
-  static std::size_t descriptors(const Setup& setup) {
-    return setup.keepers.size() + (setup.folder.empty() ? 0 : setup.mostConnections + 8);
+  static std::size_t descriptors(const ClusterConfig& setup) {
+    return setup.voters.size() + (setup.folder.empty() ? 0 : setup.mostConnections + 8);
   }
 
-  void listHeard() override {}
+  void onDiscoveryActivity() override {}
   void endTurn() override;
   void flush() override;
   Instant nextDue() const override;
-  // Only what an operator forces is taken over. What can't be used is logged with its key.
-  void readAnew() override;
+  // Only what an operator forces is taken over. Kind can't be used is logged with its key.
+  void reloadConfig() override;
   // Keepers go on for the others' sake until this router's own txns are answered.
   void stop() override {}
   bool empty() const override { return true; }
 
  private:
-  struct Talk;  // a stream to a keeper
+  struct PeerStream;  // a stream to a keeper
 
-  void toKeeper(idempotency::KeeperNumber keeper, const Word& word) override;
-  void reply(StreamKey stream, const Reply& reply) override;
-  void refuse(StreamKey stream, std::string_view why) override;
-  Ticket write(std::vector<idempotency::Keeper::Change> changes) override {
+  void sendToVoter(idempotency::VoterIndex keeper, const PeerMessage& word) override;
+  void reply(StreamKey stream, const PeerReply& reply) override;
+  void rejectStream(StreamKey stream, std::string_view why) override;
+  Ticket write(std::vector<idempotency::VotingMember::DiskChange> changes) override {
     return store_->write(std::move(changes));
   }
   void log(std::string_view event, const std::string& fields) override;
-  void endItself() override;
+  void terminate() override;
   void announce(std::uint64_t version, const std::set<std::string>& out) override;
 
-  void seen(Instant now) override { ledger_.see(now); }
+  void seen(Instant now) override { ledger_.advanceTo(now); }
   void opened(grpc_server::CallKey) override {}
   void message(grpc_server::CallKey call, std::string_view bytes) override {
     ++talked_.wordsTaken;
-    desk_->said(call, bytes);
+    desk_->onMessage(call, bytes);
   }
   void halfClosed(grpc_server::CallKey call) override { listener_->finish(call, grpc::Status::ok, ""); }
-  void ended(grpc_server::CallKey call) override { desk_->ended(call); }
+  void ended(grpc_server::CallKey call) override { desk_->onStreamEnded(call); }
 
-  event_loop::Task talk(idempotency::KeeperNumber keeper);
+  event_loop::Task talk(idempotency::VoterIndex keeper);
   event_loop::Task watchDisk();
   void logCounts(Instant now);
   void writeStatus(Instant now);
   void readRequests(Instant now);
 
-  event_loop::Loop& loop_;
-  transactions::Ledger& ledger_;
-  Setup setup_;
+  event_loop::EventLoop& loop_;
+  transactions::TransactionTable& ledger_;
+  ClusterConfig setup_;
   std::unique_ptr<store::Store> store_;
-  std::unique_ptr<Desk> desk_;
-  std::unique_ptr<grpc_server::Listener> listener_;
-  std::optional<Spool> requests_;
-  std::map<idempotency::KeeperNumber, Talk*> talks_;  // those that are up
+  std::unique_ptr<ClaimDispatcher> desk_;
+  std::unique_ptr<grpc_server::GrpcServer> listener_;
+  std::optional<RequestDirectory> requests_;
+  std::map<idempotency::VoterIndex, PeerStream*> talks_;  // those that are up
   std::mt19937_64 chance_;
-  std::function<Setup()> read_;
+  std::function<ClusterConfig()> read_;
   Instant saidAt_, statusAt_, requestsAt_;
-  Talked talked_;
+  StreamStatistics talked_;
   bool statusFails_ = false;
   std::uint64_t saidAsked_ = 0;
   bool faulty_ = false;  // the disk, as it was last logged
--- a/src/cluster/maintenance_service.cpp
+++ b/src/cluster/maintenance_service.cpp
@@ -8,20 +8,21 @@
 
 using maintenance::Acceptor;
 using maintenance::Phase;
-using membership::View;
+using membership::MembershipView;
 
 namespace {
 
 // How often the fleet is looked at where there is work; less than half of what a step is worth waiting for.
-constexpr Span kLook = Span::millis(500);
+constexpr Duration kLook = Duration::millis(500);
 // Requests that wait for a round.
 constexpr std::size_t kMostAsks = 100;
 
 }  // namespace
 
-Worker::Worker(transactions::Ledger& ledger, Place place, std::uint64_t draw,
-               const maintenance::Bounds& bounds, Span mostRound,
-               std::optional<std::pair<std::string, bool>> kept, Log log)
+MaintenanceService::MaintenanceService(transactions::TransactionTable& ledger, Place place,
+                                       std::uint64_t draw, const maintenance::Bounds& bounds,
+                                       Duration mostRound, std::optional<std::pair<std::string, bool>> kept,
+                                       Log log)
     : ledger_(ledger),
       place_(std::move(place)),
       draw_(draw),
@@ -33,73 +34,74 @@
   if (!kept) return;
   acceptor_.emplace(kept->first, kept->second);
   round_.emplace(place_.keepers.size(), draw, mostRound);
-  holds(*place_.own, acceptor_->held());
+  holds(*place_.own, acceptor_->accepted());
 }
 
 // --- At the router
 
-void Worker::beats(Instant now, maintenance::KeeperNumber keeper, std::uint64_t number) {
-  lease_.said(now, keeper, number);
+void MaintenanceService::beats(Instant now, maintenance::VoterIndex keeper, std::uint64_t number) {
+  lease_.onHeartbeatSent(now, keeper, number);
 }
 
-void Worker::answered(maintenance::KeeperNumber keeper, const Reports& reports) {
-  if (reports.counts) lease_.answered(keeper, reports.beat);
+void MaintenanceService::answered(maintenance::VoterIndex keeper, const HeartbeatReply& reports) {
+  if (reports.counts) lease_.onHeartbeatReply(keeper, reports.beat);
 }
 
-void Worker::answersItself(Instant now) {
-  lease_.said(now, *place_.own, ++ownBeat_);
-  lease_.answered(*place_.own, ownBeat_);
+void MaintenanceService::answersItself(Instant now) {
+  lease_.onHeartbeatSent(now, *place_.own, ++ownBeat_);
+  lease_.onHeartbeatReply(*place_.own, ownBeat_);
 }
 
-void Worker::holds(maintenance::KeeperNumber keeper, const maintenance::Held& held) {
-  if (held.stamp.version == 0) return;
-  const maintenance::Plan before = known_.settled();
+void MaintenanceService::holds(maintenance::VoterIndex keeper, const maintenance::AcceptedValue& held) {
+  if (held.version.version == 0) return;
+  const maintenance::Plan before = known_.chosen();
   try {
-    known_.told(keeper, held);
+    known_.onAccepted(keeper, held);
   } catch (const std::exception& bad) {
     return log_("work.unreadable", "keeper=" + place_.keepers.at(keeper) + " why=\"" + bad.what() + "\"");
   }
-  const std::string version = " version=" + std::to_string(known_.settled().version);
-  for (const auto& m : known_.settled().machines) {
+  const std::string version = " version=" + std::to_string(known_.chosen().version);
+  for (const auto& m : known_.chosen().machines) {
     const maintenance::Machine* old = before.find(m.name);
-    if (!old || old->phase != m.phase || old->order != m.order)
+    if (!old || old->phase != m.phase || old->request != m.request)
       log_("work.machine", "machine=" + m.name + " phase=" + std::string(maintenance::nameOf(m.phase)) +
-                               version + " why=\"" + m.why + "\"");
+                               version + " why=\"" + m.reason + "\"");
   }
 }
 
-bool Worker::takeEnd() {
-  const bool ends = known_.leaves(place_.name);
+bool MaintenanceService::takeEnd() {
+  const bool ends = known_.isRouterLeaving(place_.name);
   return ends && !std::exchange(endTold_, ends);
 }
 
 // --- At a keeper
 
-Worker::Heard Worker::hear(const Word& word, bool counts) {
+MaintenanceService::Heard MaintenanceService::hear(const PeerMessage& word, bool counts) {
   Heard heard;
   if (!acceptor_ || !counts) return heard;
-  if (const auto* read = std::get_if<WorkRead>(&word))
-    heard.toDisk = acceptor_->read(read->ballot, heard.said);
-  else if (const auto* write = std::get_if<WorkWrite>(&word))
-    heard.toDisk = acceptor_->write(write->held, heard.said);
+  if (const auto* read = std::get_if<PrepareRequest>(&word))
+    heard.toDisk = acceptor_->prepare(read->ballot, heard.said);
+  else if (const auto* write = std::get_if<AcceptRequest>(&word))
+    heard.toDisk = acceptor_->accept(write->held, heard.said);
   return heard;
 }
 
-std::optional<Acceptor::Answer> Worker::wrote(bool durable) {
-  const auto answer = acceptor_->wrote(durable);
-  holds(*place_.own, acceptor_->held());
+std::optional<Acceptor::AcceptorReply> MaintenanceService::wrote(bool durable) {
+  const auto answer = acceptor_->onWritten(durable);
+  holds(*place_.own, acceptor_->accepted());
   return answer;
 }
 
-void Worker::told(Instant now, maintenance::KeeperNumber keeper, const Acceptor::Answer& answer) {
+void MaintenanceService::told(Instant now, maintenance::VoterIndex keeper,
+                              const Acceptor::AcceptorReply& answer) {
   if (!round_) return;
-  using What = Acceptor::Answer::What;
-  if (answer.what == What::promised) round_->promised(now, keeper, answer.ballot, answer.held);
-  if (answer.what == What::accepted) round_->accepted(now, keeper, answer.ballot);
-  if (answer.what == What::refused) round_->refused(now, answer.ballot, answer.promised);
+  using Kind = Acceptor::AcceptorReply::Kind;
+  if (answer.kind == Kind::promised) round_->onPromise(now, keeper, answer.ballot, answer.held);
+  if (answer.kind == Kind::accepted) round_->onAccepted(now, keeper, answer.ballot);
+  if (answer.kind == Kind::rejected) round_->onRejected(now, answer.ballot, answer.promised);
 }
 
-void Worker::asked(std::string request, maintenance::Ask ask) {
+void MaintenanceService::asked(std::string request, maintenance::OperatorRequest ask) {
   if (!round_) return answers_.push_back({std::move(request), "this router is no keeper"});
   if (asks_.size() >= kMostAsks) return answers_.push_back({std::move(request), "too many requests wait"});
   asks_.emplace_back(std::move(request), std::move(ask));
@@ -107,13 +109,13 @@
 
 // --- Turns
 
-maintenance::Facts Worker::factsOf(const Membership& membership, const Service& service,
-                                   bool strained) const {
-  maintenance::Facts facts;
-  facts.strained = strained;
+maintenance::FleetState MaintenanceService::factsOf(const MembershipService& membership,
+                                                    const RecoveryService& service, bool strained) const {
+  maintenance::FleetState facts;
+  facts.isStrained = strained;
   std::map<std::uint64_t, Instant> newest;
   const auto seen = service.firstHand();
-  for (const auto& [id, listed] : ledger_.lastListed()) {
+  for (const auto& [id, listed] : ledger_.lastEndpointList()) {
     auto& node = facts.nodes[id];
     node.group = listed.entry.group;
     node.live = listed.entry.health == Health::live;
@@ -128,77 +130,80 @@
   for (const auto& one : seen) {
     const auto at = facts.nodes.find(one.node);
     if (at == facts.nodes.end()) continue;
-    maintenance::NodeFact& node = at->second;
-    node.serves = node.live && one.age <= maintenance::kHeard;
+    maintenance::NodeState& node = at->second;
+    node.serves = node.live && one.age <= maintenance::kServingTimeout;
     if (one.role != Role::unknown) node.primary = one.role == Role::primary;
-    if (one.position) node.behind = std::max(Span(), newest[node.group] - (*one.position + one.age));
+    if (one.position) node.behind = std::max(Duration(), newest[node.group] - (*one.position + one.age));
   }
   const auto& view = membership.view();
   const std::size_t wanted = maintenance::majorityOf(place_.keepers.size());
   for (const auto& name : view.routers()) {
-    const auto member = view.of(name);
+    const auto member = view.memberState(name);
     auto& router = facts.routers[name];
-    router.lives = member.state == View::State::lives;
-    router.left = member.left >= wanted;
-    router.silent = member.silent.size() - member.left >= wanted;
+    router.isAlive = member.state == MembershipView::State::alive;
+    router.wasRemoved = member.left >= wanted;
+    router.isSilent = member.silent.size() - member.left >= wanted;
     router.start = member.incarnation;
-    router.known = member.progress.known;
-    router.clear = member.progress.clear;
-    router.keeper = std::find(place_.keepers.begin(), place_.keepers.end(), name) != place_.keepers.end();
+    router.planVersion = member.progress.planVersion;
+    router.drainedVersion = member.progress.drainedVersion;
+    router.isVoter = std::find(place_.keepers.begin(), place_.keepers.end(), name) != place_.keepers.end();
   }
   return facts;
 }
 
-std::size_t Worker::livingBefore(const Membership& membership) const {
+std::size_t MaintenanceService::livingBefore(const MembershipService& membership) const {
   std::size_t before = 0;
   for (std::size_t k = 0; k < *place_.own; ++k)
-    before += membership.view().of(place_.keepers[k]).state == View::State::lives;
+    before += membership.view().memberState(place_.keepers[k]).state == MembershipView::State::alive;
   return before;
 }
 
 // Nodes of groups with work: whether they serve is known from their own word alone.
-void Worker::askNodes(Instant now) {
-  if (now - askedAt_ < maintenance::kAsk) return;
+void MaintenanceService::askNodes(Instant now) {
+  if (now - askedAt_ < maintenance::kReportInterval) return;
   askedAt_ = now;
   std::set<std::uint64_t> groups;
-  for (const auto& m : known_.settled().machines)
-    if (m.phase != Phase::over)
+  for (const auto& m : known_.chosen().machines)
+    if (m.phase != Phase::finished)
       for (const auto& name : m.nodes)
         if (const auto at = facts_.nodes.find(name); at != facts_.nodes.end())
           groups.insert(at->second.group);
   for (const auto& [name, node] : facts_.nodes)
-    if (groups.contains(node.group) && node.live && !known_.out().contains(name)) ledger_.ask(name);
+    if (groups.contains(node.group) && node.live && !known_.excludedNodes().contains(name))
+      ledger_.requestLoadReport(name);
 }
 
-// What was read, changed by all that waits, is to be written.
-void Worker::change(Instant now, const maintenance::Round::Read& found, std::vector<Word>& words) {
+// Kind was read, changed by all that waits, is to be written.
+void MaintenanceService::change(Instant now, const maintenance::ProposalRound::PreparedValue& found,
+                                std::vector<PeerMessage>& words) {
   proposed_ = {};
-  const maintenance::Held& read = found.held;
-  if (!found.isSettled) return words.push_back(WorkWrite{round_->write(read.stamp, read.value)});
+  const maintenance::AcceptedValue& read = found.held;
+  if (!found.isChosen) return words.push_back(AcceptRequest{round_->propose(read.version, read.value)});
   maintenance::Plan plan = maintenance::readPlan(read.value);
-  plan.version = read.stamp.version + 1;
+  plan.version = read.version.version + 1;
   for (const auto& [request, ask] : asks_)
     proposed_.answers.push_back(
-        {request, maintenance::carryOut(plan, request, ask, facts_, foreman_.bounds())});
+        {request, maintenance::applyRequest(plan, request, ask, facts_, foreman_.bounds())});
   const bool asked = std::any_of(proposed_.answers.begin(), proposed_.answers.end(),
                                  [](const auto& answer) { return answer.why.empty(); });
   // By what is settled now, not by what it was when the round began.
   proposed_.steps = foreman_.advance(now, plan, facts_);
   proposed_.version = plan.version;
   const bool changed = asked || !proposed_.steps.empty();
-  words.push_back(WorkWrite{round_->write(changed ? maintenance::Stamp{plan.version, draw_} : read.stamp,
-                                          changed ? maintenance::encoded(plan) : read.value)});
+  words.push_back(
+      AcceptRequest{round_->propose(changed ? maintenance::ValueVersion{plan.version, draw_} : read.version,
+                                    changed ? maintenance::encoded(plan) : read.value)});
 }
 
-void Worker::settle() {
-  const auto settled = round_->takeSettled();
+void MaintenanceService::settle() {
+  const auto settled = round_->takeChosen();
   if (!settled) return;
-  foreman_.settled();
+  foreman_.onChosen();
   lookedAt_ = Instant();  // it is looked at anew by what is settled now
   for (const auto& step : proposed_.steps)
     log_("work.step", "machine=" + step.machine + " from=" + std::string(maintenance::nameOf(step.from)) +
                           " to=" + std::string(maintenance::nameOf(step.to)) +
-                          " version=" + std::to_string(proposed_.version) + " why=\"" + step.why + "\"");
+                          " version=" + std::to_string(proposed_.version) + " why=\"" + step.reason + "\"");
   for (auto& answer : proposed_.answers) {
     std::erase_if(asks_, [&](const auto& asked) { return asked.first == answer.request; });
     log_("work.asked",
@@ -208,30 +213,31 @@
   proposed_ = {};
 }
 
-std::vector<Word> Worker::turn(Instant now, const Membership& membership, const Service& service,
-                               bool strained, bool counts) {
+std::vector<PeerMessage> MaintenanceService::turn(Instant now, const MembershipService& membership,
+                                                  const RecoveryService& service, bool strained,
+                                                  bool counts) {
   now_ = now;
-  std::vector<Word> words;
-  if (known_.out() != outTold_ || known_.next() != nextTold_ ||
+  std::vector<PeerMessage> words;
+  if (known_.excludedNodes() != outTold_ || known_.leaseRequiredNodes() != nextTold_ ||
       (!nextTold_.empty() && lease_.until() != untilTold_)) {
-    outTold_ = known_.out();
-    nextTold_ = known_.next();
+    outTold_ = known_.excludedNodes();
+    nextTold_ = known_.leaseRequiredNodes();
     untilTold_ = lease_.until();
-    ledger_.keepOut(outTold_, nextTold_, untilTold_);
+    ledger_.excludeNodes(outTold_, nextTold_, untilTold_);
   }
-  if (clear_ < known() && (outTold_.empty() || !ledger_.isOutAt(outTold_))) clear_ = known();
+  if (clear_ < known() && (outTold_.empty() || !ledger_.hasAttemptAt(outTold_))) clear_ = known();
   due_ = nextTold_.empty() ? Instant() : untilTold_ > now ? untilTold_ : Instant();
   if (!round_) return words;
   const auto sooner = [&](Instant at) {
     if (at != Instant() && (due_ == Instant() || at < due_)) due_ = at;
   };
-  if (const auto read = round_->takeRead()) change(now, *read, words);
+  if (const auto read = round_->takePrepared()) change(now, *read, words);
   settle();
-  sooner(round_->due(now));
-  const bool isOpen = std::any_of(known_.settled().machines.begin(), known_.settled().machines.end(),
-                                  [](const auto& m) { return m.phase != Phase::over; });
+  sooner(round_->runTimers(now));
+  const bool isOpen = std::any_of(known_.chosen().machines.begin(), known_.chosen().machines.end(),
+                                  [](const auto& m) { return m.phase != Phase::finished; });
   // One that learns brings itself up to date: two that forgot one after the other would be too many.
-  const bool learns = counts && !acceptor_->isWhole();
+  const bool learns = counts && !acceptor_->isComplete();
   if (!isOpen && asks_.empty() && !learns) {
     foremanNow_ = isDue_ = false;
     return words;
@@ -240,25 +246,25 @@
   if (now - lookedAt_ >= kLook || lookedAt_ == Instant()) {
     lookedAt_ = now;
     facts_ = factsOf(membership, service, strained);
-    foreman_.see(now, known_.settled(), facts_);
-    isDue_ = foreman_.isDue(now, known_.settled(), facts_);
-    foremanNow_ = foreman_.carriesOn(now, isDue_, livingBefore(membership));
+    foreman_.observe(now, known_.chosen(), facts_);
+    isDue_ = foreman_.isDue(now, known_.chosen(), facts_);
+    foremanNow_ = foreman_.shouldLead(now, isDue_, livingBefore(membership));
     if (foremanNow_) askNodes(now);
   }
   if (((isDue_ && foremanNow_) || !asks_.empty() || learns) && round_->begin(now))
-    words.push_back(WorkRead{round_->ballot()});
-  sooner(round_->due(now));
+    words.push_back(PrepareRequest{round_->ballot()});
+  sooner(round_->runTimers(now));
   sooner(lookedAt_ + kLook);
   return words;
 }
 
-std::optional<std::pair<std::uint64_t, std::set<std::string>>> Worker::takeNews() {
+std::optional<std::pair<std::uint64_t, std::set<std::string>>> MaintenanceService::takeNews() {
   if (std::exchange(newsOf_, known()) == known()) return std::nullopt;
-  return std::pair(known(), known_.out());
+  return std::pair(known(), known_.excludedNodes());
 }
 
-std::string Worker::awaits(const maintenance::Machine& machine) const {
-  return round_ ? foreman_.awaits(now_, known_.settled(), machine, facts_) : "";
+std::string MaintenanceService::awaits(const maintenance::Machine& machine) const {
+  return round_ ? foreman_.waitingFor(now_, known_.chosen(), machine, facts_) : "";
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -2,10 +2,10 @@
 
 namespace gulltrestle::cluster {
 
-using membership::Entry;
-using membership::KeeperNumber;
-using membership::Roll;
-using membership::View;
+using membership::FailureDetector;
+using membership::JoinProtocol;
+using membership::MembershipView;
+using membership::VoterIndex;
 
 namespace {
 
@@ -19,9 +19,10 @@
 
 }  // namespace
 
-Membership::Membership(Instant now, const std::set<std::string>& list, std::string name, std::uint64_t draw,
-                       std::vector<std::string> keepers, std::optional<KeeperNumber> own,
-                       std::map<std::string, membership::Incarnation> kept, Log log)
+MembershipService::MembershipService(Instant now, const std::set<std::string>& list, std::string name,
+                                     std::uint64_t draw, std::vector<std::string> keepers,
+                                     std::optional<VoterIndex> own,
+                                     std::map<std::string, membership::Incarnation> kept, Log log)
     : name_(std::move(name)),
       keepers_(std::move(keepers)),
       own_(own),
@@ -31,65 +32,67 @@
       view_(keepers_.size()) {
   if (!own_) return;
   roll_.emplace(now, list, std::move(kept));
-  greeted(now, *own_, roll_->newest(name_));
+  greeted(now, *own_, roll_->newestIncarnation(name_));
 }
 
 // --- At the router
 
-void Membership::greeted(Instant now, KeeperNumber keeper, const membership::Incarnation& newest) {
+void MembershipService::greeted(Instant now, VoterIndex keeper, const membership::Incarnation& newest) {
   up_.insert(keeper);
-  entry_.greeted(now, keeper, newest);
+  entry_.onNewestKnown(now, keeper, newest);
   logEntry();
 }
 
-void Membership::entered(Instant now, KeeperNumber keeper, const membership::Incarnation& newest) {
-  entry_.answered(now, keeper, newest);
+void MembershipService::entered(Instant now, VoterIndex keeper, const membership::Incarnation& newest) {
+  entry_.onJoinReply(now, keeper, newest);
   logEntry();
 }
 
-void Membership::reported(KeeperNumber keeper, const std::vector<membership::Report>& reports) {
-  view_.told(keeper, reports);
+void MembershipService::reported(VoterIndex keeper, const std::vector<membership::LivenessReport>& reports) {
+  view_.onReports(keeper, reports);
   logSteps();
 }
 
-void Membership::lost(KeeperNumber keeper) {
+void MembershipService::lost(VoterIndex keeper) {
   up_.erase(keeper);
-  entry_.lost(keeper);
-  view_.lost(keeper);
+  entry_.onVoterLost(keeper);
+  view_.onVoterLost(keeper);
   logSteps();
 }
 
-std::vector<Membership::Word> Membership::turn(Instant now, const membership::Progress& progress) {
+std::vector<MembershipService::Word> MembershipService::turn(Instant now,
+                                                             const membership::MemberProgress& progress) {
   if (roll_) {
-    roll_->turn(now);
-    roll_->heard(now, name_, entry_.incarnation().draw, progress);
-    view_.told(*own_, roll_->since(ownTold_, kMostReports));
+    roll_->checkTimeouts(now);
+    roll_->onHeartbeat(now, name_, entry_.incarnation().draw, progress);
+    view_.onReports(*own_, roll_->reportsSince(ownTold_, kMostReports));
     logSteps();
   }
   std::vector<Word> words;
-  const Instant entryDue = entry_.due(now);
+  const Instant entryDue = entry_.runTimers(now);
   logEntry();
-  for (const auto& [keeper, number] : entry_.takeWishes()) words.push_back({keeper, Enter{number}});
-  if (beats_.due(now)) {
+  for (const auto& [keeper, number] : entry_.takeJoinRequests())
+    words.push_back({keeper, JoinRequest{number}});
+  if (beats_.isDue(now)) {
     ++beat_;
-    for (const KeeperNumber keeper : up_)
-      if (keeper != own_) words.push_back({keeper, Beat{beat_, progress}});
+    for (const VoterIndex keeper : up_)
+      if (keeper != own_) words.push_back({keeper, Heartbeat{beat_, progress}});
   }
   due_ = earlier(beats_.next(), entryDue);
-  if (roll_) due_ = earlier(due_, now + Roll::kTurn);
+  if (roll_) due_ = earlier(due_, now + FailureDetector::kCheckInterval);
   return words;
 }
 
-void Membership::logEntry() {
+void MembershipService::logEntry() {
   if (logged_ == entry_.state()) return;
   logged_ = entry_.state();
   log_("members.entry", "state=" + std::string(nameOf(logged_)) +
                             " incarnation=" + std::to_string(entry_.incarnation().number));
 }
 
-void Membership::logSteps() {
-  for (const auto& step : view_.takeSteps())
-    log_(step.to == View::State::out ? "members.out" : "members.back",
+void MembershipService::logSteps() {
+  for (const auto& step : view_.takeTransitions())
+    log_(step.to == MembershipView::State::dead ? "members.out" : "members.back",
          "router=" + step.router + " state=" + std::string(membership::nameOf(step.to)) +
              " incarnation=" + std::to_string(step.incarnation) +
              " silent_at=" + std::to_string(step.silentAt) + " of=" + std::to_string(keepers_.size()));
@@ -97,12 +100,12 @@
 
 // --- At a keeper
 
-Reports Membership::reportsFor(std::uint64_t stream) {
-  return Reports{roll_->since(told_[stream], kMostReports), 0, false};
+HeartbeatReply MembershipService::reportsFor(std::uint64_t stream) {
+  return HeartbeatReply{roll_->reportsSince(told_[stream], kMostReports), 0, false};
 }
 
-void Membership::list(Instant now, const std::set<std::string>& list) {
-  if (roll_) roll_->list(now, list);
+void MembershipService::list(Instant now, const std::set<std::string>& list) {
+  if (roll_) roll_->setMembers(now, list);
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/messages.cpp
+++ b/src/cluster/messages.cpp
@@ -6,39 +6,39 @@
 
 namespace {
 
-void set(wire::Start& to, const idempotency::Start& start) {
+void set(wire::Start& to, const idempotency::VoterIncarnation& start) {
   to.set_number(start.number);
   to.set_draw(start.draw);
 }
-idempotency::Start read(const wire::Start& from) { return {from.number(), from.draw()}; }
+idempotency::VoterIncarnation read(const wire::Start& from) { return {from.number(), from.draw()}; }
 void set(wire::Start& to, const membership::Incarnation& start) {
   to.set_number(start.number);
   to.set_draw(start.draw);
 }
 membership::Incarnation incarnation(const wire::Start& from) { return {from.number(), from.draw()}; }
 
-void set(wire::Reports& to, const Reports& reports) {
+void set(wire::Reports& to, const HeartbeatReply& reports) {
   for (const auto& report : reports.reports) {
     auto& one = *to.add_reports();
     one.set_router(report.router);
     set(*one.mutable_incarnation(), report.incarnation);
     // The same names in the same order.
-    one.set_hearing(static_cast<wire::Report::Hearing>(report.hearing));
-    one.set_progress(report.progress.stage);
-    one.set_known(report.progress.known);
-    one.set_clear(report.progress.clear);
+    one.set_hearing(static_cast<wire::Report::Liveness>(report.liveness));
+    one.set_progress(report.progress.recoveryStage);
+    one.set_known(report.progress.planVersion);
+    one.set_clear(report.progress.drainedVersion);
   }
   to.set_beat(reports.beat);
   to.set_counts(reports.counts);
 }
-Reports read(const wire::Reports& from) {
-  Reports reports;
+HeartbeatReply read(const wire::Reports& from) {
+  HeartbeatReply reports;
   for (const auto& one : from.reports()) {
     if (one.hearing() < wire::Report::AWAITED || one.hearing() > wire::Report::LEFT)
-      throw Malformed("a hearing that is not known");
+      throw MalformedMessage("a hearing that is not known");
     reports.reports.push_back({one.router(),
                                incarnation(one.incarnation()),
-                               static_cast<membership::Hearing>(one.hearing()),
+                               static_cast<membership::Liveness>(one.hearing()),
                                {one.progress(), one.known(), one.clear()}});
   }
   reports.beat = from.beat();
@@ -51,44 +51,45 @@
   to.set_draw(ballot.draw);
 }
 maintenance::Ballot read(const wire::Ballot& from) { return {from.number(), from.draw()}; }
-void set(wire::Held& to, const maintenance::Held& held) {
+void set(wire::Held& to, const maintenance::AcceptedValue& held) {
   set(*to.mutable_ballot(), held.ballot);
-  to.set_version(held.stamp.version);
-  to.set_draw(held.stamp.draw);
+  to.set_version(held.version.version);
+  to.set_draw(held.version.draw);
   to.set_value(held.value);
 }
-maintenance::Held read(const wire::Held& from) {
+maintenance::AcceptedValue read(const wire::Held& from) {
   return {read(from.ballot()), {from.version(), from.draw()}, from.value()};
 }
-void set(wire::Answer& to, const maintenance::Acceptor::Answer& answer) {
+void set(wire::AcceptorReply& to, const maintenance::Acceptor::AcceptorReply& answer) {
   // The same names in the same order.
-  to.set_what(static_cast<wire::Answer::What>(answer.what));
+  to.set_what(static_cast<wire::AcceptorReply::Kind>(answer.kind));
   set(*to.mutable_ballot(), answer.ballot);
   set(*to.mutable_promised(), answer.promised);
-  if (answer.what == maintenance::Acceptor::Answer::What::promised) set(*to.mutable_held(), answer.held);
+  if (answer.kind == maintenance::Acceptor::AcceptorReply::Kind::promised)
+    set(*to.mutable_held(), answer.held);
 }
-maintenance::Acceptor::Answer read(const wire::Answer& from) {
-  if (from.what() < wire::Answer::PROMISED || from.what() > wire::Answer::REFUSED)
-    throw Malformed("an answer that is not known");
-  return {static_cast<maintenance::Acceptor::Answer::What>(from.what()), read(from.ballot()),
+maintenance::Acceptor::AcceptorReply read(const wire::AcceptorReply& from) {
+  if (from.what() < wire::AcceptorReply::PROMISED || from.what() > wire::AcceptorReply::REFUSED)
+    throw MalformedMessage("an answer that is not known");
+  return {static_cast<maintenance::Acceptor::AcceptorReply::Kind>(from.what()), read(from.ballot()),
           read(from.promised()), read(from.held())};
 }
 
-void set(wire::Nodes& to, const Nodes& nodes) {
+void set(wire::Nodes& to, const DrainUpdates& nodes) {
   for (const auto& news : nodes) {
     auto& node = *to.add_nodes();
     node.set_id(news.node);
     node.set_version(news.version);
-    node.set_leaving(news.leaving);
+    node.set_leaving(news.isDraining);
   }
 }
-Nodes read(const wire::Nodes& from) {
-  Nodes nodes;
+DrainUpdates read(const wire::Nodes& from) {
+  DrainUpdates nodes;
   for (const auto& node : from.nodes()) nodes.push_back({node.id(), node.version(), node.leaving()});
   return nodes;
 }
 
-void set(wire::Primaries& to, const Primaries& primaries) {
+void set(wire::Primaries& to, const PrimaryUpdates& primaries) {
   for (const auto& news : primaries) {
     auto& primary = *to.add_primaries();
     primary.set_group(news.group);
@@ -96,38 +97,38 @@
     primary.set_version(news.primary.version);
   }
 }
-Primaries read(const wire::Primaries& from) {
-  Primaries primaries;
+PrimaryUpdates read(const wire::Primaries& from) {
+  PrimaryUpdates primaries;
   for (const auto& one : from.primaries()) primaries.push_back({one.group(), {one.node(), one.version()}});
   return primaries;
 }
 
-void set(wire::Seen& to, const Seen& seen) {
+void set(wire::Seen& to, const ObservationReport& seen) {
   to.set_serves(seen.serves);
   for (const auto& sighting : seen.nodes) {
     auto& one = *to.add_sightings();
     one.set_node(sighting.node);
     one.set_node_start_us(sighting.nodeStart.inMicros());
-    one.set_role(sighting.role == Role::primary   ? wire::Sighting::PRIMARY
-                 : sighting.role == Role::replica ? wire::Sighting::REPLICA
-                                                  : wire::Sighting::UNKNOWN);
+    one.set_role(sighting.role == Role::primary   ? wire::Observation::PRIMARY
+                 : sighting.role == Role::replica ? wire::Observation::REPLICA
+                                                  : wire::Observation::UNKNOWN);
     one.set_has_position(sighting.position.has_value());
     if (sighting.position) one.set_position_us(sighting.position->inMicros());
     one.set_age_us(sighting.age.inMicros());
   }
 }
-Seen read(const wire::Seen& from) {
-  Seen seen;
+ObservationReport read(const wire::Seen& from) {
+  ObservationReport seen;
   seen.serves = from.serves();
   for (const auto& one : from.sightings()) {
-    recovery::Sighting sighting;
+    recovery::Observation sighting;
     sighting.node = one.node();
     sighting.nodeStart = Instant::atMicros(one.node_start_us());
-    sighting.role = one.role() == wire::Sighting::PRIMARY   ? Role::primary
-                    : one.role() == wire::Sighting::REPLICA ? Role::replica
-                                                            : Role::unknown;
+    sighting.role = one.role() == wire::Observation::PRIMARY   ? Role::primary
+                    : one.role() == wire::Observation::REPLICA ? Role::replica
+                                                               : Role::unknown;
     if (one.has_position()) sighting.position = Instant::atMicros(one.position_us());
-    sighting.age = Span::micros(one.age_us());
+    sighting.age = Duration::micros(one.age_us());
     seen.nodes.push_back(std::move(sighting));
   }
   return seen;
@@ -137,7 +138,7 @@
 Message parsed(std::string_view bytes) {
   Message message;
   if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-    throw Malformed("a message that can't be read");
+    throw MalformedMessage("a message that can't be read");
   return message;
 }
 
@@ -150,9 +151,9 @@
 
 }  // namespace
 
-std::string encoded(const Word& word) {
+std::string encoded(const PeerMessage& word) {
   wire::Word out;
-  std::visit(Each{[&](const Hello& w) {
+  std::visit(Each{[&](const Greeting& w) {
                     auto& hello = *out.mutable_hello();
                     hello.set_router(w.router);
                     hello.set_keepers(w.keepers);
@@ -173,54 +174,56 @@
                     committed.set_number(w.number);
                     committed.set_value(w.value);
                   },
-                  [&](const Nodes& w) { set(*out.mutable_nodes(), w); },
-                  [&](const Primaries& w) { set(*out.mutable_primaries(), w); },
-                  [&](const Enter& w) { out.mutable_enter()->set_number(w.number); },
-                  [&](const Beat& w) {
+                  [&](const DrainUpdates& w) { set(*out.mutable_nodes(), w); },
+                  [&](const PrimaryUpdates& w) { set(*out.mutable_primaries(), w); },
+                  [&](const JoinRequest& w) { out.mutable_enter()->set_number(w.number); },
+                  [&](const Heartbeat& w) {
                     auto& beat = *out.mutable_beat();
                     beat.set_number(w.number);
-                    beat.set_progress(w.progress.stage);
-                    beat.set_known(w.progress.known);
-                    beat.set_clear(w.progress.clear);
+                    beat.set_progress(w.progress.recoveryStage);
+                    beat.set_known(w.progress.planVersion);
+                    beat.set_clear(w.progress.drainedVersion);
                   },
-                  [&](const WorkRead& w) { set(*out.mutable_read(), w.ballot); },
-                  [&](const WorkWrite& w) { set(*out.mutable_write(), w.held); }},
+                  [&](const PrepareRequest& w) { set(*out.mutable_read(), w.ballot); },
+                  [&](const AcceptRequest& w) { set(*out.mutable_write(), w.held); }},
              word);
   return out.SerializeAsString();
 }
 
-std::string encoded(const Reply& reply) {
+std::string encoded(const PeerReply& reply) {
   wire::Reply out;
-  std::visit(Each{[&](const Heard& r) {
+  std::visit(Each{[&](const GreetingReply& r) {
                     out.mutable_heard()->set_number(r.number);
                     set(*out.mutable_heard()->mutable_knew(), r.knew);
                     set(*out.mutable_heard()->mutable_speaks(), r.speaks);
                   },
-                  [&](const VoteOf& r) {
+                  [&](const VoteReply& r) {
                     auto& vote = *out.mutable_vote();
                     vote.set_number(r.number);
-                    vote.set_what(r.vote.what == idempotency::Vote::What::yours   ? wire::Vote::YOURS
-                                  : r.vote.what == idempotency::Vote::What::taken ? wire::Vote::TAKEN
-                                                                                  : wire::Vote::SILENT);
+                    vote.set_what(r.vote.kind == idempotency::Vote::Kind::granted ? wire::Vote::YOURS
+                                  : r.vote.kind == idempotency::Vote::Kind::takenByOther
+                                      ? wire::Vote::TAKEN
+                                      : wire::Vote::SILENT);
                     vote.set_committed(r.vote.committed);
                     vote.set_value(r.vote.value);
                   },
-                  [&](const Nodes& r) { set(*out.mutable_nodes(), r); },
-                  [&](const Primaries& r) { set(*out.mutable_primaries(), r); },
-                  [&](const Seen& r) { set(*out.mutable_seen(), r); },
-                  [&](const Entered& r) { set(*out.mutable_entered()->mutable_newest(), r.newest); },
-                  [&](const Reports& r) { set(*out.mutable_reports(), r); },
-                  [&](const WorkAnswer& r) { set(*out.mutable_answer(), r.answer); },
-                  [&](const WorkHeld& r) { set(*out.mutable_holds(), r.held); }},
+                  [&](const DrainUpdates& r) { set(*out.mutable_nodes(), r); },
+                  [&](const PrimaryUpdates& r) { set(*out.mutable_primaries(), r); },
+                  [&](const ObservationReport& r) { set(*out.mutable_seen(), r); },
+                  [&](const JoinReply& r) { set(*out.mutable_entered()->mutable_newest(), r.newest); },
+                  [&](const HeartbeatReply& r) { set(*out.mutable_reports(), r); },
+                  [&](const ProposalReply& r) { set(*out.mutable_answer(), r.answer); },
+                  [&](const PlanUpdate& r) { set(*out.mutable_holds(), r.held); }},
              reply);
   return out.SerializeAsString();
 }
 
-Word readWord(std::string_view bytes) {
+PeerMessage readMessage(std::string_view bytes) {
   const auto in = parsed<wire::Word>(bytes);
   switch (in.word_case()) {
     case wire::Word::kHello:
-      return Hello{in.hello().router(), in.hello().keepers(), in.hello().draw(), read(in.hello().keeper())};
+      return Greeting{in.hello().router(), in.hello().keepers(), in.hello().draw(),
+                      read(in.hello().keeper())};
     case wire::Word::kClaim:
       return Claim{in.claim().id(), in.claim().number()};
     case wire::Word::kRelease:
@@ -232,35 +235,35 @@
     case wire::Word::kPrimaries:
       return read(in.primaries());
     case wire::Word::kEnter:
-      return Enter{in.enter().number()};
+      return JoinRequest{in.enter().number()};
     case wire::Word::kBeat:
-      return Beat{in.beat().number(), {in.beat().progress(), in.beat().known(), in.beat().clear()}};
+      return Heartbeat{in.beat().number(), {in.beat().progress(), in.beat().known(), in.beat().clear()}};
     case wire::Word::kRead:
-      return WorkRead{read(in.read())};
+      return PrepareRequest{read(in.read())};
     case wire::Word::kWrite:
-      return WorkWrite{read(in.write())};
+      return AcceptRequest{read(in.write())};
     case wire::Word::WORD_NOT_SET:
       break;
   }
-  throw Malformed("a word that is not known");
+  throw MalformedMessage("a word that is not known");
 }
 
-Reply readReply(std::string_view bytes) {
+PeerReply readReply(std::string_view bytes) {
   const auto in = parsed<wire::Reply>(bytes);
   if (in.has_heard())
-    return Heard{in.heard().number(), read(in.heard().knew()), incarnation(in.heard().speaks())};
+    return GreetingReply{in.heard().number(), read(in.heard().knew()), incarnation(in.heard().speaks())};
   if (in.has_nodes()) return read(in.nodes());
   if (in.has_primaries()) return read(in.primaries());
   if (in.has_seen()) return read(in.seen());
-  if (in.has_entered()) return Entered{incarnation(in.entered().newest())};
+  if (in.has_entered()) return JoinReply{incarnation(in.entered().newest())};
   if (in.has_reports()) return read(in.reports());
-  if (in.has_answer()) return WorkAnswer{read(in.answer())};
-  if (in.has_holds()) return WorkHeld{read(in.holds())};
-  if (!in.has_vote()) throw Malformed("a reply that is not known");
-  VoteOf vote{in.vote().number(),
-              {idempotency::Vote::What::silent, in.vote().committed(), in.vote().value()}};
-  if (in.vote().what() == wire::Vote::YOURS) vote.vote.what = idempotency::Vote::What::yours;
-  if (in.vote().what() == wire::Vote::TAKEN) vote.vote.what = idempotency::Vote::What::taken;
+  if (in.has_answer()) return ProposalReply{read(in.answer())};
+  if (in.has_holds()) return PlanUpdate{read(in.holds())};
+  if (!in.has_vote()) throw MalformedMessage("a reply that is not known");
+  VoteReply vote{in.vote().number(),
+                 {idempotency::Vote::Kind::abstained, in.vote().committed(), in.vote().value()}};
+  if (in.vote().what() == wire::Vote::YOURS) vote.vote.kind = idempotency::Vote::Kind::granted;
+  if (in.vote().what() == wire::Vote::TAKEN) vote.vote.kind = idempotency::Vote::Kind::takenByOther;
   return vote;
 }
 
--- a/src/cluster/messages.h
+++ b/src/cluster/messages.h
@@ -17,15 +17,15 @@
 
 constexpr std::string_view kMethod = "/gulltrestle.peers.Keeper/Talk";
 
-class Malformed : public std::runtime_error {
+class MalformedMessage : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-struct Hello {
+struct Greeting {
   std::string router, keepers;
   std::uint64_t draw = 0;
-  idempotency::Start keeper;  // number 0: it is none
+  idempotency::VoterIncarnation keeper;  // number 0: it is none
 };
 struct Claim {
   std::string id;
@@ -40,38 +40,39 @@
   std::uint64_t number = 0;
   std::string value;
 };
-using Nodes = std::vector<recovery::News>;   // to a keeper, and back
-using Primaries = std::vector<PrimaryNews>;  // likewise
-struct WorkRead {                            // a round on the plan of work
+using DrainUpdates = std::vector<recovery::DrainUpdate>;  // to a keeper, and back
+using PrimaryUpdates = std::vector<PrimaryUpdate>;        // likewise
+struct PrepareRequest {                                   // a round on the plan of work
   maintenance::Ballot ballot;
 };
-struct WorkWrite {
-  maintenance::Held held;
+struct AcceptRequest {
+  maintenance::AcceptedValue held;
 };
-using Word =
-    std::variant<Hello, Claim, Release, Committed, Nodes, Primaries, Enter, Beat, WorkRead, WorkWrite>;
+using PeerMessage = std::variant<Greeting, Claim, Release, Committed, DrainUpdates, PrimaryUpdates,
+                                 JoinRequest, Heartbeat, PrepareRequest, AcceptRequest>;
 
-struct Heard {
+struct GreetingReply {
   std::uint64_t number = 0;
-  idempotency::Start knew;
+  idempotency::VoterIncarnation knew;
   membership::Incarnation speaks;  // the newest start of the router that has entered there
 };
-struct VoteOf {
+struct VoteReply {
   std::uint64_t number = 0;
   idempotency::Vote vote;
 };
-struct WorkAnswer {  // to a round
-  maintenance::Acceptor::Answer answer;
+struct ProposalReply {  // to a round
+  maintenance::Acceptor::AcceptorReply answer;
 };
-struct WorkHeld {  // what that keeper has on disk, whenever it changes, and ahead of its greeting's answer
-  maintenance::Held held;
+struct PlanUpdate {  // what that keeper has on disk, whenever it changes, and ahead of its greeting's answer
+  maintenance::AcceptedValue held;
 };
-using Reply = std::variant<Heard, VoteOf, Nodes, Primaries, Seen, Entered, Reports, WorkAnswer, WorkHeld>;
+using PeerReply = std::variant<GreetingReply, VoteReply, DrainUpdates, PrimaryUpdates, ObservationReport,
+                               JoinReply, HeartbeatReply, ProposalReply, PlanUpdate>;
 
-std::string encoded(const Word& word);
-std::string encoded(const Reply& reply);
+std::string encoded(const PeerMessage& word);
+std::string encoded(const PeerReply& reply);
 // Throw Malformed where it is none, or one that is not known.
-Word readWord(std::string_view bytes);
-Reply readReply(std::string_view bytes);
+PeerMessage readMessage(std::string_view bytes);
+PeerReply readReply(std::string_view bytes);
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/request_directory.cpp
+++ b/src/cluster/request_directory.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-bool writeWhole(const std::string& path, const std::string& content) {
+bool replaceFile(const std::string& path, const std::string& content) {
   const std::string beside = path + ".new";
   std::ofstream file(beside, std::ios::binary | std::ios::trunc);
   file << content;
@@ -31,7 +31,7 @@
   return Json{{"version", version}, {"out", out}}.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-std::vector<std::pair<std::string, std::string>> Spool::take() {
+std::vector<std::pair<std::string, std::string>> RequestDirectory::take() {
   std::vector<std::pair<std::string, std::string>> out;
   std::error_code code;
   std::filesystem::directory_iterator all(folder_, code), end;
@@ -54,10 +54,10 @@
   return out;
 }
 
-void Spool::answer(const std::string& name, const std::string& why) {
+void RequestDirectory::answer(const std::string& name, const std::string& why) {
   const Json answer = why.empty() ? Json{{"done", true}} : Json{{"done", false}, {"why", why}};
   const std::string base = folder_ + "/" + name;
-  if (!writeWhole(base + std::string(kAnswer), answer.dump() + "\n")) {
+  if (!replaceFile(base + std::string(kAnswer), answer.dump() + "\n")) {
     if (!std::exchange(faulty_, true)) fault_ = base + ": the answer can't be written";
     return;
   }
@@ -65,6 +65,6 @@
   open_.erase(name);
 }
 
-std::string Spool::takeFault() { return std::exchange(fault_, ""); }
+std::string RequestDirectory::takeFault() { return std::exchange(fault_, ""); }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/status_document.h
+++ b/src/cluster/status_document.h
@@ -9,12 +9,13 @@
 namespace gulltrestle::cluster {
 
 // Words that went over this router's streams since it started.
-struct Talked {
+struct StreamStatistics {
   std::uint64_t said = 0, heard = 0;               // to keepers, and their answers
   std::uint64_t wordsTaken = 0, answersGiven = 0;  // where it is a keeper
 };
 
 // `disk`: of this router's store; null: it is no keeper.
-std::string statusOf(Instant now, const Desk& desk, const store::Figures* disk, const Talked& talked);
+std::string statusOf(Instant now, const ClaimDispatcher& desk, const store::StoreStatistics* disk,
+                     const StreamStatistics& talked);
 
 }  // namespace gulltrestle::cluster
--- a/src/config/config_section.h
+++ b/src/config/config_section.h
@@ -13,19 +13,19 @@
 json::Value readFile(const std::string& path);
 json::Value readText(std::string_view text);
 
-class Section {
+class ConfigSection {
  public:
   // `path`: by which its keys are named in faults. Throws BadKey where the value is no object.
-  Section(const json::Value& value, std::string path);
+  ConfigSection(const json::Value& value, std::string path);
 
   // Each throws BadKey where what is there can't be taken, and gives `otherwise` where nothing is.
   std::string text(const std::string& key, const std::string& otherwise);
   bool flag(const std::string& key, bool otherwise);
   std::size_t whole(const std::string& key, std::size_t otherwise, std::size_t least, std::size_t most);
   double number(const std::string& key, double otherwise, double least, double most);
-  Span millis(const std::string& key, Span otherwise, std::int64_t least, std::int64_t most);
+  Duration millis(const std::string& key, Duration otherwise, std::int64_t least, std::int64_t most);
   // An object; empty where there is none.
-  Section section(const std::string& key);
+  ConfigSection section(const std::string& key);
 
   bool has(const std::string& key);
   const std::vector<std::string>& keys() const { return value_->names; }
--- a/src/config/router_config.cpp
+++ b/src/config/router_config.cpp
@@ -21,7 +21,7 @@
 constexpr double kLeastMemory = 8;
 
 // The settings as deployment::Source words them.
-class Flat final : public deployment::Source {
+class Flat final : public deployment::SettingsSource {
  public:
   explicit Flat(const Value& settings) { add("", settings); }
   std::optional<std::string_view> find(std::string_view name) const override {
@@ -57,14 +57,14 @@
 const Value& need(const Value& in, std::string_view key, std::string_view path, Value::Kind kind,
                   const char* wanted) {
   const Value* value = in.find(key);
-  if (!value) throw BadKey(path, "is missing");
-  if (value->kind != kind) throw BadKey(path, std::string("is not ") + wanted);
+  if (!value) throw ConfigError(path, "is missing");
+  if (value->kind != kind) throw ConfigError(path, std::string("is not ") + wanted);
   return *value;
 }
 
 std::string text(const Value& in, std::string_view key, std::string_view path) {
   const auto& found = need(in, key, path, Value::Kind::text, "a text").text;
-  if (found.empty()) throw BadKey(path, "is empty");
+  if (found.empty()) throw ConfigError(path, "is empty");
   return found;
 }
 
@@ -73,14 +73,15 @@
   double value = 0;
   const auto [end, error] = std::from_chars(found.data(), found.data() + found.size(), value);
   if (error != std::errc{} || end != found.data() + found.size() || !(value >= least) || !(value <= most))
-    throw BadKey(path, "'" + found + "' is out of range");
+    throw ConfigError(path, "'" + found + "' is out of range");
   return value;
 }
 
 // A variable of the environment or a key of the file: the one that comes first, else the other.
-std::string variableOrKey(const char* variable, const Value& in, std::string_view key, First first) {
+std::string variableOrKey(const char* variable, const Value& in, std::string_view key,
+                          ValuePrecedence first) {
   const char* set = std::getenv(variable);
-  return set && *set && (first == First::environment || !in.find(key)) ? set : text(in, key, key);
+  return set && *set && (first == ValuePrecedence::environment || !in.find(key)) ? set : text(in, key, key);
 }
 
 std::uint64_t readSeed(const Value& in) {
@@ -88,15 +89,15 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(found.data(), found.data() + found.size(), seed, 16);
   if (error != std::errc{} || end != found.data() + found.size())
-    throw BadKey("seed", "'" + found + "' is not a number in hex");
+    throw ConfigError("seed", "'" + found + "' is not a number in hex");
   return seed;
 }
 
 Health readHealth(const std::string& word) {
   if (word == "up") return Health::live;
   if (word == "draining") return Health::draining;
-  if (word == "removed") return Health::gone;
-  throw BadKey("servers.state", "'" + word + "' is not known");
+  if (word == "removed") return Health::removed;
+  throw ConfigError("servers.state", "'" + word + "' is not known");
 }
 
 std::string textOr(const Value& in, std::string_view key, const char* otherwise) {
@@ -112,22 +113,23 @@
   address.host = found.substr(0, colon);
   in_addr ignored{};
   if (colon == std::string_view::npos || inet_pton(AF_INET, address.host.c_str(), &ignored) != 1)
-    throw BadKey(key, "'" + std::string(found) + "' is not an address:port of IPv4");
+    throw ConfigError(key, "'" + std::string(found) + "' is not an address:port of IPv4");
   const auto port = found.substr(colon + 1);
   const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), address.port);
   if (error != std::errc{} || end != port.data() + port.size() || address.port == 0)
-    throw BadKey(key, "'" + std::string(found) + "' has no port from 1 to 65535");
+    throw ConfigError(key, "'" + std::string(found) + "' has no port from 1 to 65535");
   return address;
 }
 
-NodeList readList(const Value& value, const std::string& zone) {
-  if (value.kind != Value::Kind::object) throw BadKey("the list", "is not an object");
-  NodeList list;
+EndpointList readList(const Value& value, const std::string& zone) {
+  if (value.kind != Value::Kind::object) throw ConfigError("the list", "is not an object");
+  EndpointList list;
   list.version = static_cast<std::uint64_t>(number(value, "version", "version", 0, 9e15));
-  list.whole = need(value, "full", "full", Value::Kind::boolean, "true or false").text == "true";
+  list.isSnapshot = need(value, "full", "full", Value::Kind::boolean, "true or false").text == "true";
   for (const Value& server : need(value, "servers", "servers", Value::Kind::list, "a list").items) {
-    if (server.kind != Value::Kind::object) throw BadKey("servers", "has an entry that is not an object");
-    NodeList::Node node;
+    if (server.kind != Value::Kind::object)
+      throw ConfigError("servers", "has an entry that is not an object");
+    EndpointList::Node node;
     node.entry.node = text(server, "id", "servers.id");
     node.entry.health = readHealth(text(server, "state", "servers.state"));
     node.address = text(server, "addr", "servers.addr");
@@ -139,7 +141,7 @@
     // Unix time, as positions are; 0 is long ago. Nothing starts after the year 5138.
     const double started =
         server.find("started_ms") ? number(server, "started_ms", "servers.started_ms", 0, 1e14) : 0;
-    node.entry.startedAt = Instant() + Span::millis(static_cast<std::int64_t>(started));
+    node.entry.startedAt = Instant() + Duration::millis(static_cast<std::int64_t>(started));
     list.nodes.push_back(std::move(node));
   }
   return list;
@@ -150,17 +152,17 @@
   return listPath() + "?stream=1&index=" + std::to_string(version);
 }
 
-Start readStart(std::string_view file, First first) {
+RouterConfig readStart(std::string_view file, ValuePrecedence first) {
   json::Parser parser;
   try {
     parser.feed(file);
     parser.finish();
   } catch (const json::Malformed& bad) {
-    throw BadKey("BALANCER_CONFIG", std::string("is no JSON: ") + bad.what());
+    throw ConfigError("BALANCER_CONFIG", std::string("is no JSON: ") + bad.what());
   }
   const Value all = parser.take();
-  if (all.kind != Value::Kind::object) throw BadKey("BALANCER_CONFIG", "is not an object");
-  Start start;
+  if (all.kind != Value::Kind::object) throw ConfigError("BALANCER_CONFIG", "is not an object");
+  RouterConfig start;
   start.name = variableOrKey("BALANCER_NAME", all, "name", first);
   start.listen = readAddress("listen", variableOrKey("BALANCER_LISTEN", all, "listen", first));
   start.discovery = readAddress("discovery", variableOrKey("BALANCER_DISCOVERY", all, "discovery", first));
@@ -171,41 +173,42 @@
   start.descriptors =
       static_cast<std::size_t>(number(limits, "sockets", "limits.sockets", kFewestDescriptors, 1e7));
   try {
-    start.told = deployment::read(Flat(need(all, "settings", "settings", Value::Kind::object, "an object")));
-  } catch (const deployment::BadField& bad) { throw BadKey("settings", bad.what()); }
+    start.deployment =
+        deployment::read(Flat(need(all, "settings", "settings", Value::Kind::object, "an object")));
+  } catch (const deployment::InvalidField& bad) { throw ConfigError("settings", bad.what()); }
   if (const Value* known = all.find("known"); known && known->kind != Value::Kind::null) {
     try {
-      start.known = readList(*known, start.told.zone);
-    } catch (const BadKey& bad) { throw BadKey("known", bad.what()); }
+      start.known = readList(*known, start.deployment.zone);
+    } catch (const ConfigError& bad) { throw ConfigError("known", bad.what()); }
   }
   return start;
 }
 
-Start readStart(First first) {
+RouterConfig readRouterConfig(ValuePrecedence first) {
   const char* path = std::getenv("BALANCER_CONFIG");
-  if (!path || !*path) throw BadKey("BALANCER_CONFIG", "is not set");
+  if (!path || !*path) throw ConfigError("BALANCER_CONFIG", "is not set");
   std::ifstream file(path, std::ios::binary);
   std::ostringstream all;
   if (!file || !(all << file.rdbuf()))
-    throw BadKey("BALANCER_CONFIG", std::string("'") + path + "' can't be read");
-  Start start = readStart(all.str(), first);
+    throw ConfigError("BALANCER_CONFIG", std::string("'") + path + "' can't be read");
+  RouterConfig start = readStart(all.str(), first);
   // The process may be allowed fewer than the configuration says.
   rlimit allowed{};
   if (getrlimit(RLIMIT_NOFILE, &allowed) == 0 && allowed.rlim_cur < start.descriptors)
     start.descriptors = static_cast<std::size_t>(allowed.rlim_cur);
   if (start.descriptors < kFewestDescriptors)
-    throw BadKey("limits.sockets", "the process is allowed too few");
+    throw ConfigError("limits.sockets", "the process is allowed too few");
   return start;
 }
 
-std::vector<std::string> keptUntilRestart(const Start& running, const Start& read) {
+std::vector<std::string> keysNeedingRestart(const RouterConfig& running, const RouterConfig& read) {
   std::vector<std::string> kept;
   for (const auto& [key, same] : {std::pair{"name", running.name == read.name},
                                   {"listen", running.listen == read.listen},
                                   {"seed", running.seed == read.seed},
                                   {"limits.memory_mb", running.memoryBytes == read.memoryBytes},
                                   {"limits.sockets", running.descriptors == read.descriptors},
-                                  {"settings", running.told == read.told}})
+                                  {"settings", running.deployment == read.deployment}})
     if (!same) kept.emplace_back(key);
   return kept;
 }
--- a/src/config/router_config.h
+++ b/src/config/router_config.h
@@ -13,9 +13,9 @@
 namespace gulltrestle::config {
 
 // What can't be started with; the message names the key and the fault.
-class BadKey : public std::runtime_error {
+class ConfigError : public std::runtime_error {
  public:
-  BadKey(std::string_view key, std::string_view what)
+  ConfigError(std::string_view key, std::string_view what)
       : std::runtime_error(std::string(key) + ": " + std::string(what)) {}
 };
 
@@ -25,41 +25,41 @@
   bool operator==(const Address&) const = default;
 };
 
-struct NodeList {
+struct EndpointList {
   std::uint64_t version = 0;
-  bool whole = false;
+  bool isSnapshot = false;
   struct Node {
-    ListEntry entry;
+    EndpointEntry entry;
     std::string address;
   };
   std::vector<Node> nodes;
 };
 
-struct Start {
+struct RouterConfig {
   std::string name;
   Address listen, discovery;
   std::uint64_t seed = 0;
   std::size_t memoryBytes = 0;
   std::size_t descriptors = 0;
-  NodeList known;
-  deployment::Told told;
+  EndpointList known;
+  deployment::DeploymentSettings deployment;
 };
 
 // Whose word counts where a variable of the environment and the file both name something: the variable's at
 // the start, the file's when it is read anew, as only that can have changed.
-enum class First { environment, file };
+enum class ValuePrecedence { environment, file };
 
 // Reads the variables of the environment, and the file that BALANCER_CONFIG names.
-Start readStart(First first = First::environment);
+RouterConfig readRouterConfig(ValuePrecedence first = ValuePrecedence::environment);
 
 // The same from the text of a file.
-Start readStart(std::string_view text, First first = First::environment);
+RouterConfig readStart(std::string_view text, ValuePrecedence first = ValuePrecedence::environment);
 
 // The keys that differ, and that a running router keeps as they were at its start.
-std::vector<std::string> keptUntilRestart(const Start& running, const Start& read);
+std::vector<std::string> keysNeedingRestart(const RouterConfig& running, const RouterConfig& read);
 
 // A list as discovery words it; `zone` is this router's own.
-NodeList readList(const json::Value& value, const std::string& zone);
+EndpointList readList(const json::Value& value, const std::string& zone);
 
 // Where discovery has the whole list, and its changes after a version.
 std::string listPath();
--- a/src/degradation/admission_table.h
+++ b/src/degradation/admission_table.h
@@ -11,10 +11,10 @@
 namespace gulltrestle::degradation {
 
 // A row a level above 0, as the module takes it.
-using Table = std::vector<Reduction>;
+using AdmissionTable = std::vector<DegradationRules>;
 
 // A table that can't be taken; the message names the level and the txn type.
-class BadTable : public std::runtime_error {
+class InvalidAdmissionTable : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -25,12 +25,12 @@
 // reads but those that pay most, and these where one has room. None refuses what a node could do at once, and
 // none restricts a type that is not repeatable, whatever its read level: check() takes the table of any
 // types.
-Table tableOf(const std::vector<TxnType>& types);
+AdmissionTable defaultAdmissionTable(const std::vector<TransactionClass>& types);
 
 // Throws BadTable where a higher level would let in what a lower one refuses, or where one refuses a write
 // that may not run twice: its client could not tell whether to come again.
-void check(const Table& table, const std::vector<TxnType>& types);
+void validate(const AdmissionTable& table, const std::vector<TransactionClass>& types);
 
-std::string_view nameOf(Admit admit);
+std::string_view nameOf(AdmissionPolicy admit);
 
 }  // namespace gulltrestle::degradation
--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -9,7 +9,7 @@
 // An interval is as long as it takes to tell a standing wait from chance, within these: eight txns, a lower
 // quarter of which is two; no less than a queue takes to show, no more than an operator waits for a change.
 constexpr std::size_t kFewest = 8;
-constexpr Span kShortest = Span::millis(500), kLongest = Span::millis(3000);
+constexpr Duration kShortest = Duration::millis(500), kLongest = Duration::millis(3000);
 // Samples that an interval keeps: a busy group has thousands, and the last tell what is.
 constexpr std::size_t kMostKept = 256;
 // A txn that was let in and given up counts as if it had taken this many times its latency target.
@@ -46,9 +46,10 @@
   return "unknown";
 }
 
-Levels::Levels(Bounds bounds, std::uint64_t seed) : bounds_(bounds), seed_(seed) {}
+DegradationController::DegradationController(Bounds bounds, std::uint64_t seed)
+    : bounds_(bounds), seed_(seed) {}
 
-Levels::Group& Levels::groupOf(GroupId id) {
+DegradationController::Group& DegradationController::groupOf(GroupId id) {
   const auto at = groups_.find(id);
   if (at != groups_.end()) return at->second;
   if (groups_.size() >= kMostGroups) forget(groups_.begin()->first);
@@ -59,21 +60,21 @@
   return made;
 }
 
-Levels::Counts& Levels::countsOf(Group& group, std::size_t type) {
+DegradationController::Counts& DegradationController::countsOf(Group& group, std::size_t type) {
   if (group.types.size() <= type) group.types.resize(type + 1);
   return group.types[type];
 }
 
-void Levels::answered(Instant now, GroupId id, std::size_t type, double share) {
+void DegradationController::recordAnswer(Instant now, GroupId id, std::size_t type, double share) {
   Group& group = groupOf(id);
   if (group.beganAt == Instant()) group.beganAt = now;
-  keepLast(group.shares, {now, share}, kMostKept);
+  pushBounded(group.shares, {now, share}, kMostKept);
   ++countsOf(group, type).answered;
 }
 
 // Clients may name any group, but only one that has nodes ever answers: the others are not kept. Guards
 // against names without an end, which would fill the table and push real groups out of it.
-void Levels::gaveUp(Instant now, GroupId id, std::size_t type, double share) {
+void DegradationController::recordAbandoned(Instant now, GroupId id, std::size_t type, double share) {
   const auto known = groups_.find(id);
   if (known == groups_.end()) return;
   Group& group = known->second;
@@ -82,13 +83,13 @@
     return;
   }
   if (group.beganAt == Instant()) group.beganAt = now;
-  keepLast(group.shares, {now, kGivenUp}, kMostKept);
+  pushBounded(group.shares, {now, kGivenUp}, kMostKept);
   ++group.gaveUp;
   ++countsOf(group, type).gaveUp;
 }
 
 // Guards against a pause of the process or its machine, which looks like a queue at every node at once.
-void Levels::stoodStill(Instant) {
+void DegradationController::onProcessStalled(Instant) {
   for (auto& [id, group] : groups_) {
     group.shares.clear();
     group.gaveUp = 0;
@@ -96,17 +97,18 @@
   }
 }
 
-void Levels::forget(GroupId id) {
+void DegradationController::forget(GroupId id) {
   groups_.erase(id);
   shown_.erase(id);
 }
 
-Levels::Now Levels::of(GroupId id) const {
+DegradationController::GroupState DegradationController::stateOf(GroupId id) const {
   const auto at = shown_.find(id);
-  return at == shown_.end() ? Now{} : at->second;
+  return at == shown_.end() ? GroupState{} : at->second;
 }
 
-void Levels::change(Instant now, GroupId id, Group& group, Level to, Cause cause, Change& out) {
+void DegradationController::change(Instant now, GroupId id, Group& group, Level to, Cause cause,
+                                   Change& out) {
   out = {id, group.level, to, cause, group.wait, group.shares.size()};
   group.level = to;
   group.cause = cause;
@@ -120,8 +122,8 @@
 // the slow ones, a queue that stands leaves none (CoDel's minimum, with some allowance for chance). Guards
 // against levels that follow bursts; may hurt where a quarter of the txns never queue, as they go to nodes of
 // their own.
-bool Levels::decideOne(Instant now, GroupId id, Group& group, Change& out) {
-  while (!group.changes.empty() && now - group.changes.front() > Span::millis(60'000))
+bool DegradationController::decideOne(Instant now, GroupId id, Group& group, Change& out) {
+  while (!group.changes.empty() && now - group.changes.front() > Duration::millis(60'000))
     group.changes.pop_front();
   if (bounds_.pinned && group.level != *bounds_.pinned) {
     change(now, id, group, *bounds_.pinned, Cause::pinned, out);
@@ -132,7 +134,7 @@
     change(now, id, group, bounds_.cap, Cause::capped, out);
     return true;
   }
-  const Span length = group.beganAt == Instant() ? Span() : now - group.beganAt;
+  const Duration length = group.beganAt == Instant() ? Duration() : now - group.beganAt;
   const bool whole = length >= kLongest || (length >= kShortest && group.shares.size() >= kFewest);
   if (!whole) return false;
   // Nothing was answered at all: a hang, a cut, a change of primary. Refusing some types helps no other then,
@@ -181,7 +183,7 @@
   return false;
 }
 
-std::vector<Change> Levels::decide(Instant now) {
+std::vector<Change> DegradationController::decide(Instant now) {
   std::vector<Change> changes;
   nextDue_ = Instant();
   for (auto& [id, group] : groups_) {
@@ -189,7 +191,7 @@
     if (group.beganAt == Instant() && group.level > 0) group.beganAt = now;
     Change change;
     if (decideOne(now, id, group, change)) changes.push_back(change);
-    Now& shown = shown_[id];
+    GroupState& shown = shown_[id];
     shown = {group.level, group.trial ? bounds_.trialShare : 0, group.cause, group.since, group.wait,
              group.types};
     const bool wants = group.level > 0 || group.beganAt != Instant();
--- a/src/degradation/degradation_controller.h
+++ b/src/degradation/degradation_controller.h
@@ -31,13 +31,13 @@
 // How a level is entered and left. Waits are shares of the txns' latency targets.
 struct Bounds {
   double up = 0.6, down = 0.3;
-  Span shortestStay = Span::millis(5000);
-  Span calm = Span::millis(4000);   // under the lower bound for so long before a trial
-  Span trial = Span::millis(4000);  // and for so long in it
-  unsigned mostChanges = 6;         // a minute
-  double trialShare = 0.25;         // of what is refused, let in during a trial
-  std::optional<Level> pinned;      // by an operator: no other level is taken
-  Level cap = kMostLevel;           // by an operator: none above it
+  Duration shortestStay = Duration::millis(5000);
+  Duration calm = Duration::millis(4000);   // under the lower bound for so long before a trial
+  Duration trial = Duration::millis(4000);  // and for so long in it
+  unsigned mostChanges = 6;                 // a minute
+  double trialShare = 0.25;                 // of what is refused, let in during a trial
+  std::optional<Level> pinned;              // by an operator: no other level is taken
+  Level cap = kMostLevel;                   // by an operator: none above it
 };
 
 enum class Cause { none, waits, limits, calm, pinned, capped };
@@ -51,22 +51,22 @@
   std::size_t txns = 0;  // over so many
 };
 
-class Levels {
+class DegradationController {
  public:
   // `seed`: stays differ a little from router to router, so that they don't change together.
-  Levels(Bounds bounds, std::uint64_t seed);
+  DegradationController(Bounds bounds, std::uint64_t seed);
 
   // --- What is observed
   // A txn got its answer after this share of its latency target.
-  void answered(Instant now, GroupId group, std::size_t type, double share);
+  void recordAnswer(Instant now, GroupId group, std::size_t type, double share);
   // A txn was given up after it had waited for this share.
-  void gaveUp(Instant now, GroupId group, std::size_t type, double share);
+  void recordAbandoned(Instant now, GroupId group, std::size_t type, double share);
   // The part of this router's own limits (open txns, bytes that are held) that is taken, the fullest of them.
-  void own(double part) { own_ = part; }
+  void setOwnUtilization(double part) { own_ = part; }
   // This router stood still: what it measured is its own delay.
-  void stoodStill(Instant now);
+  void onProcessStalled(Instant now);
   // New bounds, from a configuration that was read anew.
-  void bound(Bounds bounds) { bounds_ = bounds; }
+  void setBounds(Bounds bounds) { bounds_ = bounds; }
 
   // Decides anew; the changes since the last call.
   std::vector<Change> decide(Instant now);
@@ -75,7 +75,7 @@
   struct Counts {  // of one txn type, since the start
     std::uint64_t answered = 0, gaveUp = 0, refused = 0;
   };
-  struct Now {
+  struct GroupState {
     Level level = 0;
     double trial = 0;  // this share of txns is judged by the level below
     Cause cause = Cause::none;
@@ -84,8 +84,8 @@
     std::vector<Counts> types;  // a row a txn type, as far as any was seen
   };
   // Full service for a group that is not known.
-  Now of(GroupId group) const;
-  const std::map<GroupId, Now>& all() const { return shown_; }
+  GroupState stateOf(GroupId group) const;
+  const std::map<GroupId, GroupState>& states() const { return shown_; }
   void forget(GroupId group);
 
  private:
@@ -110,7 +110,7 @@
   std::uint64_t seed_;
   double own_ = 0;
   std::map<GroupId, Group> groups_;
-  std::map<GroupId, Now> shown_;
+  std::map<GroupId, GroupState> shown_;
   Instant nextDue_;
 };
 
--- a/src/degradation_service/degradation_config.h
+++ b/src/degradation_service/degradation_config.h
@@ -10,18 +10,19 @@
 
 namespace gulltrestle::degradation_service {
 
-struct Setup {
+struct DegradationConfig {
   degradation::Bounds bounds;
-  degradation::Table table;
+  degradation::AdmissionTable table;
   std::string pinnedBy, cappedBy;  // who did, for those who wonder
   std::string statusFile;          // empty: none is written
-  Span statusEvery = Span::millis(5000);
+  Duration statusEvery = Duration::millis(5000);
 };
 
 // Throws config::BadKey, which names the key.
-Setup readSetup(std::string_view text, const std::vector<TxnType>& types,
-                const std::vector<std::string>& typeNames);
-Setup readSetupFile(const std::string& path, const std::vector<TxnType>& types,
-                    const std::vector<std::string>& typeNames);
+DegradationConfig readDegradationConfig(std::string_view text, const std::vector<TransactionClass>& types,
+                                        const std::vector<std::string>& typeNames);
+DegradationConfig readDegradationConfigFile(const std::string& path,
+                                            const std::vector<TransactionClass>& types,
+                                            const std::vector<std::string>& typeNames);
 
 }  // namespace gulltrestle::degradation_service
--- a/src/degradation_service/degradation_service.cpp
+++ b/src/degradation_service/degradation_service.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 // How often the state is logged while service is reduced anywhere.
-constexpr Span kLogPause = Span::millis(30'000);
+constexpr Duration kLogPause = Duration::millis(30'000);
 // Groups in one log line; the status document has them all.
 constexpr std::size_t kMostLogged = 20;
 
 // The part of a txn type's txns that was refused as it came, since the start.
-double refusedOf(const degradation::Levels::Counts& counts) {
+double refusedOf(const degradation::DegradationController::Counts& counts) {
   const auto asked = counts.answered + counts.gaveUp + counts.refused;
   return asked > 0 ? static_cast<double>(counts.refused) / static_cast<double>(asked) : 0;
 }
@@ -27,19 +27,21 @@
 
 }  // namespace
 
-Reduced::Reduced(transactions::Ledger& ledger, Setup setup, std::vector<std::string> typeNames,
-                 std::uint64_t seed, std::function<Setup()> read, Log log)
+DegradationService::DegradationService(transactions::TransactionTable& ledger, DegradationConfig setup,
+                                       std::vector<std::string> typeNames, std::uint64_t seed,
+                                       std::function<DegradationConfig()> read, Log log)
     : ledger_(ledger),
       setup_(std::move(setup)),
       typeNames_(std::move(typeNames)),
       read_(std::move(read)),
       log_(std::move(log)),
       levels_(setup_.bounds, seed) {
-  ledger_.reduceBy(levels_, setup_.table, [this](const degradation::Change& change) { changed(change); });
+  ledger_.enableDegradation(levels_, setup_.table,
+                            [this](const degradation::Change& change) { changed(change); });
   log_("event=levels.on up=" + figure(setup_.bounds.up) + " down=" + figure(setup_.bounds.down) + by());
 }
 
-std::string Reduced::by() const {
+std::string DegradationService::by() const {
   std::string out;
   if (setup_.bounds.pinned)
     out += " pinned=" + std::to_string(*setup_.bounds.pinned) + " pinned_by=\"" + setup_.pinnedBy + "\"";
@@ -48,29 +50,30 @@
   return out;
 }
 
-void Reduced::changed(const degradation::Change& change) {
+void DegradationService::changed(const degradation::Change& change) {
   log_("event=levels.changed group=" + std::to_string(change.group) + " from=" + std::to_string(change.from) +
        " to=" + std::to_string(change.to) + " cause=" + std::string(nameOf(change.cause)) +
        " wait=" + figure(change.wait) + " txns=" + std::to_string(change.txns) + by());
 }
 
-void Reduced::readAnew() {
+void DegradationService::reloadConfig() {
   try {
-    Setup anew = read_();
+    DegradationConfig anew = read_();
     setup_ = std::move(anew);
-    levels_.bound(setup_.bounds);
-    ledger_.reduceBy(levels_, setup_.table, [this](const degradation::Change& change) { changed(change); });
+    levels_.setBounds(setup_.bounds);
+    ledger_.enableDegradation(levels_, setup_.table,
+                              [this](const degradation::Change& change) { changed(change); });
     log_("event=levels.read_anew" + by());
   } catch (const std::exception& bad) {
     log_("event=levels.not_taken why=\"" + std::string(bad.what()) + "\"");
   }
 }
 
-std::string Reduced::status(Instant now) const {
+std::string DegradationService::status(Instant now) const {
   nlohmann::ordered_json all;
   all["time_ms"] = now.inMicros() / 1000;
   degradation::Level highest = 0;
-  for (const auto& [id, group] : levels_.all()) highest = std::max(highest, group.level);
+  for (const auto& [id, group] : levels_.states()) highest = std::max(highest, group.level);
   all["level"] = highest;
   if (setup_.bounds.pinned) all["pinned"] = {{"level", *setup_.bounds.pinned}, {"by", setup_.pinnedBy}};
   if (!setup_.cappedBy.empty()) all["cap"] = {{"level", setup_.bounds.cap}, {"by", setup_.cappedBy}};
@@ -83,7 +86,7 @@
                              {"rule", invariants.last().rule},
                              {"subject", invariants.last().subject}};
   all["groups"] = nlohmann::ordered_json::array();
-  for (const auto& [id, group] : levels_.all()) {
+  for (const auto& [id, group] : levels_.states()) {
     nlohmann::ordered_json one;
     one["group"] = id;
     one["level"] = group.level;
@@ -105,7 +108,7 @@
 
 // Written beside and renamed, so that whoever reads finds a whole one. Where that fails the log says so once
 // a pause, and service goes on.
-void Reduced::endTurn() {
+void DegradationService::endTurn() {
   const Instant now = ledger_.now();
   if (toldAt_ != Instant() && now - toldAt_ < setup_.statusEvery) return;
   toldAt_ = now;
@@ -121,7 +124,7 @@
   if (!logs) return;
   std::string line;
   std::size_t reduced = 0;
-  for (const auto& [id, group] : levels_.all()) {
+  for (const auto& [id, group] : levels_.states()) {
     if (group.level == 0 || ++reduced > kMostLogged) continue;
     line += " group" + std::to_string(id) + "=" + std::to_string(group.level) + (group.trial > 0 ? "t" : "");
     for (std::size_t type = 0; type < group.types.size() && type < typeNames_.size(); ++type)
--- a/src/degradation_service/degradation_service.h
+++ b/src/degradation_service/degradation_service.h
@@ -12,21 +12,22 @@
 
 namespace gulltrestle::degradation_service {
 
-class Reduced final : public gateway::Part {
+class DegradationService final : public gateway::Component {
  public:
   using Log = std::function<void(const std::string& line)>;
   // `read`: reads the configuration anew; it may throw config::BadKey.
-  Reduced(transactions::Ledger& ledger, Setup setup, std::vector<std::string> typeNames, std::uint64_t seed,
-          std::function<Setup()> read, Log log);
+  DegradationService(transactions::TransactionTable& ledger, DegradationConfig setup,
+                     std::vector<std::string> typeNames, std::uint64_t seed,
+                     std::function<DegradationConfig()> read, Log log);
 
-  void listHeard() override {}
+  void onDiscoveryActivity() override {}
   void endTurn() override;
   void flush() override {}
   Instant nextDue() const override { return toldAt_ == Instant() ? Instant() : toldAt_ + setup_.statusEvery; }
   void stop() override {}
   bool empty() const override { return true; }
   // What can't be used is logged with its key, and all goes on as it was.
-  void readAnew() override;
+  void reloadConfig() override;
 
   // The status document, as JSON.
   std::string status(Instant now) const;
@@ -35,12 +36,12 @@
   void changed(const degradation::Change& change);
   std::string by() const;
 
-  transactions::Ledger& ledger_;
-  Setup setup_;
+  transactions::TransactionTable& ledger_;
+  DegradationConfig setup_;
   std::vector<std::string> typeNames_;
-  std::function<Setup()> read_;
+  std::function<DegradationConfig()> read_;
   Log log_;
-  degradation::Levels levels_;
+  degradation::DegradationController levels_;
   Instant toldAt_, loggedAt_;
 };
 
--- a/src/deployment/routing_config.h
+++ b/src/deployment/routing_config.h
@@ -15,9 +15,9 @@
 namespace gulltrestle::deployment {
 
 // A field that can't be taken; the message names it.
-class BadField : public std::runtime_error {
+class InvalidField : public std::runtime_error {
  public:
-  BadField(std::string_view field, std::string_view what)
+  InvalidField(std::string_view field, std::string_view what)
       : std::runtime_error("field " + std::string(field) + ": " + std::string(what)) {}
 };
 
@@ -32,14 +32,14 @@
 E choice(std::string_view field, std::string_view word, const std::array<std::string_view, N>& words) {
   for (std::size_t i = 0; i < N; ++i)
     if (words[i] == word) return static_cast<E>(i);
-  throw BadField(field, "'" + std::string(word) + "' is not known");
+  throw InvalidField(field, "'" + std::string(word) + "' is not known");
 }
 
 // Values by dotted name. A list of plain values is one text joined by commas; a list of objects has its
 // length under `.count` and its items under `.0`, `.1` and so on.
-class Source {
+class SettingsSource {
  public:
-  virtual ~Source() = default;
+  virtual ~SettingsSource() = default;
   virtual std::optional<std::string_view> find(std::string_view name) const = 0;
 
   std::string_view text(std::string_view name) const;
@@ -50,18 +50,18 @@
 };
 
 // The terms, and what a front needs of the same settings.
-struct Told {
-  Terms terms;
-  std::vector<std::string> typeNames;  // row by row as Terms::types
+struct DeploymentSettings {
+  RoutingConfig routing;
+  std::vector<std::string> typeNames;  // row by row as RoutingConfig::types
   std::string zone;                    // this router's own
-  Span idleLimit;                      // nodes close connections that were idle for this long
-  Span connectLimit;                   // what is not up by then does not come up
-  Span drainGrace;                     // nothing new to a node later than this after it was told to drain
-  Span
-      toldWithin;  // what a list has to tell counts as told so long after it was due; zero: only when it came
-  bool operator==(const Told&) const = default;
+  Duration idleLimit;                  // nodes close connections that were idle for this long
+  Duration connectLimit;               // what is not up by then does not come up
+  Duration drainGrace;                 // nothing new to a node later than this after it was told to drain
+  Duration notifiedWithin;  // what a list has to tell counts as told so long after it was due; zero: only
+                            // when it came
+  bool operator==(const DeploymentSettings&) const = default;
 };
 
-Told read(const Source& settings);
+DeploymentSettings read(const SettingsSource& settings);
 
 }  // namespace gulltrestle::deployment
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -13,20 +13,20 @@
 
 namespace gulltrestle::discovery {
 
-class ListCalls {
+class PollSchedule {
  public:
   // `drainGrace`: how long after it was told of a drain a router may still send there.
-  ListCalls(bool mustBeAsked, Span drainGrace, std::uint64_t seed);
+  PollSchedule(bool mustBeAsked, Duration drainGrace, std::uint64_t seed);
 
   // Whether a watch from the list on that is known comes first, or comes anew after one that failed and had
   // told nothing wrong; else the whole list does. Changes cost the service less.
   bool watchesAtOnce() const { return mustBeAsked_; }
   // How long nothing may be heard of a call, in which something has been heard already or not.
-  Span silence(bool watch, bool heard) const;
+  Duration silence(bool watch, bool heard) const;
   // A call has been answered.
   void answered() { failed_ = 0; }
   // A call has failed: the next one comes after this.
-  Span pause();
+  Duration pause();
 
  private:
   bool mustBeAsked_;
--- a/src/downstream/ext_proc/header_mapping.cpp
+++ b/src/downstream/ext_proc/header_mapping.cpp
@@ -24,9 +24,9 @@
 
 const std::string& need(const wire::Headers& headers, const std::string& name) {
   if (std::count_if(headers.begin(), headers.end(), [&](auto& h) { return h.name == name; }) > 1)
-    throw BadHeader(name, "comes twice");
+    throw InvalidHeader(name, "comes twice");
   const std::string* value = find(headers, name);
-  if (!value) throw BadHeader(name, "is missing");
+  if (!value) throw InvalidHeader(name, "is missing");
   return *value;
 }
 
@@ -39,7 +39,7 @@
 
 std::uint64_t number(const std::string& name, std::string_view text, std::uint64_t most) {
   const auto value = whole(text, most);
-  if (!value) throw BadHeader(name, "is no whole number up to " + std::to_string(most));
+  if (!value) throw InvalidHeader(name, "is no whole number up to " + std::to_string(most));
   return *value;
 }
 
@@ -51,31 +51,32 @@
 
 }  // namespace
 
-Mapping::Mapping(HeaderNames names, const Terms& terms, const std::vector<std::string>& typeNames)
-    : names_(std::move(names)), types_(terms.types), carried_(terms.sessionAgeCarried) {
+HeaderMapping::HeaderMapping(HeaderNames names, const RoutingConfig& terms,
+                             const std::vector<std::string>& typeNames)
+    : names_(std::move(names)), types_(terms.transactionClasses), carried_(terms.sessionAgeProvided) {
   for (std::size_t row = 0; row < typeNames.size(); ++row) rows_.emplace(typeNames[row], row);
 }
 
-Mapping::Asked Mapping::read(const wire::Headers& headers) const {
-  Asked asked;
+HeaderMapping::ParsedRequest HeaderMapping::read(const wire::Headers& headers) const {
+  ParsedRequest asked;
   asked.ask.id = need(headers, names_.id);
-  if (asked.ask.id.size() > kLongestId) throw BadHeader(names_.id, "is too long");
+  if (asked.ask.id.size() > kLongestId) throw InvalidHeader(names_.id, "is too long");
   const auto& typeName = need(headers, names_.type);
   const auto row = rows_.find(typeName);
   if (row == rows_.end())
-    throw BadHeader(names_.type, "txn type '" + typeName.substr(0, 64) + "' is not known");
-  const TxnType& type = types_[row->second];
+    throw InvalidHeader(names_.type, "txn type '" + typeName.substr(0, 64) + "' is not known");
+  const TransactionClass& type = types_[row->second];
   asked.txn.type = asked.ask.type = row->second;
   asked.txn.group = number(names_.group, need(headers, names_.group), kMostGroup);
   const auto patience = number(names_.patience, need(headers, names_.patience), kMostMs);
-  asked.txn.patience = asked.ask.patience =
-      std::min(Span::millis(static_cast<std::int64_t>(patience)), type.deadline);
+  asked.txn.remainingTime = asked.ask.remainingTime =
+      std::min(Duration::millis(static_cast<std::int64_t>(patience)), type.deadline);
   if (type.level == ReadLevel::session) {
     asked.txn.session = transactions::sessionOf(need(headers, names_.session));
-    asked.txn.writeAge = Span();  // it owes nothing
+    asked.txn.writeAge = Duration();  // it owes nothing
     if (const auto* age = find(headers, names_.writeAge); age && carried_) {
       const auto millis = number(names_.writeAge, *age, kMostMs);
-      if (millis > 0) asked.txn.writeAge = Span::millis(static_cast<std::int64_t>(millis));
+      if (millis > 0) asked.txn.writeAge = Duration::millis(static_cast<std::int64_t>(millis));
     }
   } else if (type.level == ReadLevel::write) {
     if (const auto* session = find(headers, names_.session))
@@ -89,8 +90,8 @@
   return asked;
 }
 
-endpoint_leases::Report Mapping::report(const wire::Headers& headers) const {
-  endpoint_leases::Report report;
+endpoint_leases::ProxyReport HeaderMapping::report(const wire::Headers& headers) const {
+  endpoint_leases::ProxyReport report;
   if (const auto* status = find(headers, ":status"))
     report.status = static_cast<int>(whole(*status, 999).value_or(0));
   if (const auto* written = find(headers, names_.written)) report.written = writtenOf(*written);
--- a/src/downstream/ext_proc/header_mapping.h
+++ b/src/downstream/ext_proc/header_mapping.h
@@ -33,29 +33,29 @@
 };
 
 // What can't be taken for a txn; the message names the header.
-class BadHeader : public std::runtime_error {
+class InvalidHeader : public std::runtime_error {
  public:
-  BadHeader(const std::string& name, const std::string& what) : std::runtime_error(name + ": " + what) {}
+  InvalidHeader(const std::string& name, const std::string& what) : std::runtime_error(name + ": " + what) {}
 };
 
-class Mapping {
+class HeaderMapping {
  public:
-  Mapping(HeaderNames names, const Terms& terms, const std::vector<std::string>& typeNames);
+  HeaderMapping(HeaderNames names, const RoutingConfig& terms, const std::vector<std::string>& typeNames);
 
-  struct Asked {
-    Txn txn;  // without a number and earlier tries
-    endpoint_leases::Ask ask;
+  struct ParsedRequest {
+    Transaction txn;  // without a number and earlier tries
+    endpoint_leases::LeaseRequest ask;
   };
   // Throws BadHeader.
-  Asked read(const wire::Headers& headers) const;
+  ParsedRequest read(const wire::Headers& headers) const;
   // Never throws: what can't be read is left out, so that nothing is learnt from it.
-  endpoint_leases::Report report(const wire::Headers& headers) const;
+  endpoint_leases::ProxyReport report(const wire::Headers& headers) const;
 
   const HeaderNames& names() const { return names_; }
 
  private:
   HeaderNames names_;
-  std::vector<TxnType> types_;
+  std::vector<TransactionClass> types_;
   std::map<std::string, std::size_t, std::less<>> rows_;
   bool carried_;
 };
--- a/src/downstream/ext_proc/request_streams.cpp
+++ b/src/downstream/ext_proc/request_streams.cpp
@@ -5,25 +5,25 @@
 
 namespace gulltrestle::downstream::ext_proc {
 
-using endpoint_leases::Outcome;
-using endpoint_leases::Verdict;
+using endpoint_leases::FinalOutcome;
+using endpoint_leases::LeaseDecision;
 
 namespace {
 
 // A grant whose end nobody told by the time it may take is over for the module; its stream may still bring an
 // answer for so long, then it is closed. Longer than any message timeout of a proxy that is alive.
-constexpr Span kLinger = Span::millis(5000);
+constexpr Duration kLinger = Duration::millis(5000);
 
 // An event of one kind is logged once in this time: a few lines a minute are read, more are not.
-constexpr Span kLogPause = Span::millis(10000);
+constexpr Duration kLogPause = Duration::millis(10000);
 
-std::string_view nameOf(Outcome outcome) {
+std::string_view nameOf(FinalOutcome outcome) {
   switch (outcome) {
-    case Outcome::committed:
+    case FinalOutcome::committed:
       return "committed";
-    case Outcome::refused:
+    case FinalOutcome::rejected:
       return "refused";
-    case Outcome::rolledBack:
+    case FinalOutcome::rolledBack:
       return "rolled-back";
   }
   return "unknown";
@@ -38,8 +38,9 @@
 
 }  // namespace
 
-Streams::Streams(transactions::Ledger& ledger, Mapping mapping, endpoint_leases::Book book,
-                 endpoint_leases::DrainRule rule, Bounds bounds, Effects& effects)
+RequestStreams::RequestStreams(transactions::TransactionTable& ledger, HeaderMapping mapping,
+                               endpoint_leases::LeaseRegistry book, endpoint_leases::DrainRule rule,
+                               Bounds bounds, Effects& effects)
     : ledger_(ledger),
       mapping_(std::move(mapping)),
       book_(std::move(book)),
@@ -50,18 +51,18 @@
 // --- Events
 
 // Guards the memory against more streams than are allowed over all connections.
-void Streams::opened(StreamKey key) {
+void RequestStreams::opened(StreamKey key) {
   Stream& stream = streams_[key];
   const bool full = streams_.size() > bounds_.mostStreams;
   if (stopped_ || full) {
     stream.stage = Stage::answered;
-    return stopped_ ? effects_.close(key, Close::unavailable, "shutting down")
-                    : effects_.close(key, Close::full, "too many streams");
+    return stopped_ ? effects_.close(key, StreamCloseReason::unavailable, "shutting down")
+                    : effects_.close(key, StreamCloseReason::full, "too many streams");
   }
   setDue(key, stream, ledger_.now() + bounds_.openLimit);
 }
 
-void Streams::message(StreamKey key, std::string_view bytes) {
+void RequestStreams::message(StreamKey key, std::string_view bytes) {
   const auto at = streams_.find(key);
   if (at == streams_.end()) return;
   Stream& stream = at->second;
@@ -75,13 +76,13 @@
       if (stream.stage != Stage::opened) return invalid(key, "request_headers came twice");
       try {
         stream.asked = mapping_.read(request.headers);
-      } catch (const BadHeader& fault) { return bad(key, stream, fault.what()); }
+      } catch (const InvalidHeader& fault) { return bad(key, stream, fault.what()); }
       ++counts_.asked;
       return ask(key, stream);
     case wire::Phase::responseHeaders:
       if (stream.stage == Stage::granted) return report(key, stream, request.headers);
       // Of a grant that counts as ended since another try of its txn came: it passes, and changes nothing.
-      if (stream.stage == Stage::answered && stream.grant.within > Span() &&
+      if (stream.stage == Stage::answered && stream.grant.within > Duration() &&
           !std::exchange(stream.endTold, true))
         return effects_.send(key, wire::continued(request.phase));
       return invalid(key, stream.stage == Stage::answered ? "response_headers came twice"
@@ -95,17 +96,18 @@
   }
 }
 
-void Streams::halfClosed(StreamKey key) {
+void RequestStreams::halfClosed(StreamKey key) {
   const auto at = streams_.find(key);
   if (at == streams_.end()) return;
   Stream& stream = at->second;
   stream.halfClosed = true;
   // No end can be told any more. One that waits for a decision may still get it.
   if (stream.stage == Stage::granted) letGo(key, stream);
-  if (stream.stage == Stage::opened || stream.stage == Stage::answered) effects_.close(key, Close::done, "");
+  if (stream.stage == Stage::opened || stream.stage == Stage::answered)
+    effects_.close(key, StreamCloseReason::done, "");
 }
 
-void Streams::ended(StreamKey key) {
+void RequestStreams::ended(StreamKey key) {
   const auto at = streams_.find(key);
   if (at == streams_.end()) return;
   letGo(key, at->second);
@@ -115,7 +117,7 @@
 }
 
 // The stream is over for its txn: nothing is granted to it any more, and what was granted has no known end.
-void Streams::letGo(StreamKey key, Stream& stream) {
+void RequestStreams::letGo(StreamKey key, Stream& stream) {
   if (stream.stage == Stage::opened || stream.stage == Stage::answered) return;
   if (stream.stage == Stage::granted) ++counts_.unreported;
   stream.stage = Stage::answered;
@@ -128,22 +130,23 @@
 
 // --- Asking
 
-void Streams::ask(StreamKey key, Stream& stream) {
+void RequestStreams::ask(StreamKey key, Stream& stream) {
   if (stream.stage == Stage::opened)
-    stream.hold = endpoint_leases::holdOf(ledger_.now(), stream.asked.txn.patience, bounds_.messageTime);
-  const Verdict verdict = book_.asked(ledger_.now(), key, stream.asked.ask);
-  if (verdict.what == Verdict::What::wait) {
+    stream.hold =
+        endpoint_leases::holdDeadlines(ledger_.now(), stream.asked.txn.remainingTime, bounds_.messageTime);
+  const LeaseDecision verdict = book_.asked(ledger_.now(), key, stream.asked.ask);
+  if (verdict.action == LeaseDecision::Action::wait) {
     stream.stage = Stage::waiting;
     waiting_.insert(key);
     return setDue(key, stream, std::min(verdict.until, stream.hold.answerBy));
   }
   waiting_.erase(key);
   stream.stage = Stage::asking;
-  if (verdict.what == Verdict::What::answer) {
+  if (verdict.action == LeaseDecision::Action::answer) {
     ++counts_.denied;
-    logBounded("ext_proc.denied", "why=" + quoted(verdict.why) + " id=" + quoted(stream.asked.ask.id));
+    logBounded("ext_proc.denied", "why=" + quoted(verdict.reason) + " id=" + quoted(stream.asked.ask.id));
     stream.asked.ask.id.clear();  // the book's entry is another stream's
-    return immediate(key, stream, verdict.outcome, {}, verdict.why);
+    return immediate(key, stream, verdict.outcome, {}, verdict.reason);
   }
   // Another stream of the same txn: whoever sent it has given it up.
   for (const StreamKey other : {verdict.endsUnreported, verdict.supersedes}) {
@@ -154,19 +157,19 @@
     } else if (at->second.stage != Stage::answered) {
       letGo(other, at->second);
       at->second.asked.ask.id.clear();
-      immediate(other, at->second, Outcome::refused, {}, "a later try has come");
+      immediate(other, at->second, FinalOutcome::rejected, {}, "a later try has come");
     }
   }
-  Txn txn = stream.asked.txn;
-  txn.earlier = verdict.earlier;
-  txn.mostHere = 1;
-  txn.hold = stream.hold.answerBy - ledger_.now();
-  stream.txn = ledger_.take(*this, key, carrier_, txn, {}, stream.asked.ask.id);
+  Transaction txn = stream.asked.txn;
+  txn.priorAttempts = verdict.earlier;
+  txn.maxLocalAttempts = 1;
+  txn.maxHold = stream.hold.answerBy - ledger_.now();
+  stream.txn = ledger_.openTransaction(*this, key, carrier_, txn, {}, stream.asked.ask.id);
   owners_[stream.txn] = key;
   setDue(key, stream, stream.hold.askAt != Instant() ? stream.hold.askAt : stream.hold.answerBy);
 }
 
-bool Streams::granted(TxnId txn, const upstream::delegated::Grant& grant) {
+bool RequestStreams::onLeaseGranted(TxnId txn, const upstream::delegated::EndpointLease& grant) {
   const auto owner = owners_.find(txn);
   if (owner == owners_.end()) return false;
   const StreamKey key = owner->second;
@@ -185,15 +188,15 @@
                                       {names.sendWithin, std::to_string(grant.within.inMicros() / 1000)}}));
   if (stream.halfClosed) {  // it can't tell the end
     letGo(key, stream);
-    effects_.close(key, Close::done, "");
+    effects_.close(key, StreamCloseReason::done, "");
   }
   return true;
 }
 
 // --- Reporting
 
-void Streams::report(StreamKey key, Stream& stream, const wire::Headers& headers) {
-  const endpoint_leases::Report report = mapping_.report(headers);
+void RequestStreams::report(StreamKey key, Stream& stream, const wire::Headers& headers) {
+  const endpoint_leases::ProxyReport report = mapping_.report(headers);
   if (report.sentTo && *report.sentTo != stream.grant.address) {
     ++counts_.misused;
     logBounded("ext_proc.misused", "told=" + stream.grant.address + " sent_to=" + quoted(*report.sentTo));
@@ -201,28 +204,30 @@
   stream.stage = Stage::reported;
   stream.endTold = true;
   setDue(key, stream, {});
-  const End how = endpoint_leases::endOf(report, stream.grant.address);
+  const AttemptOutcome how = endpoint_leases::outcomeOf(report, stream.grant.address);
   book_.ended(ledger_.now(), stream.asked.ask.id, key, how);
-  const bool owed = ledger_.isOwed(stream.txn);
+  const bool owed = ledger_.isAnswerPending(stream.txn);
   carrier_.reported(stream.txn, report);
   if (owed) return;  // the module's answer is there by the end of the turn
   // The module gave it up before; nothing was told to anyone yet, and a commit is the truth.
-  decided(key, how == End::committed ? Outcome::committed : stream.given.value_or(Outcome::rolledBack),
+  decided(key,
+          how == AttemptOutcome::committed ? FinalOutcome::committed
+                                           : stream.given.value_or(FinalOutcome::rolledBack),
           stream.retryAfter);
 }
 
 // --- Answers
 
-void Streams::committed(transactions::OwnerId owner, const transactions::Value&) {
-  decided(owner, Outcome::committed, {});
+void RequestStreams::committed(transactions::OwnerId owner, const transactions::ResultValue&) {
+  decided(owner, FinalOutcome::committed, {});
 }
-void Streams::refused(transactions::OwnerId owner, Span after, unsigned level) {
+void RequestStreams::rejected(transactions::OwnerId owner, Duration after, unsigned level) {
   if (const auto at = streams_.find(owner); at != streams_.end()) at->second.level = level;
-  decided(owner, Outcome::refused, after);
+  decided(owner, FinalOutcome::rejected, after);
 }
-void Streams::rolledBack(transactions::OwnerId owner) { decided(owner, Outcome::rolledBack, {}); }
+void RequestStreams::rolledBack(transactions::OwnerId owner) { decided(owner, FinalOutcome::rolledBack, {}); }
 
-void Streams::decided(StreamKey key, Outcome outcome, Span retryAfter) {
+void RequestStreams::decided(StreamKey key, FinalOutcome outcome, Duration retryAfter) {
   const auto at = streams_.find(key);
   if (at == streams_.end()) return;
   Stream& stream = at->second;
@@ -232,42 +237,42 @@
     return;
   }
   if (stream.stage == Stage::answered) return;
-  if (outcome != Outcome::committed) return immediate(key, stream, outcome, retryAfter, "");
+  if (outcome != FinalOutcome::committed) return immediate(key, stream, outcome, retryAfter, "");
   ++counts_.committed;
   owners_.erase(stream.txn);
   stream.stage = Stage::answered;
   book_.answered(ledger_.now(), stream.asked.ask.id, key, outcome);
   effects_.send(key, wire::continued(wire::Phase::responseHeaders,
                                      {{mapping_.names().outcome, std::string(nameOf(outcome))}}));
-  if (stream.halfClosed) effects_.close(key, Close::done, "");
+  if (stream.halfClosed) effects_.close(key, StreamCloseReason::done, "");
 }
 
-void Streams::immediate(StreamKey key, Stream& stream, Outcome outcome, Span retryAfter,
-                        std::string_view why) {
-  ++(outcome == Outcome::refused ? counts_.refused : counts_.rolledBack);
+void RequestStreams::immediate(StreamKey key, Stream& stream, FinalOutcome outcome, Duration retryAfter,
+                               std::string_view why) {
+  ++(outcome == FinalOutcome::rejected ? counts_.refused : counts_.rolledBack);
   owners_.erase(stream.txn);
   stream.stage = Stage::answered;
   setDue(key, stream, {});
   if (!stream.asked.ask.id.empty()) book_.answered(ledger_.now(), stream.asked.ask.id, key, outcome);
   const auto& names = mapping_.names();
   wire::Immediate answer;
-  answer.status = outcome == Outcome::refused ? 503 : 500;
+  answer.status = outcome == FinalOutcome::rejected ? 503 : 500;
   answer.headers = {{names.outcome, std::string(nameOf(outcome))}};
-  if (outcome == Outcome::refused && retryAfter > Span()) {
+  if (outcome == FinalOutcome::rejected && retryAfter > Duration()) {
     // Seconds are all that the standard header has; the exact time stands beside it.
     const auto millis = retryAfter.inMicros() / 1000;
     answer.headers.push_back({"retry-after", std::to_string((millis + 999) / 1000)});
     answer.headers.push_back({names.retryAfterMs, std::to_string(millis)});
   }
   if (stream.level > 0) answer.headers.push_back({"x-txn-level", std::to_string(stream.level)});
-  answer.details = "txn_" + std::string(outcome == Outcome::refused ? "refused" : "rolled_back");
+  answer.details = "txn_" + std::string(outcome == FinalOutcome::rejected ? "refused" : "rolled_back");
   answer.body = std::string(nameOf(outcome)) + (why.empty() ? "" : ": " + std::string(why)) + "\n";
   effects_.send(key, wire::answered(answer));
-  effects_.close(key, Close::done, "");
+  effects_.close(key, StreamCloseReason::done, "");
 }
 
 // It asks for something that is no txn: an error, and nothing was taken.
-void Streams::bad(StreamKey key, Stream& stream, std::string_view why) {
+void RequestStreams::bad(StreamKey key, Stream& stream, std::string_view why) {
   ++counts_.malformed;
   logBounded("ext_proc.bad_request", "why=" + quoted(why));
   stream.stage = Stage::answered;
@@ -277,10 +282,10 @@
   answer.body = std::string(why) + "\n";
   answer.details = "txn_not_taken";
   effects_.send(key, wire::answered(answer));
-  effects_.close(key, Close::done, "");
+  effects_.close(key, StreamCloseReason::done, "");
 }
 
-void Streams::invalid(StreamKey key, std::string_view why) {
+void RequestStreams::invalid(StreamKey key, std::string_view why) {
   ++counts_.malformed;
   logBounded("ext_proc.invalid_message", "why=" + quoted(why));
   Stream& stream = streams_.at(key);
@@ -288,18 +293,18 @@
   waiting_.erase(key);
   stream.stage = Stage::answered;
   setDue(key, stream, {});
-  effects_.close(key, Close::invalid, why);
+  effects_.close(key, StreamCloseReason::invalid, why);
 }
 
 // --- Turns
 
-void Streams::setDue(StreamKey key, Stream& stream, Instant due) {
+void RequestStreams::setDue(StreamKey key, Stream& stream, Instant due) {
   if (stream.due != Instant()) due_.erase({stream.due, key});
   stream.due = due;
   if (due != Instant()) due_.insert({due, key});
 }
 
-void Streams::endTurn() {
+void RequestStreams::endTurn() {
   carrier_.endTurn();
   book_.forget(ledger_.now());
   // The end that they wait for may have come.
@@ -314,11 +319,11 @@
     switch (stream.stage) {
       case Stage::opened:
         stream.stage = Stage::answered;
-        effects_.close(key, Close::overdue, "nothing was asked for");
+        effects_.close(key, StreamCloseReason::overdue, "nothing was asked for");
         break;
       case Stage::granted:
         letGo(key, stream);
-        effects_.close(key, Close::overdue, "no answer was told");
+        effects_.close(key, StreamCloseReason::overdue, "no answer was told");
         break;
       case Stage::waiting:
       case Stage::asking:
@@ -333,7 +338,7 @@
         if (due < stream.hold.answerBy) break;
         if (stream.txn != 0) ledger_.leave(stream.txn);
         waiting_.erase(key);
-        immediate(key, stream, Outcome::refused, {}, "no node was free in time");
+        immediate(key, stream, FinalOutcome::rejected, {}, "no node was free in time");
         break;
       default:
         break;
@@ -341,13 +346,13 @@
   }
 }
 
-Instant Streams::nextDue() const {
+Instant RequestStreams::nextDue() const {
   Instant next = carrier_.nextDue();
   if (!due_.empty() && (next == Instant() || due_.begin()->first < next)) next = due_.begin()->first;
   return next;
 }
 
-void Streams::logBounded(std::string_view event, const std::string& fields) {
+void RequestStreams::logBounded(std::string_view event, const std::string& fields) {
   Said& said = said_[std::string(event)];
   if (said.at != Instant() && ledger_.now() - said.at < kLogPause) {
     ++said.since;
--- a/src/downstream/ext_proc/request_streams.h
+++ b/src/downstream/ext_proc/request_streams.h
@@ -22,7 +22,7 @@
 using endpoint_leases::StreamKey;
 
 // How a stream is ended here, in the words of gRPC that its server gives.
-enum class Close { done, invalid, overdue, full, unavailable };
+enum class StreamCloseReason { done, invalid, overdue, full, unavailable };
 
 // What it asks for.
 class Effects {
@@ -30,21 +30,23 @@
   virtual ~Effects() = default;
   virtual void send(StreamKey stream, std::string_view message) = 0;
   // After what was sent.
-  virtual void close(StreamKey stream, Close how, std::string_view why) = 0;
+  virtual void close(StreamKey stream, StreamCloseReason how, std::string_view why) = 0;
   // An event's stable name, and its fields as key=value.
   virtual void log(std::string_view event, const std::string& fields) = 0;
 };
 
 struct Bounds {
   std::size_t mostStreams = 1000;
-  Span openLimit = Span::millis(2000);  // a stream must have asked by then
+  Duration openLimit = Duration::millis(2000);  // a stream must have asked by then
   endpoint_leases::MessageTime messageTime;
 };
 
-class Streams final : private transactions::Front, private upstream::delegated::Granting {
+class RequestStreams final : private transactions::DownstreamHandler,
+                             private upstream::delegated::LeaseHandler {
  public:
-  Streams(transactions::Ledger& ledger, Mapping mapping, endpoint_leases::Book book,
-          endpoint_leases::DrainRule rule, Bounds bounds, Effects& effects);
+  RequestStreams(transactions::TransactionTable& ledger, HeaderMapping mapping,
+                 endpoint_leases::LeaseRegistry book, endpoint_leases::DrainRule rule, Bounds bounds,
+                 Effects& effects);
 
   // Events. The ledger has been told when.
   void opened(StreamKey stream);
@@ -57,7 +59,7 @@
   Instant nextDue() const;
   void stop() { stopped_ = true; }  // nothing new is taken
   bool empty() const { return streams_.empty(); }
-  transactions::Carrier& carrier() { return carrier_; }
+  transactions::UpstreamTransport& carrier() { return carrier_; }
 
   // Since the start, for logs and status.
   struct Counts {
@@ -79,29 +81,29 @@
   };
   struct Stream {
     Stage stage = Stage::opened;
-    Mapping::Asked asked;
+    HeaderMapping::ParsedRequest asked;
     TxnId txn = 0;
-    endpoint_leases::Hold hold;
-    upstream::delegated::Grant grant;
-    std::optional<endpoint_leases::Outcome> given;  // by the module, while nothing could be told
-    Span retryAfter;
+    endpoint_leases::HoldDeadlines hold;
+    upstream::delegated::EndpointLease grant;
+    std::optional<endpoint_leases::FinalOutcome> given;  // by the module, while nothing could be told
+    Duration retryAfter;
     unsigned level = 0;  // of reduced service, by which it was refused
     bool halfClosed = false, endTold = false;
     Instant due;  // never: nothing is awaited
   };
 
   // Front.
-  void committed(transactions::OwnerId owner, const transactions::Value& value) override;
-  void refused(transactions::OwnerId owner, Span retryAfter, unsigned level) override;
+  void committed(transactions::OwnerId owner, const transactions::ResultValue& value) override;
+  void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override;
   void rolledBack(transactions::OwnerId owner) override;
-  bool needsValue() const override { return false; }
+  bool requiresValue() const override { return false; }
   // Granting.
-  bool granted(TxnId txn, const upstream::delegated::Grant& grant) override;
+  bool onLeaseGranted(TxnId txn, const upstream::delegated::EndpointLease& grant) override;
 
   void ask(StreamKey key, Stream& stream);
   void report(StreamKey key, Stream& stream, const wire::Headers& headers);
-  void decided(StreamKey key, endpoint_leases::Outcome outcome, Span retryAfter);
-  void immediate(StreamKey key, Stream& stream, endpoint_leases::Outcome outcome, Span retryAfter,
+  void decided(StreamKey key, endpoint_leases::FinalOutcome outcome, Duration retryAfter);
+  void immediate(StreamKey key, Stream& stream, endpoint_leases::FinalOutcome outcome, Duration retryAfter,
                  std::string_view why);
   void bad(StreamKey key, Stream& stream, std::string_view why);
   void invalid(StreamKey key, std::string_view why);
@@ -109,12 +111,12 @@
   void setDue(StreamKey key, Stream& stream, Instant due);
   void logBounded(std::string_view event, const std::string& fields);
 
-  transactions::Ledger& ledger_;
-  Mapping mapping_;
-  endpoint_leases::Book book_;
+  transactions::TransactionTable& ledger_;
+  HeaderMapping mapping_;
+  endpoint_leases::LeaseRegistry book_;
   Bounds bounds_;
   Effects& effects_;
-  upstream::delegated::Delegated carrier_;
+  upstream::delegated::DelegatedTransport carrier_;
   std::map<StreamKey, Stream> streams_;
   std::map<TxnId, StreamKey> owners_;  // of txns that are owed an answer or have a grant out
   std::set<StreamKey> waiting_;
--- a/src/downstream/postgres/arrival_times.h
+++ b/src/downstream/postgres/arrival_times.h
@@ -9,7 +9,7 @@
 
 namespace gulltrestle::downstream::postgres {
 
-class Arrivals {
+class ArrivalTimes {
  public:
   // So many bytes wait now.
   void waiting(std::size_t size, Instant now) {
--- a/src/downstream/postgres/client_sessions.cpp
+++ b/src/downstream/postgres/client_sessions.cpp
@@ -9,7 +9,7 @@
 
 namespace gulltrestle::downstream::postgres {
 
-using transactions::ConnectionEnd;
+using transactions::ConnectionCloseReason;
 namespace wire = gulltrestle::postgres;
 
 namespace {
@@ -30,16 +30,17 @@
 
 }  // namespace
 
-Clients::Clients(transactions::Ledger& ledger, transactions::Carrier& carrier, const Terms& terms,
-                 const std::vector<std::string>& typeNames, Bounds bounds, Effects& effects)
+ClientSessions::ClientSessions(transactions::TransactionTable& ledger,
+                               transactions::UpstreamTransport& carrier, const RoutingConfig& terms,
+                               const std::vector<std::string>& typeNames, Bounds bounds, Effects& effects)
     : ledger_(ledger), carrier_(carrier), bounds_(bounds), effects_(effects) {
-  for (std::size_t row = 0; row < terms.types.size(); ++row) {
+  for (std::size_t row = 0; row < terms.transactionClasses.size(); ++row) {
     types_.emplace(typeNames[row], row);
-    levels_.push_back(terms.types[row].level);
+    levels_.push_back(terms.transactionClasses[row].level);
   }
 }
 
-void Clients::opened(ClientId id) {
+void ClientSessions::opened(ClientId id) {
   Client& client = clients_[id];
   client.idleSince = ledger_.now();
   awaitMessage(id, client, ledger_.now() + bounds_.connectLimit * kMessageTimes);
@@ -47,13 +48,13 @@
 
 // Guards against clients that say nothing, or half of a message, and keep a descriptor and what they sent.
 // May hurt those whose network takes seconds for a message.
-void Clients::awaitMessage(ClientId id, Client& client, Instant due) {
+void ClientSessions::awaitMessage(ClientId id, Client& client, Instant due) {
   if (client.due != Instant()) due_.erase({client.due, id});
   client.due = due;
   if (due != Instant()) due_.insert({due, id});
 }
 
-std::size_t Clients::sent(ClientId id, std::string_view bytes, Instant unreadSince) {
+std::size_t ClientSessions::sent(ClientId id, std::string_view bytes, Instant unreadSince) {
   const auto size = bytes.size();
   // What was left unread may have come at any time since: a little early, so that no more time is told than
   // is.
@@ -89,13 +90,13 @@
   return size - bytes.size();
 }
 
-bool Clients::takeOpening(ClientId id, Client& client, std::string_view& bytes) {
+bool ClientSessions::takeOpening(ClientId id, Client& client, std::string_view& bytes) {
   const auto opening = wire::takeOpening(bytes);
   if (!opening) return false;
   if (opening->code == wire::kSslRequest || opening->code == wire::kGssRequest) {
     effects_.writeClient(id, {"N"});
   } else if (opening->code == wire::kCancelRequest) {
-    drop(id, ConnectionEnd::clientDone);
+    drop(id, ConnectionCloseReason::clientFinished);
   } else if (opening->code >> 16 != wire::kMajorVersion) {
     fatal(id, wire::kNotSupported, "only version 3 of the protocol is spoken here");
   } else {
@@ -106,7 +107,7 @@
 }
 
 // `before`: how much of what waited has been taken already.
-bool Clients::takeMessage(ClientId id, Client& client, std::string_view& bytes, std::size_t before) {
+bool ClientSessions::takeMessage(ClientId id, Client& client, std::string_view& bytes, std::size_t before) {
   const auto waiting = bytes.size();
   const auto message = wire::takeMessage(bytes, kLongestQuery);
   if (!message) return false;
@@ -120,7 +121,7 @@
       takeStatement(id, client, wire::takeText(body), client.arrivals.of(before + waiting - bytes.size()));
       break;
     case wire::Request::goodbye:
-      drop(id, ConnectionEnd::clientDone);
+      drop(id, ConnectionCloseReason::clientFinished);
       break;
     case wire::Request::sync:
       client.stage = Stage::ready;
@@ -141,7 +142,7 @@
   return true;
 }
 
-void Clients::takeStatement(ClientId id, Client& client, std::string_view text, Instant cameAt) {
+void ClientSessions::takeStatement(ClientId id, Client& client, std::string_view text, Instant cameAt) {
   if (wire::isBlank(text)) {
     if (listKnown_) return answerEmpty(id, client);
     client.waitsForList = true;
@@ -149,70 +150,71 @@
   }
   try {
     if (stoppedAt_ != Instant() && cameAt >= stoppedAt_ && client.asked)
-      throw wire::BadStatement(wire::kRefused, "refused: this router ends");
+      throw wire::InvalidStatement(wire::kRefused, "refused: this router ends");
     const auto statement = wire::readStatement(text);
     const auto type = types_.find(statement.typeName);
     if (type == types_.end())
-      throw wire::BadStatement(wire::kBadValue,
-                               "txn type '" + std::string(statement.typeName) + "' is not known");
+      throw wire::InvalidStatement(wire::kBadValue,
+                                   "txn type '" + std::string(statement.typeName) + "' is not known");
     const ReadLevel level = levels_[type->second];
     if (statement.writes != (level == ReadLevel::write))
-      throw wire::BadStatement(wire::kBadValue, "the statement is not of its txn type");
+      throw wire::InvalidStatement(wire::kBadValue, "the statement is not of its txn type");
     if (ledger_.isOpen(statement.id))
-      throw wire::BadStatement(wire::kBadValue, "field id of the comment names a txn that is open");
+      throw wire::InvalidStatement(wire::kBadValue, "field id of the comment names a txn that is open");
     // Guards the memory limit against many long statements at a time; may hurt while nodes are slow.
-    if (!ledger_.hasRoomFor(text.size()))
-      throw wire::BadStatement(wire::kRefused, "refused: too much is held here");
-    Txn txn;
+    if (!ledger_.hasCapacityFor(text.size()))
+      throw wire::InvalidStatement(wire::kRefused, "refused: too much is held here");
+    Transaction txn;
     asking_ += !std::exchange(client.asked, true);
     txn.type = type->second;
     txn.group = statement.group;
     if (level >= ReadLevel::write || level == ReadLevel::session)
       txn.session = transactions::sessionOf(statement.key);
     if (level == ReadLevel::session) {
-      txn.writeAge = Span();  // it owes nothing
+      txn.writeAge = Duration();  // it owes nothing
       if (statement.afterMs.value_or(0) > 0)
         txn.writeAge = std::max(
-            ledger_.now() - (Instant() + Span::millis(static_cast<std::int64_t>(*statement.afterMs))),
-            Span::micros(1));
+            ledger_.now() - (Instant() + Duration::millis(static_cast<std::int64_t>(*statement.afterMs))),
+            Duration::micros(1));
     }
     // Its client counts from when it was sent, also where it waited here behind others.
-    txn.patience = Span::millis(static_cast<std::int64_t>(statement.waitMs)) - (ledger_.now() - cameAt);
+    txn.remainingTime =
+        Duration::millis(static_cast<std::int64_t>(statement.waitMs)) - (ledger_.now() - cameAt);
     const auto at = [&](std::string_view slice) {
       return static_cast<std::size_t>(slice.data() - text.data());
     };
-    client.txn = ledger_.take(*this, id, carrier_, txn,
-                              {std::string(text), at(statement.wait), statement.wait.size(), at(statement.id),
-                               statement.id.size()});
-  } catch (const wire::BadStatement& bad) { answerError(id, bad.code(), bad.what()); }
+    client.txn = ledger_.openTransaction(*this, id, carrier_, txn,
+                                         {std::string(text), at(statement.wait), statement.wait.size(),
+                                          at(statement.id), statement.id.size()});
+  } catch (const wire::InvalidStatement& bad) { answerError(id, bad.code(), bad.what()); }
 }
 
-void Clients::answerEmpty(ClientId id, Client& client) {
+void ClientSessions::answerEmpty(ClientId id, Client& client) {
   client.waitsForList = false;
   effects_.writeClient(id, {wire::emptyQueryResponse(), wire::readyForQuery()});
 }
 
-void Clients::answerError(ClientId id, std::string_view code, std::string_view text,
-                          std::string_view detail) {
+void ClientSessions::answerError(ClientId id, std::string_view code, std::string_view text,
+                                 std::string_view detail) {
   effects_.writeClient(id, {wire::error("ERROR", code, text, detail), wire::readyForQuery()});
 }
 
 // The error is the final answer to whatever the client is owed.
-void Clients::fatal(ClientId id, std::string_view code, std::string_view text) {
+void ClientSessions::fatal(ClientId id, std::string_view code, std::string_view text) {
   effects_.writeClient(id, {wire::error("FATAL", code, text)});
   traceClose(id, text);
   effects_.closeClient(id);
   ended(id);
 }
 
-void Clients::traceClose(ClientId id, std::string_view why) const {
-  ledger_.trace().say([&] {
+void ClientSessions::traceClose(ClientId id, std::string_view why) const {
+  ledger_.trace().write([&] {
     return "event=client.closed client=" + std::to_string(id) + " why=\"" + std::string(why) + "\"";
   });
 }
 
 // The connection is closed after what was written has gone.
-void Clients::drop(ClientId id, transactions::ConnectionEnd why) {
+void ClientSessions::drop(ClientId id, transactions::ConnectionCloseReason why) {
   const auto subject = [id] { return "client " + std::to_string(id); };
   if (!ledger_.invariants().close(ledger_.now(), isWaiting(id), subject)) return;
   traceClose(id, nameOf(why));
@@ -223,15 +225,15 @@
 // A client that sends no more may still wait for its answer, or may be gone: both look alike. A notice, which
 // clients skip, brings a reset if it is gone. Guards against work for clients that left, and against leaving
 // one that only shut down its sending without its answer. May hurt a client that can't take a notice.
-void Clients::sendsNoMore(ClientId id) {
+void ClientSessions::sendsNoMore(ClientId id) {
   const auto at = clients_.find(id);
   if (at == clients_.end()) return;
   Client& client = at->second;
-  if (client.txn == 0 && !client.waitsForList) return drop(id, ConnectionEnd::clientDone);
+  if (client.txn == 0 && !client.waitsForList) return drop(id, ConnectionCloseReason::clientFinished);
   if (!std::exchange(client.sendsNoMore, true)) effects_.writeClient(id, {wire::notice("still at work")});
 }
 
-void Clients::ended(ClientId id) {
+void ClientSessions::ended(ClientId id) {
   const auto at = clients_.find(id);
   if (at == clients_.end()) return;
   const TxnId txn = at->second.txn;
@@ -242,11 +244,11 @@
 }
 
 // One that has just come may have sent its first query already, and is not idle yet.
-bool Clients::isFresh(const Client& client, Span limit) const {
+bool ClientSessions::isFresh(const Client& client, Duration limit) const {
   return client.stage == Stage::opening && ledger_.now() - client.idleSince < limit;
 }
 
-bool Clients::closeIdle(std::size_t most, bool onlyAsked) {
+bool ClientSessions::closeIdle(std::size_t most, bool onlyAsked) {
   std::vector<std::pair<Instant, ClientId>> idle;
   for (const auto& [id, client] : clients_)
     if (client.txn == 0 && !client.waitsForList && !client.toRead && (client.asked || !onlyAsked) &&
@@ -254,7 +256,7 @@
       idle.emplace_back(client.idleSince, id);
   most = std::min(most, idle.size());
   std::partial_sort(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(most), idle.end());
-  for (std::size_t i = 0; i < most; ++i) drop(idle[i].second, ConnectionEnd::retired);
+  for (std::size_t i = 0; i < most; ++i) drop(idle[i].second, ConnectionCloseReason::retired);
   return most > 0;
 }
 
@@ -262,21 +264,21 @@
 // idle, and no other client can ask. Guards against that: beyond three quarters the ones idle longest make
 // room, some at a time. May hurt clients with so many at work that one is closed just when it is wanted
 // again: such a query is sent once more, on a new connection.
-void Clients::makeRoomToAsk() {
-  if (bounds_.mostAsking > 0 && asking_ * 4 > bounds_.mostAsking * 3)
-    closeIdle(1 + bounds_.mostAsking / 32, true);
+void ClientSessions::makeRoomToAsk() {
+  if (bounds_.maxActiveClients > 0 && asking_ * 4 > bounds_.maxActiveClients * 3)
+    closeIdle(1 + bounds_.maxActiveClients / 32, true);
 }
 
-void Clients::refuse(ClientId id) {
+void ClientSessions::refuse(ClientId id) {
   if (clients_.contains(id)) fatal(id, wire::kRefused, "refused: too much is held here");
 }
 
-bool Clients::isWaiting(ClientId id) const {
+bool ClientSessions::isWaiting(ClientId id) const {
   const auto at = clients_.find(id);
   return at != clients_.end() && (at->second.txn != 0 || at->second.waitsForList);
 }
 
-void Clients::nextOf(ClientId id) {
+void ClientSessions::nextOf(ClientId id) {
   clients_.at(id).idleSince = ledger_.now();
   clients_.at(id).toRead = true;
   effects_.readClient(id);
@@ -285,29 +287,29 @@
 
 // --- Final answers
 
-void Clients::committed(transactions::OwnerId owner, const transactions::Value& value) {
+void ClientSessions::committed(transactions::OwnerId owner, const transactions::ResultValue& value) {
   effects_.writeClient(owner, {value[0], value[1], value[2], wire::readyForQuery()});
   answered(owner);
 }
 
-void Clients::refused(transactions::OwnerId owner, Span retryAfter, unsigned level) {
+void ClientSessions::rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) {
   effects_.writeClient(owner, {wire::refused(retryAfter.inMicros() / 1000, level), wire::readyForQuery()});
   answered(owner);
 }
 
-void Clients::rolledBack(transactions::OwnerId owner) {
+void ClientSessions::rolledBack(transactions::OwnerId owner) {
   effects_.writeClient(owner, {wire::rolledBack(), wire::readyForQuery()});
   answered(owner);
 }
 
-void Clients::answered(ClientId id) {
+void ClientSessions::answered(ClientId id) {
   clients_.at(id).txn = 0;
   nextOf(id);
 }
 
 // --- Turns
 
-void Clients::listKnown() {
+void ClientSessions::listKnown() {
   listKnown_ = true;
   std::vector<ClientId> waiting;
   for (const auto& [id, client] : clients_)
@@ -318,16 +320,16 @@
   }
 }
 
-void Clients::endTurn() {
+void ClientSessions::endTurn() {
   while (!due_.empty() && due_.begin()->first <= ledger_.now())
     fatal(due_.begin()->second, wire::kProtocolViolation, "a message has not come whole in time");
 }
 
-void Clients::closeIdleAtEnd() {
+void ClientSessions::closeIdleAtEnd() {
   std::vector<ClientId> idle;
   for (const auto& [id, client] : clients_)
     if (client.txn == 0 && !client.toRead && !isFresh(client, bounds_.connectLimit)) idle.push_back(id);
-  for (const ClientId id : idle) drop(id, ConnectionEnd::shuttingDown);
+  for (const ClientId id : idle) drop(id, ConnectionCloseReason::shuttingDown);
 }
 
 }  // namespace gulltrestle::downstream::postgres
--- a/src/downstream/postgres/client_sessions.h
+++ b/src/downstream/postgres/client_sessions.h
@@ -22,7 +22,7 @@
 class Effects {
  public:
   virtual ~Effects() = default;
-  virtual void writeClient(ClientId client, transactions::Parts parts) = 0;
+  virtual void writeClient(ClientId client, transactions::ByteSlices parts) = 0;
   // Hands over what the client has sent meanwhile, and all that follows.
   virtual void readClient(ClientId client) = 0;
   // Closes once all is written.
@@ -30,15 +30,16 @@
 };
 
 struct Bounds {
-  Span connectLimit;           // in which a connection comes up
-  std::size_t mostAsking = 0;  // connections that clients keep for txns; 0: any number
+  Duration connectLimit;             // in which a connection comes up
+  std::size_t maxActiveClients = 0;  // connections that clients keep for txns; 0: any number
 };
 
-class Clients final : private transactions::Front {
+class ClientSessions final : private transactions::DownstreamHandler {
  public:
   // `carrier`: takes their txns to nodes.
-  Clients(transactions::Ledger& ledger, transactions::Carrier& carrier, const Terms& terms,
-          const std::vector<std::string>& typeNames, Bounds bounds, Effects& effects);
+  ClientSessions(transactions::TransactionTable& ledger, transactions::UpstreamTransport& carrier,
+                 const RoutingConfig& terms, const std::vector<std::string>& typeNames, Bounds bounds,
+                 Effects& effects);
 
   // Events. The ledger has been told when.
   void opened(ClientId client);
@@ -72,16 +73,16 @@
     TxnId txn = 0;              // that it waits for
     bool waitsForList = false;  // with an empty query
     bool sendsNoMore = false;
-    bool asked = false;   // had a txn here
-    bool toRead = false;  // what it has sent meanwhile is not looked at yet
-    Arrivals arrivals;    // of what it has sent and is not taken yet
+    bool asked = false;     // had a txn here
+    bool toRead = false;    // what it has sent meanwhile is not looked at yet
+    ArrivalTimes arrivals;  // of what it has sent and is not taken yet
     Instant idleSince;
     Instant due;  // when a message that has begun, or its greeting, must be whole; never: nothing is awaited
   };
 
   // Front.
-  void committed(transactions::OwnerId owner, const transactions::Value& value) override;
-  void refused(transactions::OwnerId owner, Span retryAfter, unsigned level) override;
+  void committed(transactions::OwnerId owner, const transactions::ResultValue& value) override;
+  void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override;
   void rolledBack(transactions::OwnerId owner) override;
 
   bool takeOpening(ClientId id, Client& client, std::string_view& bytes);
@@ -93,14 +94,14 @@
   void answered(ClientId id);
   void nextOf(ClientId id);
   // What it is owed has been answered; `why`: for the trace.
-  void drop(ClientId id, transactions::ConnectionEnd why);
+  void drop(ClientId id, transactions::ConnectionCloseReason why);
   void traceClose(ClientId id, std::string_view why) const;
   void makeRoomToAsk();
   void awaitMessage(ClientId id, Client& client, Instant due);
-  bool isFresh(const Client& client, Span limit) const;
+  bool isFresh(const Client& client, Duration limit) const;
 
-  transactions::Ledger& ledger_;
-  transactions::Carrier& carrier_;
+  transactions::TransactionTable& ledger_;
+  transactions::UpstreamTransport& carrier_;
   std::map<std::string, std::size_t, std::less<>> types_;
   std::vector<ReadLevel> levels_;
   Bounds bounds_;
--- a/src/endpoint_leases/attempt_outcome.h
+++ b/src/endpoint_leases/attempt_outcome.h
@@ -13,27 +13,27 @@
 enum class Written { unknown, nothing, something };
 
 // What a proxy tells of an attempt once its answer's headers are there.
-struct Report {
+struct ProxyReport {
   int status = 0;  // of HTTP
   Written written = Written::unknown;
   std::optional<std::string> said;    // by the node itself: `committed`, `miss`, `turned-away` or `error`
   std::optional<std::string> sentTo;  // where the proxy sent it, as address:port
-  Standing standing;                  // what the node said of itself
+  LoadReport standing;                // what the node said of itself
 };
 
 // A node is known to have spoken if it said something of itself or of the outcome; else the answer may be the
 // proxy's own.
-bool fromNode(const Report& report);
+bool fromNode(const ProxyReport& report);
 
 // `told`: where the grant sent it. An answer of another node than that is nobody's: it may have run there,
 // and may be from data that is too old.
-End endOf(const Report& report, const std::string& told);
+AttemptOutcome outcomeOf(const ProxyReport& report, const std::string& told);
 
 // Without any report: the exchange was broken off by the proxy or its connection, or ended without a word; or
 // (`waitedOut`) nothing came for as long as the attempt may take.
-End endUnreported(bool waitedOut);
+AttemptOutcome outcomeWithoutReport(bool waitedOut);
 
 // The Standing that may be learnt of the node that was told: none if another answered.
-Standing learnt(const Report& report, const std::string& told);
+LoadReport learnt(const ProxyReport& report, const std::string& told);
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/lease_duration.cpp
+++ b/src/endpoint_leases/lease_duration.cpp
@@ -13,7 +13,7 @@
 constexpr double kGracePart = 0.5;
 
 // Below this a grant is not worth telling: it would run out on its way.
-constexpr Span kLeastWorth = Span::millis(5);
+constexpr Duration kLeastWorth = Duration::millis(5);
 
 // Asked for when this part of the timeout is over: most questions have their answer long before, and what is
 // left is ample for the message to arrive.
@@ -22,7 +22,7 @@
 // An answer leaves so long before the proxy stops waiting: a twentieth of its time, and 5 ms at least for a
 // turn on either side.
 constexpr double kAnswerPart = 0.05;
-constexpr Span kLeastAnswer = Span::millis(5);
+constexpr Duration kLeastAnswer = Duration::millis(5);
 
 }  // namespace
 
@@ -30,19 +30,19 @@
 // a drain that counts as told `toldWithin` after it was due. From then on the grace is running, and a grant
 // must be used before it can be over. May hurt while discovery is away for long: where the rule counts
 // what was never told, nothing is granted in the end, and what is asked is refused.
-Span sendWithin(Instant now, Instant sendBy, const DrainRule& rule, const ListAge& list) {
-  Span within = std::min(rule.grace * kGracePart, sendBy - now);
-  if (rule.toldWithin > Span() && list.heardAt != Instant() && now - list.heardAt > list.pulse)
+Duration sendWithin(Instant now, Instant sendBy, const DrainRule& rule, const ListAge& list) {
+  Duration within = std::min(rule.grace * kGracePart, sendBy - now);
+  if (rule.toldWithin > Duration() && list.heardAt != Instant() && now - list.heardAt > list.pulse)
     within = std::min(within, list.heardAt + rule.toldWithin + rule.grace * kGracePart - now);
-  return within < kLeastWorth ? Span() : within;
+  return within < kLeastWorth ? Duration() : within;
 }
 
-Hold holdOf(Instant now, Span patience, const MessageTime& time) {
-  const auto before = [](Span span) { return std::max(span * kAnswerPart, kLeastAnswer); };
-  Hold hold;
+HoldDeadlines holdDeadlines(Instant now, Duration patience, const MessageTime& time) {
+  const auto before = [](Duration span) { return std::max(span * kAnswerPart, kLeastAnswer); };
+  HoldDeadlines hold;
   hold.answerBy = now + std::min(patience, time.timeout - before(time.timeout));
   // No more than its client waits is asked for, and nothing if that gains nothing.
-  const Span asked = std::min(time.most, patience - time.timeout * kAskPart);
+  const Duration asked = std::min(time.most, patience - time.timeout * kAskPart);
   if (patience <= time.timeout || time.timeout * kAskPart + asked <= time.timeout) return hold;
   hold.askAt = now + time.timeout * kAskPart;
   hold.ask = asked;
--- a/src/endpoint_leases/lease_duration.h
+++ b/src/endpoint_leases/lease_duration.h
@@ -11,34 +11,35 @@
 
 // What binds a grant, from the deployment's settings.
 struct DrainRule {
-  Span grace = Span::millis(1000);  // nothing new to a node later than this after its drain was told here
+  Duration grace =
+      Duration::millis(1000);  // nothing new to a node later than this after its drain was told here
   // What a list has to say counts as told so long after it was due, whether it came or not; zero: only what
   // came counts.
-  Span toldWithin;
+  Duration toldWithin;
 };
 
 // How old the word of the list is: `heardAt` is when it last said anything, an empty line included; a list
 // that is followed says something every `pulse`.
 struct ListAge {
   Instant heardAt;
-  Span pulse = Span::millis(2000);
+  Duration pulse = Duration::millis(2000);
 };
 
 // How long from `now` the grant may be used; zero or less: it is worth nothing and must not be given.
 // `sendBy`: by when the module wants it sent.
-Span sendWithin(Instant now, Instant sendBy, const DrainRule& rule, const ListAge& list);
+Duration sendWithin(Instant now, Instant sendBy, const DrainRule& rule, const ListAge& list);
 
 // A question that is held. A proxy waits `timeout` for an answer, and may be asked, once, to wait `most` from
 // then on (zero: it may not).
 struct MessageTime {
-  Span timeout = Span::millis(200);
-  Span most;
+  Duration timeout = Duration::millis(200);
+  Duration most;
 };
-struct Hold {
+struct HoldDeadlines {
   Instant askAt;     // when more time is asked for, unless it has its answer; never: it is not
-  Span ask;          // and how much
+  Duration ask;      // and how much
   Instant answerBy;  // when it gets an answer in any case
 };
-Hold holdOf(Instant now, Span patience, const MessageTime& time);
+HoldDeadlines holdDeadlines(Instant now, Duration patience, const MessageTime& time);
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/lease_registry.cpp
+++ b/src/endpoint_leases/lease_registry.cpp
@@ -8,37 +8,39 @@
 
 // How long a later try waits for the end of the one before, which the proxy has given up already: the reset
 // and the try cross on their way, and are milliseconds apart. After that the earlier one may have run.
-constexpr Span kCrossing = Span::millis(50);
+constexpr Duration kCrossing = Duration::millis(50);
 
-Verdict answer(Outcome outcome, std::string_view why) {
-  Verdict verdict;
-  verdict.what = Verdict::What::answer;
+LeaseDecision answer(FinalOutcome outcome, std::string_view why) {
+  LeaseDecision verdict;
+  verdict.action = LeaseDecision::Action::answer;
   verdict.outcome = outcome;
-  verdict.why = why;
+  verdict.reason = why;
   return verdict;
 }
 
 }  // namespace
 
-Book::Book(std::vector<TxnType> types, Placement placement, Bounds bounds, std::string start)
+LeaseRegistry::LeaseRegistry(std::vector<TransactionClass> types, ProxyPlacement placement, Bounds bounds,
+                             std::string start)
     : types_(std::move(types)), placement_(placement), bounds_(bounds), start_(std::move(start)) {}
 
-Book::Entry* Book::of(const std::string& id, StreamKey stream) {
+LeaseRegistry::Entry* LeaseRegistry::of(const std::string& id, StreamKey stream) {
   const auto at = entries_.find(id);
   return at == entries_.end() || at->second.stream != stream ? nullptr : &at->second;
 }
 
 // What is known of a txn's earlier tries, for the module.
-Verdict Book::taken(Instant now, const Entry& entry) const {
-  Verdict verdict;
+LeaseDecision LeaseRegistry::taken(Instant now, const Entry& entry) const {
+  LeaseDecision verdict;
   verdict.earlier.attempts = entry.grants;
-  if (entry.firstAt != Instant() && entry.firstAt < now) verdict.earlier.since = now - entry.firstAt;
-  if (entry.mayHaveRunAt != Instant()) verdict.earlier.mayHaveRunFor = now - entry.mayHaveRunAt;
-  verdict.earlier.tried = entry.tried;
+  if (entry.firstAt != Instant() && entry.firstAt < now)
+    verdict.earlier.firstAttemptAge = now - entry.firstAt;
+  if (entry.mayHaveRunAt != Instant()) verdict.earlier.ambiguousAttemptAge = now - entry.mayHaveRunAt;
+  verdict.earlier.attemptedNodes = entry.tried;
   return verdict;
 }
 
-Book::Entry& Book::begin(Instant now, StreamKey stream, const Ask& ask) {
+LeaseRegistry::Entry& LeaseRegistry::begin(Instant now, StreamKey stream, const LeaseRequest& ask) {
   Entry& entry = entries_[ask.id];
   entry = {};
   entry.type = ask.type;
@@ -51,15 +53,15 @@
 // Guards rule 2 where this start of the program knows nothing: it was killed between a grant and its outcome,
 // and the proxy comes again. Also covers ids that were forgotten, and proxies that moved here from another
 // instance. May hurt once-only txns whose proxy doesn't say that nothing was written: they are rolled back.
-Verdict Book::unknown(Instant now, StreamKey stream, const Ask& ask) {
+LeaseDecision LeaseRegistry::unknown(Instant now, StreamKey stream, const LeaseRequest& ask) {
   // Guards against ids without an end: what may not run twice must be remembered to be refused.
   if (!mayRepeat(ask.type) && others_.size() >= bounds_.most)
-    return answer(Outcome::refused, "too many txns are remembered");
+    return answer(FinalOutcome::rejected, "too many txns are remembered");
   Entry& entry = begin(now, stream, ask);
   const bool another = !ask.token.empty() && !ask.token.starts_with(start_ + "-");
   if ((ask.attempt > 1 || another || !ask.token.empty()) && ask.written != Written::nothing) {
     // Its first try can't have come longer ago than its client waits in all.
-    const Span before = std::max(types_[ask.type].deadline - ask.patience, Span::millis(1));
+    const Duration before = std::max(types_[ask.type].deadline - ask.remainingTime, Duration::millis(1));
     entry.mayHaveRunAt = now - before;
     entry.firstAt = Instant();  // nor is it known when it did
     entry.grants = std::max(1u, ask.attempt - 1);
@@ -69,11 +71,11 @@
 
 // An answer to a stream beside another one of the same txn. Harmless to try again only where it may run
 // twice.
-Verdict Book::refused(const Entry& entry, std::string_view why) const {
-  return answer(mayRepeat(entry.type) ? Outcome::refused : Outcome::rolledBack, why);
+LeaseDecision LeaseRegistry::refused(const Entry& entry, std::string_view why) const {
+  return answer(mayRepeat(entry.type) ? FinalOutcome::rejected : FinalOutcome::rolledBack, why);
 }
 
-Verdict Book::asked(Instant now, StreamKey stream, const Ask& ask) {
+LeaseDecision LeaseRegistry::asked(Instant now, StreamKey stream, const LeaseRequest& ask) {
   forget(now);
   const auto at = entries_.find(ask.id);
   if (at == entries_.end()) return unknown(now, stream, ask);
@@ -84,11 +86,12 @@
   const bool later = ask.attempt > entry.attempt || waits;
   if (entry.state == State::over) {
     if (later) {  // the proxy goes on after the final answer: it stays what it was
-      const auto same = entry.outcome == Outcome::refused ? Outcome::refused : Outcome::rolledBack;
-      if (entry.outcome != Outcome::committed || !mayRepeat(entry.type))
+      const auto same =
+          entry.outcome == FinalOutcome::rejected ? FinalOutcome::rejected : FinalOutcome::rolledBack;
+      if (entry.outcome != FinalOutcome::committed || !mayRepeat(entry.type))
         return answer(same, "the txn had its final answer");
     } else if (!mayRepeat(entry.type) &&
-               (entry.outcome != Outcome::refused || entry.mayHaveRunAt != Instant())) {
+               (entry.outcome != FinalOutcome::rejected || entry.mayHaveRunAt != Instant())) {
       return refused(entry, "the id names a txn that may have run");
     }
     return unknown(now, stream, ask);
@@ -105,8 +108,8 @@
     // A third that comes meanwhile takes the place of the second.
     entry.crossing->first = stream;
     if (now < entry.crossing->second && !nothing) {
-      Verdict verdict;
-      verdict.what = Verdict::What::wait;
+      LeaseDecision verdict;
+      verdict.action = LeaseDecision::Action::wait;
       verdict.until = entry.crossing->second;
       return verdict;
     }
@@ -118,12 +121,12 @@
   entry.stream = stream;
   entry.attempt = std::max(ask.attempt, entry.attempt);
   entry.crossing.reset();
-  Verdict verdict = taken(now, entry);
+  LeaseDecision verdict = taken(now, entry);
   (wasGranted ? verdict.endsUnreported : verdict.supersedes) = before;
   return verdict;
 }
 
-std::string Book::granted(Instant now, const std::string& id, StreamKey stream, const NodeId& node) {
+std::string LeaseRegistry::granted(Instant now, const std::string& id, StreamKey stream, const NodeId& node) {
   Entry* entry = of(id, stream);
   if (!entry) return {};
   entry->state = State::granted;
@@ -133,34 +136,35 @@
   return entry->token = start_ + "-" + std::to_string(stream) + "-" + std::to_string(entry->grants);
 }
 
-void Book::ended(Instant now, const std::string& id, StreamKey stream, End how) {
+void LeaseRegistry::ended(Instant now, const std::string& id, StreamKey stream, AttemptOutcome how) {
   Entry* entry = of(id, stream);
   if (!entry || entry->state != State::granted) return;
-  const bool ran = how == End::error || how == End::timeout || how == End::connectionLost ||
-                   how == End::cancelled || how == End::committed;
+  const bool ran = how == AttemptOutcome::error || how == AttemptOutcome::timeout ||
+                   how == AttemptOutcome::connectionLost || how == AttemptOutcome::cancelled ||
+                   how == AttemptOutcome::committed;
   if (ran && entry->mayHaveRunAt == Instant()) entry->mayHaveRunAt = entry->grantedAt;
   remember(now, id, *entry, State::between);
 }
 
-void Book::answered(Instant now, const std::string& id, StreamKey stream, Outcome outcome) {
+void LeaseRegistry::answered(Instant now, const std::string& id, StreamKey stream, FinalOutcome outcome) {
   Entry* entry = of(id, stream);
   if (!entry) return;
   entry->outcome = outcome;
   // A try that was granted and refused for what became of it may be followed by another: so the proxy is
   // set up. One that was refused without a grant was rejected, which is final.
-  const bool goesOn =
-      placement_ == Placement::tries && outcome == Outcome::refused && entry->state != State::asked;
+  const bool goesOn = placement_ == ProxyPlacement::attempts && outcome == FinalOutcome::rejected &&
+                      entry->state != State::asked;
   remember(now, id, *entry, goesOn ? State::between : State::over);
 }
 
-void Book::left(Instant now, const std::string& id, StreamKey stream) {
+void LeaseRegistry::left(Instant now, const std::string& id, StreamKey stream) {
   Entry* entry = of(id, stream);
   if (!entry || entry->state == State::over) return;
-  if (entry->state == State::granted) ended(now, id, stream, endUnreported(false));
+  if (entry->state == State::granted) ended(now, id, stream, outcomeWithoutReport(false));
   remember(now, id, *entry, State::between);
 }
 
-void Book::remember(Instant now, const std::string& id, Entry& entry, State state) {
+void LeaseRegistry::remember(Instant now, const std::string& id, Entry& entry, State state) {
   entry.state = state;
   const Instant until = now + types_[entry.type].deadline;
   if (entry.until == until) return;
@@ -174,7 +178,7 @@
   }
 }
 
-Instant Book::forget(Instant now) {
+Instant LeaseRegistry::forget(Instant now) {
   Instant next;
   for (auto* queue : {&repeatables_, &others_}) {
     while (!queue->empty() && queue->front().first <= now) {
--- a/src/endpoint_leases/lease_registry.h
+++ b/src/endpoint_leases/lease_registry.h
@@ -34,31 +34,31 @@
 
 using StreamKey = std::uint64_t;  // a stream's own number; never 0
 
-enum class Outcome { committed, refused, rolledBack };
+enum class FinalOutcome { committed, rejected, rolledBack };
 
 // How a proxy is placed: it asks once a request, and what ends without effect is over; or once a try, and the
 // next try may go on.
-enum class Placement { request, tries };
+enum class ProxyPlacement { request, attempts };
 
-struct Ask {
+struct LeaseRequest {
   std::string id;
   std::size_t type = 0;                // row of the types
   unsigned attempt = 1;                // the proxy's count, from 1
   Written written = Written::unknown;  // by the earlier tries
   std::string token;                   // of the last grant that the proxy knows of; empty: none
-  Span patience;
+  Duration remainingTime;
 };
 
-struct Verdict {
-  enum class What {
+struct LeaseDecision {
+  enum class Action {
     take,   // put it to the module
     wait,   // ask again at `until`: an earlier try's end is awaited
     answer  // it gets `outcome` without the module
-  } what = What::take;
-  Earlier earlier;  // take
-  Instant until;    // wait
-  Outcome outcome = Outcome::refused;
-  std::string_view why;          // answer
+  } action = Action::take;
+  PriorAttempts earlier;  // take
+  Instant until;          // wait
+  FinalOutcome outcome = FinalOutcome::rejected;
+  std::string_view reason;       // answer
   StreamKey supersedes = 0;      // take: this stream waited for the same txn, and gets refused
   StreamKey endsUnreported = 0;  // take: this stream's grant counts as ended, and may have run
 };
@@ -67,19 +67,20 @@
   std::size_t most = 65536;  // txns that are remembered, of those that may not run twice, and of all others
 };
 
-class Book {
+class LeaseRegistry {
  public:
   // `start`: names this start of the program in tokens; no other start has the same.
-  Book(std::vector<TxnType> types, Placement placement, Bounds bounds, std::string start);
+  LeaseRegistry(std::vector<TransactionClass> types, ProxyPlacement placement, Bounds bounds,
+                std::string start);
 
   // A stream asks. Called again for one that was told to wait.
-  Verdict asked(Instant now, StreamKey stream, const Ask& ask);
+  LeaseDecision asked(Instant now, StreamKey stream, const LeaseRequest& ask);
   // The stream that asks has been granted an attempt at the node. Returns the grant's token.
   std::string granted(Instant now, const std::string& id, StreamKey stream, const NodeId& node);
   // That attempt ended so.
-  void ended(Instant now, const std::string& id, StreamKey stream, End how);
+  void ended(Instant now, const std::string& id, StreamKey stream, AttemptOutcome how);
   // The stream gets its answer by the module; it is the txn's final one unless another try may come.
-  void answered(Instant now, const std::string& id, StreamKey stream, Outcome outcome);
+  void answered(Instant now, const std::string& id, StreamKey stream, FinalOutcome outcome);
   // The stream is over without one: its proxy gave up, or its connection is gone.
   void left(Instant now, const std::string& id, StreamKey stream);
 
@@ -99,19 +100,19 @@
     Instant mayHaveRunAt, grantedAt, until;
     std::vector<NodeId> tried;
     std::string token;  // of the last grant
-    Outcome outcome = Outcome::refused;
+    FinalOutcome outcome = FinalOutcome::rejected;
     std::optional<std::pair<StreamKey, Instant>> crossing;  // a try that waits for the end, and until when
   };
   Entry* of(const std::string& id, StreamKey stream);
-  Entry& begin(Instant now, StreamKey stream, const Ask& ask);
-  Verdict taken(Instant now, const Entry& entry) const;
-  Verdict unknown(Instant now, StreamKey stream, const Ask& ask);
-  Verdict refused(const Entry& entry, std::string_view why) const;
+  Entry& begin(Instant now, StreamKey stream, const LeaseRequest& ask);
+  LeaseDecision taken(Instant now, const Entry& entry) const;
+  LeaseDecision unknown(Instant now, StreamKey stream, const LeaseRequest& ask);
+  LeaseDecision refused(const Entry& entry, std::string_view why) const;
   void remember(Instant now, const std::string& id, Entry& entry, State state);
-  bool mayRepeat(std::size_t type) const { return types_[type].effect == Effect::repeatable; }
+  bool mayRepeat(std::size_t type) const { return types_[type].effect == Effect::idempotent; }
 
-  std::vector<TxnType> types_;
-  Placement placement_;
+  std::vector<TransactionClass> types_;
+  ProxyPlacement placement_;
   Bounds bounds_;
   std::string start_;
   std::unordered_map<std::string, Entry> entries_;
--- a/src/gateway/effects.h
+++ b/src/gateway/effects.h
@@ -9,14 +9,14 @@
 namespace gulltrestle::gateway {
 
 using downstream::postgres::ClientId;
-using transactions::ConnectionEnd;
-using transactions::Parts;
-using upstream::postgres::LinkId;
+using transactions::ByteSlices;
+using transactions::ConnectionCloseReason;
+using upstream::postgres::NodeConnectionId;
 
 class Effects : public downstream::postgres::Effects, public upstream::postgres::Effects {
  public:
   virtual void stopListening() = 0;
-  virtual void askForList() = 0;
+  virtual void requestEndpointList() = 0;
   // Discovery is there from now on: its whole list is wanted at once.
   virtual void followDiscovery(const std::string& address) = 0;
 };
