--- a/src/idempotency/claim_coordinator.cpp
+++ b/src/idempotency/claim_coordinator.cpp
@@ -14,14 +14,15 @@
 
 }  // namespace
 
-Claimant::Claimant(ClaimantBounds bounds, std::uint64_t seed) : bounds_(bounds), chance_(seed) {}
+ClaimCoordinator::ClaimCoordinator(ClaimCoordinatorLimits bounds, std::uint64_t seed)
+    : bounds_(bounds), chance_(seed) {}
 
 // Spread out, so that those that are refused in the same moment don't come back in another one.
-Span Claimant::comeBack() {
-  return bounds_.comeBack * std::uniform_real_distribution<double>(0.5, 1.5)(chance_);
+Duration ClaimCoordinator::drawRetryAfter() {
+  return bounds_.retryAfter * std::uniform_real_distribution<double>(0.5, 1.5)(chance_);
 }
 
-void Claimant::reached(KeeperNumber keeper, bool can) {
+void ClaimCoordinator::setReachable(VoterIndex keeper, bool can) {
   if (can) {
     reachable_.insert(keeper);
     return;
@@ -36,113 +37,115 @@
   for (const ClaimNumber number : waiting) judge(number, false);
 }
 
-void Claimant::begin(Instant now, TxnKey txn, const std::string& id, Span patience) {
-  ++counts_.asked;
+void ClaimCoordinator::beginClaim(Instant now, TxnKey txn, const std::string& id, Duration patience) {
+  ++counts_.requested;
   const auto refused = [&](std::string_view why) {
-    ++counts_.refused;
-    decisions_.push_back({Decision::What::refuse, txn, "", comeBack(), why});
+    ++counts_.rejected;
+    decisions_.push_back({Decision::Kind::reject, txn, "", drawRetryAfter(), why});
   };
   if (id.empty()) return refused("it has no id");
   if (patience > bounds_.retention * kShareOfRetention) return refused("its time is too long for retention");
-  if (claims_.size() >= bounds_.most) return refused("too many claims are open");
-  if (reachable_.size() < majorityOf(bounds_.keepers)) return refused("too few keepers can be reached");
+  if (claims_.size() >= bounds_.maxClaims) return refused("too many claims are open");
+  if (reachable_.size() < majorityOf(bounds_.voterCount)) return refused("too few keepers can be reached");
   const ClaimNumber number = ++last_;
   Claim& claim = claims_[number];
   claim.txn = txn;
   claim.id = id;
-  claim.until = now + std::min(patience * kShareForVotes, bounds_.longestWait);
-  for (KeeperNumber keeper = 0; keeper < bounds_.keepers; ++keeper)
+  claim.until = now + std::min(patience * kShareForVotes, bounds_.maxVoteWait);
+  for (VoterIndex keeper = 0; keeper < bounds_.voterCount; ++keeper)
     if (reachable_.contains(keeper))
-      words_.push_back({Word::What::claim, keeper, id, number, ""});
+      words_.push_back({ClaimMessage::Kind::claim, keeper, id, number, ""});
     else
       claim.none.insert(keeper);
   ofTxn_[txn] = number;
   due_.emplace(claim.until, number);
 }
 
-void Claimant::voted(KeeperNumber keeper, ClaimNumber number, const Vote& vote) {
+void ClaimCoordinator::onVote(VoterIndex keeper, ClaimNumber number, const Vote& vote) {
   const auto at = claims_.find(number);
   if (at == claims_.end() || at->second.decided) return;
   Claim& claim = at->second;
   claim.none.erase(keeper);
-  switch (vote.what) {
-    case Vote::What::yours:
+  switch (vote.kind) {
+    case Vote::Kind::granted:
       claim.yours.insert(keeper);
       break;
-    case Vote::What::taken:
+    case Vote::Kind::takenByOther:
       claim.taken.insert(keeper);
-      if (vote.committed) return decide(number, Decision::What::committed, vote.value, "it was committed");
+      if (vote.committed) return decide(number, Decision::Kind::committed, vote.value, "it was committed");
       break;
-    case Vote::What::silent:
+    case Vote::Kind::abstained:
       claim.none.insert(keeper);
       break;
   }
   judge(number, false);
 }
 
-void Claimant::judge(ClaimNumber number, bool late) {
+void ClaimCoordinator::judge(ClaimNumber number, bool late) {
   const Claim& claim = claims_.at(number);
-  const std::size_t wanted = majorityOf(bounds_.keepers);
-  if (claim.yours.size() >= wanted) return decide(number, Decision::What::admit, "", "");
-  const std::size_t open = bounds_.keepers - claim.yours.size() - claim.taken.size() - claim.none.size();
+  const std::size_t wanted = majorityOf(bounds_.voterCount);
+  if (claim.yours.size() >= wanted) return decide(number, Decision::Kind::admit, "", "");
+  const std::size_t open = bounds_.voterCount - claim.yours.size() - claim.taken.size() - claim.none.size();
   // One that may still answer may know that it was committed: worth its wait once another claim was seen.
   if (!late && open > 0 && (claim.yours.size() + open >= wanted || !claim.taken.empty())) return;
   if (!claim.taken.empty())
-    return decide(number, Decision::What::rollBack, "", "another claim has its votes");
-  decide(number, Decision::What::refuse, "", late ? "votes came too late" : "too few keepers vote");
+    return decide(number, Decision::Kind::rollBack, "", "another claim has its votes");
+  decide(number, Decision::Kind::reject, "", late ? "votes came too late" : "too few keepers vote");
 }
 
-void Claimant::decide(ClaimNumber number, Decision::What what, std::string value, std::string_view why) {
+void ClaimCoordinator::decide(ClaimNumber number, Decision::Kind what, std::string value,
+                              std::string_view why) {
   Claim& claim = claims_.at(number);
   claim.decided = true;
-  claim.admitted = what == Decision::What::admit;
-  Decision made{what, claim.txn, std::move(value), Span(), why};
+  claim.admitted = what == Decision::Kind::admit;
+  Decision made{what, claim.txn, std::move(value), Duration(), why};
   switch (what) {
-    case Decision::What::admit:
+    case Decision::Kind::admit:
       ++counts_.admitted;
       break;
-    case Decision::What::committed:
+    case Decision::Kind::committed:
       ++counts_.committed;
       break;
-    case Decision::What::rollBack:
+    case Decision::Kind::rollBack:
       ++counts_.rolledBack;
       break;
-    case Decision::What::refuse:
-      ++counts_.refused;
-      made.comeBack = comeBack();
+    case Decision::Kind::reject:
+      ++counts_.rejected;
+      made.retryAfter = drawRetryAfter();
   }
   decisions_.push_back(std::move(made));
-  if (!claim.admitted) tellAll(Word::What::release, claim, number);
+  if (!claim.admitted) sendToAll(ClaimMessage::Kind::release, claim, number);
 }
 
-void Claimant::tellAll(Word::What what, const Claim& claim, ClaimNumber number, const std::string& value) {
-  for (const KeeperNumber keeper : reachable_) words_.push_back({what, keeper, claim.id, number, value});
+void ClaimCoordinator::sendToAll(ClaimMessage::Kind what, const Claim& claim, ClaimNumber number,
+                                 const std::string& value) {
+  for (const VoterIndex keeper : reachable_) words_.push_back({what, keeper, claim.id, number, value});
 }
 
-void Claimant::commits(TxnKey txn, std::string value) {
+void ClaimCoordinator::onCommitted(TxnKey txn, std::string value) {
   const auto at = ofTxn_.find(txn);
   if (at == ofTxn_.end()) return;
   Claim& claim = claims_.at(at->second);
   if (!claim.admitted || std::exchange(claim.told, true)) return;
-  tellAll(Word::What::committed, claim, at->second, value);
+  sendToAll(ClaimMessage::Kind::committed, claim, at->second, value);
 }
 
-void Claimant::over(TxnKey txn, Fate fate) {
+void ClaimCoordinator::onTransactionEnded(TxnKey txn, ExecutionOutcome fate) {
   const auto at = ofTxn_.find(txn);
   if (at == ofTxn_.end()) return;
   const ClaimNumber number = at->second;
   const Claim& claim = claims_.at(number);
   if (!claim.decided)  // its client left
-    tellAll(Word::What::release, claim, number);
-  else if (claim.admitted && fate == Fate::neverRan && !claim.told)
-    tellAll(Word::What::release, claim, number);
-  else if (claim.admitted && fate == Fate::committed && !claim.told)
-    tellAll(Word::What::committed, claim, number);
+    sendToAll(ClaimMessage::Kind::release, claim, number);
+  else if (claim.admitted && fate == ExecutionOutcome::neverRan && !claim.told)
+    sendToAll(ClaimMessage::Kind::release, claim, number);
+  else if (claim.admitted && fate == ExecutionOutcome::committed && !claim.told)
+    sendToAll(ClaimMessage::Kind::committed, claim, number);
   claims_.erase(number);
   ofTxn_.erase(at);
 }
 
-Instant Claimant::due(Instant now) {
+Instant ClaimCoordinator::runTimers(Instant now) {
   while (!due_.empty() && due_.begin()->first <= now) {
     const ClaimNumber number = due_.begin()->second;
     due_.erase(due_.begin());
--- a/src/idempotency/claim_coordinator.h
+++ b/src/idempotency/claim_coordinator.h
@@ -11,7 +11,7 @@
 //   admitted  it may be sent, and is told as      over: committed, never ran (its votes are given back), or
 //             ended when its txn is               unknown (they are kept)
 //
-// What ends without being admitted gives back the votes that it may have got: it was never sent. Nothing that
+// Kind ends without being admitted gives back the votes that it may have got: it was never sent. Nothing that
 // one keeper or a minority says, or keeps silent about, lets a txn run. A keeper that tells falsely can make
 // txns be refused, rolled back or answered as committed; it takes more than half of them to run one twice.
 #pragma once
@@ -31,56 +31,56 @@
 
 using TxnKey = std::uint64_t;  // whatever the caller names a txn by
 using ClaimNumber = std::uint64_t;
-using KeeperNumber = std::size_t;  // row in the list of keepers
+using VoterIndex = std::size_t;  // row in the list of keepers
 
-struct ClaimantBounds {
-  std::size_t keepers = 0;
-  Span retention;                         // the keepers' own
-  std::size_t most = 65536;               // claims open at a time, admitted ones included
-  Span longestWait = Span::millis(1000);  // for votes
-  Span comeBack = Span::millis(250);      // what refused txns are told, give or take half of it
+struct ClaimCoordinatorLimits {
+  std::size_t voterCount = 0;
+  Duration retention;                             // the keepers' own
+  std::size_t maxClaims = 65536;                  // claims open at a time, admitted ones included
+  Duration maxVoteWait = Duration::millis(1000);  // for votes
+  Duration retryAfter = Duration::millis(250);    // what refused txns are told, give or take half of it
 };
 
-class Claimant {
+class ClaimCoordinator {
  public:
-  Claimant(ClaimantBounds bounds, std::uint64_t seed);
+  ClaimCoordinator(ClaimCoordinatorLimits bounds, std::uint64_t seed);
 
   struct Decision {
-    enum class What { admit, committed, rollBack, refuse } what = What::refuse;
+    enum class Kind { admit, committed, rollBack, reject } kind = Kind::reject;
     TxnKey txn = 0;
-    std::string value;  // committed: empty where it is not known
-    Span comeBack;      // refused
-    std::string_view why;
+    std::string value;    // committed: empty where it is not known
+    Duration retryAfter;  // refused
+    std::string_view reason;
   };
-  // What is to be said to a keeper, in this order.
-  struct Word {
-    enum class What { claim, release, committed } what = What::claim;
-    KeeperNumber keeper = 0;
+  // Kind is to be said to a keeper, in this order.
+  struct ClaimMessage {
+    enum class Kind { claim, release, committed } kind = Kind::claim;
+    VoterIndex voter = 0;
     std::string id;
     ClaimNumber number = 0;
     std::string value;  // committed
   };
 
   // Who can be reached from now on; all claims that wait for the vote of one that can't be are judged anew.
-  void reached(KeeperNumber keeper, bool can);
+  void setReachable(VoterIndex keeper, bool can);
 
-  void begin(Instant now, TxnKey txn, const std::string& id, Span patience);
-  void voted(KeeperNumber keeper, ClaimNumber number, const Vote& vote);
+  void beginClaim(Instant now, TxnKey txn, const std::string& id, Duration patience);
+  void onVote(VoterIndex keeper, ClaimNumber number, const Vote& vote);
   // The txn was committed with this value. Ahead of over().
-  void commits(TxnKey txn, std::string value);
-  enum class Fate { committed, neverRan, unknown };
+  void onCommitted(TxnKey txn, std::string value);
+  enum class ExecutionOutcome { committed, neverRan, unknown };
   // Nothing of the txn is out any more, whether it was decided here or not.
-  void over(TxnKey txn, Fate fate);
+  void onTransactionEnded(TxnKey txn, ExecutionOutcome fate);
 
-  Instant due(Instant now);
+  Instant runTimers(Instant now);
 
   std::vector<Decision> takeDecisions() { return std::exchange(decisions_, {}); }
-  std::vector<Word> takeWords() { return std::exchange(words_, {}); }
+  std::vector<ClaimMessage> takeMessages() { return std::exchange(words_, {}); }
 
   std::size_t open() const { return claims_.size(); }
   std::size_t reachable() const { return reachable_.size(); }
   struct Counts {
-    std::uint64_t asked = 0, admitted = 0, committed = 0, rolledBack = 0, refused = 0;
+    std::uint64_t requested = 0, admitted = 0, committed = 0, rolledBack = 0, rejected = 0;
   };
   const Counts& counts() const { return counts_; }
 
@@ -90,22 +90,23 @@
     std::string id;
     Instant until;
     bool decided = false, admitted = false, told = false;
-    std::set<KeeperNumber> yours, taken, none;
+    std::set<VoterIndex> yours, taken, none;
   };
   void judge(ClaimNumber number, bool late);
-  void decide(ClaimNumber number, Decision::What what, std::string value, std::string_view why);
-  void tellAll(Word::What what, const Claim& claim, ClaimNumber number, const std::string& value = {});
-  Span comeBack();
+  void decide(ClaimNumber number, Decision::Kind what, std::string value, std::string_view why);
+  void sendToAll(ClaimMessage::Kind what, const Claim& claim, ClaimNumber number,
+                 const std::string& value = {});
+  Duration drawRetryAfter();
 
-  ClaimantBounds bounds_;
+  ClaimCoordinatorLimits bounds_;
   std::knuth_b chance_;
-  std::set<KeeperNumber> reachable_;
+  std::set<VoterIndex> reachable_;
   std::map<ClaimNumber, Claim> claims_;
   std::map<TxnKey, ClaimNumber> ofTxn_;
   std::multimap<Instant, ClaimNumber> due_;
   ClaimNumber last_ = 0;
   std::vector<Decision> decisions_;
-  std::vector<Word> words_;
+  std::vector<ClaimMessage> words_;
   Counts counts_;
 };
 
--- a/src/idempotency/claim_types.h
+++ b/src/idempotency/claim_types.h
@@ -3,7 +3,7 @@
 // A router that was asked for such a txn claims its id at all keepers, which are a few routers with a lasting
 // disk, named in a list that all routers have. A keeper gives its vote for an id to one claim, durable before
 // it is told, and keeps it for the time of retention. Who has the votes of more than half of the keepers may
-// send the txn. What became of it is told to the keepers, so that a repeat gets the outcome that is known.
+// send the txn. Kind became of it is told to the keepers, so that a repeat gets the outcome that is known.
 #pragma once
 
 #include <compare>
@@ -15,37 +15,37 @@
 namespace gulltrestle::idempotency {
 
 // One claim. No two have the same, of whatever router and start.
-struct Token {
+struct ClaimToken {
   std::string router;
   std::uint64_t start = 0;   // drawn anew at each start of the program, from all 64-bit numbers
   std::uint64_t number = 0;  // of that start's claims, from 1
-  auto operator<=>(const Token&) const = default;
+  auto operator<=>(const ClaimToken&) const = default;
 };
 
 // One start of a keeper's program: counted on its disk, and drawn, so that two disks that count alike are
 // told apart.
-struct Start {
+struct VoterIncarnation {
   std::uint64_t number = 0;  // 0: none is known
   std::uint64_t draw = 0;
-  bool operator==(const Start&) const = default;
+  bool operator==(const VoterIncarnation&) const = default;
 };
 
-// What a keeper holds of an id.
-struct Entry {
+// Kind a keeper holds of an id.
+struct ClaimRecord {
   std::string id;
-  Token token;
+  ClaimToken token;
   bool committed = false;
   std::string value;  // where it is committed and its value known and not too long
-  bool operator==(const Entry&) const = default;
+  bool operator==(const ClaimRecord&) const = default;
 };
 
 // A keeper's answer to a claim.
 struct Vote {
-  enum class What {
-    yours,   // this claim has its vote, durably
-    taken,   // another has it
-    silent,  // it gives none now
-  } what = What::silent;
+  enum class Kind {
+    granted,       // this claim has its vote, durably
+    takenByOther,  // another has it
+    abstained,     // it gives none now
+  } kind = Kind::abstained;
   bool committed = false;  // taken: that one is known as committed, with this value
   std::string value;
   bool operator==(const Vote&) const = default;
--- a/src/idempotency/voter_lists.h
+++ b/src/idempotency/voter_lists.h
@@ -36,35 +36,36 @@
 namespace gulltrestle::idempotency {
 
 // Who the keepers are; which list that is, counted from 1.
-struct List {
+struct VoterList {
   std::uint64_t version = 0;  // 0: none
   std::set<std::string> names;
-  bool operator==(const List&) const = default;
+  bool operator==(const VoterList&) const = default;
 };
 
-// What a disk holds of lists: the one that it serves under, and those before that may not be over yet.
-struct Lists {
-  List now;
-  std::vector<List> before;
-  bool operator==(const Lists&) const = default;
+// Kind a disk holds of lists: the one that it serves under, and those before that may not be over yet.
+struct VoterListHistory {
+  VoterList current;
+  std::vector<VoterList> previous;
+  bool operator==(const VoterListHistory&) const = default;
 };
 
 // Lists that there may have been: far more than an installation sees.
-constexpr std::size_t kMostLists = 64;
+constexpr std::size_t kMaxVoterLists = 64;
 
 // All lists of a file, the present one last: what is wrong with them, for an operator; empty: nothing.
-std::string faultIn(const std::vector<List>& lists);
+std::string faultIn(const std::vector<VoterList>& lists);
 
-struct Moved {
-  Lists lists;
-  bool changed = false;    // to be made durable before this start says a word
-  bool diskCounts = true;  // false: all that it may have voted before is taken as lost
-  std::string refused;     // why it must not start, for an operator; empty: it may
+struct VoterListTransition {
+  VoterListHistory lists;
+  bool changed = false;      // to be made durable before this start says a word
+  bool diskCounts = true;    // false: all that it may have voted before is taken as lost
+  std::string rejectReason;  // why it must not start, for an operator; empty: it may
 };
 // `lists`: all of the file, the present one last, with no fault in them.
-Moved movedTo(const Lists& kept, const std::vector<List>& lists, const std::string& keeper);
+VoterListTransition transitionTo(const VoterListHistory& kept, const std::vector<VoterList>& lists,
+                                 const std::string& keeper);
 
 // Whether the list is over, by the keepers that are known to serve under the present one.
-bool isOver(const List& list, const std::set<std::string>& onPresent);
+bool isSuperseded(const VoterList& list, const std::set<std::string>& onPresent);
 
 }  // namespace gulltrestle::idempotency
--- a/src/invariants/invariants.cpp
+++ b/src/invariants/invariants.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 // A node may be told a little more than its client has left: the protocol's slack for what travels.
-constexpr Span kDeadlineSlack = Span::millis(150);
+constexpr Duration kDeadlineSlack = Duration::millis(150);
 // A start is to be ready in ten seconds.
-constexpr Span kLongestStart = Span::seconds(10);
+constexpr Duration kLongestStart = Duration::seconds(10);
 // A violation that comes again and again is one line in this time.
-constexpr Span kLogPause = Span::seconds(10);
+constexpr Duration kLogPause = Duration::seconds(10);
 
 }  // namespace
 
@@ -33,17 +33,18 @@
 }
 
 bool Invariants::send(const Send& send, const Subject& subject) {
-  if (!send.isOwed) return broken(send.now, Check::send, "its client has its answer or left", subject);
+  if (!send.isAnswerPending)
+    return broken(send.now, Check::send, "its client has its answer or left", subject);
   if (send.now >= send.sendBy) return broken(send.now, Check::send, "it is too late to send it", subject);
-  if (send.now + send.told > send.answerBy + kDeadlineSlack)
+  if (send.now + send.timeoutSent > send.answerBy + kDeadlineSlack)
     return broken(send.now, Check::send, "the node is told more time than is left", subject);
-  if (send.nodeLeaves) return broken(send.now, Check::send, "the node leaves", subject);
+  if (send.isNodeDraining) return broken(send.now, Check::send, "the node leaves", subject);
   return true;
 }
 
 bool Invariants::repeat(const Repeat& repeat, const Subject& subject) {
-  if (repeat.firstSentAt == Instant() || repeat.effect == Effect::repeatable) return true;
-  if (repeat.effect == Effect::onceOnly)
+  if (repeat.firstSentAt == Instant() || repeat.effect == Effect::idempotent) return true;
+  if (repeat.effect == Effect::atMostOnce)
     return broken(repeat.now, Check::repeat, "it may run only once and may have run", subject);
   if (repeat.now >= repeat.firstSentAt + repeat.window)
     return broken(repeat.now, Check::repeat, "its window is over", subject);
@@ -54,7 +55,7 @@
   return !isOwed || broken(now, Check::close, "the client is owed an answer", subject);
 }
 
-bool Invariants::started(Instant now, Span after, const Subject& subject) {
+bool Invariants::started(Instant now, Duration after, const Subject& subject) {
   return after <= kLongestStart || broken(now, Check::start, "it took too long", subject);
 }
 
--- a/src/invariants/invariants.h
+++ b/src/invariants/invariants.h
@@ -24,24 +24,24 @@
 namespace gulltrestle::invariants {
 
 enum class Check { send, repeat, close, start };
-constexpr std::size_t kChecks = 4;
+constexpr std::size_t kCheckCount = 4;
 std::string_view nameOf(Check check);
 
 // An attempt that is about to be written to a node.
 struct Send {
   Instant now;
-  Instant sendBy;      // by when it may be written
-  Instant answerBy;    // when its client stops waiting
-  Span told;           // how long the node is told to take at most
-  bool isOwed = true;  // its client waits for the answer
-  bool nodeLeaves = false;
+  Instant sendBy;               // by when it may be written
+  Instant answerBy;             // when its client stops waiting
+  Duration timeoutSent;         // how long the node is told to take at most
+  bool isAnswerPending = true;  // its client waits for the answer
+  bool isNodeDraining = false;
 };
 
 // The same attempt, beside the earlier ones of its txn.
 struct Repeat {
   Instant now;
-  Effect effect = Effect::repeatable;
-  Span window;  // of a referenced type: how long a repeat is known
+  Effect effect = Effect::idempotent;
+  Duration window;  // of a referenced type: how long a repeat is known
   Instant
       firstSentAt;  // when the first attempt that may have run, or is still out, was sent; never: none was
 };
@@ -55,9 +55,9 @@
 
 class Invariants {
  public:
-  using Told = std::function<void(const Violation& violation, std::uint64_t count)>;
+  using Listener = std::function<void(const Violation& violation, std::uint64_t count)>;
   // `told`: called at each violation that is to be logged: the first of each check, then at most one a pause.
-  void tell(Told told) { told_ = std::move(told); }
+  void setListener(Listener told) { told_ = std::move(told); }
 
   // What a check is about, in words; called only where it is broken.
   using Subject = std::function<std::string()>;
@@ -65,7 +65,7 @@
   bool send(const Send& send, const Subject& subject);
   bool repeat(const Repeat& repeat, const Subject& subject);
   bool close(Instant now, bool isOwed, const Subject& subject);
-  bool started(Instant now, Span after, const Subject& subject);
+  bool started(Instant now, Duration after, const Subject& subject);
 
   std::uint64_t count(Check check) const { return counts_[static_cast<std::size_t>(check)]; }
   std::uint64_t all() const;
@@ -74,9 +74,9 @@
  private:
   bool broken(Instant now, Check check, std::string_view rule, const Subject& subject);
 
-  Told told_;
-  std::array<std::uint64_t, kChecks> counts_{};
-  std::array<Instant, kChecks> toldAt_{};
+  Listener told_;
+  std::array<std::uint64_t, kCheckCount> counts_{};
+  std::array<Instant, kCheckCount> toldAt_{};
   Violation last_;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -43,7 +43,7 @@
     if (named(variable).empty()) return std::nullopt;
     try {
       return readFile();
-    } catch (const config::BadKey& bad) {
+    } catch (const config::ConfigError& bad) {
       add(variable, bad.what());
       return std::nullopt;
     }
@@ -64,41 +64,42 @@
 
 void logLine(const std::string& line) { spdlog::info("{}", line); }
 
-void tellStart(const config::Start& start) {
+void tellStart(const config::RouterConfig& start) {
   std::string on;
   for (const char* variable : {kLevels, kLogging, kProcessor, kFleet})
     if (!named(variable).empty()) on += (on.empty() ? "" : ",") + std::string(variable);
   spdlog::info("event=start version={} built_in={} on={} name={} types={} routers={}", build_info::version(),
-               build_info::partsBuiltIn(), on.empty() ? "none" : on, start.name, start.told.typeNames.size(),
-               start.told.terms.routers);
+               build_info::partsBuiltIn(), on.empty() ? "none" : on, start.name,
+               start.deployment.typeNames.size(), start.deployment.routing.routerCount);
 }
 
 #ifdef GULLTRESTLE_FLEET
-Span longestOnceOnly(const Terms& terms) {
-  Span longest;
-  for (const auto& type : terms.types)
-    if (type.effect == Effect::onceOnly) longest = std::max(longest, type.deadline);
+Duration longestOnceOnly(const RoutingConfig& terms) {
+  Duration longest;
+  for (const auto& type : terms.transactionClasses)
+    if (type.effect == Effect::atMostOnce) longest = std::max(longest, type.deadline);
   return longest;
 }
 #endif
 
 void serve() {
-  const config::Start start = config::readStart();
-  const auto& told = start.told;
+  const config::RouterConfig start = config::readRouterConfig();
+  const auto& told = start.deployment;
   const auto readLevels = [&told] {
-    return degradation_service::readSetupFile(named(kLevels), told.terms.types, told.typeNames);
+    return degradation_service::readDegradationConfigFile(named(kLevels), told.routing.transactionClasses,
+                                                          told.typeNames);
   };
-  const auto readLogging = [] { return logging::readSetupFile(named(kLogging)); };
+  const auto readLogging = [] { return logging::readLoggingConfigFile(named(kLogging)); };
   Faults faults;
   faults.needs(kProcessor, build_info::hasExternalProcessor(), "the external processor");
   faults.needs(kFleet, build_info::hasFleet(), "what several routers settle among themselves");
   const auto levels = faults.read(kLevels, readLevels);
   const auto logs = faults.read(kLogging, readLogging);
-  server::Beside beside;
+  server::ReservedResources beside;
   beside.reducedByLevel = levels.has_value();
 #ifdef GULLTRESTLE_EXT_PROC
   const auto processing =
-      faults.read(kProcessor, [] { return ext_proc_server::readSetupFile(named(kProcessor)); });
+      faults.read(kProcessor, [] { return ext_proc_server::readExtProcConfigFile(named(kProcessor)); });
   if (processing) {
     beside.descriptors += processing->mostConnections + ext_proc_server::kMostProbes;
     beside.openTxns = processing->streams.mostStreams;
@@ -106,22 +107,22 @@
 #endif
 #ifdef GULLTRESTLE_FLEET
   const auto readFleet = [&] {
-    return cluster::readSetupFile(named(kFleet), start.name, longestOnceOnly(told.terms));
+    return cluster::readClusterConfigFile(named(kFleet), start.name, longestOnceOnly(told.routing));
   };
   const auto fleet = faults.read(kFleet, readFleet);
-  if (fleet) beside.descriptors += cluster::Peers::descriptors(*fleet);
+  if (fleet) beside.descriptors += cluster::ClusterServer::descriptors(*fleet);
 #endif
   faults.raise();
   tellStart(start);
 
   server::Server server(start, beside);
-  std::optional<logging::Logging> logging;
+  std::optional<logging::TransactionLogging> logging;
   if (logs) server.add(logging.emplace(server.ledger().trace(), *logs, readLogging, logLine));
-  std::optional<degradation_service::Reduced> service;
+  std::optional<degradation_service::DegradationService> service;
   if (levels)
     server.add(service.emplace(server.ledger(), *levels, told.typeNames, start.seed, readLevels, logLine));
 #ifdef GULLTRESTLE_EXT_PROC
-  std::optional<ext_proc_server::Processor> part;
+  std::optional<ext_proc_server::ExtProcServer> part;
   if (processing) {
     // Names this start in the tokens of its grants: the time in microseconds tells two starts apart.
     const std::string name = start.name + "." + std::to_string(server.loop().now().inMicros());
@@ -129,9 +130,9 @@
   }
 #endif
 #ifdef GULLTRESTLE_FLEET
-  std::optional<cluster::Peers> others;
+  std::optional<cluster::ClusterServer> others;
   if (fleet)
-    server.add(others.emplace(server.loop(), server.ledger(), told.terms, *fleet, start.name, readFleet));
+    server.add(others.emplace(server.loop(), server.ledger(), told.routing, *fleet, start.name, readFleet));
 #endif
   server.run();
 }
@@ -156,7 +157,7 @@
 int main(int count, char** words) {
   try {
     if (count > 1) return command(count, words);
-    event_loop::holdSignals();
+    event_loop::blockSignals();
     spdlog::set_pattern("%H:%M:%S.%e %L %v");
     spdlog::flush_on(spdlog::level::info);
     serve();
--- a/src/maintenance/acceptor.h
+++ b/src/maintenance/acceptor.h
@@ -1,4 +1,4 @@
-// A keeper's part in settling the plan: one register that keepers change together, in rounds. What is held by
+// A keeper's part in settling the plan: one register that keepers change together, in rounds. Kind is held by
 // more than half of them is settled; any two such sets share a keeper, so a round that has asked more than
 // half knows what was settled before. No I/O, no clock.
 //
@@ -30,39 +30,39 @@
   // all that it ever promised.
   Acceptor(const std::string& kept, bool whole);
 
-  struct Answer {
-    enum class What { promised, accepted, refused } what = What::refused;
-    Ballot ballot;    // the round's
-    Ballot promised;  // refused: the highest that was promised here
-    Held held;        // promised: what is held here
+  struct AcceptorReply {
+    enum class Kind { promised, accepted, rejected } kind = Kind::rejected;
+    Ballot ballot;       // the round's
+    Ballot promised;     // refused: the highest that was promised here
+    AcceptedValue held;  // promised: what is held here
   };
   // A round reads. `true`: the answer comes by wrote(); false: there is none, or `refused` tells why.
-  bool read(const Ballot& ballot, std::optional<Answer>& refused);
+  bool prepare(const Ballot& ballot, std::optional<AcceptorReply>& refused);
   // A round writes.
-  bool write(const Held& held, std::optional<Answer>& refused);
+  bool accept(const AcceptedValue& held, std::optional<AcceptorReply>& refused);
   // The disk has all up to the oldest change that was not told yet. The answer to what asked for it; none
   // where it failed: whoever asked begins another round.
-  std::optional<Answer> wrote(bool durable);
+  std::optional<AcceptorReply> onWritten(bool durable);
 
   // Its disk is not what it was taken for.
-  void forgets() { whole_ = durablyWhole_ = false; }
+  void markIncomplete() { whole_ = durablyWhole_ = false; }
   // On disk, too: what it tells routers counts.
-  bool isWhole() const { return durablyWhole_; }
-  // What is held, durable.
-  const Held& held() const { return durable_; }
+  bool isComplete() const { return durablyWhole_; }
+  // Kind is held, durable.
+  const AcceptedValue& accepted() const { return durable_; }
   // For the disk: all of it, as it is to be from now on.
   std::string text() const;
 
  private:
   struct Waiting {
-    Answer answer;
-    Held held;
+    AcceptorReply answer;
+    AcceptedValue held;
   };
-  void wait(Answer answer);
+  void wait(AcceptorReply answer);
 
   bool whole_, durablyWhole_;
   Ballot promised_;
-  Held held_, durable_;
+  AcceptedValue held_, durable_;
   std::deque<Waiting> waiting_;
 };
 
--- a/src/maintenance/maintenance_leader.h
+++ b/src/maintenance/maintenance_leader.h
@@ -25,31 +25,32 @@
 
 namespace gulltrestle::maintenance {
 
-struct Step {
+struct PhaseTransition {
   std::string machine;
-  Phase from = Phase::waits, to = Phase::waits;
-  std::string why;
+  Phase from = Phase::waiting, to = Phase::waiting;
+  std::string reason;
 };
 
-class Foreman {
+class MaintenanceLeader {
  public:
-  explicit Foreman(Bounds bounds) : bounds_(bounds) {}
+  explicit MaintenanceLeader(Bounds bounds) : bounds_(bounds) {}
 
-  // What is seen, each turn, also by keepers that are not the foreman: whoever takes over has seen it for a
+  // Kind is seen, each turn, also by keepers that are not the foreman: whoever takes over has seen it for a
   // while. `plan` is what is settled.
-  void see(Instant now, const Plan& plan, const Facts& facts);
-  // Changes the plan by all that has come due. What it was called with last by see() holds.
-  std::vector<Step> advance(Instant now, Plan& plan, const Facts& facts);
+  void observe(Instant now, const Plan& plan, const FleetState& facts);
+  // Changes the plan by all that has come due. Kind it was called with last by see() holds.
+  std::vector<PhaseTransition> advance(Instant now, Plan& plan, const FleetState& facts);
   // Whether advance() would change it.
-  bool isDue(Instant now, const Plan& plan, const Facts& facts);
-  // What a machine waits for, in words; empty: for nothing that can be told.
-  std::string awaits(Instant now, const Plan& plan, const Machine& machine, const Facts& facts) const;
+  bool isDue(Instant now, const Plan& plan, const FleetState& facts);
+  // Kind a machine waits for, in words; empty: for nothing that can be told.
+  std::string waitingFor(Instant now, const Plan& plan, const Machine& machine,
+                         const FleetState& facts) const;
   // Whether this keeper begins rounds for what is due, each time it is looked at: the first keeper that lives
   // does, and where nothing happens for a while the next one beside it, then the next. `before`: keepers
   // ahead of it that live. Guards against one that lives for others and reaches nobody; may cost a round.
-  bool carriesOn(Instant now, bool isDue, std::size_t before);
+  bool shouldLead(Instant now, bool isDue, std::size_t before);
   // Something was settled: what is due from here on is due anew.
-  void settled() { dueSince_ = Instant(); }
+  void onChosen() { dueSince_ = Instant(); }
   const Bounds& bounds() const { return bounds_; }
 
  private:
@@ -59,16 +60,16 @@
   };
   struct SeenMachine {
     std::uint64_t since = 0;
-    Phase phase = Phase::waits;
+    Phase phase = Phase::waiting;
     Instant at, servesAt;  // since when it is in its phase; since when all that stands on it serves
     Instant askedAt;
   };
   // Routers that have yet to know, or to be out of the way.
   std::vector<std::string> unknowing(Instant now, const Plan& plan, const Machine& machine,
-                                     const Facts& facts) const;
-  std::vector<std::string> inTheWay(Instant now, const Machine& machine, const Facts& facts) const;
-  bool serves(const Machine& machine, const Facts& facts) const;
-  bool isListed(const Machine& machine, const Facts& facts) const;  // as live, where that matters
+                                     const FleetState& facts) const;
+  std::vector<std::string> inTheWay(Instant now, const Machine& machine, const FleetState& facts) const;
+  bool serves(const Machine& machine, const FleetState& facts) const;
+  bool isListed(const Machine& machine, const FleetState& facts) const;  // as live, where that matters
   bool fenced(Instant now, Instant since) const { return since != Instant() && now - since >= bounds_.fence; }
 
   Bounds bounds_;
@@ -80,7 +81,7 @@
 // Operators' words, as they change the plan. Empty: done; else why not.
 // `request` names the request: one that was carried out already changes nothing, and is done.
 std::string ask(Plan& plan, const std::string& request, const std::vector<Machine>& machines,
-                const Facts& facts, const Bounds& bounds);
+                const FleetState& facts, const Bounds& bounds);
 std::string stop(Plan& plan, const std::string& request, const std::string& machine, const std::string& by);
 std::string done(Plan& plan, const std::string& request, const std::string& machine, const std::string& by);
 
--- a/src/maintenance/maintenance_plan.cpp
+++ b/src/maintenance/maintenance_plan.cpp
@@ -33,20 +33,20 @@
 }
 
 std::string encoded(const Plan& plan) {
-  Json all{{"version", plan.version}, {"taken", plan.taken}, {"machines", Json::array()}};
+  Json all{{"version", plan.version}, {"taken", plan.appliedRequests}, {"machines", Json::array()}};
   for (const auto& m : plan.machines)
     all["machines"].push_back({{"name", m.name},
                                {"zone", m.zone},
                                {"nodes", m.nodes},
                                {"routers", m.routers},
-                               {"takes_us", m.takes.inMicros()},
-                               {"within_us", m.within.inMicros()},
-                               {"order", m.order},
-                               {"by", m.by},
+                               {"takes_us", m.expectedDuration.inMicros()},
+                               {"within_us", m.wantedWithin.inMicros()},
+                               {"order", m.request},
+                               {"by", m.requestedBy},
                                {"phase", nameOf(m.phase)},
                                {"since", m.since},
-                               {"tries", m.tries},
-                               {"why", m.why}});
+                               {"tries", m.attempts},
+                               {"why", m.reason}});
   return all.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -56,21 +56,21 @@
   try {
     const Json all = Json::parse(text);
     plan.version = all.at("version");
-    plan.taken = all.at("taken").get<std::vector<std::string>>();
+    plan.appliedRequests = all.at("taken").get<std::vector<std::string>>();
     for (const auto& one : all.at("machines")) {
       Machine m;
       m.name = one.at("name");
       m.zone = one.at("zone");
       m.nodes = one.at("nodes").get<std::vector<std::string>>();
       m.routers = one.at("routers").get<std::vector<std::string>>();
-      m.takes = Span::micros(one.at("takes_us"));
-      m.within = Span::micros(one.at("within_us"));
-      m.order = one.at("order");
-      m.by = one.at("by");
+      m.expectedDuration = Duration::micros(one.at("takes_us"));
+      m.wantedWithin = Duration::micros(one.at("within_us"));
+      m.request = one.at("order");
+      m.requestedBy = one.at("by");
       if (!phaseNamed(one.at("phase").get<std::string>(), m.phase)) throw std::runtime_error("a phase");
       m.since = one.at("since");
-      m.tries = one.at("tries");
-      m.why = one.at("why");
+      m.attempts = one.at("tries");
+      m.reason = one.at("why");
       plan.machines.push_back(std::move(m));
     }
   } catch (const std::exception& bad) { throw std::runtime_error(std::string("no plan: ") + bad.what()); }
--- a/src/maintenance/maintenance_plan.h
+++ b/src/maintenance/maintenance_plan.h
@@ -12,7 +12,7 @@
 
 namespace gulltrestle::maintenance {
 
-using KeeperNumber = std::size_t;  // row in the list of keepers
+using VoterIndex = std::size_t;  // row in the list of keepers
 
 // Of one round in which a keeper changes what is settled. A higher one wins; drawn, too, so that no two
 // keepers have the same.
@@ -21,15 +21,15 @@
   auto operator<=>(const Ballot&) const = default;
 };
 // Names one value that was written: the same for as long as it is handed on, whatever the round.
-struct Stamp {
+struct ValueVersion {
   std::uint64_t version = 0, draw = 0;  // the version only grows; 0: nothing was ever written
-  auto operator<=>(const Stamp&) const = default;
+  auto operator<=>(const ValueVersion&) const = default;
 };
-struct Held {  // by one keeper, durable there
+struct AcceptedValue {  // by one keeper, durable there
   Ballot ballot;
-  Stamp stamp;
+  ValueVersion version;
   std::string value;
-  bool operator==(const Held&) const = default;
+  bool operator==(const AcceptedValue&) const = default;
 };
 
 // More than half.
@@ -48,27 +48,27 @@
 //   over     as ever                                 forgotten after a while
 //
 // An operator's stop takes one that waits, is next or leaves to over, and one that is free to returns.
-enum class Phase { waits, next, leaves, free, returns, over };
+enum class Phase { waiting, next, draining, released, returning, finished };
 std::string_view nameOf(Phase phase);
 bool phaseNamed(std::string_view name, Phase& phase);
 
 struct Machine {
   std::string name, zone;
   std::vector<std::string> nodes, routers;  // that stand on it
-  Span takes;                               // how long the work is expected to take
-  Span within;                              // of being asked for it is wanted; none: no matter when
-  std::string order, by;                    // the request, and who asked
-  Phase phase = Phase::waits;
+  Duration expectedDuration;                // how long the work is expected to take
+  Duration wantedWithin;                    // of being asked for it is wanted; none: no matter when
+  std::string request, requestedBy;         // the request, and who asked
+  Phase phase = Phase::waiting;
   std::uint64_t since = 0;  // the version in which it came to its phase
-  unsigned tries = 0;       // that were given up
-  std::string why;          // it came to its phase
+  unsigned attempts = 0;    // that were given up
+  std::string reason;       // it came to its phase
 };
 
-// What is settled.
+// Kind is settled.
 struct Plan {
   std::uint64_t version = 0;
   std::vector<Machine> machines;
-  std::vector<std::string> taken;  // requests that were carried out, the newest last
+  std::vector<std::string> appliedRequests;  // requests that were carried out, the newest last
   const Machine* find(const std::string& machine) const;
   Machine* find(const std::string& machine);
 };
--- a/src/maintenance/operator_requests.h
+++ b/src/maintenance/operator_requests.h
@@ -12,24 +12,24 @@
 namespace gulltrestle::maintenance {
 
 // Names the key that is wrong.
-class BadAsk : public std::runtime_error {
+class InvalidRequest : public std::runtime_error {
  public:
-  BadAsk(const std::string& key, const std::string& what) : std::runtime_error(key + ": " + what) {}
+  InvalidRequest(const std::string& key, const std::string& what) : std::runtime_error(key + ": " + what) {}
 };
 
-struct Ask {
-  enum class What { ask, stop, done } what = What::ask;
-  std::string by;                 // who asks
+struct OperatorRequest {
+  enum class Kind { plan, stop, done } kind = Kind::plan;
+  std::string requestedBy;        // who asks
   std::vector<Machine> machines;  // ask
   std::string machine;            // done; stop: empty: all
 };
 
 // Throws BadAsk. Keys that are not known are faults, too.
-Ask readAsk(std::string_view text);
-std::string encoded(const Ask& ask);
+OperatorRequest readOperatorRequest(std::string_view text);
+std::string encoded(const OperatorRequest& ask);
 
 // Carries it out on a plan. Empty: done; else why not.
-std::string carryOut(Plan& plan, const std::string& request, const Ask& ask, const Facts& facts,
-                     const Bounds& bounds);
+std::string applyRequest(Plan& plan, const std::string& request, const OperatorRequest& ask,
+                         const FleetState& facts, const Bounds& bounds);
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/plan_view.cpp
+++ b/src/maintenance/plan_view.cpp
@@ -4,7 +4,7 @@
 
 namespace gulltrestle::maintenance {
 
-bool Known::told(KeeperNumber keeper, const Held& held) {
+bool PlanView::onAccepted(VoterIndex keeper, const AcceptedValue& held) {
   const auto at = told_.find(keeper);
   // One that lost its disk holds older things again: what it told before is still true.
   if (at != told_.end() && held.ballot <= at->second.held.ballot) return false;
@@ -13,7 +13,7 @@
   return true;
 }
 
-void Known::weigh() {
+void PlanView::weigh() {
   // By the round, not by what was written: one value in several rounds may be settled in none of them.
   std::map<Ballot, std::size_t> holders;
   for (const auto& [keeper, told] : told_) ++holders[told.held.ballot];
@@ -25,14 +25,14 @@
   out_.clear();
   next_.clear();
   routers_.clear();
-  // What is not settled is one change ahead of what is (maintenance/proposal_round.h).
+  // Kind is not settled is one change ahead of what is (maintenance/proposal_round.h).
   const auto take = [&](const Plan& plan, bool knowsBefore) {
     for (const auto& m : plan.machines) {
       const bool mayHaveLeft = !knowsBefore && m.since == plan.version && m.phase != Phase::next;
-      const bool leaves = m.phase == Phase::leaves || m.phase == Phase::free || mayHaveLeft;
+      const bool leaves = m.phase == Phase::draining || m.phase == Phase::released || mayHaveLeft;
       if (leaves) out_.insert(m.nodes.begin(), m.nodes.end());
       if (m.phase == Phase::next) next_.insert(m.nodes.begin(), m.nodes.end());
-      if (m.phase == Phase::leaves) routers_.insert(m.routers.begin(), m.routers.end());
+      if (m.phase == Phase::draining) routers_.insert(m.routers.begin(), m.routers.end());
     }
   };
   take(settled_, true);
--- a/src/maintenance/plan_view.h
+++ b/src/maintenance/plan_view.h
@@ -1,4 +1,4 @@
-// What a router knows of the plan, and where it may not send by it. No I/O, no clock.
+// Kind a router knows of the plan, and where it may not send by it. No I/O, no clock.
 //
 // Settled is what more than half of the keepers have told it they hold. One that holds something newer may
 // know what is settled ahead of that: until this is clear, a node that either leaves is left alone, and so is
@@ -14,30 +14,30 @@
 
 namespace gulltrestle::maintenance {
 
-class Known {
+class PlanView {
  public:
-  explicit Known(std::size_t keepers) : keepers_(keepers) {}
+  explicit PlanView(std::size_t keepers) : keepers_(keepers) {}
 
   // A keeper tells what it holds. True: something has changed here. Throws std::runtime_error where it is no
   // plan.
-  bool told(KeeperNumber keeper, const Held& held);
+  bool onAccepted(VoterIndex keeper, const AcceptedValue& held);
 
-  const Plan& settled() const { return settled_; }
+  const Plan& chosen() const { return settled_; }
   // Nodes that nothing goes to; and those that nothing goes to without a lease, too.
-  const std::set<std::string>& out() const { return out_; }
-  const std::set<std::string>& next() const { return next_; }
+  const std::set<std::string>& excludedNodes() const { return out_; }
+  const std::set<std::string>& leaseRequiredNodes() const { return next_; }
   // This router stands on a machine that leaves.
-  bool leaves(const std::string& router) const { return routers_.contains(router); }
+  bool isRouterLeaving(const std::string& router) const { return routers_.contains(router); }
 
  private:
   struct Told {
-    Held held;
+    AcceptedValue held;
     Plan plan;
   };
   void weigh();
 
   std::size_t keepers_;
-  std::map<KeeperNumber, Told> told_;
+  std::map<VoterIndex, Told> told_;
   Plan settled_;
   Ballot settledBy_;
   std::set<std::string> out_, next_, routers_;
--- a/src/maintenance/proposal_round.h
+++ b/src/maintenance/proposal_round.h
@@ -24,52 +24,52 @@
 
 namespace gulltrestle::maintenance {
 
-class Round {
+class ProposalRound {
  public:
-  enum class State { rests, reads, writes };
+  enum class State { idle, preparing, accepting };
 
   // `draw`: of this start. `most`: that a round may last.
-  Round(std::size_t keepers, std::uint64_t draw, Span most);
+  ProposalRound(std::size_t keepers, std::uint64_t draw, Duration most);
 
   State state() const { return state_; }
   const Ballot& ballot() const { return ballot_; }
 
   // Begins one if it rests and may. True: all keepers are to be asked to promise ballot().
   bool begin(Instant now);
-  void promised(Instant now, KeeperNumber keeper, const Ballot& ballot, const Held& held);
+  void onPromise(Instant now, VoterIndex keeper, const Ballot& ballot, const AcceptedValue& held);
   // More than half have promised: what they hold that is newest, once a round. The caller writes: it changes
   // only what is settled, and else hands on what it read, unchanged. So nobody ever holds what is more than
   // one change ahead of what is settled.
-  struct Read {
-    Held held;
-    bool isSettled = false;
+  struct PreparedValue {
+    AcceptedValue held;
+    bool isChosen = false;
   };
-  std::optional<Read> takeRead();
+  std::optional<PreparedValue> takePrepared();
   // All keepers are to be asked to take this, which has the round's ballot.
-  const Held& write(const Stamp& stamp, std::string value);
-  void accepted(Instant now, KeeperNumber keeper, const Ballot& ballot);
-  void refused(Instant now, const Ballot& ballot, const Ballot& promised);
-  // What has been settled by this round, once.
-  std::optional<Held> takeSettled();
+  const AcceptedValue& propose(const ValueVersion& stamp, std::string value);
+  void onAccepted(Instant now, VoterIndex keeper, const Ballot& ballot);
+  void onRejected(Instant now, const Ballot& ballot, const Ballot& promised);
+  // Kind has been settled by this round, once.
+  std::optional<AcceptedValue> takeChosen();
 
   // Gives up what lasted too long. Returns when there is more to do; never: nothing is.
-  Instant due(Instant now);
+  Instant runTimers(Instant now);
 
  private:
   void rest(Instant now);
 
   std::size_t keepers_;
   std::uint64_t draw_;
-  Span most_, pause_;
+  Duration most_, pause_;
   std::mt19937_64 chance_;
-  State state_ = State::rests;
+  State state_ = State::idle;
   Ballot ballot_;
   std::uint64_t highest_ = 0;  // number of a round that is known of
-  std::map<KeeperNumber, Held> read_;
-  std::set<KeeperNumber> wrote_;
+  std::map<VoterIndex, AcceptedValue> read_;
+  std::set<VoterIndex> wrote_;
   bool readTaken_ = false;
-  Held own_;
-  std::optional<Held> settled_;
+  AcceptedValue own_;
+  std::optional<AcceptedValue> settled_;
   Instant until_, restsUntil_;
 };
 
--- a/src/maintenance/scheduling.cpp
+++ b/src/maintenance/scheduling.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool inWork(Phase phase) { return phase != Phase::waits && phase != Phase::over; }
+bool inWork(Phase phase) { return phase != Phase::waiting && phase != Phase::finished; }
 
 bool stands(const std::vector<std::string>& on, const std::string& name) {
   return std::find(on.begin(), on.end(), name) != on.end();
@@ -20,7 +20,7 @@
   std::size_t servesElsewhere = 0, replicasElsewhere = 0, here = 0;
   bool primaryHere = false;
 };
-Group groupOf(const Plan& plan, const Machine& machine, std::uint64_t id, const Facts& facts) {
+Group groupOf(const Plan& plan, const Machine& machine, std::uint64_t id, const FleetState& facts) {
   std::set<std::string> inWorkNodes;
   for (const auto& other : plan.machines)
     if (other.name != machine.name && inWork(other.phase))
@@ -43,7 +43,7 @@
   return group;
 }
 
-std::set<std::uint64_t> groupsOn(const Machine& machine, const Facts& facts) {
+std::set<std::uint64_t> groupsOn(const Machine& machine, const FleetState& facts) {
   std::set<std::uint64_t> groups;
   for (const auto& name : machine.nodes)
     if (const auto at = facts.nodes.find(name); at != facts.nodes.end()) groups.insert(at->second.group);
@@ -51,17 +51,17 @@
 }
 
 // Each router has to know of a machine before it leaves: no turn is begun that can't go on.
-std::string silentOne(const Plan& plan, const Machine& machine, const Facts& facts) {
+std::string silentOne(const Plan& plan, const Machine& machine, const FleetState& facts) {
   std::set<std::string> away(machine.routers.begin(), machine.routers.end());
   for (const auto& other : plan.machines)
     if (inWork(other.phase)) away.insert(other.routers.begin(), other.routers.end());
   for (const auto& [name, router] : facts.routers)
-    if (!router.left && !router.lives && !away.contains(name))
+    if (!router.wasRemoved && !router.isAlive && !away.contains(name))
       return "router '" + name + "' is not heard: bring it back, or take it off the list";
   return "";
 }
 
-std::string hindranceOfRouters(const Plan& plan, const Machine& machine, const Facts& facts,
+std::string hindranceOfRouters(const Plan& plan, const Machine& machine, const FleetState& facts,
                                const Bounds& bounds) {
   if (machine.routers.empty()) return "";
   std::set<std::string> away;
@@ -70,12 +70,12 @@
       away.insert(other.routers.begin(), other.routers.end());
   std::size_t keepers = 0, keepersLeft = 0, serving = 0;
   for (const auto& [name, router] : facts.routers) {
-    if (router.left) continue;
-    keepers += router.keeper;
-    if (!router.lives) away.insert(name);
+    if (router.wasRemoved) continue;
+    keepers += router.isVoter;
+    if (!router.isAlive) away.insert(name);
     if (stands(machine.routers, name) || away.contains(name)) continue;
     ++serving;
-    keepersLeft += router.keeper;
+    keepersLeft += router.isVoter;
   }
   for (const auto& name : machine.routers) away.erase(name);
   if (away.size() + machine.routers.size() > bounds.routersOut)
@@ -88,7 +88,8 @@
 
 }  // namespace
 
-std::string hindrance(const Plan& plan, const Machine& machine, const Facts& facts, const Bounds& bounds) {
+std::string blockingReason(const Plan& plan, const Machine& machine, const FleetState& facts,
+                           const Bounds& bounds) {
   for (const std::uint64_t id : groupsOn(machine, facts)) {
     const Group group = groupOf(plan, machine, id, facts);
     const std::string of = "group " + std::to_string(id);
@@ -101,14 +102,15 @@
   return hindranceOfRouters(plan, machine, facts, bounds);
 }
 
-std::string heldUp(const Plan& plan, const Machine& machine, const Facts& facts, const Bounds& bounds) {
-  const std::string why = hindrance(plan, machine, facts, bounds);
+std::string startBlockingReason(const Plan& plan, const Machine& machine, const FleetState& facts,
+                                const Bounds& bounds) {
+  const std::string why = blockingReason(plan, machine, facts, bounds);
   return why.empty() ? silentOne(plan, machine, facts) : why;
 }
 
-const Machine* nextOf(const Plan& plan, const Facts& facts, const Bounds& bounds,
-                      const std::map<std::string, Span>& waited) {
-  if (facts.strained) return nullptr;
+const Machine* nextMachine(const Plan& plan, const FleetState& facts, const Bounds& bounds,
+                           const std::map<std::string, Duration>& waited) {
+  if (facts.isStrained) return nullptr;
   std::size_t inWorkNow = 0;
   std::set<std::string> zones;
   for (const auto& m : plan.machines)
@@ -121,17 +123,19 @@
   using Rank = std::tuple<std::int64_t, bool, std::int64_t, std::int64_t, std::string>;
   std::optional<Rank> bestRank;
   for (const auto& m : plan.machines) {
-    if (m.phase != Phase::waits || (!zones.empty() && !zones.contains(m.zone))) continue;
-    if (!heldUp(plan, m, facts, bounds).empty()) continue;
+    if (m.phase != Phase::waiting || (!zones.empty() && !zones.contains(m.zone))) continue;
+    if (!startBlockingReason(plan, m, facts, bounds).empty()) continue;
     const auto at = waited.find(m.name);
-    const std::int64_t left = m.within == Span()   ? INT64_MAX
-                              : at == waited.end() ? m.within.inMicros()
-                                                   : (m.within - m.takes - at->second).inMicros();
-    Span behind;
+    const std::int64_t left = m.wantedWithin == Duration() ? INT64_MAX
+                              : at == waited.end()
+                                  ? m.wantedWithin.inMicros()
+                                  : (m.wantedWithin - m.expectedDuration - at->second).inMicros();
+    Duration behind;
     for (const auto& name : m.nodes)
       if (const auto node = facts.nodes.find(name); node != facts.nodes.end())
         behind = std::max(behind, node->second.behind);
-    const Rank rank{left, !m.routers.empty(), -behind.inMicros() / 1'000'000, -m.takes.inMicros(), m.name};
+    const Rank rank{left, !m.routers.empty(), -behind.inMicros() / 1'000'000, -m.expectedDuration.inMicros(),
+                    m.name};
     if (!bestRank || rank < *bestRank) {
       bestRank = rank;
       best = &m;
@@ -140,7 +144,7 @@
   return best;
 }
 
-std::string impossible(const Machine& machine, const Facts& facts, const Bounds& bounds) {
+std::string permanentBlockingReason(const Machine& machine, const FleetState& facts, const Bounds& bounds) {
   if (machine.nodes.empty() && machine.routers.empty()) return "nothing stands on it";
   for (const auto& name : machine.nodes)
     if (!facts.nodes.contains(name)) return "no list names the node '" + name + "'";
@@ -158,8 +162,8 @@
     return "more routers stand on it than may be away: " + std::to_string(bounds.routersOut);
   Machine alone = machine;
   alone.nodes.clear();
-  Facts lively = facts;
-  for (auto& [name, router] : lively.routers) router.lives = true;
+  FleetState lively = facts;
+  for (auto& [name, router] : lively.routers) router.isAlive = true;
   return hindranceOfRouters({}, alone, lively, bounds);
 }
 
--- a/src/maintenance/scheduling.h
+++ b/src/maintenance/scheduling.h
@@ -21,17 +21,19 @@
 namespace gulltrestle::maintenance {
 
 // Why this machine can't go now; empty: it can. Counts what is away for any reason, this machine left out.
-std::string hindrance(const Plan& plan, const Machine& machine, const Facts& facts, const Bounds& bounds);
+std::string blockingReason(const Plan& plan, const Machine& machine, const FleetState& facts,
+                           const Bounds& bounds);
 
 // The same, and what hinders a turn from beginning, but none that has begun.
-std::string heldUp(const Plan& plan, const Machine& machine, const Facts& facts, const Bounds& bounds);
+std::string startBlockingReason(const Plan& plan, const Machine& machine, const FleetState& facts,
+                                const Bounds& bounds);
 
 // The one whose turn it is, of those that wait and that nothing hinders; null: none. `waited`: of each, since
 // it was asked for, where known.
-const Machine* nextOf(const Plan& plan, const Facts& facts, const Bounds& bounds,
-                      const std::map<std::string, Span>& waited);
+const Machine* nextMachine(const Plan& plan, const FleetState& facts, const Bounds& bounds,
+                           const std::map<std::string, Duration>& waited);
 
-// What would hinder it however long it waits; empty: nothing. For requests.
-std::string impossible(const Machine& machine, const Facts& facts, const Bounds& bounds);
+// Kind would hinder it however long it waits; empty: nothing. For requests.
+std::string permanentBlockingReason(const Machine& machine, const FleetState& facts, const Bounds& bounds);
 
 }  // namespace gulltrestle::maintenance
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -25,47 +25,48 @@
 
 namespace gulltrestle::membership {
 
-class Roll {
+class FailureDetector {
  public:
   // Routers say something each second (membership/heartbeat_timer.h); three that did not come are more than a
   // busy machine.
-  static constexpr Span kSilence = Span::millis(3500);
+  static constexpr Duration kTimeout = Duration::millis(3500);
   // How often turn() has to be called; a longer gap is time in which this keeper stood still.
-  static constexpr Span kTurn = Span::millis(500);
+  static constexpr Duration kCheckInterval = Duration::millis(500);
 
   // `kept`: what the disk holds, also of routers that are on the list no more.
-  Roll(Instant now, const std::set<std::string>& list, std::map<std::string, Incarnation> kept);
+  FailureDetector(Instant now, const std::set<std::string>& list, std::map<std::string, Incarnation> kept);
 
   // The list was read anew.
-  void list(Instant now, const std::set<std::string>& list);
-  bool has(const std::string& router) const { return list_.contains(router); }
+  void setMembers(Instant now, const std::set<std::string>& list);
+  bool isMember(const std::string& router) const { return list_.contains(router); }
 
   // The newest start that is known, on disk or on the way there.
-  Incarnation newest(const std::string& router) const;
+  Incarnation newestIncarnation(const std::string& router) const;
   // A start wishes to be this. What newest() gives afterwards is its answer, once changes are durable.
-  void enters(Instant now, const std::string& router, const Incarnation& start);
-  bool speaks(const std::string& router, std::uint64_t draw) const;
+  void onJoinRequest(Instant now, const std::string& router, const Incarnation& start);
+  bool isCurrent(const std::string& router, std::uint64_t draw) const;
   // It said something; nothing of it counts where it does not speak. `progress`: where it told it.
-  void heard(Instant now, const std::string& router, std::uint64_t draw, std::optional<Progress> progress);
+  void onHeartbeat(Instant now, const std::string& router, std::uint64_t draw,
+                   std::optional<MemberProgress> progress);
 
-  void turn(Instant now);
+  void checkTimeouts(Instant now);
 
   // Reports that changed after `version`, at most so many, oldest change first; `version` becomes that of the
   // last one.
-  std::vector<Report> since(std::uint64_t& version, std::size_t most) const;
-  std::vector<Report> all() const;
+  std::vector<LivenessReport> reportsSince(std::uint64_t& version, std::size_t most) const;
+  std::vector<LivenessReport> allReports() const;
   // Numbers to be made durable before anybody is told, since it was last asked.
   std::vector<std::pair<std::string, Incarnation>> takeChanges() { return std::exchange(changes_, {}); }
 
  private:
   struct Member {
     Incarnation newest;
-    Hearing hearing = Hearing::awaited;
+    Liveness hearing = Liveness::awaited;
     Instant heardAt;
-    Progress progress;
+    MemberProgress progress;
     std::uint64_t version = 0;  // of its last change
   };
-  Report reportOf(const std::string& router, const Member& member) const {
+  LivenessReport reportOf(const std::string& router, const Member& member) const {
     return {router, member.newest, member.hearing, member.progress};
   }
   void changed(const std::string& router, Member& member);
--- a/src/membership/heartbeat_timer.h
+++ b/src/membership/heartbeat_timer.h
@@ -11,21 +11,21 @@
 
 namespace gulltrestle::membership {
 
-class Beats {
+class HeartbeatTimer {
  public:
-  // Roll::kSilence is three of these and what a busy machine may add.
-  static constexpr Span kPause = Span::millis(1000);
+  // FailureDetector::kSilence is three of these and what a busy machine may add.
+  static constexpr Duration kInterval = Duration::millis(1000);
 
   // The first comes at a moment that is drawn: routers that start together don't beat in step.
-  Beats(Instant now, std::uint64_t seed) {
+  HeartbeatTimer(Instant now, std::uint64_t seed) {
     std::mt19937_64 chance(seed);
-    next_ = now + kPause * std::uniform_real_distribution<double>(0, 1)(chance);
+    next_ = now + kInterval * std::uniform_real_distribution<double>(0, 1)(chance);
   }
 
   // Once for each that is due; those that this router slept through are left out.
-  bool due(Instant now) {
+  bool isDue(Instant now) {
     if (now < next_) return false;
-    next_ = std::max(next_ + kPause, now + kPause * 0.5);
+    next_ = std::max(next_ + kInterval, now + kInterval * 0.5);
     return true;
   }
   Instant next() const { return next_; }
--- a/src/membership/join_protocol.h
+++ b/src/membership/join_protocol.h
@@ -29,29 +29,29 @@
 
 namespace gulltrestle::membership {
 
-class Entry {
+class JoinProtocol {
  public:
-  enum class State { asking, entering, resting, entered, superseded };
+  enum class State { discovering, joining, backingOff, joined, superseded };
 
   // `draw`: of this start.
-  Entry(std::size_t keepers, std::uint64_t draw);
+  JoinProtocol(std::size_t keepers, std::uint64_t draw);
 
   State state() const { return state_; }
   // Number 0 while it asks.
   const Incarnation& incarnation() const { return own_; }
   // Keepers that have it on disk: those at which this start may speak.
-  bool isAt(KeeperNumber keeper) const { return state_ != State::superseded && has_.contains(keeper); }
+  bool isJoinedAt(VoterIndex keeper) const { return state_ != State::superseded && has_.contains(keeper); }
 
   // A keeper that can be reached told the newest start of this name that it has on disk.
-  void greeted(Instant now, KeeperNumber keeper, const Incarnation& newest);
+  void onNewestKnown(Instant now, VoterIndex keeper, const Incarnation& newest);
   // It answered the wish to be `number`: the newest that it has on disk now.
-  void answered(Instant now, KeeperNumber keeper, const Incarnation& newest);
-  void lost(KeeperNumber keeper);
+  void onJoinReply(Instant now, VoterIndex keeper, const Incarnation& newest);
+  void onVoterLost(VoterIndex keeper);
 
   // Returns when there is more to do; never: nothing is.
-  Instant due(Instant now);
+  Instant runTimers(Instant now);
   // Whom to ask to be which number, since it was last asked.
-  std::vector<std::pair<KeeperNumber, std::uint64_t>> takeWishes() { return std::exchange(wishes_, {}); }
+  std::vector<std::pair<VoterIndex, std::uint64_t>> takeJoinRequests() { return std::exchange(wishes_, {}); }
 
  private:
   bool isHigher(const Incarnation& other) const {
@@ -62,14 +62,14 @@
 
   std::size_t keepers_;
   std::mt19937_64 chance_;
-  State state_ = State::asking;
+  State state_ = State::discovering;
   Incarnation own_;
-  std::map<KeeperNumber, Incarnation> newest_;  // that each reachable keeper told last
-  std::set<KeeperNumber> has_;                  // ours, durably
+  std::map<VoterIndex, Incarnation> newest_;  // that each reachable keeper told last
+  std::set<VoterIndex> has_;                  // ours, durably
   Instant restsUntil_;
-  std::vector<std::pair<KeeperNumber, std::uint64_t>> wishes_;
+  std::vector<std::pair<VoterIndex, std::uint64_t>> wishes_;
 };
 
-std::string_view nameOf(Entry::State state);
+std::string_view nameOf(JoinProtocol::State state);
 
 }  // namespace gulltrestle::membership
--- a/src/membership/membership_types.h
+++ b/src/membership/membership_types.h
@@ -10,7 +10,7 @@
 
 namespace gulltrestle::membership {
 
-using KeeperNumber = std::size_t;  // row in the list of keepers
+using VoterIndex = std::size_t;  // row in the list of keepers
 
 // One start of a router's program. Its number only grows from start to start, and more than half of the
 // keepers have it on disk before it speaks; it is drawn, too, so that two processes that use one name are
@@ -22,34 +22,34 @@
 };
 
 // Far beyond what any installation starts: what a keeper that tells falsely may name at most.
-constexpr std::uint64_t kMostNumber = std::uint64_t{1} << 62;
+constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 62;
 // By which a start's number may be above the one that a keeper knows. No name starts so often while a keeper
 // is away.
-constexpr std::uint64_t kLeap = 1'000'000;
+constexpr std::uint64_t kMaxIncarnationStep = 1'000'000;
 
-enum class Hearing {
+enum class Liveness {
   awaited,  // not heard since this keeper started, and not for long enough to be missed
-  heard,
-  silent,  // it was not heard for the time of silence
-  left,    // it is not on the list any more
+  alive,
+  silent,   // it was not heard for the time of silence
+  removed,  // it is not on the list any more
 };
 
 // What a router says of itself with each beat.
-struct Progress {
-  unsigned stage = 0;  // of its return, that all its groups have reached
+struct MemberProgress {
+  unsigned recoveryStage = 0;  // of its return, that all its groups have reached
   // Of the work on machines: the plan that it keeps to, and the one by which nothing of it is out any more at
   // nodes that leave; versions.
-  std::uint64_t known = 0, clear = 0;
-  bool operator==(const Progress&) const = default;
+  std::uint64_t planVersion = 0, drainedVersion = 0;
+  bool operator==(const MemberProgress&) const = default;
 };
 
 // What one keeper says of one router, first hand. Never told on.
-struct Report {
+struct LivenessReport {
   std::string router;
   Incarnation incarnation;  // the newest that is known there
-  Hearing hearing = Hearing::awaited;
-  Progress progress;  // by its own word
-  bool operator==(const Report&) const = default;
+  Liveness liveness = Liveness::awaited;
+  MemberProgress progress;  // by its own word
+  bool operator==(const LivenessReport&) const = default;
 };
 
 // More than half.
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -21,41 +21,41 @@
 
 namespace gulltrestle::membership {
 
-class View {
+class MembershipView {
  public:
-  explicit View(std::size_t keepers) : keepers_(keepers) {}
+  explicit MembershipView(std::size_t keepers) : keepers_(keepers) {}
 
-  enum class State { unknown, suspected, lives, out };
+  enum class State { unknown, suspected, alive, dead };
   struct Member {
     State state = State::unknown;
     // The start that lives; else the number that more than half of the keepers know it has reached.
     std::uint64_t incarnation = 0;
-    Progress progress;  // the least of each that one who hears it was told
-    std::vector<KeeperNumber> silent;
+    MemberProgress progress;  // the least of each that one who hears it was told
+    std::vector<VoterIndex> silent;
     std::size_t left = 0;  // of those, that have it off the list
   };
 
-  void told(KeeperNumber keeper, const std::vector<Report>& reports);
+  void onReports(VoterIndex keeper, const std::vector<LivenessReport>& reports);
   // It can't be reached: what it said counts no more.
-  void lost(KeeperNumber keeper);
+  void onVoterLost(VoterIndex keeper);
 
-  Member of(const std::string& router) const;
+  Member memberState(const std::string& router) const;
   std::vector<std::string> routers() const;
   // How many are in this state.
   std::size_t count(State state) const;
 
   // A router has come to be out, or lives after it was, since it was last asked.
-  struct Step {
+  struct Transition {
     std::string router;
     State to;
     std::uint64_t incarnation;
     std::size_t silentAt;
   };
-  std::vector<Step> takeSteps() { return std::exchange(steps_, {}); }
+  std::vector<Transition> takeTransitions() { return std::exchange(steps_, {}); }
 
  private:
   struct Known {
-    std::map<KeeperNumber, Report> reports;
+    std::map<VoterIndex, LivenessReport> reports;
     State state = State::unknown;
     bool wasOut = false;
   };
@@ -64,9 +64,9 @@
 
   std::size_t keepers_;
   std::map<std::string, Known> routers_;  // bounded by what reachable keepers have on their lists
-  std::vector<Step> steps_;
+  std::vector<Transition> steps_;
 };
 
-std::string_view nameOf(View::State state);
+std::string_view nameOf(MembershipView::State state);
 
 }  // namespace gulltrestle::membership
--- a/src/observability/logging/logging_config.cpp
+++ b/src/observability/logging/logging_config.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-Setup read(const json::Value& all) {
-  config::Section top(all, "");
-  Setup setup;
+LoggingConfig read(const json::Value& all) {
+  config::ConfigSection top(all, "");
+  LoggingConfig setup;
   setup.txns = top.flag("txns", setup.txns);
   top.end();
   return setup;
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Setup readSetup(std::string_view text) { return read(config::readText(text)); }
-Setup readSetupFile(const std::string& path) { return read(config::readFile(path)); }
+LoggingConfig readLoggingConfig(std::string_view text) { return read(config::readText(text)); }
+LoggingConfig readLoggingConfigFile(const std::string& path) { return read(config::readFile(path)); }
 
 }  // namespace gulltrestle::logging
--- a/src/observability/logging/logging_config.h
+++ b/src/observability/logging/logging_config.h
@@ -6,12 +6,12 @@
 
 namespace gulltrestle::logging {
 
-struct Setup {
+struct LoggingConfig {
   bool txns = false;  // each txn from its arrival to its answer, and why connections are closed
 };
 
 // Throws config::BadKey, which names the key.
-Setup readSetup(std::string_view text);
-Setup readSetupFile(const std::string& path);
+LoggingConfig readLoggingConfig(std::string_view text);
+LoggingConfig readLoggingConfigFile(const std::string& path);
 
 }  // namespace gulltrestle::logging
--- a/src/observability/logging/transaction_logging.cpp
+++ b/src/observability/logging/transaction_logging.cpp
@@ -2,18 +2,19 @@
 
 namespace gulltrestle::logging {
 
-Logging::Logging(transactions::Trace& trace, const Setup& setup, std::function<Setup()> read, Log log)
+TransactionLogging::TransactionLogging(transactions::Trace& trace, const LoggingConfig& setup,
+                                       std::function<LoggingConfig()> read, Log log)
     : trace_(trace), read_(std::move(read)), log_(std::move(log)) {
   take(setup);
 }
 
-void Logging::take(const Setup& setup) {
+void TransactionLogging::take(const LoggingConfig& setup) {
   if (setup.txns != trace_.isOn())
     log_(std::string("event=logging.changed txns=") + (setup.txns ? "on" : "off"));
-  trace_.to(setup.txns ? log_ : Log());
+  trace_.setSink(setup.txns ? log_ : Log());
 }
 
-void Logging::readAnew() {
+void TransactionLogging::reloadConfig() {
   try {
     take(read_());
   } catch (const std::exception& bad) {
--- a/src/observability/logging/transaction_logging.h
+++ b/src/observability/logging/transaction_logging.h
@@ -11,26 +11,27 @@
 
 namespace gulltrestle::logging {
 
-class Logging final : public gateway::Part {
+class TransactionLogging final : public gateway::Component {
  public:
   using Log = std::function<void(const std::string& line)>;
   // `read`: reads the configuration anew; it may throw config::BadKey.
-  Logging(transactions::Trace& trace, const Setup& setup, std::function<Setup()> read, Log log);
+  TransactionLogging(transactions::Trace& trace, const LoggingConfig& setup,
+                     std::function<LoggingConfig()> read, Log log);
 
-  void listHeard() override {}
+  void onDiscoveryActivity() override {}
   void endTurn() override {}
   void flush() override {}
   Instant nextDue() const override { return Instant(); }
   void stop() override {}
   bool empty() const override { return true; }
   // What can't be used is logged with its key, and all goes on as it was.
-  void readAnew() override;
+  void reloadConfig() override;
 
  private:
-  void take(const Setup& setup);
+  void take(const LoggingConfig& setup);
 
   transactions::Trace& trace_;
-  std::function<Setup()> read_;
+  std::function<LoggingConfig()> read_;
   Log log_;
 };
 
--- a/src/protocol/ext_proc/messages.cpp
+++ b/src/protocol/ext_proc/messages.cpp
@@ -123,7 +123,7 @@
   return message.SerializeAsString();
 }
 
-std::string wait(Span time) {
+std::string wait(Duration time) {
   ProcessingResponse message;
   auto& wait = *message.mutable_override_message_timeout();
   wait.set_seconds(time.inMicros() / 1'000'000);
@@ -168,7 +168,7 @@
                       immediate.details()};
   }
   const auto& wait = message.override_message_timeout();
-  made.wait = Span::micros(wait.seconds() * 1'000'000 + wait.nanos() / 1000);
+  made.wait = Duration::micros(wait.seconds() * 1'000'000 + wait.nanos() / 1000);
   return made;
 }
 
--- a/src/protocol/ext_proc/messages.h
+++ b/src/protocol/ext_proc/messages.h
@@ -57,7 +57,7 @@
 };
 std::string answered(const Immediate& answer);
 // The proxy is asked to wait so long, from now, for the answer to the same phase.
-std::string wait(Span time);
+std::string wait(Duration time);
 
 // --- The proxy's side, for stand-ins and tests.
 std::string request(const Request& request, bool raw = true);
@@ -67,7 +67,7 @@
   std::vector<std::string> removed;
   bool isImmediate = false;
   Immediate immediate;
-  Span wait;  // zero: not asked for
+  Duration wait;  // zero: not asked for
 };
 Response readResponse(std::string_view bytes);
 
--- a/src/protocol/grpc/server_calls.cpp
+++ b/src/protocol/grpc/server_calls.cpp
@@ -55,18 +55,18 @@
   return Cut::message;
 }
 
-Calls::Calls(std::string method, Bounds bounds, Receiver& receiver)
+ServerCalls::ServerCalls(std::string method, Bounds bounds, CallHandler& receiver)
     : method_(std::move(method)),
       bounds_(bounds),
       receiver_(receiver),
       session_(http2::Session::Side::server, bounds.connection, *this) {}
 
-Calls::Call* Calls::find(CallId id) {
+ServerCalls::Call* ServerCalls::find(CallId id) {
   const auto at = calls_.find(id);
   return at == calls_.end() || at->second.finished ? nullptr : &at->second;
 }
 
-void Calls::headers(http2::StreamId id, http2::Headers headers) {
+void ServerCalls::headers(http2::StreamId id, http2::Headers headers) {
   if (calls_.contains(id)) return;  // trailers, which mean nothing here
   if (valueOf(headers, ":method") != "POST" ||
       !valueOf(headers, "content-type").starts_with("application/grpc"))
@@ -80,7 +80,7 @@
     finish(id, Status::unimplemented, "messages are taken as they are, not compressed");
 }
 
-void Calls::data(http2::StreamId id, std::string_view bytes) {
+void ServerCalls::data(http2::StreamId id, std::string_view bytes) {
   Call* call = find(id);
   if (!call) return;
   std::string whole;
@@ -106,14 +106,14 @@
   }
 }
 
-void Calls::halfClosed(http2::StreamId id) {
+void ServerCalls::halfClosed(http2::StreamId id) {
   Call* call = find(id);
   if (!call) return;
   if (!call->kept.empty()) return finish(id, Status::invalidArgument, "a message is cut short");
   receiver_.halfClosed(id);
 }
 
-void Calls::closed(http2::StreamId id, http2::Code code) {
+void ServerCalls::closed(http2::StreamId id, http2::Code code) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return;
   const bool finished = at->second.finished;
@@ -121,7 +121,7 @@
   receiver_.ended(id, !finished || code != http2::Code::none);
 }
 
-void Calls::send(CallId id, std::string_view message) {
+void ServerCalls::send(CallId id, std::string_view message) {
   Call* call = find(id);
   if (!call) return;
   if (!std::exchange(call->answered, true))
@@ -129,7 +129,7 @@
   session_.send(id, framed(message));
 }
 
-void Calls::finish(CallId id, Status status, std::string_view text) {
+void ServerCalls::finish(CallId id, Status status, std::string_view text) {
   Call* call = find(id);
   if (!call) return;
   call->finished = true;
--- a/src/protocol/grpc/server_calls.h
+++ b/src/protocol/grpc/server_calls.h
@@ -26,9 +26,9 @@
 };
 
 // What the messages of a call are for. May call Calls from within any of these.
-class Receiver {
+class CallHandler {
  public:
-  virtual ~Receiver() = default;
+  virtual ~CallHandler() = default;
   virtual void opened(CallId call) = 0;
   virtual void message(CallId call, std::string_view bytes) = 0;
   // The client sends no more.
@@ -43,9 +43,9 @@
   std::size_t longestMessage = 64 * 1024;
 };
 
-class Calls final : private http2::Handler {
+class ServerCalls final : private http2::Handler {
  public:
-  Calls(std::string method, Bounds bounds, Receiver& receiver);
+  ServerCalls(std::string method, Bounds bounds, CallHandler& receiver);
 
   // As of http2::Session.
   bool received(Instant now, std::string_view bytes) { return session_.received(now, bytes); }
@@ -72,7 +72,7 @@
 
   std::string method_;
   Bounds bounds_;
-  Receiver& receiver_;
+  CallHandler& receiver_;
   std::map<CallId, Call> calls_;
   http2::Session session_;
 };
--- a/src/protocol/load_report/load_report.cpp
+++ b/src/protocol/load_report/load_report.cpp
@@ -19,15 +19,15 @@
 
 }  // namespace
 
-void readField(const Names& names, std::string_view name, std::string_view value, Standing& said) {
+void readField(const Names& names, std::string_view name, std::string_view value, LoadReport& said) {
   if (name == names.role) {
     if (value == "primary") said.role = Role::primary;
     if (value == "replica") said.role = Role::replica;
   } else if (name == names.position) {
     if (const auto millis = whole(value, kLastMs))
-      said.position = Instant() + Span::millis(static_cast<std::int64_t>(*millis));
+      said.position = Instant() + Duration::millis(static_cast<std::int64_t>(*millis));
   } else if (name == names.inHand) {
-    if (const auto count = whole(value, kMostInHand)) said.inHand = static_cast<double>(*count);
+    if (const auto count = whole(value, kMostInHand)) said.inFlight = static_cast<double>(*count);
   }
 }
 
--- a/src/protocol/load_report/load_report.h
+++ b/src/protocol/load_report/load_report.h
@@ -16,6 +16,6 @@
 };
 
 // Adds to `said` what one header tells. What can't be read tells nothing.
-void readField(const Names& names, std::string_view name, std::string_view value, Standing& said);
+void readField(const Names& names, std::string_view name, std::string_view value, LoadReport& said);
 
 }  // namespace gulltrestle::load_report
--- a/src/protocol/postgres/answer.cpp
+++ b/src/protocol/postgres/answer.cpp
@@ -98,10 +98,10 @@
 
 }  // namespace
 
-Verdict verdictOf(std::string_view code) {
-  if (code == "25006" || code == "72000") return Verdict::notHere;
-  if (code == "53300" || code == "57P03") return Verdict::rejected;
-  return Verdict::error;
+AnswerKind verdictOf(std::string_view code) {
+  if (code == "25006" || code == "72000") return AnswerKind::wrongNode;
+  if (code == "53300" || code == "57P03") return AnswerKind::rejected;
+  return AnswerKind::error;
 }
 
 std::optional<Answer> takeAnswer(std::string_view& bytes) {
@@ -136,7 +136,7 @@
         break;
       case 'E': {
         const auto fields = readError(body);
-        answer.verdict = verdictOf(fields.code);
+        answer.kind = verdictOf(fields.code);
         answer.fatal = fields.severity == "FATAL" || fields.severity == "PANIC";
         next = "ZSN";
         if (!answer.fatal) break;
@@ -156,8 +156,8 @@
   while (const auto message = takeMessage(bytes, kLongestMessage)) {
     if (message->type == 'Z') return Greeting::welcome;
     if (message->type == 'E')
-      return verdictOf(readError(message->body).code) == Verdict::rejected ? Greeting::rejected
-                                                                           : Greeting::refused;
+      return verdictOf(readError(message->body).code) == AnswerKind::rejected ? Greeting::rejected
+                                                                              : Greeting::refused;
     if (message->type == 'R' && message->body != std::string_view("\0\0\0\0", 4))
       throw Malformed("a password is asked for");
   }
--- a/src/protocol/postgres/answer.h
+++ b/src/protocol/postgres/answer.h
@@ -10,11 +10,11 @@
 namespace gulltrestle::postgres {
 
 // What an error says of the query.
-enum class Verdict {
-  row,       // no error: it ran
-  notHere,   // no effect: a write, and this is no primary; or too far behind
-  rejected,  // never ran: queue full, draining, too many connections, or the txn is already over
-  error,     // it may have run
+enum class AnswerKind {
+  row,        // no error: it ran
+  wrongNode,  // no effect: a write, and this is no primary; or too far behind
+  rejected,   // never ran: queue full, draining, too many connections, or the txn is already over
+  error,      // it may have run
 };
 
 struct Report {
@@ -25,7 +25,7 @@
 
 // The slices are of the bytes it was read from.
 struct Answer {
-  Verdict verdict = Verdict::row;
+  AnswerKind kind = AnswerKind::row;
   bool fatal = false;                           // the node closes the connection after it
   std::string_view description, row, complete;  // whole messages; with a verdict of row only
   std::string_view value;                       // the row's one column
@@ -50,7 +50,7 @@
 std::optional<Greeting> takeGreeting(std::string_view& bytes);
 
 // The verdict of an error's SQLSTATE.
-Verdict verdictOf(std::string_view code);
+AnswerKind verdictOf(std::string_view code);
 
 // An answer that refuses: harmless to try again, after so many milliseconds where that is advised. `level`:
 // of reduced service, named where it is not 0.
--- a/src/protocol/postgres/statement.cpp
+++ b/src/protocol/postgres/statement.cpp
@@ -22,14 +22,15 @@
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size() || value > most)
-    throw BadStatement(kBadValue, "field " + std::string(name) + " of the comment is not a number in range");
+    throw InvalidStatement(kBadValue,
+                           "field " + std::string(name) + " of the comment is not a number in range");
   return value;
 }
 
 // Cuts the text up to the closing quote off the front, and the quote.
 std::string_view takeQuoted(std::string_view& text) {
   const auto end = text.find('\'');
-  if (end == std::string_view::npos) throw BadStatement(kSyntaxError, "a quoted text has no end");
+  if (end == std::string_view::npos) throw InvalidStatement(kSyntaxError, "a quoted text has no end");
   const auto quoted = text.substr(0, end);
   text.remove_prefix(end + 1);
   return quoted;
@@ -37,7 +38,7 @@
 
 void skip(std::string_view& text, std::string_view wanted) {
   if (text.substr(0, wanted.size()) != wanted)
-    throw BadStatement(kSyntaxError, "'" + std::string(wanted) + "' is wanted");
+    throw InvalidStatement(kSyntaxError, "'" + std::string(wanted) + "' is wanted");
   text.remove_prefix(wanted.size());
 }
 
@@ -55,15 +56,16 @@
     text.remove_prefix(kInsert.size());
     read.key = takeQuoted(text);
     skip(text, ", '\\x");
-    if (takeQuoted(text).size() > 2 * kLongestValue) throw BadStatement(kTooLarge, "the value is too long");
+    if (takeQuoted(text).size() > 2 * kLongestValue)
+      throw InvalidStatement(kTooLarge, "the value is too long");
     skip(text, ") RETURNING body");
   } else {
-    throw BadStatement(kSyntaxError, "only reads and writes of one object are taken");
+    throw InvalidStatement(kSyntaxError, "only reads and writes of one object are taken");
   }
   skip(text, " /*");
   const auto end = text.find("*/");
-  if (end == std::string_view::npos) throw BadStatement(kSyntaxError, "the comment has no end");
-  if (!isBlank(text.substr(end + 2))) throw BadStatement(kSyntaxError, "a query holds one statement");
+  if (end == std::string_view::npos) throw InvalidStatement(kSyntaxError, "the comment has no end");
+  if (!isBlank(text.substr(end + 2))) throw InvalidStatement(kSyntaxError, "a query holds one statement");
   auto comment = text.substr(0, end);
   bool hasGroup = false;
   while (!comment.empty()) {
@@ -74,7 +76,7 @@
     while (!part.empty() && part.back() == ' ') part.remove_suffix(1);
     const auto equals = part.find('=');
     if (equals == std::string_view::npos)
-      throw BadStatement(kSyntaxError, "a part of the comment has no value");
+      throw InvalidStatement(kSyntaxError, "a part of the comment has no value");
     const auto name = part.substr(0, equals);
     const auto value = part.substr(equals + 1);
     if (name == "id") read.id = value;
@@ -93,7 +95,8 @@
                                     {"c", !read.typeName.empty()},
                                     {"d", !read.wait.empty()},
                                     {"cluster", hasGroup}})
-    if (!there) throw BadStatement(kBadValue, std::string("field ") + name + " of the comment is missing");
+    if (!there)
+      throw InvalidStatement(kBadValue, std::string("field ") + name + " of the comment is missing");
   return read;
 }
 
--- a/src/protocol/postgres/statement.h
+++ b/src/protocol/postgres/statement.h
@@ -12,9 +12,9 @@
 namespace gulltrestle::postgres {
 
 // A statement that can't be taken: an SQLSTATE and what is wrong.
-class BadStatement : public std::runtime_error {
+class InvalidStatement : public std::runtime_error {
  public:
-  BadStatement(std::string_view code, const std::string& what) : std::runtime_error(what), code_(code) {}
+  InvalidStatement(std::string_view code, const std::string& what) : std::runtime_error(what), code_(code) {}
   std::string_view code() const { return code_; }
 
  private:
--- a/src/recovery/admission_ramp.cpp
+++ b/src/recovery/admission_ramp.cpp
@@ -14,20 +14,21 @@
 constexpr double kWell = 0.75, kIll = 0.5;
 // How often the rate changes. Sooner, by the number of answers, it overshot what cold nodes can do: on the
 // modelled storm (docs/fleet.md) 58 were pushed over, with a second none.
-constexpr Span kAdjust = Span::millis(1000);
+constexpr Duration kAdjust = Duration::millis(1000);
 // With nobody rejected for so long, it is over.
-constexpr Span kQuiet = Span::millis(3000);
+constexpr Duration kQuiet = Duration::millis(3000);
 // Cold nodes are warm long before, and a router must serve in the end.
-constexpr Span kLongest = Span::millis(60'000);
+constexpr Duration kLongest = Duration::millis(60'000);
 // When to come back, at least.
-constexpr Span kBackLeast = Span::millis(100);
+constexpr Duration kBackLeast = Duration::millis(100);
 // How far that is spread about its mean, as a part of it.
 constexpr double kSpread = 0.5;
 constexpr std::size_t kCounted = 64;
 
 }  // namespace
 
-Ramp::Ramp(Instant now, unsigned routers, double first, Span longestBack, std::uint64_t seed)
+AdmissionRamp::AdmissionRamp(Instant now, unsigned routers, double first, Duration longestBack,
+                             std::uint64_t seed)
     : routers_(std::max(1u, routers)),
       first_(first),
       longestBack_(longestBack * (1 / (1 + kSpread))),
@@ -37,25 +38,25 @@
       adjustedAt_(now),
       filledAt_(now) {}
 
-double Ramp::least() const {
+double AdmissionRamp::least() const {
   return first_ * static_cast<double>(std::max<std::size_t>(1, nodes_)) / static_cast<double>(routers_);
 }
 
-void Ramp::listed(std::size_t nodes) {
+void AdmissionRamp::setNodeCount(std::size_t nodes) {
   nodes_ = nodes;
   rate_ = std::max(rate_, least());
 }
 
-void Ramp::end() {
-  state_ = State::over;
+void AdmissionRamp::end() {
+  state_ = State::finished;
   last_.clear();
   refused_.clear();
 }
 
-void Ramp::adjust(Instant now) {
+void AdmissionRamp::adjust(Instant now) {
   if (now - adjustedAt_ < kAdjust) return;
   adjustedAt_ = now;
-  const double well = last_.size() < kJudged / 2 ? 1 : partTrue(last_);
+  const double well = last_.size() < kJudged / 2 ? 1 : fractionTrue(last_);
   if (well < kWell) state_ = State::steady;
   if (state_ == State::opening)
     rate_ *= 2;
@@ -67,16 +68,16 @@
 
 // As long as it takes, at the present rate, until all that were rejected lately have come in; spread, so
 // that they don't come back together.
-Span Ramp::comeBack() {
-  const Span over = std::max(lastRejected_ - refused_.front(), Span::millis(50));
+Duration AdmissionRamp::comeBack() {
+  const Duration over = std::max(lastRejected_ - refused_.front(), Duration::millis(50));
   const double refusals = static_cast<double>(refused_.size()) / over.inSeconds();
-  const Span mean =
-      std::min(std::max(Span::seconds(refusals / std::max(rate_, 0.1)), kBackLeast), longestBack_);
+  const Duration mean =
+      std::min(std::max(Duration::seconds(refusals / std::max(rate_, 0.1)), kBackLeast), longestBack_);
   return mean * std::uniform_real_distribution<>(1 - kSpread, 1 + kSpread)(chance_);
 }
 
-std::optional<Span> Ramp::rejects(Instant now) {
-  if (state_ == State::over) return {};
+std::optional<Duration> AdmissionRamp::rejectsWithRetryAfter(Instant now) {
+  if (state_ == State::finished) return {};
   if (now - startedAt_ > kLongest || now - lastRejected_ > kQuiet) {
     end();
     return {};
@@ -91,17 +92,17 @@
   }
   lastRejected_ = now;
   ++rejected_;
-  keepLast(refused_, now, kCounted);
+  pushBounded(refused_, now, kCounted);
   return comeBack();
 }
 
-void Ramp::passed(Instant now, bool sent, bool inTime) {
-  if (state_ == State::over || !sent) return;
-  keepLast(last_, inTime, kJudged);
+void AdmissionRamp::onTransactionEnded(Instant now, bool sent, bool inTime) {
+  if (state_ == State::finished || !sent) return;
+  pushBounded(last_, inTime, kJudged);
   adjust(now);
 }
 
-std::string_view nameOf(Ramp::State state) {
+std::string_view nameOf(AdmissionRamp::State state) {
   constexpr std::string_view kNames[] = {"opening", "steady", "over"};
   return kNames[static_cast<int>(state)];
 }
--- a/src/recovery/admission_ramp.h
+++ b/src/recovery/admission_ramp.h
@@ -24,27 +24,27 @@
 
 namespace gulltrestle::recovery {
 
-class Ramp {
+class AdmissionRamp {
  public:
-  enum class State { opening, steady, over };
+  enum class State { opening, steady, finished };
 
   // Txns a second and node, over all routers, that come in at first: few enough for a node that is cold. On
   // the modelled storm twice as many pushed nodes over, and half as many took longer.
-  static constexpr double kFirst = 8;
+  static constexpr double kInitialRatePerNode = 8;
 
   // `routers`: that may start together; `first`: txns a second and node; `longestBack`: that clients may be
   // told to stay away. `seed`: come-back times differ from router to router.
-  Ramp(Instant now, unsigned routers, double first, Span longestBack, std::uint64_t seed);
+  AdmissionRamp(Instant now, unsigned routers, double first, Duration longestBack, std::uint64_t seed);
 
   // Nodes that the list names, of all groups.
-  void listed(std::size_t nodes);
+  void setNodeCount(std::size_t nodes);
   // Those that live have told that service is as usual: this router starts alone.
-  void alone() { end(); }
+  void skip() { end(); }
 
   // None: it may come in. Else when its client may come back.
-  std::optional<Span> rejects(Instant now);
+  std::optional<Duration> rejectsWithRetryAfter(Instant now);
   // One that came in is over: `sent` on to a node, and committed within its latency target.
-  void passed(Instant now, bool sent, bool inTime);
+  void onTransactionEnded(Instant now, bool sent, bool inTime);
 
   State state() const { return state_; }
   double rate() const { return rate_; }  // txns a second
@@ -55,12 +55,12 @@
   void end();
   double least() const;
   void adjust(Instant now);
-  Span comeBack();
+  Duration comeBack();
 
   State state_ = State::opening;
   unsigned routers_;
   double first_;
-  Span longestBack_;
+  Duration longestBack_;
   std::mt19937_64 chance_;
   Instant startedAt_, lastRejected_, adjustedAt_, filledAt_;
   std::size_t nodes_ = 0;
@@ -70,6 +70,6 @@
   std::uint64_t rejected_ = 0;
 };
 
-std::string_view nameOf(Ramp::State state);
+std::string_view nameOf(AdmissionRamp::State state);
 
 }  // namespace gulltrestle::recovery
--- a/src/recovery/drain_registry.cpp
+++ b/src/recovery/drain_registry.cpp
@@ -6,7 +6,7 @@
 namespace gulltrestle::recovery {
 
 // One that stays is remembered with its version, too: news of its leaving that are older mean nothing.
-bool Leaving::set(const NodeId& node, ListVersion version, bool leaving) {
+bool DrainRegistry::set(const NodeId& node, ListVersion version, bool leaving) {
   const auto at = nodes_.find(node);
   // Of two lists of one version, the one that lets it leave counts: a txn less is better than one too many.
   if (at != nodes_.end() &&
@@ -23,18 +23,20 @@
   return news;
 }
 
-std::vector<News> Leaving::listed(ListKind kind, ListVersion version, std::vector<ListEntry*>& entries) {
-  std::vector<News> out;
-  if (kind == ListKind::disk) return out;  // told before the start, by whoever kept it: it may be any age
+std::vector<DrainUpdate> DrainRegistry::applyList(EndpointUpdateKind kind, ListVersion version,
+                                                  std::vector<EndpointEntry*>& entries) {
+  std::vector<DrainUpdate> out;
+  if (kind == EndpointUpdateKind::restored)
+    return out;  // told before the start, by whoever kept it: it may be any age
   newest_ = std::max(newest_, version);
   std::set<NodeId> named;
-  for (ListEntry* entry : entries) {
+  for (EndpointEntry* entry : entries) {
     named.insert(entry->node);
     const bool leaves = entry->health != Health::live;
     if (set(entry->node, version, leaves)) out.push_back({entry->node, version, leaves});
-    if (!leaves && isLeaving(entry->node)) entry->health = Health::draining;
+    if (!leaves && isDraining(entry->node)) entry->health = Health::draining;
   }
-  if (kind != ListKind::whole) return out;
+  if (kind != EndpointUpdateKind::snapshot) return out;
   std::vector<NodeId> gone;
   for (const auto& [node, known] : nodes_)
     if (!known.leaving && known.version < version && !named.contains(node)) gone.push_back(node);
@@ -43,18 +45,18 @@
   return out;
 }
 
-bool Leaving::learn(const News& news) {
+bool DrainRegistry::learn(const DrainUpdate& news) {
   newest_ = std::max(newest_, news.version);
-  return set(news.node, news.version, news.leaving);
+  return set(news.node, news.version, news.isDraining);
 }
 
-std::vector<News> Leaving::all() const {
-  std::vector<News> out;
+std::vector<DrainUpdate> DrainRegistry::all() const {
+  std::vector<DrainUpdate> out;
   for (const auto& [node, known] : nodes_) out.push_back({node, known.version, known.leaving});
   return out;
 }
 
-bool Leaving::isLeaving(const NodeId& node) const {
+bool DrainRegistry::isDraining(const NodeId& node) const {
   const auto at = nodes_.find(node);
   return at != nodes_.end() && at->second.leaving;
 }
--- a/src/recovery/drain_registry.h
+++ b/src/recovery/drain_registry.h
@@ -21,29 +21,30 @@
 
 using ListVersion = std::uint64_t;
 
-struct News {  // of one node
+struct DrainUpdate {  // of one node
   NodeId node;
   ListVersion version = 0;  // of the list that said so
-  bool leaving = false;
-  bool operator==(const News&) const = default;
+  bool isDraining = false;
+  bool operator==(const DrainUpdate&) const = default;
 };
 
-class Leaving {
+class DrainRegistry {
  public:
   // Nodes that are remembered, beyond which the oldest go: they are not listed any more.
-  explicit Leaving(std::size_t most = 20'000) : most_(most) {}
+  explicit DrainRegistry(std::size_t most = 20'000) : most_(most) {}
 
   // A list came. What it names live and is known to be leaving by a newer one is changed to draining in it.
   // Returns what others are to be told.
-  std::vector<News> listed(ListKind kind, ListVersion version, std::vector<ListEntry*>& entries);
+  std::vector<DrainUpdate> applyList(EndpointUpdateKind kind, ListVersion version,
+                                     std::vector<EndpointEntry*>& entries);
   // Others' news. True: it was news here.
-  bool learn(const News& news);
+  bool learn(const DrainUpdate& news);
 
-  std::vector<News> all() const;
+  std::vector<DrainUpdate> all() const;
   // Nodes that went as there were too many, since it was last asked.
   std::vector<NodeId> takeForgotten() { return std::exchange(forgotten_, {}); }
   // Of this node, by its newest news.
-  bool isLeaving(const NodeId& node) const;
+  bool isDraining(const NodeId& node) const;
   // Whether the newest list that came is older than one that others were told.
   ListVersion newest() const { return newest_; }
 
--- a/src/recovery/peer_observations.cpp
+++ b/src/recovery/peer_observations.cpp
@@ -6,7 +6,7 @@
 
 namespace gulltrestle::recovery {
 
-std::optional<Standing> Sightings::listed(const NodeId& id, Instant start) {
+std::optional<LoadReport> PeerObservations::onListed(const NodeId& id, Instant start) {
   const auto [at, isNew] = nodes_.try_emplace(id);
   Node& node = at->second;
   const bool wasListed = std::exchange(node.isListed, true);
@@ -17,14 +17,14 @@
   return {};
 }
 
-void Sightings::forget(const NodeId& id) {
+void PeerObservations::forget(const NodeId& id) {
   const auto at = nodes_.find(id);
   if (at == nodes_.end()) return;
   unlisted_ -= !at->second.isListed;
   nodes_.erase(at);
 }
 
-void Sightings::disconnected(const NodeId& id) {
+void PeerObservations::disconnected(const NodeId& id) {
   const auto at = nodes_.find(id);
   if (at == nodes_.end()) return;
   at->second.own.reset();
@@ -32,7 +32,7 @@
   at->second.proven = {};
 }
 
-void Sightings::saw(Instant now, const NodeId& id, const Standing& said) {
+void PeerObservations::observe(Instant now, const NodeId& id, const LoadReport& said) {
   const auto at = nodes_.find(id);
   if (at == nodes_.end() || !at->second.isListed || (said.role == Role::unknown && !said.position)) return;
   auto& own = at->second.own;
@@ -42,8 +42,9 @@
   if (said.position) own->position = said.position;
 }
 
-std::optional<Standing> Sightings::told(Instant now, const std::string& by, const Sighting& sighting) {
-  if (sighting.age < Span() || sighting.age > kTold) return {};
+std::optional<LoadReport> PeerObservations::onObservation(Instant now, const std::string& by,
+                                                          const Observation& sighting) {
+  if (sighting.age < Duration() || sighting.age > kMaxAge) return {};
   const auto [at, isNew] = nodes_.try_emplace(sighting.node);
   Node& node = at->second;
   if (isNew) {
@@ -59,14 +60,14 @@
   // What a second of them confirms: the second highest position, the role that two tell.
   std::vector<Instant> positions;
   std::size_t primaries = 0, replicas = 0;
-  std::erase_if(node.others, [&](const auto& other) { return now - other.second.at > kTold; });
+  std::erase_if(node.others, [&](const auto& other) { return now - other.second.at > kMaxAge; });
   for (const auto& [router, seen] : node.others) {
     if (seen.position) positions.push_back(*seen.position);
     primaries += seen.role == Role::primary;
     replicas += seen.role == Role::replica;
   }
   std::sort(positions.begin(), positions.end(), std::greater<>());
-  Standing proven;
+  LoadReport proven;
   if (positions.size() > 1) proven.position = positions[1];
   // Where they differ on the role nothing is known of it.
   if (primaries > 1 && replicas == 0) proven.role = Role::primary;
@@ -79,27 +80,27 @@
   return proven;
 }
 
-std::vector<Sighting> Sightings::firstHand(Instant now) const {
-  std::vector<Sighting> all;
+std::vector<Observation> PeerObservations::firstHand(Instant now) const {
+  std::vector<Observation> all;
   for (const auto& [id, node] : nodes_)
-    if (node.own && now - node.own->at <= kTold)
+    if (node.own && now - node.own->at <= kMaxAge)
       all.push_back({id, node.start, node.own->role, node.own->position, now - node.own->at});
   return all;
 }
 
-bool Sightings::sawItself(const NodeId& id) const {
+bool PeerObservations::hasObserved(const NodeId& id) const {
   const auto at = nodes_.find(id);
   return at != nodes_.end() && at->second.own.has_value();
 }
 
-Role Sightings::role(const NodeId& id) const {
+Role PeerObservations::role(const NodeId& id) const {
   const auto at = nodes_.find(id);
   if (at == nodes_.end()) return Role::unknown;
   if (at->second.own && at->second.own->role != Role::unknown) return at->second.own->role;
   return at->second.proven.role;
 }
 
-bool Sightings::knowsPosition(const NodeId& id) const {
+bool PeerObservations::knowsPosition(const NodeId& id) const {
   const auto at = nodes_.find(id);
   if (at == nodes_.end()) return false;
   return (at->second.own && at->second.own->position) || at->second.proven.position;
--- a/src/recovery/peer_observations.h
+++ b/src/recovery/peer_observations.h
@@ -26,37 +26,37 @@
 
 namespace gulltrestle::recovery {
 
-struct Sighting {
+struct Observation {
   NodeId node;
   Instant nodeStart;  // as the list told it when the node was seen; never: long ago
   Role role = Role::unknown;
   std::optional<Instant> position;
-  Span age;  // how long ago, when it is told
+  Duration age;  // how long ago, when it is told
 };
 
-class Sightings {
+class PeerObservations {
  public:
   // What is older is neither told nor believed: roles and starts change within minutes.
-  static constexpr Span kTold = Span::millis(60'000);
+  static constexpr Duration kMaxAge = Duration::millis(60'000);
 
   // `most`: nodes that others may tell of and no list has named yet; beyond it they are passed over.
-  explicit Sightings(std::size_t most = 20'000) : most_(most) {}
+  explicit PeerObservations(std::size_t most = 20'000) : most_(most) {}
 
   // A list names the node with this start. What was seen of an earlier one is forgotten. Returns what others
   // have proven of it ahead of the list.
-  std::optional<Standing> listed(const NodeId& node, Instant start);
+  std::optional<LoadReport> onListed(const NodeId& node, Instant start);
   void forget(const NodeId& node);
   // It may have been down: what it said before is void, and nothing is proven of it.
   void disconnected(const NodeId& node);
   // Its own word to this router.
-  void saw(Instant now, const NodeId& node, const Standing& said);
+  void observe(Instant now, const NodeId& node, const LoadReport& said);
   // Another router's own; its later word replaces an earlier one. Returns what is proven by it now; none:
   // nothing new.
-  std::optional<Standing> told(Instant now, const std::string& by, const Sighting& sighting);
+  std::optional<LoadReport> onObservation(Instant now, const std::string& by, const Observation& sighting);
 
   // All that was seen here itself, for others.
-  std::vector<Sighting> firstHand(Instant now) const;
-  bool sawItself(const NodeId& node) const;
+  std::vector<Observation> firstHand(Instant now) const;
+  bool hasObserved(const NodeId& node) const;
   // By its own word, else by two others; unknown: by neither.
   Role role(const NodeId& node) const;
   // Whether its position is known, in the same way.
@@ -73,7 +73,7 @@
     bool isListed = false;
     std::optional<Seen> own;
     std::map<std::string, Seen> others;  // by router; bounded by the fleet's list
-    Standing proven;
+    LoadReport proven;
   };
   std::size_t most_, unlisted_ = 0;
   std::map<NodeId, Node> nodes_;
--- a/src/recovery/recovery_stages.cpp
+++ b/src/recovery/recovery_stages.cpp
@@ -10,14 +10,14 @@
 // what was known before is better than nothing. Positions: a few times what it takes to ask a node.
 // Primaries: discovery names a new one within seconds. Keepers: as long as routers of one room take to start;
 // once-only txns are refused anyway while too few keepers are there.
-constexpr Span kList = Span::millis(5000), kPositions = Span::millis(2000), kPrimary = Span::millis(5000),
-               kKeepers = Span::millis(10'000);
+constexpr Duration kList = Duration::millis(5000), kPositions = Duration::millis(2000),
+                   kPrimary = Duration::millis(5000), kKeepers = Duration::millis(10'000);
 // A node is asked so often over all routers, at most: a small part of what even a cold one can do.
 constexpr double kAsksASecond = 100;
 // And by one router no more often than this.
-constexpr Span kAskAgain = Span::millis(300);
+constexpr Duration kAskAgain = Duration::millis(300);
 
-bool isRead(const TxnType& type) { return type.level < ReadLevel::fresh; }
+bool isRead(const TransactionClass& type) { return type.level < ReadLevel::linearizable; }
 
 }  // namespace
 
@@ -26,25 +26,28 @@
   return kNames[static_cast<int>(stage)];
 }
 
-std::string_view nameOf(Why why) {
+std::string_view nameOf(TransitionReason why) {
   constexpr std::string_view kNames[] = {"known", "gave_up", "forced"};
   return kNames[static_cast<int>(why)];
 }
 
-Stages::Stages(std::vector<TxnType> types, unsigned routers, bool mayAsk, std::uint64_t seed)
+RecoveryStages::RecoveryStages(std::vector<TransactionClass> types, unsigned routers, bool mayAsk,
+                               std::uint64_t seed)
     : types_(std::move(types)), routers_(std::max(1u, routers)), mayAsk_(mayAsk), chance_(seed) {}
 
-Span Stages::spacing() const {
-  return std::max(kAskAgain, Span::seconds(static_cast<double>(routers_) / kAsksASecond));
+Duration RecoveryStages::spacing() const {
+  return std::max(kAskAgain, Duration::seconds(static_cast<double>(routers_) / kAsksASecond));
 }
 
-void Stages::listed(Instant now, ListKind kind, ListVersion version, const std::vector<ListEntry*>& entries) {
-  const bool isFromBefore = kind == ListKind::disk;  // it may be of any age: its version counts for nothing
+void RecoveryStages::onEndpointList(Instant now, EndpointUpdateKind kind, ListVersion version,
+                                    const std::vector<EndpointEntry*>& entries) {
+  const bool isFromBefore =
+      kind == EndpointUpdateKind::restored;  // it may be of any age: its version counts for nothing
   if (!isFromBefore) version_ = std::max(version_, version);
-  if (kind == ListKind::whole)
+  if (kind == EndpointUpdateKind::snapshot)
     for (auto& [id, group] : groups_)
       for (auto& [node, member] : group.members) member.live = false;
-  for (const ListEntry* entry : entries) {
+  for (const EndpointEntry* entry : entries) {
     Group& group = groups_[entry->group];
     if (group.since == Instant()) group.since = now;
     group.listed = group.listed || !isFromBefore;
@@ -59,7 +62,7 @@
   dueBy(now);
 }
 
-void Stages::knew(GroupId id, const Primary& primary) {
+void RecoveryStages::onKnownPrimary(GroupId id, const Primary& primary) {
   const auto at = groups_.find(id);
   if (at == groups_.end()) return;
   auto& known = at->second.known;
@@ -67,7 +70,7 @@
 }
 
 // Who is primary, beyond doubt. Sets who claims to be it where that is contested.
-std::optional<NodeId> Stages::primaryOf(Group& group, const Sightings& seen) const {
+std::optional<NodeId> RecoveryStages::primaryOf(Group& group, const PeerObservations& seen) const {
   group.claimed.clear();
   std::vector<NodeId> claim;
   for (const auto& [node, member] : group.members)
@@ -84,33 +87,34 @@
 }
 
 // Why the group may go on to its next stage; none: not yet.
-std::optional<Why> Stages::next(Instant now, Group& group, const Sightings& seen) {
-  const auto within = [&](Span most) -> std::optional<Why> {
-    if (now - group.since >= most) return Why::gaveUp;
+std::optional<TransitionReason> RecoveryStages::next(Instant now, Group& group,
+                                                     const PeerObservations& seen) {
+  const auto within = [&](Duration most) -> std::optional<TransitionReason> {
+    if (now - group.since >= most) return TransitionReason::timedOut;
     dueBy(group.since + most);
     return {};
   };
   switch (group.stage) {
-    case Stage::shut:
-      if (group.listed) return Why::known;
+    case Stage::closed:
+      if (group.listed) return TransitionReason::evidence;
       return within(kList);
     case Stage::anyReads: {
       std::size_t replicas = 0, known = 0;
       for (const auto& [node, member] : group.members) {
-        if (seen.role(node) == Role::primary && seen.sawItself(node)) return Why::known;
+        if (seen.role(node) == Role::primary && seen.hasObserved(node)) return TransitionReason::evidence;
         if (member.primary) continue;
         ++replicas;
         known += seen.knowsPosition(node);
       }
-      if (replicas > 0 && known * 2 >= replicas) return Why::known;
+      if (replicas > 0 && known * 2 >= replicas) return TransitionReason::evidence;
       return within(kPositions);
     }
-    case Stage::owedReads:
-      if (primaryOf(group, seen)) return Why::known;
+    case Stage::consistentReads:
+      if (primaryOf(group, seen)) return TransitionReason::evidence;
       if (!group.claimed.empty()) return {};
       return within(kPrimary);
     case Stage::writes:
-      if (keepers_) return Why::known;
+      if (keepers_) return TransitionReason::evidence;
       return within(kKeepers);
     case Stage::all:
       break;
@@ -118,22 +122,22 @@
   return {};
 }
 
-std::vector<Step> Stages::decide(Instant now, const Sightings& seen) {
+std::vector<StageTransition> RecoveryStages::decide(Instant now, const PeerObservations& seen) {
   due_ = Instant();
-  std::vector<Step> steps;
+  std::vector<StageTransition> steps;
   for (auto& [id, group] : groups_) {
     while (group.stage != Stage::all) {
       auto why = next(now, group, seen);
-      if (!why && forced_ && group.stage < *forced_) why = Why::forced;
+      if (!why && forced_ && group.stage < *forced_) why = TransitionReason::forced;
       if (!why) break;
       const Stage to = static_cast<Stage>(static_cast<int>(group.stage) + 1);
       steps.push_back({id, group.stage, to, *why, now - group.since});
-      if (group.stage == Stage::owedReads && *why == Why::known)
+      if (group.stage == Stage::consistentReads && *why == TransitionReason::evidence)
         if (const auto primary = primaryOf(group, seen)) confirm(id, group, *primary);
       group.stage = to;
       group.since = now;
     }
-    if (group.stage == Stage::anyReads || group.stage == Stage::owedReads) ask(now, group, seen);
+    if (group.stage == Stage::anyReads || group.stage == Stage::consistentReads) ask(now, group, seen);
     if (group.stage < Stage::writes) continue;
     for (const auto& [node, member] : group.members)
       if (member.primary && (!group.known || group.known->node != node) && seen.role(node) == Role::primary)
@@ -142,13 +146,13 @@
   return steps;
 }
 
-void Stages::confirm(GroupId id, Group& group, const NodeId& primary) {
+void RecoveryStages::confirm(GroupId id, Group& group, const NodeId& primary) {
   const Primary confirmed{primary, version_};
   if (!group.known || group.known->node != primary) confirmed_.emplace_back(id, confirmed);
   group.known = confirmed;
 }
 
-void Stages::ask(Instant now, Group& group, const Sightings& seen) {
+void RecoveryStages::ask(Instant now, Group& group, const PeerObservations& seen) {
   if (!mayAsk_) return;
   for (auto& [node, member] : group.members) {
     // For a primary: whoever the list or others say is it, and whoever claims to be. Nobody is asked twice
@@ -166,45 +170,45 @@
   }
 }
 
-void Stages::dueBy(Instant at) {
+void RecoveryStages::dueBy(Instant at) {
   if (due_ == Instant() || at < due_) due_ = at;
 }
 
-bool Stages::lets(GroupId id, std::size_t row) const {
+bool RecoveryStages::admits(GroupId id, std::size_t row) const {
   const auto at = groups_.find(id);
   // Before the first list there is nothing to go by; after it, what no list names is the module's to refuse.
   if (at == groups_.end()) return !groups_.empty();
-  const TxnType& type = types_.at(row);
+  const TransactionClass& type = types_.at(row);
   switch (at->second.stage) {
-    case Stage::shut:
+    case Stage::closed:
       return false;
     case Stage::anyReads:
       return type.level == ReadLevel::any;
-    case Stage::owedReads:
+    case Stage::consistentReads:
       return isRead(type);
     case Stage::writes:
-      return isRead(type) || type.effect != Effect::onceOnly;
+      return isRead(type) || type.effect != Effect::atMostOnce;
     case Stage::all:
       return true;
   }
   return true;
 }
 
-Stages::Now Stages::of(GroupId id) const {
+RecoveryStages::GroupStatus RecoveryStages::statusOf(GroupId id) const {
   const auto at = groups_.find(id);
   if (at == groups_.end()) return {};
   constexpr std::string_view kAwaits[] = {"list", "positions", "primary", "keepers", ""};
   return {at->second.stage, at->second.since, kAwaits[static_cast<int>(at->second.stage)],
-          at->second.stage == Stage::owedReads ? at->second.claimed : std::vector<NodeId>()};
+          at->second.stage == Stage::consistentReads ? at->second.claimed : std::vector<NodeId>()};
 }
 
-std::vector<GroupId> Stages::groups() const {
+std::vector<GroupId> RecoveryStages::groups() const {
   std::vector<GroupId> all;
   for (const auto& [id, group] : groups_) all.push_back(id);
   return all;
 }
 
-bool Stages::done() const {
+bool RecoveryStages::isFinished() const {
   return !groups_.empty() &&
          std::all_of(groups_.begin(), groups_.end(), [](auto& g) { return g.second.stage == Stage::all; });
 }
--- a/src/recovery/recovery_stages.h
+++ b/src/recovery/recovery_stages.h
@@ -37,7 +37,7 @@
 
 namespace gulltrestle::recovery {
 
-enum class Stage { shut, anyReads, owedReads, writes, all };
+enum class Stage { closed, anyReads, consistentReads, writes, all };
 std::string_view nameOf(Stage stage);
 
 // Who was last known as a group's primary, and by lists up to which version.
@@ -47,50 +47,51 @@
   bool operator==(const Primary&) const = default;
 };
 
-enum class Why { known, gaveUp, forced };
-std::string_view nameOf(Why why);
+enum class TransitionReason { evidence, timedOut, forced };
+std::string_view nameOf(TransitionReason why);
 
-struct Step {
+struct StageTransition {
   GroupId group = 0;
-  Stage from = Stage::shut, to = Stage::shut;
-  Why why = Why::known;
-  Span waited;
+  Stage from = Stage::closed, to = Stage::closed;
+  TransitionReason reason = TransitionReason::evidence;
+  Duration waited;
 };
 
-class Stages {
+class RecoveryStages {
  public:
   // `mayAsk`: nodes can be asked for their standing. `seed`: routers that start together ask at other times.
-  Stages(std::vector<TxnType> types, unsigned routers, bool mayAsk, std::uint64_t seed);
+  RecoveryStages(std::vector<TransactionClass> types, unsigned routers, bool mayAsk, std::uint64_t seed);
 
   // --- Evidence. Lists come as the drains that bind have changed them.
-  void listed(Instant now, ListKind kind, ListVersion version, const std::vector<ListEntry*>& entries);
+  void onEndpointList(Instant now, EndpointUpdateKind kind, ListVersion version,
+                      const std::vector<EndpointEntry*>& entries);
   // This router's disk, or another router, knows of this primary.
-  void knew(GroupId group, const Primary& primary);
-  void keepers(bool reached) { keepers_ = reached; }
+  void onKnownPrimary(GroupId group, const Primary& primary);
+  void setQuorumReached(bool reached) { keepers_ = reached; }
   // By an operator: every group is at this stage at least, whatever it waits for. None: no more.
   void force(std::optional<Stage> stage) { forced_ = stage; }
 
   // Which changes are due, by what nodes were seen to be.
-  std::vector<Step> decide(Instant now, const Sightings& seen);
+  std::vector<StageTransition> decide(Instant now, const PeerObservations& seen);
   // Nodes to be asked now, for groups that wait for what they may tell.
-  std::vector<NodeId> takeAsks() { return std::exchange(asks_, {}); }
+  std::vector<NodeId> takeReportRequests() { return std::exchange(asks_, {}); }
   // Primaries that were confirmed since it was last asked, for the disk and for others.
   std::vector<std::pair<GroupId, Primary>> takeConfirmed() { return std::exchange(confirmed_, {}); }
   // When decide() is due though nothing comes in; never: it is not.
   Instant due() const { return due_; }
 
   // Groups that no list names are the module's to refuse.
-  bool lets(GroupId group, std::size_t type) const;
+  bool admits(GroupId group, std::size_t type) const;
 
-  struct Now {
-    Stage stage = Stage::shut;
+  struct GroupStatus {
+    Stage stage = Stage::closed;
     Instant since;
     std::string_view awaits;      // empty: nothing
     std::vector<NodeId> claimed;  // contested by these
   };
-  Now of(GroupId group) const;
+  GroupStatus statusOf(GroupId group) const;
   std::vector<GroupId> groups() const;
-  bool done() const;  // all groups let all in
+  bool isFinished() const;  // all groups let all in
 
  private:
   struct Member {
@@ -99,20 +100,20 @@
   };
   struct Group {
     std::map<NodeId, Member> members;
-    Stage stage = Stage::shut;
+    Stage stage = Stage::closed;
     Instant since;
     bool listed = false;           // by discovery since this start; else only by what was known before
     std::optional<Primary> known;  // from before, or from others
     std::vector<NodeId> claimed;
   };
-  std::optional<NodeId> primaryOf(Group& group, const Sightings& seen) const;
-  std::optional<Why> next(Instant now, Group& group, const Sightings& seen);
-  void ask(Instant now, Group& group, const Sightings& seen);
+  std::optional<NodeId> primaryOf(Group& group, const PeerObservations& seen) const;
+  std::optional<TransitionReason> next(Instant now, Group& group, const PeerObservations& seen);
+  void ask(Instant now, Group& group, const PeerObservations& seen);
   void confirm(GroupId id, Group& group, const NodeId& primary);
-  Span spacing() const;
+  Duration spacing() const;
   void dueBy(Instant at);
 
-  std::vector<TxnType> types_;
+  std::vector<TransactionClass> types_;
   unsigned routers_;
   bool mayAsk_, keepers_ = false;
   std::optional<Stage> forced_;
--- a/src/runtime/event_loop/event_loop.cpp
+++ b/src/runtime/event_loop/event_loop.cpp
@@ -31,42 +31,42 @@
 
 // Where epoll could not be asked, and where the system was short of memory: short against any deadline, and
 // long enough not to spin.
-constexpr Span kRetryPause = Span::millis(10);
+constexpr Duration kRetryPause = Duration::millis(10);
 
 // A wait that took less than this did not wait.
-constexpr Span kNoWait = Span::millis(1);
+constexpr Duration kNoWait = Duration::millis(1);
 // One that took so much longer than was asked for was held up.
-constexpr Span kLateWait = Span::millis(50);
+constexpr Duration kLateWait = Duration::millis(50);
 
 // The process was stopped and goes on: a wait that something ended meanwhile does not tell.
 volatile std::sig_atomic_t resumed = 0;
 
 }  // namespace
 
-Loop::Loop()
-    : epoll_(persist("epoll", [] { return epoll_create1(EPOLL_CLOEXEC); })),
+EventLoop::EventLoop()
+    : epoll_(retrySystemCall("epoll", [] { return epoll_create1(EPOLL_CLOEXEC); })),
       offsetMicros_(unixMicros() - steadyMicros()) {
   arrivedSince_ = waitedAt_ = now();
   std::signal(SIGCONT, [](int) { resumed = 1; });
 }
 
-Loop::~Loop() { endTasks(); }
+EventLoop::~EventLoop() { endTasks(); }
 
-void Loop::endTasks() {
+void EventLoop::endTasks() {
   ready_.clear();
   timers_.clear();
   tasks_.clear();
 }
 
-Instant Loop::now() const { return Instant::atMicros(steadyMicros() + offsetMicros_); }
+Instant EventLoop::now() const { return Instant::atMicros(steadyMicros() + offsetMicros_); }
 
-void Loop::spawn(Task task) {
+void EventLoop::spawn(Task task) {
   const auto handle = task.handle();
   tasks_.emplace(handle.address(), std::move(task));
   resume(handle);
 }
 
-void Loop::run(const EndOfTurn& endOfTurn, const Failed& failed) {
+void EventLoop::run(const EndOfTurn& endOfTurn, const Failed& failed) {
   while (!stopped_) {
     turn(failed);
     const Instant next = endOfTurn(now());
@@ -74,7 +74,7 @@
   }
 }
 
-void Loop::turn(const Failed& failed) {
+void EventLoop::turn(const Failed& failed) {
   const Instant time = now();
   while (!timers_.empty() && timers_.begin()->first <= time) {
     const Timer timer = timers_.begin()->second;
@@ -86,7 +86,7 @@
   now_.clear();
 }
 
-void Loop::due(const Timer& timer) {
+void EventLoop::due(const Timer& timer) {
   if (timer.handle) return resume(timer.handle);
   const auto at = streams_.find(timer.stream);
   if (at == streams_.end()) return;
@@ -96,14 +96,14 @@
   settleLater(stream);
 }
 
-void Loop::step(std::coroutine_handle<> handle, const Failed& failed) {
+void EventLoop::step(std::coroutine_handle<> handle, const Failed& failed) {
   handle.resume();
   if (!handle.done()) return;
   const auto ended = tasks_.extract(handle.address());
   if (const auto failure = ended.mapped().failure()) failed(failure);
 }
 
-void Loop::wait(Instant until) {
+void EventLoop::wait(Instant until) {
   settleAll();
   if (!timers_.empty() && (until == Instant() || timers_.begin()->first < until))
     until = timers_.begin()->first;
@@ -129,7 +129,7 @@
   // been; how long, only the wait before can say.
   const bool wasStopped = wasInterrupted || resumed != 0;
   resumed = 0;
-  const bool isLate = millis >= 0 && back - asked > Span::millis(millis) + kLateWait;
+  const bool isLate = millis >= 0 && back - asked > Duration::millis(millis) + kLateWait;
   const bool wasThere = wasStopped || isLate || back - asked < kNoWait;
   arrivedSince_ = wasThere ? waitedAt_ : back;
   // A stop may also have come between what was told and the look at the clock.
@@ -150,7 +150,7 @@
 }
 
 // False where epoll can't be asked now. Without any events it still reports a hang-up.
-bool Loop::arm(Stream& stream, std::uint32_t events) {
+bool EventLoop::arm(Stream& stream, std::uint32_t events) {
   epoll_event event{};
   event.events = events;
   event.data.u64 = stream.id_;
@@ -161,32 +161,32 @@
   return true;
 }
 
-void Loop::disarm(Stream& stream) {
+void EventLoop::disarm(Stream& stream) {
   if (!stream.added_ || epoll_ctl(epoll_.number(), EPOLL_CTL_DEL, stream.descriptor(), nullptr) != 0) return;
   stream.added_ = false;
   stream.armed_ = 0;
 }
 
 // Asks epoll for all that the stream wants to know. True where nothing is left to do.
-bool Loop::settle(Stream& stream) {
+bool EventLoop::settle(Stream& stream) {
   const std::uint32_t wanted = stream.wanted();
   if (stream.paused_ || (wanted & ~stream.armed_) == 0) return true;
   return arm(stream, wanted | stream.armed_);
 }
 
-void Loop::settleAll() {
+void EventLoop::settleAll() {
   std::erase_if(unsettled_, [this](std::uint64_t id) {
     const auto at = streams_.find(id);
     return at == streams_.end() || settle(*at->second);
   });
 }
 
-void Loop::pauseReports(Stream& stream) {
+void EventLoop::pauseReports(Stream& stream) {
   disarm(stream);
   timers_.emplace(now() + kRetryPause, Timer{{}, stream.id_, true});
 }
 
-void Loop::add(Stream& stream) {
+void EventLoop::add(Stream& stream) {
   stream.id_ = ++lastId_;
   // The system may be out of memory, or of watches, for a moment: it is asked again before each wait.
   if (!settle(stream) && errno != ENOMEM && errno != ENOSPC)
@@ -195,7 +195,7 @@
   if (!stream.added_) settleLater(stream);
 }
 
-void Loop::remove(Stream& stream) {
+void EventLoop::remove(Stream& stream) {
   streams_.erase(stream.id_);
   disarm(stream);
 }
--- a/src/runtime/event_loop/event_loop.h
+++ b/src/runtime/event_loop/event_loop.h
@@ -16,13 +16,13 @@
 
 namespace gulltrestle::event_loop {
 
-class Loop {
+class EventLoop {
  public:
   // Throws std::system_error where the system has no epoll for it, also after a while.
-  Loop();
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
-  ~Loop();
+  EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
+  ~EventLoop();
 
   // Unix time, taken from the system's clock once and run by the steady clock since: it never jumps.
   Instant now() const;
@@ -44,7 +44,7 @@
 
   auto sleepUntil(Instant at) {
     struct Sleep {
-      Loop& loop;
+      EventLoop& loop;
       Instant at;
       bool await_ready() const { return false; }
       void await_suspend(std::coroutine_handle<> handle) { loop.timers_.emplace(at, Timer{handle}); }
--- a/src/runtime/event_loop/retry_system_call.cpp
+++ b/src/runtime/event_loop/retry_system_call.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-bool isPassing(int error) {
+bool isTransientError(int error) {
   switch (error) {
     case EAGAIN:
     case EINTR:
@@ -47,13 +47,13 @@
   }
 }
 
-int persist(const char* what, const std::function<int()>& call) {
+int retrySystemCall(const char* what, const std::function<int()>& call) {
   const auto until = Clock::now() + kLongest;
   for (bool told = false;;) {
     const int result = call();
     if (result >= 0) return result;
     const int error = errno;
-    if (!isPassing(error) || toldToEnd() || Clock::now() >= until)
+    if (!isTransientError(error) || toldToEnd() || Clock::now() >= until)
       throw std::system_error(error, std::generic_category(), what);
     if (!std::exchange(told, true))
       std::cerr << "gulltrestle: " << what << ": " << std::strerror(error) << ", trying on" << std::endl;
--- a/src/runtime/event_loop/retry_system_call.h
+++ b/src/runtime/event_loop/retry_system_call.h
@@ -7,11 +7,11 @@
 namespace gulltrestle::event_loop {
 
 // Whether a call that failed so may go well a little later, as far as the manual pages tell.
-bool isPassing(int error);
+bool isTransientError(int error);
 
 // Calls until the result is no longer negative, and returns it. Between calls it pauses; what keeps it
 // waiting goes to standard error, one line. Throws std::system_error, which names `what`: at once where the
 // error is none that passes or the process is told to end, else after five seconds.
-int persist(const char* what, const std::function<int()>& call);
+int retrySystemCall(const char* what, const std::function<int()>& call);
 
 }  // namespace gulltrestle::event_loop
--- a/src/runtime/event_loop/sockets.cpp
+++ b/src/runtime/event_loop/sockets.cpp
@@ -59,13 +59,14 @@
 
 Descriptor listenOn(const std::string& host, unsigned short port) {
   const auto address = addressOf(host, port);
-  Descriptor made(
-      persist("socket", [] { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }));
+  Descriptor made(retrySystemCall(
+      "socket", [] { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }));
   const int on = 1;
   setsockopt(made.number(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  persist("bind",
-          [&] { return ::bind(made.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address); });
-  persist("listen", [&] { return ::listen(made.number(), kBacklog); });
+  retrySystemCall("bind", [&] {
+    return ::bind(made.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+  });
+  retrySystemCall("listen", [&] { return ::listen(made.number(), kBacklog); });
   return made;
 }
 
@@ -149,7 +150,7 @@
 
 }  // namespace
 
-void holdSignals() {
+void blockSignals() {
   const sigset_t set = taken();
   if (sigprocmask(SIG_BLOCK, &set, nullptr) != 0) fail("sigprocmask");
   // A signal that is ignored is not kept while it is blocked, and whoever starts a program may have it so.
@@ -157,9 +158,10 @@
 }
 
 Descriptor signals() {
-  holdSignals();
+  blockSignals();
   const sigset_t set = taken();
-  Descriptor made(persist("signalfd", [&] { return ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC); }));
+  Descriptor made(
+      retrySystemCall("signalfd", [&] { return ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC); }));
   std::signal(SIGPIPE, SIG_IGN);
   return made;
 }
@@ -167,7 +169,7 @@
 std::optional<Signal> takeSignal(int descriptor) {
   signalfd_siginfo taken{};
   if (::read(descriptor, &taken, sizeof taken) != sizeof taken) return std::nullopt;
-  return taken.ssi_signo == SIGHUP ? Signal::readAnew : Signal::end;
+  return taken.ssi_signo == SIGHUP ? Signal::reload : Signal::terminate;
 }
 
 }  // namespace gulltrestle::event_loop
--- a/src/runtime/event_loop/sockets.h
+++ b/src/runtime/event_loop/sockets.h
@@ -31,10 +31,10 @@
 Io accept(int descriptor, Descriptor& taken);
 
 // What a signal asks of a process: to end, or to read its configuration anew.
-enum class Signal { end, readAnew };
+enum class Signal { terminate, reload };
 // From now on these signals wait, for signals() to take them: one that comes while a process starts must not
 // end it.
-void holdSignals();
+void blockSignals();
 // Becomes readable when one of these signals comes, also where the process was started with them ignored.
 Descriptor signals();
 std::optional<Signal> takeSignal(int descriptor);  // none if there is none left
--- a/src/runtime/event_loop/stream.cpp
+++ b/src/runtime/event_loop/stream.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Stream::Stream(Loop& loop, Descriptor descriptor) : loop_(loop), descriptor_(std::move(descriptor)) {
+Stream::Stream(EventLoop& loop, Descriptor descriptor) : loop_(loop), descriptor_(std::move(descriptor)) {
   loop_.add(*this);
 }
 
--- a/src/runtime/event_loop/stream.h
+++ b/src/runtime/event_loop/stream.h
@@ -15,11 +15,11 @@
 
 namespace gulltrestle::event_loop {
 
-class Loop;
+class EventLoop;
 
 class Stream {
  public:
-  Stream(Loop& loop, Descriptor descriptor);
+  Stream(EventLoop& loop, Descriptor descriptor);
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
   ~Stream();
@@ -55,7 +55,7 @@
   void wakeAt(Instant at);
 
  private:
-  friend class Loop;
+  friend class EventLoop;
   // What epoll is to report, as far as it is not known already.
   std::uint32_t wanted() const;
   // Takes over what epoll reported; returns what it need not report again until it is asked.
@@ -64,7 +64,7 @@
   void writeBlocked();
   void pauseReports();
 
-  Loop& loop_;
+  EventLoop& loop_;
   Descriptor descriptor_;
   bool canRead_ = false, canWrite_ = false, readEnds_ = false, hungUp_ = false;
   bool added_ = false;       // epoll knows it
--- a/src/runtime/ext_proc_server/ext_proc_config.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_config.cpp
@@ -8,43 +8,43 @@
 
 namespace {
 
-using config::BadKey;
+using config::ConfigError;
 
-using config::Section;
+using config::ConfigSection;
 
 // A name of HTTP/2: lower case, without what would end it.
-std::string headerName(Section& section, const std::string& key, const std::string& otherwise) {
+std::string headerName(ConfigSection& section, const std::string& key, const std::string& otherwise) {
   const std::string name = section.text(key, otherwise);
   const bool plain = std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
   });
-  if (!plain) throw BadKey(section.path(key), "'" + name + "' is no header's name in lower case");
+  if (!plain) throw ConfigError(section.path(key), "'" + name + "' is no header's name in lower case");
   return name;
 }
 
-Setup read(const json::Value& all) {
-  Section top(all, "");
-  Setup setup;
+ExtProcConfig read(const json::Value& all) {
+  ConfigSection top(all, "");
+  ExtProcConfig setup;
   setup.listen = config::readAddress("listen", top.text("listen", ""));
   const std::string placement = top.text("placement", "try");
   if (placement != "try" && placement != "request")
-    throw BadKey("placement", "'" + placement + "' is neither try nor request");
-  setup.placement =
-      placement == "try" ? endpoint_leases::Placement::tries : endpoint_leases::Placement::request;
+    throw ConfigError("placement", "'" + placement + "' is neither try nor request");
+  setup.placement = placement == "try" ? endpoint_leases::ProxyPlacement::attempts
+                                       : endpoint_leases::ProxyPlacement::request;
   auto& time = setup.streams.messageTime;
   time.timeout = top.millis("message_timeout_ms", time.timeout, 20, 600'000);
   time.most = top.millis("max_message_timeout_ms", time.most, 0, 600'000);
   setup.probePath = top.text("probe_path", "");
   if (!setup.probePath.empty() &&
       (setup.probePath[0] != '/' || setup.probePath.find_first_of(" \r\n") != std::string::npos))
-    throw BadKey("probe_path", "'" + setup.probePath + "' is no path");
-  Section bounds = top.section("limits");
+    throw ConfigError("probe_path", "'" + setup.probePath + "' is no path");
+  ConfigSection bounds = top.section("limits");
   setup.mostConnections = bounds.whole("connections", setup.mostConnections, 1, 10'000);
   setup.streams.mostStreams = bounds.whole("streams", setup.streams.mostStreams, 1, 100'000);
   setup.longestMessage = bounds.whole("message_bytes", setup.longestMessage, 1024, 4 * 1024 * 1024);
   setup.remembered.most = bounds.whole("remembered", setup.remembered.most, 100, 10'000'000);
   bounds.end();
-  Section names = top.section("headers");
+  ConfigSection names = top.section("headers");
   auto& headers = setup.headers;
   for (auto [key, name] : {std::pair{"id", &headers.id},
                            {"type", &headers.type},
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-Setup readSetup(std::string_view text) { return read(config::readText(text)); }
-Setup readSetupFile(const std::string& path) { return read(config::readFile(path)); }
+ExtProcConfig readExtProcConfig(std::string_view text) { return read(config::readText(text)); }
+ExtProcConfig readExtProcConfigFile(const std::string& path) { return read(config::readFile(path)); }
 
 }  // namespace gulltrestle::ext_proc_server
--- a/src/runtime/ext_proc_server/ext_proc_config.h
+++ b/src/runtime/ext_proc_server/ext_proc_config.h
@@ -10,9 +10,9 @@
 
 namespace gulltrestle::ext_proc_server {
 
-struct Setup {
+struct ExtProcConfig {
   config::Address listen;
-  endpoint_leases::Placement placement = endpoint_leases::Placement::tries;
+  endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::attempts;
   endpoint_leases::Bounds remembered;
   downstream::ext_proc::Bounds streams;
   downstream::ext_proc::HeaderNames headers;
@@ -22,7 +22,7 @@
 };
 
 // Throws config::BadKey, which names the key. Keys that are not known are faults, too.
-Setup readSetup(std::string_view text);
-Setup readSetupFile(const std::string& path);
+ExtProcConfig readExtProcConfig(std::string_view text);
+ExtProcConfig readExtProcConfigFile(const std::string& path);
 
 }  // namespace gulltrestle::ext_proc_server
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -9,15 +9,15 @@
 
 namespace gulltrestle::ext_proc_server {
 
-using downstream::ext_proc::Close;
+using downstream::ext_proc::StreamCloseReason;
 using downstream::ext_proc::StreamKey;
 using event_loop::Io;
 
 namespace {
 
 // How often the counts are logged while there is anything new.
-constexpr Span kCountsPause = Span::millis(60000);
-grpc_server::Bounds boundsOf(const Setup& setup) {
+constexpr Duration kCountsPause = Duration::millis(60000);
+grpc_server::Bounds boundsOf(const ExtProcConfig& setup) {
   grpc_server::Bounds bounds;
   bounds.calls.connection.mostStreams = static_cast<std::uint32_t>(setup.streams.mostStreams);
   bounds.calls.longestMessage = setup.longestMessage;
@@ -25,17 +25,17 @@
   return bounds;
 }
 
-grpc::Status statusOf(Close how) {
+grpc::Status statusOf(StreamCloseReason how) {
   switch (how) {
-    case Close::done:
+    case StreamCloseReason::done:
       return grpc::Status::ok;
-    case Close::invalid:
+    case StreamCloseReason::invalid:
       return grpc::Status::invalidArgument;
-    case Close::overdue:
+    case StreamCloseReason::overdue:
       return grpc::Status::deadlineExceeded;
-    case Close::full:
+    case StreamCloseReason::full:
       return grpc::Status::resourceExhausted;
-    case Close::unavailable:
+    case StreamCloseReason::unavailable:
       return grpc::Status::unavailable;
   }
   return grpc::Status::internal;
@@ -43,49 +43,51 @@
 
 }  // namespace
 
-Processor::Processor(event_loop::Loop& loop, transactions::Ledger& ledger, const deployment::Told& told,
-                     const Setup& setup, const std::string& start)
+ExtProcServer::ExtProcServer(event_loop::EventLoop& loop, transactions::TransactionTable& ledger,
+                             const deployment::DeploymentSettings& told, const ExtProcConfig& setup,
+                             const std::string& start)
     : loop_(loop),
       ledger_(ledger),
       setup_(setup),
       listener_(loop, setup.listen, std::string(ext_proc::kMethod), boundsOf(setup), "ext_proc", *this),
-      streams_(ledger, downstream::ext_proc::Mapping(setup.headers, told.terms, told.typeNames),
-               endpoint_leases::Book(told.terms.types, setup.placement, setup.remembered, start),
-               {told.drainGrace, told.toldWithin}, setup.streams, *this),
+      streams_(ledger, downstream::ext_proc::HeaderMapping(setup.headers, told.routing, told.typeNames),
+               endpoint_leases::LeaseRegistry(told.routing.transactionClasses, setup.placement,
+                                              setup.remembered, start),
+               {told.drainGrace, told.notifiedWithin}, setup.streams, *this),
       probes_(ledger, told.connectLimit, kMostProbes, *this) {
-  ledger_.add(streams_.carrier());
+  ledger_.addTransport(streams_.carrier());
   if (!setup_.probePath.empty()) {
-    ledger_.add(probes_);
-    ledger_.probeBy(probes_);
+    ledger_.addTransport(probes_);
+    ledger_.setHealthCheckTransport(probes_);
   }
   spdlog::info("event=ext_proc.listening address={}:{} placement={} start={}", setup.listen.host,
-               setup.listen.port, setup.placement == endpoint_leases::Placement::tries ? "try" : "request",
-               start);
+               setup.listen.port,
+               setup.placement == endpoint_leases::ProxyPlacement::attempts ? "try" : "request", start);
 }
 
 // Its connections' coroutines refer to it.
-Processor::~Processor() { loop_.endTasks(); }
+ExtProcServer::~ExtProcServer() { loop_.endTasks(); }
 
 // --- Effects
 
-void Processor::send(StreamKey stream, std::string_view message) { listener_.send(stream, message); }
+void ExtProcServer::send(StreamKey stream, std::string_view message) { listener_.send(stream, message); }
 
-void Processor::close(StreamKey stream, Close how, std::string_view why) {
+void ExtProcServer::close(StreamKey stream, StreamCloseReason how, std::string_view why) {
   listener_.finish(stream, statusOf(how), why);
 }
 
-void Processor::log(std::string_view event, const std::string& fields) {
+void ExtProcServer::log(std::string_view event, const std::string& fields) {
   spdlog::info("event={} {}", event, fields);
 }
 
 // --- Turns
 
-Instant Processor::nextDue() const {
+Instant ExtProcServer::nextDue() const {
   const Instant one = streams_.nextDue(), other = probes_.nextDue();
   return one == Instant() || (other != Instant() && other < one) ? other : one;
 }
 
-void Processor::endTurn() {
+void ExtProcServer::endTurn() {
   streams_.endTurn();
   probes_.endTurn();
   const auto& counts = streams_.counts();
@@ -100,19 +102,19 @@
   said_ = counts;
 }
 
-void Processor::stop() {
+void ExtProcServer::stop() {
   streams_.stop();
   listener_.stop();
 }
 
 // --- Probes
 
-void Processor::askNode(upstream::http::ProbeId id, const std::string& address) {
+void ExtProcServer::requestLoadReport(upstream::http::HealthCheckId id, const std::string& address) {
   asking_[id] = nullptr;
   loop_.spawn(probe(id, address));
 }
 
-void Processor::drop(upstream::http::ProbeId id) {
+void ExtProcServer::cancelHealthCheck(upstream::http::HealthCheckId id) {
   const auto at = asking_.find(id);
   if (at == asking_.end()) return;
   event_loop::Stream* stream = at->second;
@@ -121,8 +123,8 @@
 }
 
 // One connection a probe: they are few, and a node's word must be of this moment.
-event_loop::Task Processor::probe(upstream::http::ProbeId id, std::string address) {
-  Standing said;
+event_loop::Task ExtProcServer::probe(upstream::http::HealthCheckId id, std::string address) {
+  LoadReport said;
   int status = 0;
   try {
     const auto at = config::readAddress("addr", address);
@@ -161,7 +163,7 @@
   } catch (const std::exception& bad) {
     spdlog::warn("event=ext_proc.probe_failed address={} why=\"{}\"", address, bad.what());
   }
-  ledger_.see(loop_.now());
+  ledger_.advanceTo(loop_.now());
   if (asking_.erase(id) == 0) co_return;  // nobody waits for it
   if (status != 0)
     probes_.answered(id, status, said);
--- a/src/runtime/ext_proc_server/ext_proc_server.h
+++ b/src/runtime/ext_proc_server/ext_proc_server.h
@@ -17,17 +17,18 @@
 // Descriptors that probes over HTTP may take.
 constexpr std::size_t kMostProbes = 32;
 
-class Processor final : public gateway::Part,
-                        private grpc_server::Receiver,
-                        private downstream::ext_proc::Effects,
-                        private upstream::http::Effects {
+class ExtProcServer final : public gateway::Component,
+                            private grpc_server::CallHandler,
+                            private downstream::ext_proc::Effects,
+                            private upstream::http::Effects {
  public:
   // Throws where the address to listen on can't be had. `start`: no other start of the program has the same.
-  Processor(event_loop::Loop& loop, transactions::Ledger& ledger, const deployment::Told& told,
-            const Setup& setup, const std::string& start);
-  ~Processor() override;
+  ExtProcServer(event_loop::EventLoop& loop, transactions::TransactionTable& ledger,
+                const deployment::DeploymentSettings& told, const ExtProcConfig& setup,
+                const std::string& start);
+  ~ExtProcServer() override;
 
-  void listHeard() override { streams_.listHeard(); }
+  void onDiscoveryActivity() override { streams_.listHeard(); }
   void endTurn() override;
   void flush() override { listener_.flush(); }
   Instant nextDue() const override;
@@ -35,32 +36,32 @@
   bool empty() const override { return streams_.empty() && listener_.empty(); }
 
  private:
-  void seen(Instant now) override { ledger_.see(now); }
+  void seen(Instant now) override { ledger_.advanceTo(now); }
   void opened(grpc_server::CallKey call) override { streams_.opened(call); }
   void message(grpc_server::CallKey call, std::string_view bytes) override { streams_.message(call, bytes); }
   void halfClosed(grpc_server::CallKey call) override { streams_.halfClosed(call); }
   void ended(grpc_server::CallKey call) override { streams_.ended(call); }
 
   void send(downstream::ext_proc::StreamKey stream, std::string_view message) override;
-  void close(downstream::ext_proc::StreamKey stream, downstream::ext_proc::Close how,
+  void close(downstream::ext_proc::StreamKey stream, downstream::ext_proc::StreamCloseReason how,
              std::string_view why) override;
   void log(std::string_view event, const std::string& fields) override;
 
-  void askNode(upstream::http::ProbeId probe, const std::string& address) override;
-  void drop(upstream::http::ProbeId probe) override;
+  void requestLoadReport(upstream::http::HealthCheckId probe, const std::string& address) override;
+  void cancelHealthCheck(upstream::http::HealthCheckId probe) override;
 
-  event_loop::Task probe(upstream::http::ProbeId id, std::string address);
+  event_loop::Task probe(upstream::http::HealthCheckId id, std::string address);
 
-  event_loop::Loop& loop_;
-  transactions::Ledger& ledger_;
-  Setup setup_;
-  grpc_server::Listener listener_;
-  downstream::ext_proc::Streams streams_;
-  upstream::http::Probes probes_;
-  std::map<upstream::http::ProbeId, event_loop::Stream*>
+  event_loop::EventLoop& loop_;
+  transactions::TransactionTable& ledger_;
+  ExtProcConfig setup_;
+  grpc_server::GrpcServer listener_;
+  downstream::ext_proc::RequestStreams streams_;
+  upstream::http::HealthChecker probes_;
+  std::map<upstream::http::HealthCheckId, event_loop::Stream*>
       asking_;  // probes that are out, and their connections
   Instant saidAt_;
-  downstream::ext_proc::Streams::Counts said_;
+  downstream::ext_proc::RequestStreams::Counts said_;
 };
 
 }  // namespace gulltrestle::ext_proc_server
--- a/src/runtime/grpc_server/grpc_server.cpp
+++ b/src/runtime/grpc_server/grpc_server.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // A client that takes nothing of what is written to it for so long is gone, or may as well be.
-constexpr Span kStuck = Span::millis(10000);
+constexpr Duration kStuck = Duration::millis(10000);
 // New connections that are taken in a turn.
 constexpr int kAcceptsATurn = 8;
 
@@ -21,14 +21,14 @@
   try {
     return event_loop::listenOn(at.host, at.port);
   } catch (const std::system_error& fault) {
-    throw config::BadKey("listen", at.host + ":" + std::to_string(at.port) + ": " + fault.what());
+    throw config::ConfigError("listen", at.host + ":" + std::to_string(at.port) + ": " + fault.what());
   }
 }
 
 }  // namespace
 
-struct Listener::Connection final : grpc::Receiver {
-  Connection(Listener& owner, ConnectionId number, event_loop::Descriptor descriptor)
+struct GrpcServer::Connection final : grpc::CallHandler {
+  Connection(GrpcServer& owner, ConnectionId number, event_loop::Descriptor descriptor)
       : listener(owner),
         id(number),
         stream(owner.loop_, std::move(descriptor)),
@@ -47,17 +47,17 @@
   void halfClosed(grpc::CallId call) override { listener.receiver_.halfClosed(key(call)); }
   void ended(grpc::CallId call, bool) override { listener.receiver_.ended(key(call)); }
 
-  Listener& listener;
+  GrpcServer& listener;
   ConnectionId id;
   event_loop::Stream stream;
-  grpc::Calls calls;
+  grpc::ServerCalls calls;
   std::string unsent;
   bool broken = false, closing = false;
   Instant idleSince, stuckAt;
 };
 
-Listener::Listener(event_loop::Loop& loop, const config::Address& at, std::string method, Bounds bounds,
-                   std::string name, Receiver& receiver)
+GrpcServer::GrpcServer(event_loop::EventLoop& loop, const config::Address& at, std::string method,
+                       Bounds bounds, std::string name, CallHandler& receiver)
     : loop_(loop),
       method_(std::move(method)),
       bounds_(bounds),
@@ -67,29 +67,29 @@
   loop_.spawn(accept());
 }
 
-Listener::Connection* Listener::of(CallKey call) {
+GrpcServer::Connection* GrpcServer::of(CallKey call) {
   const auto at = connections_.find(static_cast<ConnectionId>(call >> 32));
   if (at == connections_.end()) return nullptr;
   touched_.insert(at->first);
   return at->second;
 }
 
-void Listener::send(CallKey call, std::string_view message) {
+void GrpcServer::send(CallKey call, std::string_view message) {
   if (Connection* connection = of(call))
     connection->calls.send(static_cast<grpc::CallId>(call & 0xFFFFFFFF), message);
 }
 
-void Listener::finish(CallKey call, grpc::Status status, std::string_view why) {
+void GrpcServer::finish(CallKey call, grpc::Status status, std::string_view why) {
   if (Connection* connection = of(call))
     connection->calls.finish(static_cast<grpc::CallId>(call & 0xFFFFFFFF), status, why);
 }
 
-void Listener::flush() {
+void GrpcServer::flush() {
   for (const ConnectionId id : std::exchange(touched_, {}))
     if (const auto at = connections_.find(id); at != connections_.end()) write(*at->second);
 }
 
-void Listener::stop() {
+void GrpcServer::stop() {
   stopped_ = true;
   if (socket_) socket_->wake();
   for (auto& [id, connection] : connections_) {
@@ -101,7 +101,7 @@
 
 // What was taken from the session is written before more is: what a client doesn't read waits in the session,
 // which bounds it.
-void Listener::write(Connection& to) {
+void GrpcServer::write(Connection& to) {
   while (!to.broken) {
     if (to.unsent.empty()) to.unsent = to.calls.output();
     if (to.unsent.empty()) break;
@@ -121,7 +121,7 @@
 // --- Connections
 
 // The one that has had no stream for longest makes room; false: all have some.
-bool Listener::makeRoom() {
+bool GrpcServer::makeRoom() {
   Connection* oldest = nullptr;
   for (auto& [id, connection] : connections_)
     if (connection->calls.open() == 0 && !connection->closing &&
@@ -133,7 +133,7 @@
   return true;
 }
 
-event_loop::Task Listener::accept() {
+event_loop::Task GrpcServer::accept() {
   int taken = 0;  // in this turn
   while (!stopped_) {
     if (++taken > kAcceptsATurn) {
@@ -159,17 +159,17 @@
     } else {
       spdlog::warn("event={}.accept_failed why=\"{}\"", name_,
                    how == Io::noDescriptor ? "no descriptor is left" : "the listening socket failed");
-      co_await loop_.sleepUntil(loop_.now() + Span::millis(10));
+      co_await loop_.sleepUntil(loop_.now() + Duration::millis(10));
     }
   }
   socket_.reset();
 }
 
-event_loop::Task Listener::serve(ConnectionId id, event_loop::Descriptor descriptor) {
+event_loop::Task GrpcServer::serve(ConnectionId id, event_loop::Descriptor descriptor) {
   try {
     Connection connection(*this, id, std::move(descriptor));
     struct Place {
-      Listener& listener;
+      GrpcServer& listener;
       Connection& connection;
       ~Place() {
         connection.calls.connectionEnded();
--- a/src/runtime/grpc_server/grpc_server.h
+++ b/src/runtime/grpc_server/grpc_server.h
@@ -18,9 +18,9 @@
 using CallKey = std::uint64_t;  // of all connections; never 0
 
 // What happens, in the time that seen() told last. May call the listener from within any of these.
-class Receiver {
+class CallHandler {
  public:
-  virtual ~Receiver() = default;
+  virtual ~CallHandler() = default;
   virtual void seen(Instant now) = 0;
   virtual void opened(CallKey call) = 0;
   virtual void message(CallKey call, std::string_view bytes) = 0;
@@ -34,15 +34,15 @@
   std::size_t mostConnections = 16;
 };
 
-class Listener {
+class GrpcServer {
  public:
   // `name` goes before the events that are logged. Throws config::BadKey where the address can't be had.
-  Listener(event_loop::Loop& loop, const config::Address& at, std::string method, Bounds bounds,
-           std::string name, Receiver& receiver);
-  Listener(const Listener&) = delete;
-  Listener& operator=(const Listener&) = delete;
+  GrpcServer(event_loop::EventLoop& loop, const config::Address& at, std::string method, Bounds bounds,
+             std::string name, CallHandler& receiver);
+  GrpcServer(const GrpcServer&) = delete;
+  GrpcServer& operator=(const GrpcServer&) = delete;
   // Its connections' coroutines refer to it: the loop's tasks must have been ended.
-  ~Listener() = default;
+  ~GrpcServer() = default;
 
   void send(CallKey call, std::string_view message);
   void finish(CallKey call, grpc::Status status, std::string_view why);
@@ -61,11 +61,11 @@
   bool makeRoom();
   Connection* of(CallKey call);
 
-  event_loop::Loop& loop_;
+  event_loop::EventLoop& loop_;
   std::string method_;
   Bounds bounds_;
   std::string name_;
-  Receiver& receiver_;
+  CallHandler& receiver_;
   std::unique_ptr<event_loop::Stream> socket_;
   std::map<ConnectionId, Connection*> connections_;
   std::set<ConnectionId> touched_;  // may have something to write
--- a/src/runtime/server/server.cpp
+++ b/src/runtime/server/server.cpp
@@ -13,10 +13,10 @@
 namespace gulltrestle::server {
 
 using event_loop::Io;
+using gateway::ByteSlices;
 using gateway::ClientId;
-using gateway::ConnectionEnd;
-using gateway::LinkId;
-using gateway::Parts;
+using gateway::ConnectionCloseReason;
+using gateway::NodeConnectionId;
 
 namespace {
 
@@ -30,22 +30,24 @@
 // carry.
 constexpr std::size_t kTxnsPart = 3;
 
-Terms termsOf(const config::Start& start, const Beside& beside) {
-  Terms terms = start.told.terms;
-  terms.ownConnections = true;
-  terms.mostOpen = start.descriptors / kTxnsPart + beside.openTxns;
-  terms.reducedByLevel = beside.reducedByLevel;
+RoutingConfig termsOf(const config::RouterConfig& start, const ReservedResources& beside) {
+  RoutingConfig terms = start.deployment.routing;
+  terms.connectionPerAttempt = true;
+  terms.maxOpenTransactions = start.descriptors / kTxnsPart + beside.openTxns;
+  terms.degradationEnabled = beside.reducedByLevel;
   return terms;
 }
 
-std::size_t linksOf(const config::Start& start) { return (start.descriptors - kReserved) / kLinksPart; }
+std::size_t linksOf(const config::RouterConfig& start) {
+  return (start.descriptors - kReserved) / kLinksPart;
+}
 
 // A quarter of the memory for statements that are held, and another for what connections keep: buffers grow
 // by doubling, which may take as much again, and nodes' answers come on top.
-std::size_t bytesOf(const config::Start& start) { return start.memoryBytes / 4; }
+std::size_t bytesOf(const config::RouterConfig& start) { return start.memoryBytes / 4; }
 
-gateway::Bounds boundsOf(const config::Start& start) {
-  return {start.told.idleLimit, start.told.connectLimit, linksOf(start), bytesOf(start),
+gateway::Bounds boundsOf(const config::RouterConfig& start) {
+  return {start.deployment.idleLimit, start.deployment.connectLimit, linksOf(start), bytesOf(start),
           start.descriptors / kTxnsPart};
 }
 
@@ -71,21 +73,21 @@
   try {
     return event_loop::listenOn(at.host, at.port);
   } catch (const std::system_error& fault) {
-    throw config::BadKey("listen", at.host + ":" + std::to_string(at.port) + ": " + fault.what());
+    throw config::ConfigError("listen", at.host + ":" + std::to_string(at.port) + ": " + fault.what());
   }
 }
 
 // Turns are some milliseconds apart; a process that sees nothing for longer was held up.
-constexpr Span kStoodStill = Span::millis(50);
+constexpr Duration kStoodStill = Duration::millis(50);
 
 // A client that is gone answers a notice with a reset, in a turn of the network.
-constexpr Span kGoneShows = Span::millis(25);
+constexpr Duration kGoneShows = Duration::millis(25);
 
 // After a turn that failed: long enough not to spin, and short against any deadline.
-constexpr Span kPauseAfterFault = Span::millis(10);
+constexpr Duration kPauseAfterFault = Duration::millis(10);
 
-std::vector<gateway::Addressed> addressed(config::NodeList list) {
-  std::vector<gateway::Addressed> made;
+std::vector<gateway::ResolvedEndpoint> addressed(config::EndpointList list) {
+  std::vector<gateway::ResolvedEndpoint> made;
   for (auto& node : list.nodes) made.push_back({std::move(node.entry), std::move(node.address)});
   return made;
 }
@@ -93,7 +95,7 @@
 }  // namespace
 
 struct Server::Connection {
-  Connection(event_loop::Loop& loop, event_loop::Descriptor descriptor)
+  Connection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
       : stream(loop, std::move(descriptor)) {}
 
   event_loop::Stream stream;
@@ -112,15 +114,15 @@
 };
 
 template <typename Id>
-class Server::Place {
+class Server::ConnectionEntry {
  public:
-  Place(Server& server, std::map<Id, Connection*>& table, Id id, Connection& connection)
+  ConnectionEntry(Server& server, std::map<Id, Connection*>& table, Id id, Connection& connection)
       : server_(server), table_(table), id_(id), connection_(connection) {
     table_[id_] = &connection;
   }
-  Place(const Place&) = delete;
-  Place& operator=(const Place&) = delete;
-  ~Place() {
+  ConnectionEntry(const ConnectionEntry&) = delete;
+  ConnectionEntry& operator=(const ConnectionEntry&) = delete;
+  ~ConnectionEntry() {
     table_.erase(id_);
     server_.bytes_ -= connection_.counted;
   }
@@ -132,17 +134,18 @@
   Connection& connection_;
 };
 
-Server::Server(config::Start start, Beside beside)
+Server::Server(config::RouterConfig start, ReservedResources beside)
     : start_(std::move(start)),
       signals_(std::make_unique<event_loop::Stream>(loop_, event_loop::signals())),
       listener_(std::make_unique<event_loop::Stream>(loop_, listenAt(start_.listen))),
       mostClients_(start_.descriptors - kReserved - linksOf(start_)),
       mostBytes_(bytesOf(start_)),
-      gateway_(termsOf(start_, beside), start_.told.typeNames, start_.seed, boundsOf(start_), *this) {
+      gateway_(termsOf(start_, beside), start_.deployment.typeNames, start_.seed, boundsOf(start_), *this) {
   if (mostClients_ <= beside.descriptors)
-    throw config::BadKey("limits.sockets", "leaves none for clients beside the other fronts' connections");
+    throw config::ConfigError("limits.sockets",
+                              "leaves none for clients beside the other fronts' connections");
   mostClients_ -= beside.descriptors;
-  for (const auto& type : start_.told.terms.types)
+  for (const auto& type : start_.deployment.routing.transactionClasses)
     longestDeadline_ = std::max(longestDeadline_, type.deadline);
 }
 
@@ -151,14 +154,14 @@
 void Server::run() {
   spdlog::info("{} listens on {}:{}, {} nodes known", start_.name, start_.listen.host, start_.listen.port,
                start_.known.nodes.size());
-  ledger().see(loop_.now());
+  ledger().advanceTo(loop_.now());
   ledger().invariants().started(loop_.now(), loop_.now() - begunAt_, [this] { return start_.name; });
   listVersion_ = start_.known.version;
-  gateway_.listed(loop_.now(), ListKind::disk, addressed(start_.known));
+  gateway_.onEndpointList(loop_.now(), EndpointUpdateKind::restored, addressed(start_.known));
   const auto& at = start_.discovery;
-  gateway_.configured(loop_.now(), at.host + ":" + std::to_string(at.port), {});
+  gateway_.onConfigLoaded(loop_.now(), at.host + ":" + std::to_string(at.port), {});
   loop_.spawn(watchSignals());
-  loop_.spawn(followList());
+  loop_.spawn(followEndpointList());
   loop_.spawn(acceptClients());
   loop_.run([this](Instant now) { return endTurn(now); },
             [](std::exception_ptr failure) {
@@ -185,18 +188,18 @@
 
 // --- Effects
 
-void Server::connect(LinkId link, const std::string& address) {
+void Server::connect(NodeConnectionId link, const std::string& address) {
   links_[link] = nullptr;
-  loop_.spawn(serveLink(link, address));
+  loop_.spawn(serveNodeConnection(link, address));
 }
 
-bool Server::writeNode(LinkId link, Parts parts) {
+bool Server::writeNode(NodeConnectionId link, ByteSlices parts) {
   Connection& connection = *links_.at(link);
   send(connection, parts);
   return connection.unsent.empty() && !connection.broken;
 }
 
-void Server::closeNode(LinkId link) {
+void Server::closeNode(NodeConnectionId link) {
   const auto at = links_.find(link);
   if (at == links_.end()) return;
   if (at->second) {
@@ -207,7 +210,7 @@
   }
 }
 
-void Server::writeClient(ClientId client, Parts parts) {
+void Server::writeClient(ClientId client, ByteSlices parts) {
   if (const auto at = clients_.find(client); at != clients_.end() && at->second) send(*at->second, parts);
 }
 
@@ -230,7 +233,7 @@
   listener_->wake();
 }
 
-void Server::askForList() {}  // it is followed all the time
+void Server::requestEndpointList() {}  // it is followed all the time
 
 void Server::followDiscovery(const std::string& address) {
   discovery_ = config::readAddress("discovery", address);
@@ -241,7 +244,7 @@
 
 // --- Connections
 
-void Server::send(Connection& to, Parts parts) {
+void Server::send(Connection& to, ByteSlices parts) {
   if (to.broken || to.gone) return;
   std::size_t sent = 0;
   if (to.unsent.empty()) {
@@ -340,7 +343,7 @@
         spdlog::warn("no new client can be taken: {}",
                      how == Io::noDescriptor ? "no descriptor is left" : "the listening socket failed");
       gateway_.closeIdleClients();
-      co_await loop_.sleepUntil(loop_.now() + Span::millis(10));
+      co_await loop_.sleepUntil(loop_.now() + Duration::millis(10));
     }
   }
   listener_.reset();
@@ -348,10 +351,10 @@
 
 event_loop::Task Server::serveClient(ClientId id, event_loop::Descriptor descriptor, bool welcome,
                                      Instant knockedSince) {
-  ConnectionEnd how = ConnectionEnd::broken;
+  ConnectionCloseReason how = ConnectionCloseReason::broken;
   try {
     Connection client(loop_, std::move(descriptor));
-    const Place<ClientId> place(*this, clients_, id, client);
+    const ConnectionEntry<ClientId> place(*this, clients_, id, client);
     if (welcome) {
       gateway_.clientOpened(loop_.now(), id);
     } else {
@@ -361,7 +364,7 @@
     // Where the first report says that something can be read, it may have come with the connection.
     client.unreadSince = knockedSince;
     const auto take = [&](std::string_view bytes) {
-      return gateway_.clientSent(loop_.now(), id, bytes, client.unreadSince);
+      return gateway_.clientReceived(loop_.now(), id, bytes, client.unreadSince);
     };
     // One that sends no more is still there as long as nothing reports a reset. One that was reset is gone,
     // also where what it sent before could still be read.
@@ -377,13 +380,13 @@
           client.stuckAt = loop_.now() + longestDeadline_;
           client.stream.wakeAt(client.stuckAt);
         } else if (loop_.now() >= client.stuckAt) {
-          how = ConnectionEnd::clientStuck;
+          how = ConnectionCloseReason::clientStalled;
           break;
         }
       } else if (std::exchange(client.offer, false)) {
         client.kept.erase(0, take(client.kept));
         account(client);
-        if (client.ended && !client.offer) gateway_.clientSendsNoMore(loop_.now(), id);
+        if (client.ended && !client.offer) gateway_.clientHalfClosed(loop_.now(), id);
         if (!client.offer) continue;
         client.stream.wake();  // the rest in another turn: the others have theirs
       } else if (mayBeGone(client)) {
@@ -396,13 +399,13 @@
         read(client, take);
         // Only once all is read: what one read leaves behind has been there as long as what it took.
         if (!client.stream.canRead()) client.unreadSince = Instant();
-        if (client.ended && !client.offer) gateway_.clientSendsNoMore(loop_.now(), id);
+        if (client.ended && !client.offer) gateway_.clientHalfClosed(loop_.now(), id);
         // One read a turn: the others have theirs.
         if (client.broken) break;  // told in this turn, before anything more is sent for it
         if (client.stream.canRead() || client.offer) client.stream.wake();
       } else if (client.stream.readEnds() && !client.ended && gateway_.isWaiting(id)) {
         // Its end is behind what is not read yet, as it waits and has sent much ahead.
-        gateway_.clientSendsNoMore(loop_.now(), id);
+        gateway_.clientHalfClosed(loop_.now(), id);
       }
       co_await client.stream.changed();
       if (!client.stream.canRead()) client.unreadSince = Instant();
@@ -410,9 +413,10 @@
     // Guards against bytes that come as this end closes, or are not read yet: a close over them resets the
     // connection, and the answer that is on its way is lost with it. Nothing of them is sent on. May hurt
     // where the descriptor is wanted meanwhile.
-    if (client.closing && !client.broken && !client.stream.hungUp() && how != ConnectionEnd::clientStuck) {
+    if (client.closing && !client.broken && !client.stream.hungUp() &&
+        how != ConnectionCloseReason::clientStalled) {
       event_loop::endSending(client.stream.descriptor());
-      const Instant until = loop_.now() + start_.told.connectLimit * kClosingTimes;
+      const Instant until = loop_.now() + start_.deployment.connectLimit * kClosingTimes;
       client.stream.wakeAt(until);
       closing_.push_back(id);
       while (!client.ended && !client.broken && !client.stream.hungUp() && !client.hurried &&
@@ -425,7 +429,7 @@
   } catch (const std::exception& bad) { spdlog::error("a client's connection failed: {}", bad.what()); }
   clients_.erase(id);
   std::erase(closing_, id);
-  gateway_.clientEnded(loop_.now(), id, how);
+  gateway_.clientClosed(loop_.now(), id, how);
 }
 
 // Whether its end came with a statement that has been there for a while. Guards against attempts for clients
@@ -453,33 +457,33 @@
 bool Server::mayKeep(ClientId id, Connection& client) {
   if (client.kept.empty()) return true;
   if (gateway_.isWaiting(id)) return client.kept.size() < kMostAhead && bytes_ < mostBytes_;
-  if (bytes_ >= mostBytes_) gateway_.refuse(loop_.now(), id);
+  if (bytes_ >= mostBytes_) gateway_.rejectClient(loop_.now(), id);
   return bytes_ < mostBytes_;
 }
 
-event_loop::Task Server::serveLink(LinkId id, std::string address) {
-  ConnectionEnd how = ConnectionEnd::broken;
+event_loop::Task Server::serveNodeConnection(NodeConnectionId id, std::string address) {
+  ConnectionCloseReason how = ConnectionCloseReason::broken;
   try {
     const auto to = config::readAddress("addr", address);
     event_loop::Descriptor descriptor;
     if (links_.contains(id))
       descriptor = event_loop::startConnecting(to.host, to.port);  // else it is closed already
     if (!descriptor) {
-      how = ConnectionEnd::notOpened;
+      how = ConnectionCloseReason::noDescriptor;
     } else {
       Connection link(loop_, std::move(descriptor));
-      const Place<LinkId> place(*this, links_, id, link);
+      const ConnectionEntry<NodeConnectionId> place(*this, links_, id, link);
       while (!link.gone && !link.stream.canWrite()) co_await link.stream.changed();
       const bool up = !link.gone && event_loop::isConnected(link.stream.descriptor());
       if (up)
-        gateway_.linkUp(loop_.now(), id);
+        gateway_.nodeConnected(loop_.now(), id);
       else
-        how = ConnectionEnd::refused;
-      const auto take = [&](std::string_view bytes) { return gateway_.linkSent(loop_.now(), id, bytes); };
+        how = ConnectionCloseReason::refused;
+      const auto take = [&](std::string_view bytes) { return gateway_.nodeReceived(loop_.now(), id, bytes); };
       while (up && !link.gone && !link.broken && !link.ended) {
         if (!link.unsent.empty()) {
           flush(link);
-          if (link.unsent.empty() && !link.broken) gateway_.linkWritten(loop_.now(), id);
+          if (link.unsent.empty() && !link.broken) gateway_.nodeWritten(loop_.now(), id);
         }
         if (link.stream.canRead() && !link.broken) read(link, take);
         // Its end is told in this turn, before anything more is decided: nothing is to be written on it.
@@ -490,7 +494,7 @@
     }
   } catch (const std::exception& bad) { spdlog::error("a connection to a node failed: {}", bad.what()); }
   links_.erase(id);
-  gateway_.linkEnded(loop_.now(), id, how);
+  gateway_.nodeConnectionClosed(loop_.now(), id, how);
 }
 
 // --- Signals and discovery
@@ -498,10 +502,10 @@
 event_loop::Task Server::watchSignals() {
   for (;;) {
     while (const auto signal = event_loop::takeSignal(signals_->descriptor())) {
-      if (*signal == event_loop::Signal::end)
+      if (*signal == event_loop::Signal::terminate)
         gateway_.shutDown(loop_.now());
       else
-        readAnew();
+        reloadConfig();
     }
     signals_->readBlocked();
     co_await signals_->changed();
@@ -509,36 +513,37 @@
 }
 
 // Guards against whatever the file holds by then: it may be missing, half written or wrong.
-void Server::readAnew() {
-  gateway_.readAnew(loop_.now());
+void Server::reloadConfig() {
+  gateway_.reloadConfig(loop_.now());
   try {
-    const auto read = config::readStart(config::First::file);
-    gateway_.configured(loop_.now(), read.discovery.host + ":" + std::to_string(read.discovery.port),
-                        config::keptUntilRestart(start_, read));
-  } catch (const std::exception& bad) { gateway_.misconfigured(loop_.now(), bad.what()); }
+    const auto read = config::readRouterConfig(config::ValuePrecedence::file);
+    gateway_.onConfigLoaded(loop_.now(), read.discovery.host + ":" + std::to_string(read.discovery.port),
+                            config::keysNeedingRestart(start_, read));
+  } catch (const std::exception& bad) { gateway_.onConfigRejected(loop_.now(), bad.what()); }
 }
 
 void Server::takeList(json::Value value, bool isChange) {
-  auto list = config::readList(value, start_.told.zone);
-  if (list.whole || !isChange) {
+  auto list = config::readList(value, start_.deployment.zone);
+  if (list.isSnapshot || !isChange) {
     listVersion_ = list.version;
   } else if (list.version < listVersion_) {
-    throw config::BadKey("version", "goes back");
+    throw config::ConfigError("version", "goes back");
   }
   listVersion_ = list.version;
-  const auto kind = list.whole ? ListKind::whole : ListKind::changes;
+  const auto kind = list.isSnapshot ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta;
   if (!list.nodes.empty())
     spdlog::info("list version {}: {} nodes{}", list.version, list.nodes.size(),
-                 list.whole ? "" : " changed");
+                 list.isSnapshot ? "" : " changed");
   const std::uint64_t version = list.version;
-  gateway_.listed(loop_.now(), kind, addressed(std::move(list)), version);
+  gateway_.onEndpointList(loop_.now(), kind, addressed(std::move(list)), version);
 }
 
 // Asks for the whole list, then watches it; whenever that ends or fails, again after a pause. Where discovery
 // has moved, the whole list there comes next, without one: what the old place still sends may be old.
-event_loop::Task Server::followList() {
+event_loop::Task Server::followEndpointList() {
   std::string lastWhy;  // a call that fails as the one before did is not logged again
-  discovery::ListCalls calls(start_.told.terms.listMustBeAsked, start_.told.drainGrace, start_.seed);
+  discovery::PollSchedule calls(start_.deployment.routing.endpointListIsPolled, start_.deployment.drainGrace,
+                                start_.seed);
   for (bool watch = calls.watchesAtOnce() && !start_.known.nodes.empty();;) {
     const config::Address at = discovery_;
     const std::string host = at.host + ":" + std::to_string(at.port);
@@ -582,10 +587,10 @@
         while (!from.broken && !from.ended && !response.done() && at == discovery_) {
           // Guards against a router that stood still and gives up what is there by then: an answer to a call
           // is looked at first. A watch is not, as what it reads late may have come before it fell silent.
-          const Span patience = calls.silence(watch, heard);
+          const Duration patience = calls.silence(watch, heard);
           const bool there = !watch && from.stream.canRead();
           if (loop_.now() - heardAt > patience && !there && (asked || !from.stream.canWrite())) break;
-          if (!asked && !from.stream.canWrite() && loop_.now() - begunAt > start_.told.connectLimit) {
+          if (!asked && !from.stream.canWrite() && loop_.now() - begunAt > start_.deployment.connectLimit) {
             why = "does not come up";
             break;
           }
@@ -599,7 +604,7 @@
             read(from, [&](std::string_view bytes) {
               heardAt = loop_.now();
               heard = true;
-              gateway_.listHeard(heardAt);
+              gateway_.onDiscoveryActivity(heardAt);
               const auto used = response.feed(bytes, body);
               if (response.status() != 0 && response.status() != 200)
                 throw http1::Malformed("status " + std::to_string(response.status()));
@@ -607,8 +612,8 @@
               return used;
             });
           if (from.stream.canRead() && !from.ended && !from.broken) from.stream.wake();
-          from.stream.wakeAt((asked ? heardAt + patience : begunAt + start_.told.connectLimit) +
-                             Span::millis(1));
+          from.stream.wakeAt((asked ? heardAt + patience : begunAt + start_.deployment.connectLimit) +
+                             Duration::millis(1));
           if (!from.broken && !from.ended && !response.done()) co_await from.stream.changed();
         }
         if (from.ended) response.end();
@@ -634,7 +639,7 @@
     why = (watch ? "watch " : "list ") + why;
     if (why != lastWhy) spdlog::warn("discovery at {}: the {}", host, why);
     lastWhy = why;
-    gateway_.listFailed(loop_.now());
+    gateway_.onEndpointListFailed(loop_.now());
     watch = watch && !spoilt && calls.watchesAtOnce();
     co_await loop_.sleepUntil(loop_.now() + calls.pause());
   }
--- a/src/runtime/server/server.h
+++ b/src/runtime/server/server.h
@@ -15,7 +15,7 @@
 namespace gulltrestle::server {
 
 // What other parts of the same process take of its limits, and whether one of them reduces service by levels.
-struct Beside {
+struct ReservedResources {
   std::size_t descriptors = 0, openTxns = 0;
   bool reducedByLevel = false;
 };
@@ -23,13 +23,13 @@
 class Server final : private gateway::Effects {
  public:
   // Throws where the address to listen on can't be had.
-  explicit Server(config::Start start, Beside beside = {});
+  explicit Server(config::RouterConfig start, ReservedResources beside = {});
   ~Server() override;
 
   // For a front that is added before run(), and outlives the server.
-  void add(gateway::Part& part) { gateway_.add(part); }
-  event_loop::Loop& loop() { return loop_; }
-  transactions::Ledger& ledger() { return gateway_.ledger(); }
+  void add(gateway::Component& part) { gateway_.add(part); }
+  event_loop::EventLoop& loop() { return loop_; }
+  transactions::TransactionTable& ledger() { return gateway_.transactions(); }
 
   // Serves until it is told to end and all is answered.
   void run();
@@ -37,17 +37,17 @@
  private:
   struct Connection;
   template <typename Id>
-  class Place;  // a connection's entry in a table, for as long as its coroutine runs
+  class ConnectionEntry;  // a connection's entry in a table, for as long as its coroutine runs
 
   // Effects.
-  void connect(gateway::LinkId link, const std::string& address) override;
-  bool writeNode(gateway::LinkId link, gateway::Parts parts) override;
-  void closeNode(gateway::LinkId link) override;
-  void writeClient(gateway::ClientId client, gateway::Parts parts) override;
+  void connect(gateway::NodeConnectionId link, const std::string& address) override;
+  bool writeNode(gateway::NodeConnectionId link, gateway::ByteSlices parts) override;
+  void closeNode(gateway::NodeConnectionId link) override;
+  void writeClient(gateway::ClientId client, gateway::ByteSlices parts) override;
   void readClient(gateway::ClientId client) override;
   void closeClient(gateway::ClientId client) override;
   void stopListening() override;
-  void askForList() override;
+  void requestEndpointList() override;
   void followDiscovery(const std::string& address) override;
   void log(std::string line) override;
 
@@ -56,11 +56,11 @@
   event_loop::Task serveClient(gateway::ClientId id, event_loop::Descriptor descriptor, bool welcome,
                                Instant knockedSince);
   Instant arrivedSince() const;
-  event_loop::Task serveLink(gateway::LinkId id, std::string address);
-  event_loop::Task followList();
+  event_loop::Task serveNodeConnection(gateway::NodeConnectionId id, std::string address);
+  event_loop::Task followEndpointList();
   event_loop::Task watchSignals();
 
-  void send(Connection& connection, gateway::Parts parts);
+  void send(Connection& connection, gateway::ByteSlices parts);
   void flush(Connection& connection);
   template <typename Take>
   void read(Connection& connection, Take take);
@@ -68,20 +68,20 @@
   bool mayKeep(gateway::ClientId id, Connection& client);
   bool mayBeGone(const Connection& client) const;
   bool hurried();
-  void readAnew();
+  void reloadConfig();
   void takeList(json::Value value, bool isChange);
   Instant endTurn(Instant now);
 
-  config::Start start_;
-  event_loop::Loop loop_;
+  config::RouterConfig start_;
+  event_loop::EventLoop loop_;
   Instant begunAt_ = loop_.now();
   std::unique_ptr<event_loop::Stream> signals_, listener_;
   std::size_t mostClients_;
   std::size_t mostBytes_, bytes_ = 0;  // that connections may keep, and do
-  Span longestDeadline_;
+  Duration longestDeadline_;
   gateway::Gateway gateway_;
   std::map<gateway::ClientId, Connection*> clients_;
-  std::map<gateway::LinkId, Connection*> links_;
+  std::map<gateway::NodeConnectionId, Connection*> links_;
   std::vector<gateway::ClientId> closing_;  // that have been told the end, those that were first in front
   gateway::ClientId lastClient_ = 0;
   config::Address discovery_;
--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -27,11 +27,11 @@
 // As text with its length, so that no two rows' parts run into each other.
 std::string part(const std::string& text) { return std::to_string(text.size()) + ":" + text + ","; }
 std::uint64_t sumOf(const std::string& text) { return XXH3_64bits(text.data(), text.size()); }
-std::uint64_t sumOf(const idempotency::Entry& e) {
+std::uint64_t sumOf(const idempotency::ClaimRecord& e) {
   return sumOf("claim " + part(e.id) + part(e.token.router) + part(std::to_string(e.token.start)) +
                part(std::to_string(e.token.number)) + (e.committed ? "1" : "0") + part(e.value));
 }
-std::uint64_t sumOf(const std::string& keeper, const idempotency::Start& s) {
+std::uint64_t sumOf(const std::string& keeper, const idempotency::VoterIncarnation& s) {
   return sumOf("start " + part(keeper) + part(std::to_string(s.number)) + part(std::to_string(s.draw)));
 }
 std::uint64_t sumOfNode(const std::string& id, std::uint64_t version, bool leaving) {
@@ -40,7 +40,7 @@
 std::uint64_t sumOfPrimary(std::uint64_t group, const std::string& node, std::uint64_t version) {
   return sumOf("primary " + part(std::to_string(group)) + part(node) + std::to_string(version));
 }
-std::uint64_t sumOfMember(const std::string& router, const idempotency::Start& s) {
+std::uint64_t sumOfMember(const std::string& router, const idempotency::VoterIncarnation& s) {
   return sumOf("member " + part(router) + part(std::to_string(s.number)) + part(std::to_string(s.draw)));
 }
 std::uint64_t sumOfList(std::uint64_t place, std::uint64_t version, const std::string& keeper) {
@@ -102,12 +102,12 @@
     case SQLITE_MISMATCH:
     case SQLITE_TOOBIG:
     case SQLITE_CONSTRAINT:
-      throw Damaged(what);
+      throw CorruptDatabase(what);
     case SQLITE_BUSY:
     case SQLITE_LOCKED:
-      throw Failed("another process has it");
+      throw DiskError("another process has it");
     default:
-      throw Failed(what);
+      throw DiskError(what);
   }
 }
 
@@ -119,12 +119,13 @@
 // the one file, where the checksums see each byte. A write-ahead log would cost one sync instead of three,
 // but a flipped byte in its middle passes for the torn end of a power loss, and what was committed after is
 // gone without a sign.
-Database::Database(const std::string& path, For what) : path_(path) {
-  const int flags = what == For::reading ? SQLITE_OPEN_READONLY : SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
+Database::Database(const std::string& path, OpenMode what) : path_(path) {
+  const int flags =
+      what == OpenMode::reading ? SQLITE_OPEN_READONLY : SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
   const int code = sqlite3_open_v2(path.c_str(), &handle_, flags | SQLITE_OPEN_NOMUTEX, nullptr);
   try {
     if (code) fail(code);
-    if (what == For::writing) {
+    if (what == OpenMode::writing) {
       run("PRAGMA locking_mode = EXCLUSIVE");
       run("PRAGMA journal_mode = TRUNCATE");
       run("PRAGMA synchronous = EXTRA");
@@ -135,15 +136,15 @@
     if (const auto format = meta("format");
         format != kFormat && format != "1" && format != "2" && format != "3")
       throw format.empty() ? std::runtime_error("")
-                           : Failed("it has format " + format + ", this program " + kFormat);
+                           : DiskError("it has format " + format + ", this program " + kFormat);
     keeper_ = meta("keeper");
-  } catch (const Failed&) {
+  } catch (const DiskError&) {
     sqlite3_close_v2(handle_);
     throw;
   } catch (const std::exception& bad) {
     const std::string why = bad.what();
     sqlite3_close_v2(handle_);
-    throw Damaged(why.empty() ? "it has no format" : why);
+    throw CorruptDatabase(why.empty() ? "it has no format" : why);
   }
 }
 
@@ -185,29 +186,29 @@
   isNew_ = false;
 }
 
-idempotency::Kept Database::load() {
+idempotency::StoredState Database::load() {
   {
     Statement check(*this, "PRAGMA quick_check(1)");
-    if (!check.step() || check.text(0) != "ok") throw Damaged("its structure is not sound");
+    if (!check.step() || check.text(0) != "ok") throw CorruptDatabase("its structure is not sound");
   }
-  idempotency::Kept kept;
+  idempotency::StoredState kept;
   digest_ = 0;
   for (const char* key : {"format", "keeper", "whole", "new_since"}) digest_ ^= sumOf(key, meta(key));
   digest_ ^= sumOf("work", meta("work")) ^ sumOf("work", "");
-  kept.whole = meta("whole") == "1";
-  kept.work = meta("work");
+  kept.isComplete = meta("whole") == "1";
+  kept.maintenance = meta("work");
   Statement claims(*this, "SELECT id, router, start, number, committed, value FROM claims");
   while (claims.step()) {
-    idempotency::Entry entry{claims.text(0),
-                             {claims.text(1), claims.number(2), claims.number(3)},
-                             claims.number(4) != 0,
-                             claims.text(5)};
+    idempotency::ClaimRecord entry{claims.text(0),
+                                   {claims.text(1), claims.number(2), claims.number(3)},
+                                   claims.number(4) != 0,
+                                   claims.text(5)};
     digest_ ^= sumOf(entry);
     kept.entries.push_back(std::move(entry));
   }
   Statement starts(*this, "SELECT keeper, number, draw FROM starts ORDER BY number");
   while (starts.step()) {
-    const idempotency::Start start{starts.number(1), starts.number(2)};
+    const idempotency::VoterIncarnation start{starts.number(1), starts.number(2)};
     digest_ ^= sumOf(starts.text(0), start);
     if (starts.text(0).empty())
       kept.own.push_back(start);
@@ -230,7 +231,7 @@
   if (format != "1" && format != "2") {
     Statement members(*this, "SELECT router, number, draw FROM members");
     while (members.step()) {
-      const idempotency::Start start{members.number(1), members.number(2)};
+      const idempotency::VoterIncarnation start{members.number(1), members.number(2)};
       kept.members[members.text(0)] = start;
       digest_ ^= sumOfMember(members.text(0), start);
     }
@@ -239,15 +240,16 @@
     while (lists.step()) {
       const std::uint64_t place = lists.number(0);
       digest_ ^= sumOfList(place, lists.number(1), lists.text(2));
-      if (place > idempotency::kMostLists) throw Damaged("it holds too many lists");
-      auto& before = kept.lists.before;
+      if (place > idempotency::kMaxVoterLists) throw CorruptDatabase("it holds too many lists");
+      auto& before = kept.lists.previous;
       if (place > before.size()) before.resize(place);
-      idempotency::List& list = place == 0 ? kept.lists.now : before[place - 1];
+      idempotency::VoterList& list = place == 0 ? kept.lists.current : before[place - 1];
       list.version = lists.number(1);
       list.names.insert(lists.text(2));
     }
   }
-  if (meta("digest") != std::to_string(digest_)) throw Damaged("its rows are not those that were written");
+  if (meta("digest") != std::to_string(digest_))
+    throw CorruptDatabase("its rows are not those that were written");
   kept.newSince = std::stoull(meta("new_since"));
   if (format != kFormat && sqlite3_db_readonly(handle_, "main") == 0) {
     run("BEGIN IMMEDIATE");
@@ -260,16 +262,16 @@
   return kept;
 }
 
-void Database::apply(const idempotency::Keeper::Change& change) {
-  using What = idempotency::Keeper::Change::What;
-  switch (change.what) {
-    case What::put:
-    case What::drop: {
+void Database::apply(const idempotency::VotingMember::DiskChange& change) {
+  using Kind = idempotency::VotingMember::DiskChange::Kind;
+  switch (change.kind) {
+    case Kind::put:
+    case Kind::drop: {
       Statement old(*this, "SELECT router, start, number, committed, value FROM claims WHERE id = ?");
       if (old.with(change.id).step())
-        digest_ ^= sumOf(idempotency::Entry{
+        digest_ ^= sumOf(idempotency::ClaimRecord{
             change.id, {old.text(0), old.number(1), old.number(2)}, old.number(3) != 0, old.text(4)});
-      if (change.what == What::drop) {
+      if (change.kind == Kind::drop) {
         Statement(*this, "DELETE FROM claims WHERE id = ?").with(change.id).step();
         return;
       }
@@ -285,7 +287,7 @@
           .step();
       return;
     }
-    case What::start: {
+    case Kind::start: {
       // Of another keeper only the newest counts; of our own, some.
       const std::uint64_t before = !change.id.empty()                 ? change.start.number
                                    : change.start.number > kOwnStarts ? change.start.number - kOwnStarts
@@ -306,22 +308,22 @@
           .step();
       return;
     }
-    case What::node: {
+    case Kind::node: {
       Statement old(*this, "SELECT version, leaving FROM nodes WHERE id = ?");
       if (old.with(change.id).step()) digest_ ^= sumOfNode(change.id, old.number(0), old.number(1) != 0);
       if (change.start.number == 0) {
         Statement(*this, "DELETE FROM nodes WHERE id = ?").with(change.id).step();
         return;
       }
-      digest_ ^= sumOfNode(change.id, change.start.number, change.whole);
+      digest_ ^= sumOfNode(change.id, change.start.number, change.isComplete);
       Statement(*this, "INSERT OR REPLACE INTO nodes VALUES (?, ?, ?)")
           .with(change.id)
           .with(change.start.number)
-          .with(std::uint64_t{change.whole})
+          .with(std::uint64_t{change.isComplete})
           .step();
       return;
     }
-    case What::primary: {
+    case Kind::primary: {
       Statement old(*this, "SELECT node, version FROM primaries WHERE grp = ?");
       if (old.with(change.group).step()) digest_ ^= sumOfPrimary(change.group, old.text(0), old.number(1));
       digest_ ^= sumOfPrimary(change.group, change.id, change.start.number);
@@ -332,7 +334,7 @@
           .step();
       return;
     }
-    case What::member: {
+    case Kind::member: {
       Statement old(*this, "SELECT number, draw FROM members WHERE router = ?");
       if (old.with(change.id).step()) digest_ ^= sumOfMember(change.id, {old.number(0), old.number(1)});
       digest_ ^= sumOfMember(change.id, change.start);
@@ -343,12 +345,12 @@
           .step();
       return;
     }
-    case What::lists: {
+    case Kind::lists: {
       Statement old(*this, "SELECT place, version, keeper FROM lists");
       while (old.step()) digest_ ^= sumOfList(old.number(0), old.number(1), old.text(2));
       run("DELETE FROM lists");
       std::uint64_t place = 0;
-      const auto put = [&](const idempotency::List& list) {
+      const auto put = [&](const idempotency::VoterList& list) {
         for (const auto& name : list.names) {
           digest_ ^= sumOfList(place, list.version, name);
           Statement(*this, "INSERT INTO lists VALUES (?, ?, ?)")
@@ -359,20 +361,20 @@
         }
         ++place;
       };
-      put(change.lists.now);
-      for (const auto& before : change.lists.before) put(before);
+      put(change.lists.current);
+      for (const auto& before : change.lists.previous) put(before);
       return;
     }
-    case What::work:
+    case Kind::work:
       setMeta("work", change.id);
       return;
-    case What::voting:
-      setMeta("whole", change.whole ? "1" : "0");
+    case Kind::voting:
+      setMeta("whole", change.isComplete ? "1" : "0");
       setMeta("new_since", std::to_string(change.start.number));
   }
 }
 
-void Database::commit(const std::vector<const std::vector<idempotency::Keeper::Change>*>& groups) {
+void Database::commit(const std::vector<const std::vector<idempotency::VotingMember::DiskChange>*>& groups) {
   run("BEGIN IMMEDIATE");
   for (const auto* changes : groups)
     for (const auto& change : *changes) apply(change);
--- a/src/store/database.h
+++ b/src/store/database.h
@@ -14,21 +14,21 @@
 namespace gulltrestle::store {
 
 // The file is not what was written.
-class Damaged : public std::runtime_error {
+class CorruptDatabase : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 // The disk or the system does not let us.
-class Failed : public std::runtime_error {
+class DiskError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 class Database {
  public:
-  enum class For { writing, reading };
+  enum class OpenMode { writing, reading };
   // Opens the file, or begins one. Throws Damaged, Failed.
-  Database(const std::string& path, For what);
+  Database(const std::string& path, OpenMode what);
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
   ~Database();
@@ -38,16 +38,16 @@
   void begin(const std::string& keeper, bool whole);
   const std::string& keeper() const { return keeper_; }
   // All of it, checked against its checksums. Throws Damaged.
-  idempotency::Kept load();
+  idempotency::StoredState load();
   // All of these or none. Throws Failed, or Damaged; the connection is of no use after that.
-  void commit(const std::vector<const std::vector<idempotency::Keeper::Change>*>& groups);
+  void commit(const std::vector<const std::vector<idempotency::VotingMember::DiskChange>*>& groups);
 
  private:
   class Statement;
   void run(const char* text);
   std::string meta(const char* key);
   void setMeta(const char* key, const std::string& value);
-  void apply(const idempotency::Keeper::Change& change);
+  void apply(const idempotency::VotingMember::DiskChange& change);
   [[noreturn]] void fail(int code);
 
   sqlite3* handle_ = nullptr;
