--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -35,59 +35,59 @@
     std::rename((path + "-journal").c_str(), (aside + "-journal").c_str());
     return aside;
   }
-  throw Unusable(path + " is damaged and can't be moved aside");
+  throw UnusableFolder(path + " is damaged and can't be moved aside");
 }
 
 }  // namespace
 
 Store::Store(const std::string& folder, const std::string& keeper, std::uint64_t draw,
-             const std::vector<idempotency::List>& lists)
+             const std::vector<idempotency::VoterList>& lists)
     : folder_(folder), keeper_(keeper) {
   const std::string path = fileIn(folder);
   struct stat found {};
   if (::stat(folder.c_str(), &found) != 0 || !S_ISDIR(found.st_mode))
-    throw Unusable(folder + " is no folder");
+    throw UnusableFolder(folder + " is no folder");
   try {
     // A second time with an empty file, after a damaged one.
     for (int n = 0; n < 2; ++n) try {
-        database_ = std::make_unique<Database>(path, Database::For::writing);
+        database_ = std::make_unique<Database>(path, Database::OpenMode::writing);
         if (database_->isNew()) database_->begin(keeper, false);
         kept_ = database_->load();
         break;
-      } catch (const Damaged& bad) {
+      } catch (const CorruptDatabase& bad) {
         database_.reset();
-        if (n > 0) throw Unusable(path + ": " + bad.what());
+        if (n > 0) throw UnusableFolder(path + ": " + bad.what());
         setAside_ = moveAside(path) + " (" + bad.what() + ")";
       }
     if (database_->keeper() != keeper)
-      throw Unusable(path + " is the store of the keeper '" + database_->keeper() + "'");
-    const idempotency::Start start{kept_.own.empty() ? 1 : kept_.own.back().number + 1, draw};
-    using Change = idempotency::Keeper::Change;
-    std::vector<Change> changes(1);
-    changes[0].what = Change::What::start;
+      throw UnusableFolder(path + " is the store of the keeper '" + database_->keeper() + "'");
+    const idempotency::VoterIncarnation start{kept_.own.empty() ? 1 : kept_.own.back().number + 1, draw};
+    using DiskChange = idempotency::VotingMember::DiskChange;
+    std::vector<DiskChange> changes(1);
+    changes[0].kind = DiskChange::Kind::start;
     changes[0].start = start;
-    const idempotency::Moved moved = idempotency::movedTo(kept_.lists, lists, keeper);
-    if (!moved.refused.empty()) throw Refused(moved.refused);
+    const idempotency::VoterListTransition moved = idempotency::transitionTo(kept_.lists, lists, keeper);
+    if (!moved.rejectReason.empty()) throw RejectedVoterList(moved.rejectReason);
     if (moved.changed) {
       changes.emplace_back();
-      changes.back().what = Change::What::lists;
+      changes.back().kind = DiskChange::Kind::lists;
       changes.back().lists = moved.lists;
     }
     if (!moved.diskCounts) {
-      kept_.whole = false;
+      kept_.isComplete = false;
       kept_.newSince = start.number;
       changes.emplace_back();
-      changes.back().what = Change::What::voting;
+      changes.back().kind = DiskChange::Kind::voting;
       changes.back().start = start;
     }
     database_->commit({&changes});
     kept_.lists = moved.lists;
     kept_.own.push_back(start);
-  } catch (const Unusable&) { throw; } catch (const Refused&) {
+  } catch (const UnusableFolder&) { throw; } catch (const RejectedVoterList&) {
     throw;
-  } catch (const std::exception& bad) { throw Unusable(path + ": " + bad.what()); }
+  } catch (const std::exception& bad) { throw UnusableFolder(path + ": " + bad.what()); }
   descriptor_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (descriptor_ < 0) throw Unusable(std::string("eventfd: ") + std::strerror(errno));
+  if (descriptor_ < 0) throw UnusableFolder(std::string("eventfd: ") + std::strerror(errno));
   thread_ = std::thread([this] { run(); });
 }
 
@@ -101,7 +101,7 @@
   ::close(descriptor_);
 }
 
-Store::Ticket Store::write(std::vector<idempotency::Keeper::Change> changes) {
+Store::Ticket Store::write(std::vector<idempotency::VotingMember::DiskChange> changes) {
   const std::lock_guard lock(mutex_);
   figures_.queued += changes.size();
   queue_.push_back({++last_, std::move(changes)});
@@ -109,24 +109,24 @@
   return last_;
 }
 
-std::vector<Store::Done> Store::done() {
+std::vector<Store::CompletedWrite> Store::takeCompleted() {
   std::uint64_t count = 0;
   [[maybe_unused]] const auto got = ::read(descriptor_, &count, sizeof count);
   const std::lock_guard lock(mutex_);
   return std::exchange(done_, {});
 }
 
-Figures Store::figures() const {
+StoreStatistics Store::statistics() const {
   const std::lock_guard lock(mutex_);
-  Figures figures = figures_;
-  figures.durableAgo =
-      Span::micros(std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - durableAt_).count());
+  StoreStatistics figures = figures_;
+  figures.durableAgo = Duration::micros(
+      std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - durableAt_).count());
   return figures;
 }
 
-// Its thread. What came while one group was written makes up the next.
+// Its thread. Kind came while one group was written makes up the next.
 void Store::run() {
-  std::vector<Queued> group;  // that is being written, with what failed before
+  std::vector<QueuedWrite> group;  // that is being written, with what failed before
   bool failed = false;
   for (;;) {
     {
@@ -147,7 +147,7 @@
         ::stat(fileIn(folder_).c_str(), &file) == 0 ? static_cast<std::uint64_t>(file.st_size) : 0;
     {
       const std::lock_guard lock(mutex_);
-      figures_.longest = std::max(figures_.longest, Span::micros(took));
+      figures_.longest = std::max(figures_.longest, Duration::micros(took));
       for (auto& queued : group) {
         if (!std::exchange(queued.told, true)) done_.push_back({queued.ticket, !failed});
         if (!failed) figures_.queued -= queued.changes.size(), figures_.changes += queued.changes.size();
@@ -164,16 +164,16 @@
 
 // A commit that failed leaves the connection with pages of its own that may or may not be on disk: it is
 // given up, and the file is read anew, as a sync that "succeeds" after one that failed proves nothing.
-bool Store::commit(const std::vector<Queued>& group) {
+bool Store::commit(const std::vector<QueuedWrite>& group) {
   std::string fault;
   try {
     if (!database_) {
-      auto anew = std::make_unique<Database>(fileIn(folder_), Database::For::writing);
-      if (anew->isNew()) throw Failed("the file is gone");
+      auto anew = std::make_unique<Database>(fileIn(folder_), Database::OpenMode::writing);
+      if (anew->isNew()) throw DiskError("the file is gone");
       anew->load();
       database_ = std::move(anew);
     }
-    std::vector<const std::vector<idempotency::Keeper::Change>*> changes;
+    std::vector<const std::vector<idempotency::VotingMember::DiskChange>*> changes;
     for (const auto& queued : group) changes.push_back(&queued.changes);
     database_->commit(changes);
     return true;
@@ -185,24 +185,24 @@
 }
 
 void create(const std::string& folder, const std::string& keeper) {
-  if (exists(fileIn(folder))) throw Unusable(fileIn(folder) + " is there already");
+  if (exists(fileIn(folder))) throw UnusableFolder(fileIn(folder) + " is there already");
   if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST)
-    throw Unusable(folder + ": " + std::strerror(errno));
+    throw UnusableFolder(folder + ": " + std::strerror(errno));
   try {
-    Database(fileIn(folder), Database::For::writing).begin(keeper, true);
-  } catch (const std::exception& bad) { throw Unusable(fileIn(folder) + ": " + bad.what()); }
+    Database(fileIn(folder), Database::OpenMode::writing).begin(keeper, true);
+  } catch (const std::exception& bad) { throw UnusableFolder(fileIn(folder) + ": " + bad.what()); }
 }
 
 Contents read(const std::string& folder) {
   Contents contents;
   const std::string path = fileIn(folder);
-  if (!exists(path)) throw Unusable(path + " is not there");
+  if (!exists(path)) throw UnusableFolder(path + " is not there");
   try {
-    Database database(path, Database::For::reading);
+    Database database(path, Database::OpenMode::reading);
     contents.keeper = database.keeper();
     contents.kept = database.load();
-  } catch (const Damaged& bad) { contents.damage = bad.what(); } catch (const std::exception& bad) {
-    throw Unusable(path + ": " + bad.what());
+  } catch (const CorruptDatabase& bad) { contents.damage = bad.what(); } catch (const std::exception& bad) {
+    throw UnusableFolder(path + ": " + bad.what());
   }
   return contents;
 }
--- a/src/testing/fake_servers/fake_node.cpp
+++ b/src/testing/fake_servers/fake_node.cpp
@@ -22,7 +22,8 @@
 
 // What one side of a connection has read and not taken yet.
 struct Wire {
-  Wire(event_loop::Loop& loop, event_loop::Descriptor descriptor) : stream(loop, std::move(descriptor)) {}
+  Wire(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
+      : stream(loop, std::move(descriptor)) {}
   event_loop::Stream stream;
   std::string kept;
   bool over = false;
@@ -63,7 +64,7 @@
 
 }  // namespace
 
-Node::Node(event_loop::Loop& loop, std::string id, bool isPrimary)
+FakeNode::FakeNode(event_loop::EventLoop& loop, std::string id, bool isPrimary)
     : primary(isPrimary),
       loop_(loop),
       id_(std::move(id)),
@@ -71,18 +72,18 @@
   loop_.spawn(
       acceptAll(*listener_, [this](event_loop::Descriptor taken) { loop_.spawn(serve(std::move(taken))); }));
 }
-Node::~Node() = default;
+FakeNode::~FakeNode() = default;
 
-std::string Node::address() const { return addressOf(*listener_); }
+std::string FakeNode::address() const { return addressOf(*listener_); }
 
-std::string Node::head(int status, const std::string& outcome) const {
-  const auto position = (loop_.now() - (primary ? Span() : lag)).inMicros() / 1000;
+std::string FakeNode::head(int status, const std::string& outcome) const {
+  const auto position = (loop_.now() - (primary ? Duration() : lag)).inMicros() / 1000;
   return "HTTP/1.1 " + std::to_string(status) + " x\r\nx-node-role: " + (primary ? "primary" : "replica") +
          "\r\nx-node-position: " + std::to_string(position) + "\r\nx-node-outcome: " + outcome +
          "\r\ncontent-length: 0\r\n\r\n";
 }
 
-event_loop::Task Node::serve(event_loop::Descriptor descriptor) {
+event_loop::Task FakeNode::serve(event_loop::Descriptor descriptor) {
   Wire wire(loop_, std::move(descriptor));
   while (!wire.over) {
     wire.read();
@@ -115,32 +116,32 @@
     }
     ++runs[txn];
     if (what == Fault::cutAfter) co_return;
-    co_await loop_.sleepUntil(loop_.now() + (what == Fault::hang ? Span::millis(3'600'000) : work));
+    co_await loop_.sleepUntil(loop_.now() + (what == Fault::hang ? Duration::millis(3'600'000) : work));
     wire.write(what == Fault::error ? head(500, "error") : head(200, "committed"));
   }
 }
 
 // --- Discovery
 
-Discovery::Discovery(event_loop::Loop& loop, unsigned short port)
+FakeDiscovery::FakeDiscovery(event_loop::EventLoop& loop, unsigned short port)
     : loop_(loop), listener_(std::make_unique<event_loop::Stream>(loop, event_loop::listenOn(kHost, port))) {
   loop_.spawn(
       acceptAll(*listener_, [this](event_loop::Descriptor taken) { loop_.spawn(serve(std::move(taken))); }));
 }
-Discovery::~Discovery() = default;
+FakeDiscovery::~FakeDiscovery() = default;
 
-std::string Discovery::address() const { return addressOf(*listener_); }
+std::string FakeDiscovery::address() const { return addressOf(*listener_); }
 
-void Discovery::set(const Entry& entry) { entries_[entry.id] = {++version_, entry}; }
+void FakeDiscovery::set(const Entry& entry) { entries_[entry.id] = {++version_, entry}; }
 
 // The object stays: the coroutines of its connections refer to it.
-void Discovery::beginAnew() {
+void FakeDiscovery::beginAnew() {
   entries_.clear();
   version_ = 1;
   ++starts_;
 }
 
-std::string Discovery::list(std::uint64_t after, bool whole) const {
+std::string FakeDiscovery::list(std::uint64_t after, bool whole) const {
   std::string servers;
   for (const auto& [id, held] : entries_) {
     const auto& [version, entry] = held;
@@ -154,7 +155,7 @@
          R"(,"servers":[)" + servers + "]}\n";
 }
 
-event_loop::Task Discovery::serve(event_loop::Descriptor descriptor) {
+event_loop::Task FakeDiscovery::serve(event_loop::Descriptor descriptor) {
   const std::uint64_t start = starts_;
   Wire wire(loop_, std::move(descriptor));
   for (wire.read(); !wire.over && wire.kept.find("\r\n\r\n") == std::string::npos; wire.read())
@@ -180,11 +181,11 @@
       chunk(list(told, false));
       told = version_;
       heardAt = loop_.now();
-    } else if (!silent && loop_.now() - heardAt > Span::millis(2000)) {
+    } else if (!silent && loop_.now() - heardAt > Duration::millis(2000)) {
       chunk("\n");
       heardAt = loop_.now();
     }
-    co_await loop_.sleepUntil(loop_.now() + Span::millis(5));
+    co_await loop_.sleepUntil(loop_.now() + Duration::millis(5));
     wire.read();
   }
 }
--- a/src/testing/fake_servers/fake_node.h
+++ b/src/testing/fake_servers/fake_node.h
@@ -24,21 +24,21 @@
   hang,        // runs it, and never answers
 };
 
-class Node {
+class FakeNode {
  public:
-  Node(event_loop::Loop& loop, std::string id, bool primary);
-  ~Node();
+  FakeNode(event_loop::EventLoop& loop, std::string id, bool primary);
+  ~FakeNode();
 
   const std::string& id() const { return id_; }
   std::string address() const;
 
   // For each request in turn; none once it gives none.
   std::function<Fault(const std::string& txn)> fault;
-  Span work = Span::millis(1);
+  Duration work = Duration::millis(1);
   bool primary;
   bool down = false;  // takes connections and ends them
   // How far a replica is behind.
-  Span lag = Span::millis(2);
+  Duration lag = Duration::millis(2);
 
   // --- What was seen
   std::map<std::string, unsigned> runs;  // by the client's id
@@ -48,17 +48,17 @@
   event_loop::Task serve(event_loop::Descriptor descriptor);
   std::string head(int status, const std::string& outcome) const;
 
-  event_loop::Loop& loop_;
+  event_loop::EventLoop& loop_;
   std::string id_;
   std::unique_ptr<event_loop::Stream> listener_;
 };
 
 // A stand-in for discovery: the list over HTTP, whole or as a watch that brings each change.
-class Discovery {
+class FakeDiscovery {
  public:
   // Any port: one that is free.
-  explicit Discovery(event_loop::Loop& loop, unsigned short port = 0);
-  ~Discovery();
+  explicit FakeDiscovery(event_loop::EventLoop& loop, unsigned short port = 0);
+  ~FakeDiscovery();
   std::string address() const;
 
   struct Entry {
@@ -76,7 +76,7 @@
   event_loop::Task serve(event_loop::Descriptor descriptor);
   std::string list(std::uint64_t after, bool whole) const;
 
-  event_loop::Loop& loop_;
+  event_loop::EventLoop& loop_;
   std::unique_ptr<event_loop::Stream> listener_;
   std::map<std::string, std::pair<std::uint64_t, Entry>> entries_;  // with the version that last changed each
   std::uint64_t version_ = 1, starts_ = 1;
--- a/src/testing/fake_servers/fake_proxy.cpp
+++ b/src/testing/fake_servers/fake_proxy.cpp
@@ -10,22 +10,22 @@
 
 namespace {
 
-constexpr Span kTick = Span::millis(1);  // how often what waits looks again
+constexpr Duration kTick = Duration::millis(1);  // how often what waits looks again
 
 using ext_proc::Phase;
 
 }  // namespace
 
 // One stream to the processor.
-struct Proxy::Call {
+struct FakeProxy::Call {
   std::string kept;
   std::deque<ext_proc::Response> answers;
   bool over = false;
 };
 
 // The connection to the processor.
-struct Proxy::Link final : http2::Handler {
-  Link(event_loop::Loop& onLoop, event_loop::Descriptor descriptor)
+struct FakeProxy::Link final : http2::Handler {
+  Link(event_loop::EventLoop& onLoop, event_loop::Descriptor descriptor)
       : stream(onLoop, std::move(descriptor)), session(http2::Session::Side::client, {}, *this) {}
 
   void headers(http2::StreamId id, http2::Headers) override { (void)id; }
@@ -84,28 +84,30 @@
   bool up = false, over = false;
 };
 
-struct Proxy::Upstream {
-  Upstream(event_loop::Loop& onLoop, event_loop::Descriptor descriptor)
+struct FakeProxy::Upstream {
+  Upstream(event_loop::EventLoop& onLoop, event_loop::Descriptor descriptor)
       : stream(onLoop, std::move(descriptor)) {}
   event_loop::Stream stream;
 };
 
-Proxy::Proxy(event_loop::Loop& loop, ProxySetup setup) : loop_(loop), setup_(std::move(setup)) {}
-Proxy::~Proxy() = default;
+FakeProxy::FakeProxy(event_loop::EventLoop& loop, FakeProxyConfig setup)
+    : loop_(loop), setup_(std::move(setup)) {}
+FakeProxy::~FakeProxy() = default;
 
-void Proxy::ask(ext_proc::Headers headers, bool isWrite, Span patience, std::function<void(Answer)> done) {
+void FakeProxy::ask(ext_proc::Headers headers, bool isWrite, Duration patience,
+                    std::function<void(Answer)> done) {
   ++open_;
   loop_.spawn(exchange(std::move(headers), isWrite, loop_.now() + patience, std::move(done)));
 }
 
-void Proxy::drop() {
+void FakeProxy::drop() {
   if (!link_) return;
   link_->over = true;
   link_->stream.wake();
   link_.reset();
 }
 
-std::shared_ptr<Proxy::Link> Proxy::link() {
+std::shared_ptr<FakeProxy::Link> FakeProxy::link() {
   if (link_ && !link_->over && !link_->session.done()) return link_;
   const auto at = config::readAddress("processor", setup_.processor);
   link_ = std::make_shared<Link>(loop_, event_loop::startConnecting(at.host, at.port));
@@ -113,7 +115,7 @@
   return link_;
 }
 
-event_loop::Task Proxy::runLink(std::shared_ptr<Link> link) {
+event_loop::Task FakeProxy::runLink(std::shared_ptr<Link> link) {
   while (!link->stream.canWrite()) co_await link->stream.changed();
   link->up = event_loop::isConnected(link->stream.descriptor());
   if (!link->up) link->over = true;
@@ -133,8 +135,8 @@
   link->session.ended();
 }
 
-event_loop::Task Proxy::exchange(ext_proc::Headers headers, bool isWrite, Instant until,
-                                 std::function<void(Answer)> done) {
+event_loop::Task FakeProxy::exchange(ext_proc::Headers headers, bool isWrite, Instant until,
+                                     std::function<void(Answer)> done) {
   Answer answer;
   for (const auto& header : headers)
     if (header.name == "x-txn-id") answer.txn = header.value;
@@ -144,7 +146,8 @@
     if (attempt > 1) co_await loop_.sleepUntil(loop_.now() + setup_.pauseBetween);
     // --- The question.
     const auto link = this->link();
-    for (const Instant by = loop_.now() + Span::millis(100); !link->up && !link->over && loop_.now() < by;)
+    for (const Instant by = loop_.now() + Duration::millis(100);
+         !link->up && !link->over && loop_.now() < by;)
       co_await loop_.sleepUntil(loop_.now() + kTick);
     ext_proc::Request question;
     question.phase = Phase::requestHeaders;
@@ -172,8 +175,8 @@
     Instant by = loop_.now() + setup_.messageTimeout;
     bool extended = false;
     const auto decisionCame = [&] {
-      if (!call->answers.empty() && call->answers.front().wait > Span()) {
-        if (!extended && setup_.mostMessageTimeout > Span())
+      if (!call->answers.empty() && call->answers.front().wait > Duration()) {
+        if (!extended && setup_.mostMessageTimeout > Duration())
           by = loop_.now() + std::min(call->answers.front().wait, setup_.mostMessageTimeout);
         extended = true;
         call->answers.pop_front();
@@ -212,12 +215,12 @@
     // --- The node.
     if (faults.sendLate && faults.sendLate()) {
       ++seen["too late to send"];
-      co_await loop_.sleepUntil(grantedAt + Span::millis(within + 1));
+      co_await loop_.sleepUntil(grantedAt + Duration::millis(within + 1));
     }
     std::string head;
     std::string now = "none";  // what this try has written
     int status = 503;
-    if (loop_.now() - grantedAt < Span::millis(within)) {
+    if (loop_.now() - grantedAt < Duration::millis(within)) {
       std::unique_ptr<Upstream> upstream;
       if (const auto idle = idle_.find(endpoint); idle != idle_.end()) {
         upstream = std::move(idle->second);
@@ -228,7 +231,7 @@
         while (!upstream->stream.canWrite()) co_await upstream->stream.changed();
       }
       if (event_loop::isConnected(upstream->stream.descriptor()) &&
-          loop_.now() - grantedAt < Span::millis(within)) {
+          loop_.now() - grantedAt < Duration::millis(within)) {
         const std::string request =
             std::string(isWrite ? "POST" : "GET") + " / HTTP/1.1\r\nx-txn-id: " + answer.txn + "\r\n\r\n";
         const std::string_view all = request;
--- a/src/testing/fake_servers/fake_proxy.h
+++ b/src/testing/fake_servers/fake_proxy.h
@@ -17,18 +17,18 @@
 
 namespace gulltrestle::fake_servers {
 
-struct ProxySetup {
+struct FakeProxyConfig {
   std::string processor;     // address:port
   bool asksForTries = true;  // a filter in the upstream chain: once a try; else once a request
   unsigned mostTries = 3;    // retried: what is answered 503, and what failed unwritten
-  Span messageTimeout = Span::millis(200), mostMessageTimeout;
-  Span tryTimeout = Span::millis(400);  // for a node's answer
-  Span pauseBetween = Span::millis(10);
+  Duration messageTimeout = Duration::millis(200), mostMessageTimeout;
+  Duration tryTimeout = Duration::millis(400);  // for a node's answer
+  Duration pauseBetween = Duration::millis(10);
   bool triesAgainAfterProcessorFails = true;  // a try whose stream broke, with nothing sent
 };
 
 // What goes wrong on command, each asked for once a try.
-struct ProxyFaults {
+struct FakeProxyFaults {
   std::function<bool()> giveUpBeforeDecision;  // the client goes right after the question was sent
   std::function<bool()> sendLate;     // a grant is used only after its time: not sent, and asked anew
   std::function<bool()> neverReport;  // the stream is reset after the node's answer, without a word
@@ -42,15 +42,15 @@
   std::string from;  // the node whose answer it is; empty: the proxy's or the processor's own
 };
 
-class Proxy {
+class FakeProxy {
  public:
-  Proxy(event_loop::Loop& loop, ProxySetup setup);
-  ~Proxy();
+  FakeProxy(event_loop::EventLoop& loop, FakeProxyConfig setup);
+  ~FakeProxy();
 
-  ProxyFaults faults;
-  std::optional<Span> patient;  // in place of the setup's time for a node's answer
+  FakeProxyFaults faults;
+  std::optional<Duration> patient;  // in place of the setup's time for a node's answer
   // A request with these headers comes in; `done` is called with its one answer.
-  void ask(ext_proc::Headers headers, bool isWrite, Span patience, std::function<void(Answer)> done);
+  void ask(ext_proc::Headers headers, bool isWrite, Duration patience, std::function<void(Answer)> done);
   // The connection to the processor is broken off.
   void drop();
 
@@ -66,8 +66,8 @@
   event_loop::Task runLink(std::shared_ptr<Link> link);
   std::shared_ptr<Link> link();
 
-  event_loop::Loop& loop_;
-  ProxySetup setup_;
+  event_loop::EventLoop& loop_;
+  FakeProxyConfig setup_;
   std::shared_ptr<Link> link_;
   std::multimap<std::string, std::unique_ptr<Upstream>> idle_;  // connections to nodes that may be used again
   std::size_t open_ = 0;
--- a/src/tools/fleet_model/fleet.cpp
+++ b/src/tools/fleet_model/fleet.cpp
@@ -12,26 +12,27 @@
 // Any point in time will do; positions are Unix times, so it is a late one.
 constexpr Instant kBegin = Instant::atMicros(1'700'000'000'000'000);
 // The length of a step: a round of the module.
-constexpr Span kStep = Span::millis(5);
+constexpr Duration kStep = Duration::millis(5);
 // Rule 3: the grace after which nothing new may go to a node that was told to drain.
-constexpr Span kDrainGrace = Span::millis(1000);
+constexpr Duration kDrainGrace = Duration::millis(1000);
 // A refusal was right if no replica could have begun the txn within this part of its latency target.
 constexpr double kFreePart = 0.35;
 // In windows of this many seconds with fewer txns the part that was committed says little.
 constexpr double kWindow = 10, kFewest = 50;
 
-Terms termsOf(const Sheet& sheet) {
-  Terms terms;
-  for (const auto& kind : sheet.kinds) terms.types.push_back(kind.type);
-  terms.roundLength = kStep;
-  terms.routers = static_cast<unsigned>(sheet.believedRouters > 0 ? sheet.believedRouters : sheet.routers);
-  terms.coldShare = sheet.believedWarm ? 1 : 0.2;
-  terms.coldTime = Span::millis(10'000);
-  terms.hedges = terms.retryAfterAllowed = terms.sessionAgeCarried = true;
-  terms.probesAllowed = sheet.probes;
-  terms.longestRetryAfter = Span::millis(400);
-  terms.mostAttempts = 4;
-  terms.reducedByLevel = sheet.refusing != Refusing::byModule;
+RoutingConfig termsOf(const FleetParameters& sheet) {
+  RoutingConfig terms;
+  for (const auto& kind : sheet.kinds) terms.transactionClasses.push_back(kind.type);
+  terms.roundInterval = kStep;
+  terms.routerCount =
+      static_cast<unsigned>(sheet.believedRouters > 0 ? sheet.believedRouters : sheet.routers);
+  terms.slowStartFraction = sheet.believedWarm ? 1 : 0.2;
+  terms.slowStartWindow = Duration::millis(10'000);
+  terms.hedgingAllowed = terms.retryAfterAllowed = terms.sessionAgeProvided = true;
+  terms.healthChecksAllowed = sheet.probes;
+  terms.maxRetryAfter = Duration::millis(400);
+  terms.maxAttempts = 4;
+  terms.degradationEnabled = sheet.refusing != LoadShedding::byModule;
   return terms;
 }
 
@@ -50,7 +51,9 @@
 }  // namespace
 
 // One router process: its ledger, levels and clients.
-struct Fleet::Router final : transactions::Front, transactions::Carrier, transactions::Door {
+struct Fleet::Router final : transactions::DownstreamHandler,
+                             transactions::UpstreamTransport,
+                             transactions::AdmissionController {
   Router(Fleet& of, std::size_t index, unsigned ofStart)
       : fleet(of),
         number(index),
@@ -58,38 +61,44 @@
         terms(termsOf(of.sheet_)),
         levels({}, of.sheet_.seed + index),
         ledger(terms, of.sheet_.seed * 1000 + index, 1 << 20, [] {}) {
-    ledger.add(*this);
-    if (of.sheet_.refusing == Refusing::byLevels)
-      ledger.reduceBy(levels, degradation::tableOf(terms.types),
-                      [this](const degradation::Change&) { ++changes; });
+    ledger.addTransport(*this);
+    if (of.sheet_.refusing == LoadShedding::byLevels)
+      ledger.enableDegradation(levels, degradation::defaultAdmissionTable(terms.transactionClasses),
+                               [this](const degradation::Change&) { ++changes; });
     if (!of.sheet_.ramp) return;
-    ramp.emplace(of.now_, terms.routers, recovery::Ramp::kFirst, terms.longestRetryAfter,
-                 of.sheet_.seed * 1000 + index);
-    ramp->listed(of.nodes_.all().size());
-    ledger.doorBy(this);
+    ramp.emplace(of.now_, terms.routerCount, recovery::AdmissionRamp::kInitialRatePerNode,
+                 terms.maxRetryAfter, of.sheet_.seed * 1000 + index);
+    ramp->setNodeCount(of.nodes_.all().size());
+    ledger.setAdmissionController(this);
   }
 
-  void committed(transactions::OwnerId owner, const transactions::Value&) override {
+  void committed(transactions::OwnerId owner, const transactions::ResultValue&) override {
     fleet.answered(*this, owner, true, false, {});
   }
-  void refused(transactions::OwnerId owner, Span retryAfter, unsigned level) override {
+  void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override {
     if (level > 0) fleet.judge(asked.at(owner).wish);
     fleet.answered(*this, owner, false, true, retryAfter);
   }
   void rolledBack(transactions::OwnerId owner) override { fleet.answered(*this, owner, false, false, {}); }
-  void carry(transactions::Job job, const NodeId& node) override { fleet.carry(*this, job, node); }
-  void cancel(transactions::Job job, const NodeId& node) override { ledger.ended(job, node, End::cancelled); }
-  void listed(const std::vector<NodeId>&) override {}
-  void forget(const NodeId&) override {}
-  std::optional<Span> rejects(GroupId, std::size_t) override { return ramp->rejects(fleet.now_); }
-  void passed(GroupId, std::size_t, const Passage& how) override {
-    ramp->passed(fleet.now_, how.sent, how.committed && how.share <= 1);
+  void startAttempt(transactions::AttemptId job, const NodeId& node) override {
+    fleet.carry(*this, job, node);
   }
-  void told(const NodeId&, const Standing&) override {}
-  void disconnected(const NodeId&) override {}
+  void cancelAttempt(transactions::AttemptId job, const NodeId& node) override {
+    ledger.onAttemptEnded(job, node, AttemptOutcome::cancelled);
+  }
+  void onEndpointList(const std::vector<NodeId>&) override {}
+  void forgetNode(const NodeId&) override {}
+  std::optional<Duration> rejectsWithRetryAfter(GroupId, std::size_t) override {
+    return ramp->rejectsWithRetryAfter(fleet.now_);
+  }
+  void onTransactionEnded(GroupId, std::size_t, const AdmittedResult& how) override {
+    ramp->onTransactionEnded(fleet.now_, how.sent, how.committed && how.share <= 1);
+  }
+  void onLoadReport(const NodeId&, const LoadReport&) override {}
+  void onNodeDisconnected(const NodeId&) override {}
 
   struct Asked {
-    Wish wish;
+    ClientRequest wish;
     Instant at;
     Instant need;  // what its session had committed when it asked
     TxnId txn;
@@ -97,10 +106,10 @@
   Fleet& fleet;
   std::size_t number;
   unsigned start;
-  Terms terms;
-  degradation::Levels levels;
-  transactions::Ledger ledger;
-  std::optional<recovery::Ramp> ramp;
+  RoutingConfig terms;
+  degradation::DegradationController levels;
+  transactions::TransactionTable ledger;
+  std::optional<recovery::AdmissionRamp> ramp;
   Instant due;
   bool touched = true;
   unsigned changes = 0;
@@ -110,7 +119,7 @@
   transactions::OwnerId last = 0;
 };
 
-Fleet::Fleet(Sheet sheet)
+Fleet::Fleet(FleetParameters sheet)
     : sheet_(std::move(sheet)), chance_(sheet_.seed), begin_(kBegin), now_(kBegin), nodes_(sheet_.machines) {
   double work = 0, shares = 0;
   for (const auto& kind : sheet_.kinds) {
@@ -152,19 +161,19 @@
 void Fleet::stop(std::size_t router) {
   changesBefore_ += routers_[router]->changes;
   for (const auto& [owner, asked] : routers_[router]->asked) {
-    const bool once = sheet_.kinds[asked.wish.kind].type.effect == Effect::onceOnly;
+    const bool once = sheet_.kinds[asked.wish.kind].type.effect == Effect::atMostOnce;
     if (sheet_.trouble.insist && !once) askAgain(asked.wish, sheet_.trouble.again);
   }
   routers_[router].reset();
 }
 
 void Fleet::publish() {
-  published_.emplace(now_ + Span::seconds(sheet_.trouble.listLate), nodes_.list(now_));
+  published_.emplace(now_ + Duration::seconds(sheet_.trouble.listLate), nodes_.list(now_));
 }
 
-void Fleet::list(Router& router, const std::vector<transactions::Addressed>& list) {
-  router.ledger.see(now_);
-  router.ledger.listed(ListKind::whole, list);
+void Fleet::list(Router& router, const std::vector<transactions::ResolvedEndpoint>& list) {
+  router.ledger.advanceTo(now_);
+  router.ledger.onEndpointList(EndpointUpdateKind::snapshot, list);
   router.touched = true;
 }
 
@@ -175,29 +184,29 @@
       publish();
     }
     if (!reaches(outage.off)) continue;
-    const Instant back = now_ + Span::seconds(outage.back - outage.off);
+    const Instant back = now_ + Duration::seconds(outage.back - outage.off);
     lose(outage.node, back, {});
     publish();
   }
 }
 
 // Whoever had a connection sees it end.
-void Fleet::lose(std::size_t node, Instant back, Span logLost) {
+void Fleet::lose(std::size_t node, Instant back, Duration logLost) {
   const auto connected = nodes_.all()[node].connections;
   nodes_.lose(now_, node, back, logLost);
   for (const auto& router : routers_)
     if (router && connected.contains(router->number * 1'000'000 + router->start)) {
-      router->ledger.disconnected(nodes_.all()[node].id);
+      router->ledger.onNodeDisconnected(nodes_.all()[node].id);
       router->touched = true;
     }
   tellAt_.insert(back);
 }
 
 void Fleet::strike() {
-  const Trouble& trouble = sheet_.trouble;
+  const FaultPlan& trouble = sheet_.trouble;
   takeOut();
-  const auto backAt = [&](const Trouble::Loss& loss) {
-    return now_ + Span::seconds(std::uniform_real_distribution<>(loss.backFrom, loss.backTo)(chance_));
+  const auto backAt = [&](const FaultPlan::Loss& loss) {
+    return now_ + Duration::seconds(std::uniform_real_distribution<>(loss.backFrom, loss.backTo)(chance_));
   };
   if (reaches(trouble.restartAt))
     for (std::size_t i = 0; i < routers_.size(); ++i) start(i);
@@ -238,9 +247,9 @@
   for (auto& router : routers_) {
     if (!router || (!router->touched && (router->due == Instant() || router->due > now_))) continue;
     router->touched = false;
-    router->ledger.see(now_);
+    router->ledger.advanceTo(now_);
     router->due = router->ledger.endTurn();
-    result_.mostLevel = std::max(result_.mostLevel, router->levels.of(1).level);
+    result_.mostLevel = std::max(result_.mostLevel, router->levels.stateOf(1).level);
   }
 }
 
@@ -257,30 +266,31 @@
       windowFrom = seconds();
     }
     while (!again_.empty() && again_.begin()->first <= now_) {
-      const Wish wish = again_.begin()->second;
+      const ClientRequest wish = again_.begin()->second;
       again_.erase(again_.begin());
       ask(wish);
     }
     std::poisson_distribution<int> arrivals(demand(seconds()) * capacity_ * kStep.inSeconds());
     for (int n = arrivals(chance_); n > 0; --n) ask();
     while (!ends_.empty() && ends_.top().at <= now_) {
-      const Ending end = ends_.top();
+      const AttemptEnd end = ends_.top();
       ends_.pop();
       finish(end);
     }
     turn();
-    if (!routers_.front() || routers_.front()->levels.of(1).level == level) continue;
-    level = routers_.front()->levels.of(1).level;
+    if (!routers_.front() || routers_.front()->levels.stateOf(1).level == level) continue;
+    level = routers_.front()->levels.stateOf(1).level;
     result_.levels.emplace_back(seconds(), level);
     lately.push_back(now_);
-    while (now_ - lately.front() > Span::millis(60'000)) lately.pop_front();
+    while (now_ - lately.front() > Duration::millis(60'000)) lately.pop_front();
     result_.mostAMinute = std::max(result_.mostAMinute, static_cast<unsigned>(lately.size()));
   }
   for (const auto& router : routers_) {
     if (!router) continue;
     result_.changes += router->changes;
     for (const auto& [owner, asked] : router->asked)
-      result_.broken.unanswered += now_ - asked.at > router->terms.types[asked.wish.kind].deadline;
+      result_.broken.unanswered +=
+          now_ - asked.at > router->terms.transactionClasses[asked.wish.kind].deadline;
   }
   result_.changes += changesBefore_;
   result_.value = asked_ > 0 ? earned_ / asked_ : 0;
@@ -291,11 +301,11 @@
 void Fleet::ask() {
   std::vector<double> shares;
   for (const auto& kind : sheet_.kinds) shares.push_back(kind.share);
-  Wish wish;
+  ClientRequest wish;
   wish.kind = drawOf(shares, chance_);
   if (groupShares_.size() > 1) wish.group = 1 + drawOf(groupShares_, chance_);
   wish.firstAt = now_;
-  const double value = sheet_.kinds[wish.kind].type.value;
+  const double value = sheet_.kinds[wish.kind].type.priorityWeight;
   asked_ += value;
   result_.kinds[wish.kind].first += value;
   secondOf(now_).asked += value;
@@ -304,47 +314,48 @@
   ask(wish);
 }
 
-void Fleet::ask(Wish wish) {
+void Fleet::ask(ClientRequest wish) {
   std::size_t at = sheet_.uneven > 0 ? drawOf(shares_, chance_) : chance_() % routers_.size();
-  const TxnType& type = sheet_.kinds[wish.kind].type;
+  const TransactionClass& type = sheet_.kinds[wish.kind].type;
   if (wish.session == 0 && (type.level == ReadLevel::session || type.level >= ReadLevel::write))
     wish.session = 1 + chance_() % sheet_.sessions;
   // Of clients whose router is down, each finds the next that is up.
   for (std::size_t n = 0; n < routers_.size() && !routers_[at]; ++n) at = (at + 1) % routers_.size();
   if (!routers_[at]) return askAgain(wish, sheet_.trouble.again);
   Router& router = *routers_[at];
-  Txn txn;
+  Transaction txn;
   txn.type = wish.kind;
   txn.group = wish.group;
-  txn.patience = sheet_.trouble.insist ? type.deadline - (now_ - wish.firstAt) : type.deadline;
+  txn.remainingTime = sheet_.trouble.insist ? type.deadline - (now_ - wish.firstAt) : type.deadline;
   Router::Asked asked{wish, now_, {}, 0};
   if (wish.session > 0) {
     txn.session = wish.session;
     const auto commit = commits_.find(wish.session);
     if (commit != commits_.end()) asked.need = commit->second;
-    txn.writeAge = commit == commits_.end() ? Span() : std::max(now_ - commit->second, Span::micros(1));
+    txn.writeAge =
+        commit == commits_.end() ? Duration() : std::max(now_ - commit->second, Duration::micros(1));
   }
   const transactions::OwnerId owner = ++router.last;
-  router.ledger.see(now_);
-  asked.txn = router.ledger.take(router, owner, router, txn, {});
+  router.ledger.advanceTo(now_);
+  asked.txn = router.ledger.openTransaction(router, owner, router, txn, {});
   router.asked[owner] = asked;
   router.owners[asked.txn] = owner;
   router.touched = true;
 }
 
 // While there is time for it.
-void Fleet::askAgain(Wish wish, Span after) {
+void Fleet::askAgain(ClientRequest wish, Duration after) {
   ++wish.tries;
   const Instant over = wish.firstAt + sheet_.kinds[wish.kind].type.deadline;
   if (now_ + after + kStep * 4 < over) again_.emplace(now_ + after, wish);
 }
 
-Instant Fleet::appliedBy(const Nodes::Node& node) const {
-  const Trouble& trouble = sheet_.trouble;
+Instant Fleet::appliedBy(const NodeModel::Node& node) const {
+  const FaultPlan& trouble = sheet_.trouble;
   const bool still =
       seconds() >= trouble.behindFrom && seconds() < trouble.behindTo && trouble.behindFrom >= 0;
   return nodes_.applied(now_, node,
-                        still ? std::optional(begin_ + Span::seconds(trouble.behindFrom)) : std::nullopt);
+                        still ? std::optional(begin_ + Duration::seconds(trouble.behindFrom)) : std::nullopt);
 }
 
 bool Fleet::isCut(const Router& router, std::size_t node) const {
@@ -354,16 +365,16 @@
          static_cast<double>((node * 37) % 100) < cut.nodes * 100;
 }
 
-void Fleet::carry(Router& router, transactions::Job job, const NodeId& id) {
+void Fleet::carry(Router& router, transactions::AttemptId job, const NodeId& id) {
   const std::size_t row = nodes_.at(id);
   const auto& node = nodes_.all()[row];
-  Ending end{now_, router.number, router.start, job, row, node.starts, End::committed};
+  AttemptEnd end{now_, router.number, router.start, job, row, node.starts, AttemptOutcome::committed};
   const bool isProbe = job.txn == 0;
   ++(isProbe ? secondOf(now_).probes : secondOf(now_).attempts);
   const auto* attempt = isProbe ? nullptr : router.ledger.attempt(job);
   if (isCut(router, row)) {
-    end.at = attempt ? attempt->cutAt : now_ + Span::millis(1000);
-    end.how = End::timeout;
+    end.at = attempt ? attempt->abandonAt : now_ + Duration::millis(1000);
+    end.how = AttemptOutcome::timeout;
     return ends_.push(end);
   }
   if (node.draining && now_ - node.toldToDrain > kDrainGrace) ++result_.broken.drained;
@@ -374,50 +385,56 @@
   };
   const auto served = nodes_.serve(now_, row, router.number * 1'000'000 + router.start, work);
   secondOf(now_).connections += served.connected;
-  if (served.how == Nodes::How::noConnection) router.ledger.disconnected(id);
-  if (served.how != Nodes::How::served)
-    return router.ledger.ended(job, id,
-                               served.how == Nodes::How::rejected ? End::rejected : End::noConnection);
+  if (served.how == NodeModel::How::noConnection) router.ledger.onNodeDisconnected(id);
+  if (served.how != NodeModel::How::served)
+    return router.ledger.onAttemptEnded(
+        job, id,
+        served.how == NodeModel::How::rejected ? AttemptOutcome::rejected : AttemptOutcome::noConnection);
   end.at = served.end;
   ends_.push(end);
   if (!asked) return;
-  const Kind& kind = sheet_.kinds[asked->wish.kind];
-  if (kind.type.effect == Effect::onceOnly && ++router.runs[job.txn] > 1) ++result_.broken.twice;
+  const TrafficClass& kind = sheet_.kinds[asked->wish.kind];
+  if (kind.type.effect == Effect::atMostOnce && ++router.runs[job.txn] > 1) ++result_.broken.twice;
   // What was asked of it when it was sent: a replica applies on while it waits, which only helps.
   const Instant applied = appliedBy(node);
   if (kind.type.level == ReadLevel::session && applied < asked->need) ++result_.broken.stale;
-  if (kind.type.level == ReadLevel::bounded && applied < now_ - kind.type.bound) ++result_.broken.stale;
+  if (kind.type.level == ReadLevel::bounded && applied < now_ - kind.type.maxStaleness)
+    ++result_.broken.stale;
 }
 
-void Fleet::finish(const Ending& end) {
+void Fleet::finish(const AttemptEnd& end) {
   if (!routers_[end.router] || end.start != routers_[end.router]->start) return;
   Router& router = *routers_[end.router];
   const auto& node = nodes_.all()[end.node];
-  router.ledger.see(now_);
+  router.ledger.advanceTo(now_);
   router.touched = true;
-  if (end.how != End::committed) return router.ledger.ended(end.job, node.id, end.how);
-  if (end.nodeStart != node.starts) return router.ledger.ended(end.job, node.id, End::connectionLost);
-  if (end.job.txn != 0 && router.ledger.isOwed(end.job.txn)) router.ledger.commit(end.job.txn, {});
-  const Instant told = appliedBy(node) - Span::seconds(sheet_.trouble.newsLate);
-  Standing said{node.primary ? Role::primary : Role::replica, told};
-  if (sheet_.probes) said.inHand = nodes_.inHand(now_, end.node);
-  if (end.job.txn == 0) return router.ledger.ended(end.job, node.id, End::committed, {}, said);
-  router.ledger.ended(end.job, node.id, End::committed, said, sheet_.probes ? said : Standing());
+  if (end.how != AttemptOutcome::committed) return router.ledger.onAttemptEnded(end.job, node.id, end.how);
+  if (end.nodeStart != node.starts)
+    return router.ledger.onAttemptEnded(end.job, node.id, AttemptOutcome::connectionLost);
+  if (end.job.txn != 0 && router.ledger.isAnswerPending(end.job.txn)) router.ledger.commit(end.job.txn, {});
+  const Instant told = appliedBy(node) - Duration::seconds(sheet_.trouble.newsLate);
+  LoadReport said{node.primary ? Role::primary : Role::replica, told};
+  if (sheet_.probes) said.inFlight = nodes_.inHand(now_, end.node);
+  if (end.job.txn == 0)
+    return router.ledger.onAttemptEnded(end.job, node.id, AttemptOutcome::committed, {}, said);
+  router.ledger.onAttemptEnded(end.job, node.id, AttemptOutcome::committed, said,
+                               sheet_.probes ? said : LoadReport());
 }
 
 void Fleet::answered(Router& router, transactions::OwnerId owner, bool committed, bool refused,
-                     Span retryAfter) {
+                     Duration retryAfter) {
   const auto asked = router.asked.extract(owner).mapped();
-  const Wish& wish = asked.wish;
-  const TxnType& type = router.terms.types[wish.kind];
-  const Trouble& trouble = sheet_.trouble;
+  const ClientRequest& wish = asked.wish;
+  const TransactionClass& type = router.terms.transactionClasses[wish.kind];
+  const FaultPlan& trouble = sheet_.trouble;
   const Instant since = trouble.insist ? wish.firstAt : asked.at;
   if (now_ - since > type.deadline) ++result_.broken.late;
-  if (refused && type.effect == Effect::onceOnly && router.runs.contains(asked.txn)) ++result_.broken.refused;
+  if (refused && type.effect == Effect::atMostOnce && router.runs.contains(asked.txn))
+    ++result_.broken.refused;
   router.runs.erase(asked.txn);
   router.owners.erase(asked.txn);
   secondOf(now_).refused += refused;
-  if (!committed && trouble.insist && (refused || type.effect == Effect::repeatable))
+  if (!committed && trouble.insist && (refused || type.effect == Effect::idempotent))
     askAgain(wish, trouble.heed ? std::max(retryAfter, trouble.again) : trouble.again);
   else if (refused && wish.tries < trouble.comeAgain)  // as another, with all of its time before it
     askAgain({wish.kind, wish.group, 0, now_ + kStep * 4, wish.tries}, kStep * 4);
@@ -427,7 +444,8 @@
     last = std::max(last, now_);
   }
   ++window_.second;
-  const double earned = type.value * (now_ - since <= type.latencyTarget ? 1 : type.lateShare);
+  const double earned =
+      type.priorityWeight * (now_ - since <= type.latencyTarget ? 1 : type.lateValueFraction);
   earned_ += earned;
   result_.kinds[wish.kind].second += earned;
   Second& second = secondOf(wish.firstAt);
@@ -436,9 +454,9 @@
   second.late += now_ - since > type.latencyTarget;
 }
 
-void Fleet::judge(const Wish& wish) {
+void Fleet::judge(const ClientRequest& wish) {
   const auto& nodes = nodes_.all();
-  const bool free = std::any_of(nodes.begin(), nodes.end(), [&](const Nodes::Node& node) {
+  const bool free = std::any_of(nodes.begin(), nodes.end(), [&](const NodeModel::Node& node) {
     return node.group == wish.group && !node.primary && !node.draining &&
            node.busyUntil - now_ < sheet_.kinds[wish.kind].type.latencyTarget * kFreePart;
   });
--- a/src/tools/fleet_model/fleet.h
+++ b/src/tools/fleet_model/fleet.h
@@ -20,17 +20,17 @@
 namespace gulltrestle::fleet_model {
 
 // A txn type of the modelled traffic.
-struct Kind {
-  TxnType type;
+struct TrafficClass {
+  TransactionClass type;
   double share = 0;  // of the txns
-  Span work;         // in the mean, of a node's one core; from half to one and a half of that
+  Duration work;     // in the mean, of a node's one core; from half to one and a half of that
 };
 
 // Who decides what is refused in an overload.
-enum class Refusing { byLevels, byModule, nobody };
+enum class LoadShedding { byLevels, byModule, nobody };
 
 // What happens beside the load. Times in seconds from the start; below 0: never.
-struct Trouble {
+struct FaultPlan {
   double behindFrom = -1, behindTo = -1;  // all replicas stand still with the log
   double newsLate = 0;                    // what nodes tell of their position is so old
   double drainAt = -1;                    // a replica is listed as draining
@@ -39,14 +39,14 @@
   // Clients ask again whatever went wrong, at any router, until their whole wait is over; as they are told to
   // or, where they don't heed that, at once.
   bool insist = false, heed = true;
-  Span again = Span::millis(100);  // how soon that is
-  double listLate = 0;             // lists tell what was so long ago
+  Duration again = Duration::millis(100);  // how soon that is
+  double listLate = 0;                     // lists tell what was so long ago
   // A part of the routers, or of the nodes, loses power, and each is back at some time of this window after.
   struct Loss {
     double at = -1, part = 1, backFrom = 0.5, backTo = 3;
   };
   Loss routersLost, nodesLost;
-  Span logLost;  // of replicas that lose power: the end of their log
+  Duration logLost;  // of replicas that lose power: the end of their log
   // Nodes that are taken out for work: listed as draining, off, and back, cold, if they go off at all.
   struct Outage {
     std::size_t node = 0;
@@ -60,24 +60,24 @@
   Cut cut;
 };
 
-struct Sheet {
-  std::vector<Kind> kinds;
+struct FleetParameters {
+  std::vector<TrafficClass> kinds;
   std::size_t routers = 1;
-  Machines machines;
+  NodeParameters machines;
   bool probes = false;     // nodes may be asked for their position
   double uneven = 0;       // some routers and groups get so many times the mean more; 0: all the same
   unsigned sessions = 50;  // that read what they wrote
-  Refusing refusing = Refusing::byLevels;
+  LoadShedding refusing = LoadShedding::byLevels;
   // Built-in faults: what routers are told of their number, 0: the truth; that nodes start warm.
   std::size_t believedRouters = 0;
   bool believedWarm = false;
   bool ramp = false;  // routers that start let in few at first (recovery/admission_ramp.h)
-  Trouble trouble;
+  FaultPlan trouble;
   std::uint64_t seed = 1;
 };
 
 // What truly happened.
-struct Broken {
+struct RuleViolations {
   std::uint64_t late = 0;        // final answers past the client's time
   std::uint64_t unanswered = 0;  // txns without one, of routers that went on
   std::uint64_t twice = 0;       // once-only txns that ran more than once
@@ -102,7 +102,7 @@
   unsigned mostLevel = 0;
   std::uint64_t right = 0, wrong = 0;  // refusals by a level, by an observer who sees the nodes' queues
   std::vector<std::pair<double, unsigned>> levels;  // of the first router, by the second at which it changed
-  Broken broken;
+  RuleViolations broken;
   std::vector<Second> seconds;
   std::vector<std::pair<double, double>> kinds;  // a row a txn type: value asked for, and earned
   std::uint64_t fellOver = 0;                    // cold nodes that were pushed over
@@ -110,7 +110,7 @@
 
 class Fleet {
  public:
-  explicit Fleet(Sheet sheet);
+  explicit Fleet(FleetParameters sheet);
   ~Fleet();
 
   // `demand`: by the second, as a multiple of what the nodes can do.
@@ -118,18 +118,18 @@
 
  private:
   struct Router;
-  struct Ending {
+  struct AttemptEnd {
     Instant at;
     std::size_t router;
     unsigned start;  // of the router
-    transactions::Job job;
+    transactions::AttemptId job;
     std::size_t node;
     unsigned nodeStart;
-    End how;
-    bool operator<(const Ending& other) const { return at > other.at; }
+    AttemptOutcome how;
+    bool operator<(const AttemptEnd& other) const { return at > other.at; }
   };
   // What one client wants, over all its tries.
-  struct Wish {
+  struct ClientRequest {
     std::size_t kind = 0;
     GroupId group = 1;
     std::uint64_t session = 0;
@@ -139,42 +139,43 @@
 
   bool reaches(double at) const;
   void takeOut();  // for work
-  void lose(std::size_t node, Instant back, Span logLost);
+  void lose(std::size_t node, Instant back, Duration logLost);
   void strike();  // what the sheet's troubles bring in this step
   void start(std::size_t router);
   void stop(std::size_t router);
   void publish();
-  void list(Router& router, const std::vector<transactions::Addressed>& list);
+  void list(Router& router, const std::vector<transactions::ResolvedEndpoint>& list);
   void ask();
-  void ask(Wish wish);
-  void askAgain(Wish wish, Span after);
+  void ask(ClientRequest wish);
+  void askAgain(ClientRequest wish, Duration after);
   void turn();
-  void carry(Router& router, transactions::Job job, const NodeId& node);
-  void finish(const Ending& end);
-  void answered(Router& router, transactions::OwnerId owner, bool committed, bool refused, Span retryAfter);
-  void judge(const Wish& wish);
+  void carry(Router& router, transactions::AttemptId job, const NodeId& node);
+  void finish(const AttemptEnd& end);
+  void answered(Router& router, transactions::OwnerId owner, bool committed, bool refused,
+                Duration retryAfter);
+  void judge(const ClientRequest& wish);
   bool isCut(const Router& router, std::size_t node) const;
-  Instant appliedBy(const Nodes::Node& node) const;
+  Instant appliedBy(const NodeModel::Node& node) const;
   Second& secondOf(Instant at);
   double seconds() const;
 
-  Sheet sheet_;
+  FleetParameters sheet_;
   std::mt19937_64 chance_;
   Instant begin_, now_;
   double capacity_ = 0;  // txns a second
-  Nodes nodes_;
+  NodeModel nodes_;
   std::vector<std::unique_ptr<Router>> routers_;  // null: it is down
   std::vector<unsigned> starts_;                  // of each
   std::vector<double> shares_, groupShares_;      // of the txns that come to each router, to each group
   std::multimap<Instant, std::size_t> comeUp_;    // routers that are down
-  std::priority_queue<Ending> ends_;
-  std::multimap<Instant, Wish> again_;
+  std::priority_queue<AttemptEnd> ends_;
+  std::multimap<Instant, ClientRequest> again_;
   // Lists, by when routers hear of them.
-  std::multimap<Instant, std::vector<transactions::Addressed>> published_;
-  std::vector<transactions::Addressed> last_;  // what discovery tells now
-  std::set<Instant> tellAt_;                   // when nodes that were down are back
-  std::map<std::uint64_t, Instant> commits_;   // the last of each session
-  std::pair<double, double> window_;           // asked for and committed in this one
+  std::multimap<Instant, std::vector<transactions::ResolvedEndpoint>> published_;
+  std::vector<transactions::ResolvedEndpoint> last_;  // what discovery tells now
+  std::set<Instant> tellAt_;                          // when nodes that were down are back
+  std::map<std::uint64_t, Instant> commits_;          // the last of each session
+  std::pair<double, double> window_;                  // asked for and committed in this one
   double asked_ = 0, earned_ = 0;
   unsigned changesBefore_ = 0;
   Result result_;
--- a/src/tools/fleet_model/node_model.cpp
+++ b/src/tools/fleet_model/node_model.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Nodes::Nodes(Machines machines) : machines_(machines) {
+NodeModel::NodeModel(NodeParameters machines) : machines_(machines) {
   for (GroupId group = 1; group <= machines_.groups; ++group)
     for (std::size_t n = 0; n <= machines_.replicas; ++n) {
       Node node;
@@ -25,21 +25,21 @@
     }
 }
 
-std::size_t Nodes::at(const NodeId& id) const { return rows_.at(id); }
+std::size_t NodeModel::at(const NodeId& id) const { return rows_.at(id); }
 
-double Nodes::speed(Instant now, const Node& node) const {
-  if (node.startedAt == Instant() || machines_.coldTime == Span()) return 1;
+double NodeModel::speed(Instant now, const Node& node) const {
+  if (node.startedAt == Instant() || machines_.coldTime == Duration()) return 1;
   const double warm = std::min(1.0, (now - node.startedAt) / machines_.coldTime);
   return machines_.coldShare + (1 - machines_.coldShare) * std::max(0.0, warm);
 }
 
-Nodes::Served Nodes::serve(Instant now, std::size_t row, std::uint64_t router,
-                           const std::function<Span()>& work) {
+NodeModel::Served NodeModel::serve(Instant now, std::size_t row, std::uint64_t router,
+                                   const std::function<Duration()>& work) {
   Node& node = nodes_[row];
   if (!isUp(now, row)) return {How::noConnection, now, false};
   const Instant begin = std::max(now, node.busyUntil);
   const bool cold = speed(now, node) < 1;
-  if (cold && machines_.pushOver != Span() && begin - now > machines_.pushOver) {
+  if (cold && machines_.pushOver != Duration() && begin - now > machines_.pushOver) {
     ++fellOver_;
     lose(now, row, now + machines_.fallen);
     return {How::noConnection, now, false};
@@ -47,10 +47,10 @@
   Served served;
   served.connected = node.connections.insert(router).second;
   // Who is rejected has connected all the same.
-  const Span connecting = served.connected ? machines_.connection : Span();
+  const Duration connecting = served.connected ? machines_.connection : Duration();
   const bool full = begin - now > machines_.queue;
-  const Span all = full ? connecting : work() + connecting;
-  if (all > Span()) node.busyUntil = begin + all * (1 / speed(begin, node));
+  const Duration all = full ? connecting : work() + connecting;
+  if (all > Duration()) node.busyUntil = begin + all * (1 / speed(begin, node));
   served.end = node.busyUntil;
   if (full)
     served.how = How::rejected;
@@ -59,14 +59,14 @@
   return served;
 }
 
-void Nodes::drain(Instant now, std::size_t node) {
+void NodeModel::drain(Instant now, std::size_t node) {
   nodes_[node].draining = true;
   nodes_[node].toldToDrain = now;
 }
 
-void Nodes::lose(Instant now, std::size_t row, Instant backAt, Span logLost) {
+void NodeModel::lose(Instant now, std::size_t row, Instant backAt, Duration logLost) {
   Node& node = nodes_[row];
-  node.logAt = logLost > Span() ? applied(now, node, {}) - logLost : Instant();
+  node.logAt = logLost > Duration() ? applied(now, node, {}) - logLost : Instant();
   ++node.starts;
   node.draining = false;
   node.toldToDrain = Instant();
@@ -75,27 +75,27 @@
   node.upAt = node.startedAt = node.busyUntil = backAt;
 }
 
-double Nodes::inHand(Instant now, std::size_t row) {
+double NodeModel::inHand(Instant now, std::size_t row) {
   auto& ends = nodes_[row].ends;
   while (!ends.empty() && ends.front() <= now) ends.pop_front();
   return static_cast<double>(ends.size());
 }
 
-Instant Nodes::applied(Instant now, const Node& node, std::optional<Instant> stoodStillAt) const {
+Instant NodeModel::applied(Instant now, const Node& node, std::optional<Instant> stoodStillAt) const {
   if (node.primary) return now;
   const Instant upTo = stoodStillAt.value_or(now) - machines_.lag;
   if (node.logAt == Instant() || now < node.upAt) return upTo;
   return std::min(upTo, node.logAt + (now - node.upAt) * kCatchUp);
 }
 
-std::vector<transactions::Addressed> Nodes::list(Instant now) const {
-  std::vector<transactions::Addressed> all;
+std::vector<transactions::ResolvedEndpoint> NodeModel::list(Instant now) const {
+  std::vector<transactions::ResolvedEndpoint> all;
   for (const Node& node : nodes_) {
-    ListEntry entry;
+    EndpointEntry entry;
     entry.node = node.id;
     entry.group = node.group;
     entry.primary = node.primary;
-    entry.health = node.draining ? Health::draining : node.upAt > now ? Health::gone : Health::live;
+    entry.health = node.draining ? Health::draining : node.upAt > now ? Health::removed : Health::live;
     if (node.upAt <= now) entry.startedAt = node.startedAt;
     all.push_back({entry, node.id});
   }
--- a/src/tools/fleet_model/node_model.h
+++ b/src/tools/fleet_model/node_model.h
@@ -16,19 +16,19 @@
 namespace gulltrestle::fleet_model {
 
 // What nodes are like. Spans below zero make no sense; a share is from 0 to 1.
-struct Machines {
-  std::size_t groups = 1, replicas = 2;  // a primary and so many replicas in each group
-  Span queue = Span::millis(2000);       // a node rejects what would wait for longer
-  Span lag = Span::millis(40);           // of replicas
-  double coldShare = 1;                  // of its speed that a node has as it starts
-  Span coldTime;                         // until it has all of it
-  Span connection;                       // work of taking a new connection
-  Span probe = Span::micros(200);        // work of a probe
-  Span pushOver;  // a cold node falls over where a txn would wait for longer; zero: it doesn't
-  Span fallen = Span::millis(3000);  // until it is back, cold
+struct NodeParameters {
+  std::size_t groups = 1, replicas = 2;     // a primary and so many replicas in each group
+  Duration queue = Duration::millis(2000);  // a node rejects what would wait for longer
+  Duration lag = Duration::millis(40);      // of replicas
+  double coldShare = 1;                     // of its speed that a node has as it starts
+  Duration coldTime;                        // until it has all of it
+  Duration connection;                      // work of taking a new connection
+  Duration probe = Duration::micros(200);   // work of a probe
+  Duration pushOver;  // a cold node falls over where a txn would wait for longer; zero: it doesn't
+  Duration fallen = Duration::millis(3000);  // until it is back, cold
 };
 
-class Nodes {
+class NodeModel {
  public:
   struct Node {
     NodeId id;
@@ -42,7 +42,7 @@
     std::set<std::uint64_t> connections;  // of routers' starts
   };
 
-  explicit Nodes(Machines machines);
+  explicit NodeModel(NodeParameters machines);
 
   enum class How { served, rejected, noConnection };
   struct Served {
@@ -52,12 +52,12 @@
   };
   // `router`: this start of a router, for the connections that it has; `work`: drawn where it is not turned
   // away.
-  Served serve(Instant now, std::size_t node, std::uint64_t router, const std::function<Span()>& work);
+  Served serve(Instant now, std::size_t node, std::uint64_t router, const std::function<Duration()>& work);
 
   void drain(Instant now, std::size_t node);
   // Down now and back then, cold; what it had in hand is lost.
   // A replica has lost so much of its log's end, too, and catches up from there.
-  void lose(Instant now, std::size_t node, Instant backAt, Span logLost = {});
+  void lose(Instant now, std::size_t node, Instant backAt, Duration logLost = {});
   bool isUp(Instant now, std::size_t node) const { return nodes_[node].upAt <= now; }
 
   // What a node has applied, all commits up to there. `stoodStillAt`: replicas apply nothing from then on.
@@ -65,7 +65,7 @@
   // Txns that the node has in hand, of all routers.
   double inHand(Instant now, std::size_t node);
   // As discovery would list it, if it knew all of this moment.
-  std::vector<transactions::Addressed> list(Instant now) const;
+  std::vector<transactions::ResolvedEndpoint> list(Instant now) const;
 
   const std::vector<Node>& all() const { return nodes_; }
   std::size_t at(const NodeId& id) const;
@@ -74,7 +74,7 @@
  private:
   double speed(Instant now, const Node& node) const;
 
-  Machines machines_;
+  NodeParameters machines_;
   std::vector<Node> nodes_;
   std::map<NodeId, std::size_t> rows_;
   std::uint64_t fellOver_ = 0;
--- a/src/tools/fleet_model/scenario_check.cpp
+++ b/src/tools/fleet_model/scenario_check.cpp
@@ -30,9 +30,9 @@
 
 }  // namespace
 
-std::vector<std::string> faultsOf(const Day& day, const Result& result, const Result& whole) {
+std::vector<std::string> faultsOf(const Scenario& day, const Result& result, const Result& whole) {
   std::vector<std::string> faults;
-  const Broken& broken = result.broken;
+  const RuleViolations& broken = result.broken;
   for (const auto& [count, what] : {std::pair{broken.late, "answered too late"},
                                     {broken.unanswered, "never answered"},
                                     {broken.twice, "ran twice"},
@@ -53,10 +53,10 @@
   return faults;
 }
 
-Verdict watch(const Day& day) {
-  Verdict verdict;
+ScenarioResult checkScenario(const Scenario& day) {
+  ScenarioResult verdict;
   verdict.result = Fleet(day.sheet).run(day.seconds, day.demand);
-  const Day seen = seenWhole(day);
+  const Scenario seen = seenWhole(day);
   const Result whole = Fleet(seen.sheet).run(seen.seconds, seen.demand);
   verdict.faults = faultsOf(day, verdict.result, whole);
   verdict.value = verdict.result.value;
--- a/src/tools/fleet_model/scenario_check.h
+++ b/src/tools/fleet_model/scenario_check.h
@@ -9,7 +9,7 @@
 
 namespace gulltrestle::fleet_model {
 
-struct Verdict {
+struct ScenarioResult {
   std::vector<std::string> faults;  // in words; none: the day passed
   double value = 0, whole = 0;      // of all, and what one router that sees all has
   double probesATxn = 0;
@@ -17,8 +17,8 @@
 };
 
 // Plays the day twice, the second time seen whole.
-Verdict watch(const Day& day);
+ScenarioResult checkScenario(const Scenario& day);
 // What of it does not hold: by the rules, by type, by probes, by nodes pushed over.
-std::vector<std::string> faultsOf(const Day& day, const Result& result, const Result& whole);
+std::vector<std::string> faultsOf(const Scenario& day, const Result& result, const Result& whole);
 
 }  // namespace gulltrestle::fleet_model
--- a/src/tools/fleet_model/scenarios.h
+++ b/src/tools/fleet_model/scenarios.h
@@ -10,8 +10,8 @@
 
 namespace gulltrestle::fleet_model {
 
-struct Day {
-  Sheet sheet;
+struct Scenario {
+  FleetParameters sheet;
   double seconds = 0;
   std::function<double(double)> demand;  // by the second, as a multiple of what all nodes can do
 };
@@ -24,14 +24,14 @@
 // torn    half of the nodes lose power for under a second, and 2 s of their log; lists are late
 // start   all routers and all nodes lose power at once, and come back in any order within seconds
 // storm   the same, with clients that ask again fifty times a second and nodes that are easily pushed over
-const std::vector<std::string>& dayNames();
+const std::vector<std::string>& scenarioNames();
 
 // Four nodes a group: `nodes` over four groups, one at least. Throws std::invalid_argument for a name that is
 // none.
-Day dayOf(const std::string& name, std::size_t routers, std::size_t nodes, std::uint64_t seed);
+Scenario scenarioNamed(const std::string& name, std::size_t routers, std::size_t nodes, std::uint64_t seed);
 
 // The same day with one router that sees all that comes, its news as late as those of the others: what
 // decisions reach that need not be shared out. For a gate.
-Day seenWhole(Day day);
+Scenario seenWhole(Scenario day);
 
 }  // namespace gulltrestle::fleet_model
--- a/src/tools/fleet_simulator/main.cpp
+++ b/src/tools/fleet_simulator/main.cpp
@@ -22,8 +22,8 @@
   bool ramp = false;
 };
 
-fleet_model::Day dayOf(const Asked& asked, const std::string& name) {
-  fleet_model::Day day = fleet_model::dayOf(name, asked.routers, asked.nodes, asked.seed);
+fleet_model::Scenario dayOf(const Asked& asked, const std::string& name) {
+  fleet_model::Scenario day = fleet_model::scenarioNamed(name, asked.routers, asked.nodes, asked.seed);
   day.sheet.ramp = asked.ramp;
   if (asked.seconds > 0) day.seconds = asked.seconds;
   if (asked.fault == "alone") day.sheet.believedRouters = 1;
@@ -64,7 +64,7 @@
   for (const auto& order : fleet_simulator::orderNames())
     length = std::max(length, fleet_simulator::scheduleOf(order, asked.nodes / 4).ends + 5);
   for (const auto& order : asked.days) {
-    fleet_model::Day day = fleet_model::dayOf("calm", asked.routers, asked.nodes, asked.seed);
+    fleet_model::Scenario day = fleet_model::scenarioNamed("calm", asked.routers, asked.nodes, asked.seed);
     const auto schedule = fleet_simulator::scheduleOf(order, asked.nodes / 4);
     day.sheet.trouble.outages = schedule.outages;
     const auto demand = [](double t) { return 0.6 + 0.3 * std::sin(t * 0.15); };
@@ -82,7 +82,7 @@
   std::cout << std::fixed << std::setprecision(3);
   bool passed = true;
   for (const auto& name : asked.days) {
-    const auto verdict = fleet_model::watch(dayOf(asked, name));
+    const auto verdict = fleet_model::checkScenario(dayOf(asked, name));
     std::cout << name << " " << asked.routers << "x" << asked.nodes << " seed " << asked.seed << ": value "
               << verdict.value << ", seen whole " << verdict.whole << ", probes a txn " << verdict.probesATxn
               << ", nodes pushed over " << verdict.result.fellOver << "\n";
@@ -104,7 +104,7 @@
     CLI::App* command = app.add_subcommand(name, what);
     command->add_option("day", asked.days, "which, one or several")
         ->required()
-        ->check(CLI::IsMember(fleet_model::dayNames()));
+        ->check(CLI::IsMember(fleet_model::scenarioNames()));
     command->add_option("--routers", asked.routers)->check(CLI::Range(1, 1000))->capture_default_str();
     command->add_option("--nodes", asked.nodes)->check(CLI::Range(4, 1000))->capture_default_str();
     command->add_option("--seed", asked.seed)->capture_default_str();
--- a/src/tools/fleet_simulator/outage_orders.cpp
+++ b/src/tools/fleet_simulator/outage_orders.cpp
@@ -34,10 +34,10 @@
 
 Schedule scheduleOf(const std::string& order, std::size_t groups) {
   maintenance::Plan plan;
-  maintenance::Facts facts;
+  maintenance::FleetState facts;
   maintenance::Bounds bounds;
   bounds.atOnce = 5;
-  facts.routers["r"].lives = true;
+  facts.routers["r"].isAlive = true;
   for (std::size_t row = 0; row < groups * kOfGroup; ++row) {
     auto& node = facts.nodes[std::to_string(row)];
     node.group = row / kOfGroup;
@@ -50,7 +50,7 @@
       maintenance::Machine machine;
       machine.name = "m" + std::to_string(1000 + slot * kZones + zone);
       machine.zone = std::to_string(zone);
-      machine.takes = Span::seconds(kWork);
+      machine.expectedDuration = Duration::seconds(kWork);
       for (std::size_t g = slot * kOnMachine; g < std::min(groups, (slot + 1) * kOnMachine); ++g)
         machine.nodes.push_back(std::to_string(g * kOfGroup + 1 + zone));
       plan.machines.push_back(std::move(machine));
@@ -74,15 +74,15 @@
   } else if (order == "settled") {
     std::multimap<double, std::string> done;
     for (;;) {
-      while (const maintenance::Machine* next = maintenance::nextOf(plan, facts, bounds, {})) {
+      while (const maintenance::Machine* next = maintenance::nextMachine(plan, facts, bounds, {})) {
         const Out out{now, now + kProven, now + kProven + kWork};
         take(*next, out);
         done.emplace(out.back + kWarm, next->name);
-        plan.find(next->name)->phase = maintenance::Phase::free;
+        plan.find(next->name)->phase = maintenance::Phase::released;
       }
       if (done.empty()) break;
       now = done.begin()->first;
-      plan.find(done.begin()->second)->phase = maintenance::Phase::over;
+      plan.find(done.begin()->second)->phase = maintenance::Phase::finished;
       done.erase(done.begin());
     }
   } else if (order != "none") {
--- a/src/tools/fleet_simulator/outage_orders.h
+++ b/src/tools/fleet_simulator/outage_orders.h
@@ -18,7 +18,7 @@
 // `groups` of a primary and three replicas each, as fleet_model::dayOf() has them. Ends: when the last is
 // warm.
 struct Schedule {
-  std::vector<fleet_model::Trouble::Outage> outages;
+  std::vector<fleet_model::FaultPlan::Outage> outages;
   double ends = 0;
 };
 Schedule scheduleOf(const std::string& order, std::size_t groups);
--- a/src/tools/simulator_adapter/adapter.cpp
+++ b/src/tools/simulator_adapter/adapter.cpp
@@ -22,94 +22,96 @@
                                                 "no_answer",  "no_connection", "connection_lost",
                                                 "called_off", "not_sent",      "not_stored"};
 
-Span micros(std::uint64_t n) { return Span::micros(static_cast<std::int64_t>(n)); }
+Duration micros(std::uint64_t n) { return Duration::micros(static_cast<std::int64_t>(n)); }
 
 struct Sheet {
-  std::vector<ListEntry> entries;
+  std::vector<EndpointEntry> entries;
   std::vector<std::string> zones;
 };
 
 // A line held until its router's turn, with the list it refers to as that stood when the line came.
 struct Arrived {
   std::size_t number;
-  Line line;
+  MessageLine line;
   std::shared_ptr<const Sheet> sheet;
 };
 
 // One router and what the wire says about reading its lines.
 class Instance {
  public:
-  explicit Instance(const Line& start) : Instance(start, deployment::read(start)) {}
+  explicit Instance(const MessageLine& start) : Instance(start, deployment::read(start)) {}
 
   Router& router() { return router_; }
 
   void deliver(Router& to, const Arrived& arrived) const {
-    const Line& line = arrived.line;
+    const MessageLine& line = arrived.line;
     const auto tag = line.tag();
     if (tag == "INCOMING") {
-      to.taken(readTxn(line));
+      to.onTransaction(readTxn(line));
     } else if (tag == "FINISHED") {
-      to.ended(line.whole("rid"), static_cast<unsigned>(line.whole("sendNo")), NodeId(line.text("node")),
-               endOf(line), line.flag("last"), micros(line.whole("latency", 0)), stand(line), usage(line));
+      to.onAttemptEnded(line.whole("rid"), static_cast<unsigned>(line.whole("sendNo")),
+                        NodeId(line.text("node")), endOf(line), line.flag("last"),
+                        micros(line.whole("latency", 0)), stand(line), usage(line));
     } else if (tag == "PROBE_DONE") {
-      to.probed(NodeId(line.text("node")), endOf(line), usage(line));
+      to.onHealthCheckEnded(NodeId(line.text("node")), endOf(line), usage(line));
     } else if (tag == "DUE") {
       line.whole("name");  // the round itself is all that was asked for
     } else if (tag == "CANCELLED_BY_CLIENT") {
-      to.clientLeft(line.whole("rid"));
+      to.onClientLeft(line.whole("rid"));
     } else if (tag == "FLOWING") {
-      to.streamStarted(line.whole("rid"));
+      to.onStreamStarted(line.whole("rid"));
     } else if (tag == "MEMBERS") {
       deliverList(to, arrived);
     }
   }
 
  private:
-  Instance(const Line& start, deployment::Told told)
-      : router_(std::move(told.terms), start.whole("prng")),
+  Instance(const MessageLine& start, deployment::DeploymentSettings told)
+      : router_(std::move(told.routing), start.whole("prng")),
         zone_(std::move(told.zone)),
         baseTime_(Instant::atMicros(static_cast<std::int64_t>(start.whole("specifics.baseTime", 0)))) {
     for (std::size_t row = 0; row < told.typeNames.size(); ++row) types_.emplace(told.typeNames[row], row);
   }
 
-  static End endOf(const Line& line) {
-    return deployment::choice<End>("stateCode", line.text("stateCode"), kEnds);
+  static AttemptOutcome endOf(const MessageLine& line) {
+    return deployment::choice<AttemptOutcome>("stateCode", line.text("stateCode"), kEnds);
   }
 
-  Txn readTxn(const Line& line) const {
-    Txn txn;
+  Transaction readTxn(const MessageLine& line) const {
+    Transaction txn;
     txn.id = line.whole("rid");
     const auto type = types_.find(line.text("grade"));
-    if (type == types_.end()) throw BadField("grade", "'" + type_name(line) + "' is not in the settings");
+    if (type == types_.end()) throw InvalidField("grade", "'" + type_name(line) + "' is not in the settings");
     txn.type = type->second;
     txn.group = deployment::toGroup("cluster", line.text("cluster"));
     if (line.find("session")) txn.session = line.whole("session");
     if (line.find("tokenMs"))
-      txn.writeAge = Span::micros(std::llround(std::ceil(line.number("tokenMs", 0) * 1000)));
-    txn.patience = micros(line.whole("patienceLeft"));
-    if (line.find("work")) txn.work = micros(line.whole("work"));
+      txn.writeAge = Duration::micros(std::llround(std::ceil(line.number("tokenMs", 0) * 1000)));
+    txn.remainingTime = micros(line.whole("patienceLeft"));
+    if (line.find("work")) txn.expectedWork = micros(line.whole("work"));
     return txn;
   }
-  static std::string type_name(const Line& line) { return std::string(line.text("grade")); }
+  static std::string type_name(const MessageLine& line) { return std::string(line.text("grade")); }
 
-  Standing stand(const Line& line) const {
-    Standing said;
+  LoadReport stand(const MessageLine& line) const {
+    LoadReport said;
     const auto note = line.whole("stand", 0);
     said.role = roleOf(note % 4);
-    if (note / 4 > 0) said.position = baseTime_ + Span::millis(static_cast<std::int64_t>(note / 4));
+    if (note / 4 > 0) said.position = baseTime_ + Duration::millis(static_cast<std::int64_t>(note / 4));
     return said;
   }
 
-  Standing usage(const Line& line) const {
-    Standing said;
+  LoadReport usage(const MessageLine& line) const {
+    LoadReport said;
     const auto report = line.find("usage");
     if (!report || report->empty() || *report == "-") return said;
     for (const auto pair : deployment::split(*report, ',')) {
       const auto colon = pair.find(':');
-      if (colon == std::string_view::npos) throw BadField("usage", "has a part without a value");
+      if (colon == std::string_view::npos) throw InvalidField("usage", "has a part without a value");
       const auto name = pair.substr(0, colon);
-      if (name == "x0") said.position = baseTime_ + Span::seconds(toNumber("usage", pair.substr(colon + 1)));
-      if (name == "active") said.inHand = toNumber("usage", pair.substr(colon + 1));
+      if (name == "x0")
+        said.position = baseTime_ + Duration::seconds(toNumber("usage", pair.substr(colon + 1)));
+      if (name == "active") said.inFlight = toNumber("usage", pair.substr(colon + 1));
       if (name == "x1")
         said.role = toNumber("usage", pair.substr(colon + 1)) == 1 ? Role::primary : Role::replica;
     }
@@ -123,14 +125,14 @@
   void deliverList(Router& to, const Arrived& arrived) const {
     const auto form = arrived.line.text("form");
     deployment::choice<int>("form", form, kForms);
-    if (form == "error") return to.listFailed();
-    if (!arrived.sheet) throw BadField("sheet", "was never given");
+    if (form == "error") return to.onEndpointListFailed();
+    if (!arrived.sheet) throw InvalidField("sheet", "was never given");
     auto entries = arrived.sheet->entries;
     for (std::size_t i = 0; i < entries.size(); ++i) entries[i].sameZone = arrived.sheet->zones[i] == zone_;
-    to.listed(form == "diff"   ? ListKind::changes
-              : form == "disk" ? ListKind::disk
-                               : ListKind::whole,
-              entries);
+    to.onEndpointList(form == "diff"   ? EndpointUpdateKind::delta
+                      : form == "disk" ? EndpointUpdateKind::restored
+                                       : EndpointUpdateKind::snapshot,
+                      entries);
   }
 
   Router router_;
@@ -139,30 +141,30 @@
   Instant baseTime_;
 };
 
-class Output final : public Writer {
+class Output final : public DecisionSink {
  public:
   Output(std::string& text, std::uint64_t instance)
       : text_(text), instance_(" i=" + std::to_string(instance)) {}
 
-  void submit(TxnId txn, const NodeId& node, Instant, Instant cutAt) override {  // sent at once
+  void sendAttempt(TxnId txn, const NodeId& node, Instant, Instant cutAt) override {  // sent at once
     line("ASSIGN", " rid=", txn, " node=", node, " cutAt=", cutAt.inMicros());
   }
   void cancel(TxnId txn, unsigned attempt) override { line("ABANDON", " rid=", txn, " sendNo=", attempt); }
-  void refuse(TxnId txn, Span retryAfter) override {
-    if (retryAfter > Span())
+  void reject(TxnId txn, Duration retryAfter) override {
+    if (retryAfter > Duration())
       line("REJECT", " rid=", txn, " notBeforeFor=", retryAfter.inMicros());
     else
       line("REJECT", " rid=", txn);
   }
   void rollBack(TxnId txn) override { line("RESPOND_ERROR", " rid=", txn); }
-  void probe(const NodeId& node) override { line("SAMPLE", " node=", node); }
-  void wakeAfter(Span after) override { line("REMIND", " after=", after.inMicros(), " name=", 0); }
-  void followList() override { line("SUBSCRIBE", " active=", 1); }
-  void forget(const NodeId&) override {}  // nothing is kept of nodes here
+  void sendHealthCheck(const NodeId& node) override { line("SAMPLE", " node=", node); }
+  void wakeAfter(Duration after) override { line("REMIND", " after=", after.inMicros(), " name=", 0); }
+  void followEndpointList() override { line("SUBSCRIBE", " active=", 1); }
+  void forgetNode(const NodeId&) override {}  // nothing is kept of nodes here
 
  private:
-  template <typename... Parts>
-  void line(std::string_view tag, const Parts&... parts) {
+  template <typename... ByteSlices>
+  void line(std::string_view tag, const ByteSlices&... parts) {
     text_ += tag;
     text_ += instance_;
     (add(parts), ...);
@@ -189,8 +191,8 @@
     number_ = 0;
     std::string first;
     if (!std::getline(input_, first)) return false;
-    const Line& start = keep(std::move(first));
-    if (start.tag() != "SYNC") throw BadField("SYNC", "is not how this line starts");
+    const MessageLine& start = keep(std::move(first));
+    if (start.tag() != "SYNC") throw InvalidField("SYNC", "is not how this line starts");
     frame_ = start.whole("frame");
     const auto now = Instant::atMicros(static_cast<std::int64_t>(start.whole("moment")));
     read();
@@ -205,7 +207,7 @@
   std::size_t number() const { return number_; }
 
  private:
-  class Deliver final : public Feed {
+  class Deliver final : public EventSource {
    public:
     Deliver(Drill& drill, const Instance& instance, std::size_t from, std::size_t to,
             const std::vector<Arrived>& lines)
@@ -224,25 +226,25 @@
     const std::vector<Arrived>& lines_;
   };
 
-  const Line& keep(std::string text) {
+  const MessageLine& keep(std::string text) {
     ++number_;
     if (!text.empty() && text.back() == '\r') text.pop_back();
     text_.push_back(std::move(text));
-    last_ = Line(text_.back());
+    last_ = MessageLine(text_.back());
     return last_;
   }
 
-  const Line& next() {
+  const MessageLine& next() {
     std::string text;
     if (!std::getline(input_, text)) {
       ++number_;
-      throw BadField("OVER_TO_YOU", "is missing: the input ended inside a batch");
+      throw InvalidField("OVER_TO_YOU", "is missing: the input ended inside a batch");
     }
     return keep(std::move(text));
   }
 
   void read() {
-    for (const Line* line = &next(); line->tag() != "OVER_TO_YOU"; line = &next()) {
+    for (const MessageLine* line = &next(); line->tag() != "OVER_TO_YOU"; line = &next()) {
       if (line->tag() == "DIRECTORY") {
         readSheet(*line);
       } else if (known(line->tag())) {
@@ -252,7 +254,7 @@
         std::shared_ptr<const Sheet> sheet;
         if (line->tag() == "MEMBERS" && line->find("form") != "error") {
           const auto number = line->whole("sheet");
-          if (number >= sheets_.size()) throw BadField("sheet", "is out of range");
+          if (number >= sheets_.size()) throw InvalidField("sheet", "is out of range");
           sheet = sheets_[number];
         }
         lines.push_back({number_, *line, std::move(sheet)});
@@ -267,15 +269,15 @@
     return false;
   }
 
-  void readSheet(const Line& head) {
+  void readSheet(const MessageLine& head) {
     const auto number = head.whole("sheet");
-    if (number >= sheets_.size()) throw BadField("sheet", "is out of range");
+    if (number >= sheets_.size()) throw InvalidField("sheet", "is out of range");
     const auto count = head.whole("entries");
     auto sheet = std::make_shared<Sheet>();
     for (std::uint64_t i = 0; i < count; ++i) {
-      const Line& line = next();
-      if (line.tag() != "NODE") throw BadField("entries", "counts more entries than follow");
-      ListEntry entry;
+      const MessageLine& line = next();
+      if (line.tag() != "NODE") throw InvalidField("entries", "counts more entries than follow");
+      EndpointEntry entry;
       entry.node = line.text("node");
       entry.group = deployment::toGroup("shard", line.text("shard"));
       entry.kind = line.find("familyType").value_or("");
@@ -296,7 +298,7 @@
       const auto& first = lines[from];
       number_ = first.number;
       if (first.line.tag() == "KILL") {
-        if (instances_.erase(id) == 0) throw BadField("i", "names a router that is not running");
+        if (instances_.erase(id) == 0) throw InvalidField("i", "names a router that is not running");
         ++from;
         continue;
       }
@@ -308,11 +310,11 @@
       auto to = from;
       while (to < lines.size() && lines[to].line.tag() != "KILL" && lines[to].line.tag() != "POWER_ON") ++to;
       const auto found = instances_.find(id);
-      if (found == instances_.end()) throw BadField("i", "names a router that is not running");
+      if (found == instances_.end()) throw InvalidField("i", "names a router that is not running");
       Deliver feed(*this, found->second, from, to, lines);
       // What a router that is killed later in this batch decides would be void.
       const auto length = reply.size();
-      found->second.router().round(now, feed, writer);
+      found->second.router().runRound(now, feed, writer);
       if (to < lines.size()) reply.resize(length);
       from = to;
     }
@@ -323,7 +325,7 @@
   std::uint64_t frame_ = 0;
   std::size_t number_ = 0;
   std::deque<std::string> text_;
-  Line last_{""};
+  MessageLine last_{""};
   std::map<std::uint64_t, std::vector<Arrived>> arrived_;
   std::vector<std::uint64_t> order_;
   std::array<std::shared_ptr<const Sheet>, 16> sheets_;
@@ -332,12 +334,12 @@
 
 }  // namespace
 
-int drill(std::istream& input, std::ostream& output, std::ostream& errors) {
+int runAdapter(std::istream& input, std::ostream& output, std::ostream& errors) {
   Drill drill(input, output);
   try {
     while (drill.batch()) {}
     return 0;
-  } catch (const BadField& bad) {
+  } catch (const InvalidField& bad) {
     errors << "gulltrestle_drill: frame " << drill.frame() << ", line " << drill.number() << ", "
            << bad.what() << std::endl;
     return 1;
--- a/src/tools/simulator_adapter/adapter.h
+++ b/src/tools/simulator_adapter/adapter.h
@@ -8,6 +8,6 @@
 
 // Plays batches until the input ends. Returns the exit code: 0 at an end between batches; else 1, after one
 // line on `errors` that names the frame, the line within it and the field.
-int drill(std::istream& input, std::ostream& output, std::ostream& errors);
+int runAdapter(std::istream& input, std::ostream& output, std::ostream& errors);
 
 }  // namespace gulltrestle::simulator_adapter
--- a/src/tools/simulator_adapter/main.cpp
+++ b/src/tools/simulator_adapter/main.cpp
@@ -5,5 +5,5 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  return gulltrestle::simulator_adapter::drill(std::cin, std::cout, std::cerr);
+  return gulltrestle::simulator_adapter::runAdapter(std::cin, std::cout, std::cerr);
 }
--- a/src/tools/simulator_adapter/message_line.h
+++ b/src/tools/simulator_adapter/message_line.h
@@ -9,14 +9,14 @@
 
 namespace gulltrestle::simulator_adapter {
 
-using deployment::BadField;
+using deployment::InvalidField;
 using deployment::toNumber;
 using deployment::toWhole;
 
 // Views into the text it was made from, which must outlive it.
-class Line final : public deployment::Source {
+class MessageLine final : public deployment::SettingsSource {
  public:
-  explicit Line(std::string_view text);
+  explicit MessageLine(std::string_view text);
 
   std::string_view tag() const { return tag_; }
   std::optional<std::string_view> find(std::string_view name) const override;
--- a/src/transactions/admission_controller.h
+++ b/src/transactions/admission_controller.h
@@ -8,22 +8,22 @@
 
 namespace gulltrestle::transactions {
 
-class Door {
+class AdmissionController {
  public:
-  virtual ~Door() = default;
+  virtual ~AdmissionController() = default;
   // None: it is let in. Else it is refused at once; its client may retry after this.
-  virtual std::optional<Span> rejects(GroupId group, std::size_t type) = 0;
+  virtual std::optional<Duration> rejectsWithRetryAfter(GroupId group, std::size_t type) = 0;
   // One that was let in has its final answer, or its client left; told once for each. `sent`: on to a node,
   // at least once; `share`: of its latency target that it took.
-  struct Passage {
+  struct AdmittedResult {
     bool sent = false, committed = false;
     double share = 0;
   };
-  virtual void passed(GroupId group, std::size_t type, const Passage& how) = 0;
+  virtual void onTransactionEnded(GroupId group, std::size_t type, const AdmittedResult& how) = 0;
   // A node told this of itself, in an answer or to a probe.
-  virtual void told(const NodeId& node, const Standing& said) = 0;
+  virtual void onLoadReport(const NodeId& node, const LoadReport& said) = 0;
   // It took no connection, or ended the last one: it may have been down, and have lost the end of its log.
-  virtual void disconnected(const NodeId& node) = 0;
+  virtual void onNodeDisconnected(const NodeId& node) = 0;
 };
 
 }  // namespace gulltrestle::transactions
--- a/src/transactions/connection_close.cpp
+++ b/src/transactions/connection_close.cpp
@@ -2,92 +2,92 @@
 
 namespace gulltrestle::transactions {
 
-End outcomeOf(ConnectionEnd how, bool writtenWhole) {
+AttemptOutcome outcomeOf(ConnectionCloseReason how, bool writtenWhole) {
   switch (how) {
-    case ConnectionEnd::notOpened:
-      return End::notSent;
-    case ConnectionEnd::cancelled:
-      return writtenWhole ? End::cancelled : End::notSent;
-    case ConnectionEnd::rejected:
-      return End::rejected;
-    case ConnectionEnd::unanswered:
-      return writtenWhole ? End::timeout : End::noConnection;
-    case ConnectionEnd::nodeLeft:
-    case ConnectionEnd::retired:
-      return writtenWhole ? End::connectionLost : End::notSent;
+    case ConnectionCloseReason::noDescriptor:
+      return AttemptOutcome::notSent;
+    case ConnectionCloseReason::cancelled:
+      return writtenWhole ? AttemptOutcome::cancelled : AttemptOutcome::notSent;
+    case ConnectionCloseReason::rejected:
+      return AttemptOutcome::rejected;
+    case ConnectionCloseReason::unanswered:
+      return writtenWhole ? AttemptOutcome::timeout : AttemptOutcome::noConnection;
+    case ConnectionCloseReason::nodeDrained:
+    case ConnectionCloseReason::retired:
+      return writtenWhole ? AttemptOutcome::connectionLost : AttemptOutcome::notSent;
     default:
-      return writtenWhole ? End::connectionLost : End::noConnection;
+      return writtenWhole ? AttemptOutcome::connectionLost : AttemptOutcome::noConnection;
   }
 }
 
-bool mayHaveRun(End how) {
+bool mayHaveRun(AttemptOutcome how) {
   switch (how) {
-    case End::rejected:
-    case End::noConnection:
-    case End::notSent:
-    case End::notHere:
+    case AttemptOutcome::rejected:
+    case AttemptOutcome::noConnection:
+    case AttemptOutcome::notSent:
+    case AttemptOutcome::wrongNode:
       return false;
-    case End::committed:
-    case End::error:
-    case End::timeout:
-    case End::connectionLost:
-    case End::cancelled:
+    case AttemptOutcome::committed:
+    case AttemptOutcome::error:
+    case AttemptOutcome::timeout:
+    case AttemptOutcome::connectionLost:
+    case AttemptOutcome::cancelled:
       return true;
   }
   return true;
 }
 
-std::string_view nameOf(ConnectionEnd how) {
+std::string_view nameOf(ConnectionCloseReason how) {
   switch (how) {
-    case ConnectionEnd::notOpened:
+    case ConnectionCloseReason::noDescriptor:
       return "not opened";
-    case ConnectionEnd::refused:
+    case ConnectionCloseReason::refused:
       return "refused";
-    case ConnectionEnd::neverUp:
+    case ConnectionCloseReason::connectTimeout:
       return "never up";
-    case ConnectionEnd::rejected:
+    case ConnectionCloseReason::rejected:
       return "rejected";
-    case ConnectionEnd::broken:
+    case ConnectionCloseReason::broken:
       return "broken";
-    case ConnectionEnd::malformed:
+    case ConnectionCloseReason::malformed:
       return "malformed";
-    case ConnectionEnd::cancelled:
+    case ConnectionCloseReason::cancelled:
       return "cancelled";
-    case ConnectionEnd::unanswered:
+    case ConnectionCloseReason::unanswered:
       return "unanswered";
-    case ConnectionEnd::retired:
+    case ConnectionCloseReason::retired:
       return "retired";
-    case ConnectionEnd::nodeLeft:
+    case ConnectionCloseReason::nodeDrained:
       return "node left";
-    case ConnectionEnd::clientDone:
+    case ConnectionCloseReason::clientFinished:
       return "client done";
-    case ConnectionEnd::clientStuck:
+    case ConnectionCloseReason::clientStalled:
       return "client stuck";
-    case ConnectionEnd::shuttingDown:
+    case ConnectionCloseReason::shuttingDown:
       return "shutting down";
   }
   return "unknown";
 }
 
-std::string_view nameOf(End how) {
+std::string_view nameOf(AttemptOutcome how) {
   switch (how) {
-    case End::committed:
+    case AttemptOutcome::committed:
       return "committed";
-    case End::error:
+    case AttemptOutcome::error:
       return "error";
-    case End::rejected:
+    case AttemptOutcome::rejected:
       return "rejected";
-    case End::timeout:
+    case AttemptOutcome::timeout:
       return "timeout";
-    case End::noConnection:
+    case AttemptOutcome::noConnection:
       return "no_connection";
-    case End::connectionLost:
+    case AttemptOutcome::connectionLost:
       return "connection_lost";
-    case End::cancelled:
+    case AttemptOutcome::cancelled:
       return "cancelled";
-    case End::notSent:
+    case AttemptOutcome::notSent:
       return "not_sent";
-    case End::notHere:
+    case AttemptOutcome::wrongNode:
       return "not_here";
   }
   return "unknown";
--- a/src/transactions/endpoint_registry.cpp
+++ b/src/transactions/endpoint_registry.cpp
@@ -4,9 +4,10 @@
 
 namespace gulltrestle::transactions {
 
-std::vector<NodeId> Nodes::listed(ListKind kind, const std::vector<Addressed>& list) {
-  if (kind != ListKind::changes)
-    for (auto& [id, node] : nodes_) node.health = Health::gone;
+std::vector<NodeId> EndpointRegistry::apply(EndpointUpdateKind kind,
+                                            const std::vector<ResolvedEndpoint>& list) {
+  if (kind != EndpointUpdateKind::delta)
+    for (auto& [id, node] : nodes_) node.health = Health::removed;
   std::vector<NodeId> moved;
   for (const auto& [entry, address] : list) {
     const auto [at, isNew] = nodes_.try_emplace(entry.node);
@@ -16,25 +17,25 @@
   return moved;
 }
 
-const Nodes::Node* Nodes::find(const NodeId& id) const {
+const EndpointRegistry::Node* EndpointRegistry::find(const NodeId& id) const {
   const auto at = nodes_.find(id);
   return at == nodes_.end() ? nullptr : &at->second;
 }
 
-const NodeId* Nodes::at(const std::string& address) const {
+const NodeId* EndpointRegistry::findByAddress(const std::string& address) const {
   for (const auto& [id, node] : nodes_)
-    if (node.health != Health::gone && node.address == address) return &id;
+    if (node.health != Health::removed && node.address == address) return &id;
   return nullptr;
 }
 
-bool Nodes::leaving(const NodeId& id) const {
+bool EndpointRegistry::isDraining(const NodeId& id) const {
   const Node* node = find(id);
-  return !node || node->health == Health::draining || (node->health == Health::gone && goneBinds_);
+  return !node || node->health == Health::draining || (node->health == Health::removed && goneBinds_);
 }
 
-bool Nodes::forget(const NodeId& id) {
+bool EndpointRegistry::forget(const NodeId& id) {
   const auto at = nodes_.find(id);
-  if (at == nodes_.end() || at->second.health != Health::gone) return false;
+  if (at == nodes_.end() || at->second.health != Health::removed) return false;
   nodes_.erase(at);
   return true;
 }
--- a/src/transactions/endpoint_registry.h
+++ b/src/transactions/endpoint_registry.h
@@ -11,12 +11,12 @@
 namespace gulltrestle::transactions {
 
 // An entry of a list, and where that node is reached, as address:port.
-struct Addressed {
-  ListEntry entry;
+struct ResolvedEndpoint {
+  EndpointEntry entry;
   std::string address;
 };
 
-class Nodes {
+class EndpointRegistry {
  public:
   struct Node {
     std::string address;
@@ -24,17 +24,17 @@
   };
 
   // `goneBinds`: nothing new may go to a node that is listed as gone; else only to one listed as draining.
-  explicit Nodes(bool goneBinds) : goneBinds_(goneBinds) {}
+  explicit EndpointRegistry(bool goneBinds) : goneBinds_(goneBinds) {}
 
   // Takes a list over. Returns the nodes that have moved to another address (new ones are not among them),
   // in the list's order.
-  std::vector<NodeId> listed(ListKind kind, const std::vector<Addressed>& list);
+  std::vector<NodeId> apply(EndpointUpdateKind kind, const std::vector<ResolvedEndpoint>& list);
 
   const Node* find(const NodeId& id) const;
   // The node that is reached there, other than as gone; null: none is.
-  const NodeId* at(const std::string& address) const;
+  const NodeId* findByAddress(const std::string& address) const;
   // Nothing new may go to it; true for one that no list named.
-  bool leaving(const NodeId& id) const;
+  bool isDraining(const NodeId& id) const;
   // False, and nothing is forgotten, where a newer list names it.
   bool forget(const NodeId& id);
 
--- a/src/transactions/execution_gate.h
+++ b/src/transactions/execution_gate.h
@@ -12,23 +12,24 @@
 namespace gulltrestle::transactions {
 
 // What a node answered, as its carrier read it, in up to three slices. Valid during the call only.
-using Value = std::array<std::string_view, 3>;
+using ResultValue = std::array<std::string_view, 3>;
 
 // What became of a txn here, once nothing of it is out any more.
-enum class Fate { committed, neverRan, unknown };
+enum class ExecutionOutcome { committed, neverRan, unknown };
 
-class Guard {
+class ExecutionGate {
  public:
-  virtual ~Guard() = default;
+  virtual ~ExecutionGate() = default;
   // The client named the txn so, and waits for it for `patience` from now. Answered in a later call, by
-  // Ledger::admit() or Ledger::refuse(), unless over() comes first; within its patience.
-  virtual void asked(TxnId txn, std::string_view id, Span patience) = 0;
+  // TransactionTable::admit() or TransactionTable::refuse(), unless over() comes first; within its patience.
+  virtual void requestExecution(TxnId txn, std::string_view id, Duration patience) = 0;
   // A node committed it, with this value. Comes ahead of over().
-  virtual void commits(TxnId txn, const Value& value) = 0;
+  virtual void onCommitted(TxnId txn, const ResultValue& value) = 0;
   // Told once for each that was asked for.
-  virtual void over(TxnId txn, Fate fate) = 0;
+  virtual void onTransactionEnded(TxnId txn, ExecutionOutcome fate) = 0;
   // A list came, before anybody has taken it over. Where others know better of a node, its entry is changed.
-  virtual void listed(ListKind kind, std::uint64_t version, std::vector<Addressed>& list) = 0;
+  virtual void amendEndpointList(EndpointUpdateKind kind, std::uint64_t version,
+                                 std::vector<ResolvedEndpoint>& list) = 0;
 };
 
 }  // namespace gulltrestle::transactions
--- a/src/transactions/trace.h
+++ b/src/transactions/trace.h
@@ -9,19 +9,19 @@
 
 class Trace {
  public:
-  using Take = std::function<void(const std::string& line)>;
+  using Sink = std::function<void(const std::string& line)>;
   // Null: nobody takes them any more.
-  void to(Take take) { take_ = std::move(take); }
+  void setSink(Sink take) { take_ = std::move(take); }
   bool isOn() const { return static_cast<bool>(take_); }
 
   // `line`: returns the text of one line, "event=... key=value ...".
   template <typename Line>
-  void say(Line line) const {
+  void write(Line line) const {
     if (take_) take_(line());
   }
 
  private:
-  Take take_;
+  Sink take_;
 };
 
 }  // namespace gulltrestle::transactions
--- a/src/upstream/delegated/delegated_transport.h
+++ b/src/upstream/delegated/delegated_transport.h
@@ -15,33 +15,34 @@
 
 namespace gulltrestle::upstream::delegated {
 
-struct Grant {
+struct EndpointLease {
   NodeId node;
   std::string address;  // where the node is reached
-  Span within;          // it may be used for so long
+  Duration within;      // it may be used for so long
   Instant reportBy;     // silence until then ends it
 };
 
 // Who hands grants on.
-class Granting {
+class LeaseHandler {
  public:
-  virtual ~Granting() = default;
+  virtual ~LeaseHandler() = default;
   // False: nobody is there to take it, and nothing was told.
-  virtual bool granted(TxnId txn, const Grant& grant) = 0;
+  virtual bool onLeaseGranted(TxnId txn, const EndpointLease& grant) = 0;
 };
 
-class Delegated final : public transactions::Carrier {
+class DelegatedTransport final : public transactions::UpstreamTransport {
  public:
-  Delegated(transactions::Ledger& ledger, endpoint_leases::DrainRule rule, Granting& granting)
+  DelegatedTransport(transactions::TransactionTable& ledger, endpoint_leases::DrainRule rule,
+                     LeaseHandler& granting)
       : ledger_(ledger), rule_(rule), granting_(granting) {}
 
-  void carry(transactions::Job job, const NodeId& node) override;
-  void cancel(transactions::Job job, const NodeId& node) override;
-  void listed(const std::vector<NodeId>&) override {}
-  void forget(const NodeId&) override {}
+  void startAttempt(transactions::AttemptId job, const NodeId& node) override;
+  void cancelAttempt(transactions::AttemptId job, const NodeId& node) override;
+  void onEndpointList(const std::vector<NodeId>&) override {}
+  void forgetNode(const NodeId&) override {}
 
   // --- What becomes of a grant. Each ends it; none where the txn has no grant out.
-  std::optional<End> reported(TxnId txn, const endpoint_leases::Report& report);
+  std::optional<AttemptOutcome> reported(TxnId txn, const endpoint_leases::ProxyReport& report);
   void unreported(TxnId txn);
 
   // The list was heard, be it with nothing new.
@@ -54,16 +55,16 @@
 
  private:
   struct Out {
-    transactions::Job job;
+    transactions::AttemptId job;
     NodeId node;
     std::string address;
     Instant reportBy;
   };
   std::optional<Out> take(TxnId txn);
 
-  transactions::Ledger& ledger_;
+  transactions::TransactionTable& ledger_;
   endpoint_leases::DrainRule rule_;
-  Granting& granting_;
+  LeaseHandler& granting_;
   endpoint_leases::ListAge list_;
   std::map<TxnId, Out> out_;  // one a txn: whoever asks can carry one
   std::set<std::pair<Instant, TxnId>> due_;
--- a/src/upstream/http/health_checker.h
+++ b/src/upstream/http/health_checker.h
@@ -13,32 +13,32 @@
 
 namespace gulltrestle::upstream::http {
 
-using ProbeId = std::uint64_t;
+using HealthCheckId = std::uint64_t;
 
 // What it asks for.
 class Effects {
  public:
   virtual ~Effects() = default;
   // Asks the node there; answered() or failed() tells what came of it, not from within this call.
-  virtual void askNode(ProbeId probe, const std::string& address) = 0;
+  virtual void requestLoadReport(HealthCheckId probe, const std::string& address) = 0;
   // Nobody waits for it any more.
-  virtual void drop(ProbeId probe) = 0;
+  virtual void cancelHealthCheck(HealthCheckId probe) = 0;
 };
 
-class Probes final : public transactions::Carrier {
+class HealthChecker final : public transactions::UpstreamTransport {
  public:
   // `limit`: how long an answer is waited for. `most`: how many may be out at a time.
-  Probes(transactions::Ledger& ledger, Span limit, std::size_t most, Effects& effects)
+  HealthChecker(transactions::TransactionTable& ledger, Duration limit, std::size_t most, Effects& effects)
       : ledger_(ledger), limit_(limit), most_(most), effects_(effects) {}
 
-  void carry(transactions::Job job, const NodeId& node) override;
-  void cancel(transactions::Job, const NodeId&) override {}
-  void listed(const std::vector<NodeId>& moved) override;
-  void forget(const NodeId& node) override;
+  void startAttempt(transactions::AttemptId job, const NodeId& node) override;
+  void cancelAttempt(transactions::AttemptId, const NodeId&) override {}
+  void onEndpointList(const std::vector<NodeId>& moved) override;
+  void forgetNode(const NodeId& node) override;
 
   // Events. `status` of HTTP, with what the headers told.
-  void answered(ProbeId probe, int status, const Standing& said);
-  void failed(ProbeId probe);
+  void answered(HealthCheckId probe, int status, const LoadReport& said);
+  void failed(HealthCheckId probe);
 
   void endTurn();
   Instant nextDue() const { return due_.empty() ? Instant() : due_.begin()->first; }
@@ -48,17 +48,17 @@
     NodeId node;
     Instant due;
   };
-  void end(ProbeId probe, End how, const Standing& said);
+  void end(HealthCheckId probe, AttemptOutcome how, const LoadReport& said);
   template <typename Which>
   void dropIf(Which which);
 
-  transactions::Ledger& ledger_;
-  Span limit_;
+  transactions::TransactionTable& ledger_;
+  Duration limit_;
   std::size_t most_;
   Effects& effects_;
-  std::map<ProbeId, Out> out_;
-  std::set<std::pair<Instant, ProbeId>> due_;
-  ProbeId last_ = 0;
+  std::map<HealthCheckId, Out> out_;
+  std::set<std::pair<Instant, HealthCheckId>> due_;
+  HealthCheckId last_ = 0;
 };
 
 }  // namespace gulltrestle::upstream::http
--- a/tests/book.cpp
+++ b/tests/book.cpp
@@ -13,27 +13,27 @@
 
 namespace {
 
-TxnType typeOf(Effect effect) {
-  TxnType type;
+TransactionClass typeOf(Effect effect) {
+  TransactionClass type;
   type.effect = effect;
-  type.deadline = Span::millis(2000);
+  type.deadline = Duration::millis(2000);
   return type;
 }
 
 // One id, asked for by a proxy that tries again and by a stranger that uses the same id. Both tell the truth
 // where they tell anything; what they don't know they don't tell.
 struct World {
-  explicit World(Effect effect, Placement placement)
+  explicit World(Effect effect, ProxyPlacement placement)
       : type(typeOf(effect)), place(placement), book({type}, placement, {100}, "start0") {}
 
-  TxnType type;
-  Placement place;
-  Book book;
+  TransactionClass type;
+  ProxyPlacement place;
+  LeaseRegistry book;
   Instant now = Instant::atMicros(1'000'000'000);
   int starts = 0;
   StreamKey last = 0;
   struct Stream {
-    Ask ask;
+    LeaseRequest ask;
     bool granted = false, ran = false, waiting = false, mine = true;
   };
   std::map<StreamKey, Stream> open;
@@ -45,15 +45,15 @@
   std::string fault;
 
   void refusedNow() {
-    if (type.effect == Effect::onceOnly && runs > 0) fault = "refused though it ran";
+    if (type.effect == Effect::atMostOnce && runs > 0) fault = "refused though it ran";
   }
 
   void ask(bool mine, Written written) {
-    Ask ask;
+    LeaseRequest ask;
     ask.id = "x";
     ask.attempt = mine ? ++attempts : 1;
     ask.written = written;
-    ask.patience = Span::millis(1000);
+    ask.remainingTime = Duration::millis(1000);
     if (mine) {
       ask.token = token;
       // A proxy that tries again uses no grant of an earlier try any more.
@@ -67,19 +67,19 @@
 
   void put(StreamKey key) {
     Stream& stream = open.at(key);
-    const Verdict verdict = book.asked(now, key, stream.ask);
-    stream.waiting = verdict.what == Verdict::What::wait;
+    const LeaseDecision verdict = book.asked(now, key, stream.ask);
+    stream.waiting = verdict.action == LeaseDecision::Action::wait;
     if (stream.waiting) return;
-    if (verdict.what == Verdict::What::answer) {
-      if (verdict.outcome == Outcome::refused) refusedNow();
-      if (verdict.outcome == Outcome::committed) fault = "committed without a node";
+    if (verdict.action == LeaseDecision::Action::answer) {
+      if (verdict.outcome == FinalOutcome::rejected) refusedNow();
+      if (verdict.outcome == FinalOutcome::committed) fault = "committed without a node";
       open.erase(key);
       return;
     }
     if (verdict.supersedes != 0) open.erase(verdict.supersedes);
     // The module's rule on what may have run.
-    if (verdict.earlier.mayHaveRunFor && type.effect == Effect::onceOnly) {
-      book.answered(now, "x", key, Outcome::rolledBack);
+    if (verdict.earlier.ambiguousAttemptAge && type.effect == Effect::atMostOnce) {
+      book.answered(now, "x", key, FinalOutcome::rolledBack);
       open.erase(key);
       return;
     }
@@ -97,27 +97,27 @@
     stream.ran = true;
     wrote = wrote || stream.mine;
     ++runs;
-    if (type.effect == Effect::onceOnly && runs > 1) fault = "ran twice";
+    if (type.effect == Effect::atMostOnce && runs > 1) fault = "ran twice";
   }
 
-  void report(StreamKey key, End how) {
+  void report(StreamKey key, AttemptOutcome how) {
     book.ended(now, "x", key, how);
-    const Outcome outcome = how == End::committed ? Outcome::committed
-                            : how == End::noConnection || type.effect == Effect::repeatable
-                                ? Outcome::refused
-                                : Outcome::rolledBack;
-    if (outcome == Outcome::refused) refusedNow();
+    const FinalOutcome outcome = how == AttemptOutcome::committed ? FinalOutcome::committed
+                                 : how == AttemptOutcome::noConnection || type.effect == Effect::idempotent
+                                     ? FinalOutcome::rejected
+                                     : FinalOutcome::rolledBack;
+    if (outcome == FinalOutcome::rejected) refusedNow();
     book.answered(now, "x", key, outcome);
     open.erase(key);
   }
 
   void restart() {
-    book = Book({type}, place, {100}, "start" + std::to_string(++starts));
+    book = LeaseRegistry({type}, place, {100}, "start" + std::to_string(++starts));
     open.clear();
   }
 
   void pass() {
-    now = now + Span::millis(60);
+    now = now + Duration::millis(60);
     std::vector<StreamKey> waiting;
     for (auto& [key, stream] : open)
       if (stream.waiting) waiting.push_back(key);
@@ -145,11 +145,11 @@
       const StreamKey k = key;
       if (stream.granted && !stream.ran) {
         all.emplace_back("run" + at, [k](World& w) { w.run(k); });
-        all.emplace_back("never" + at, [k](World& w) { w.report(k, End::noConnection); });
+        all.emplace_back("never" + at, [k](World& w) { w.report(k, AttemptOutcome::noConnection); });
       }
       if (stream.granted && stream.ran) {
-        all.emplace_back("commit" + at, [k](World& w) { w.report(k, End::committed); });
-        all.emplace_back("lost" + at, [k](World& w) { w.report(k, End::connectionLost); });
+        all.emplace_back("commit" + at, [k](World& w) { w.report(k, AttemptOutcome::committed); });
+        all.emplace_back("lost" + at, [k](World& w) { w.report(k, AttemptOutcome::connectionLost); });
       }
       all.emplace_back("reset" + at, [k](World& w) {
         w.book.left(w.now, "x", k);
@@ -184,7 +184,7 @@
   }
 }
 
-void tell(const char* what, Effect effect, Placement placement, int length) {
+void tell(const char* what, Effect effect, ProxyPlacement placement, int length) {
   Found found;
   play(World(effect, placement), length, "", found);
   std::cout << what << ": " << found.histories << " histories of " << length << " steps, never ran in "
@@ -193,9 +193,9 @@
 }
 
 void histories() {
-  tell("once-only, asked once a try", Effect::onceOnly, Placement::tries, 8);
-  tell("once-only, asked once a request", Effect::onceOnly, Placement::request, 8);
-  tell("repeatable, asked once a try", Effect::repeatable, Placement::tries, 8);
+  tell("once-only, asked once a try", Effect::atMostOnce, ProxyPlacement::attempts, 8);
+  tell("once-only, asked once a request", Effect::atMostOnce, ProxyPlacement::request, 8);
+  tell("repeatable, asked once a try", Effect::idempotent, ProxyPlacement::attempts, 8);
 }
 
 }  // namespace
--- a/tests/calls.cpp
+++ b/tests/calls.cpp
@@ -11,16 +11,16 @@
 #include "discovery/poll_schedule.h"
 
 using namespace gulltrestle;
-using discovery::ListCalls;
+using discovery::PollSchedule;
 
 namespace {
 
-std::int64_t inMillis(Span span) { return span.inMicros() / 1000; }
+std::int64_t inMillis(Duration span) { return span.inMicros() / 1000; }
 
 void times() {
   for (const bool asked : {false, true})
     for (const int grace : {2000, 1000, 500, 250, 0}) {
-      ListCalls one(asked, Span::millis(grace), 7);
+      PollSchedule one(asked, Duration::millis(grace), 7);
       std::cout << (asked ? "asked for" : "pushed") << ", grace " << grace << ": an answer is waited for "
                 << inMillis(one.silence(false, false)) << ", its rest " << inMillis(one.silence(false, true))
                 << ", a watch's first word " << inMillis(one.silence(true, false)) << ", its next "
@@ -36,21 +36,22 @@
 void herd() {
   for (const bool asked : {false, true})
     for (const int routers : {30, 340}) {
-      std::vector<ListCalls> all;
-      std::priority_queue<std::pair<Span, int>, std::vector<std::pair<Span, int>>, std::greater<>> due;
+      std::vector<PollSchedule> all;
+      std::priority_queue<std::pair<Duration, int>, std::vector<std::pair<Duration, int>>, std::greater<>>
+          due;
       for (int i = 0; i < routers; ++i) {
-        all.emplace_back(asked, Span::seconds(1), static_cast<std::uint64_t>(i));
-        due.push({Span::micros(i), i});
+        all.emplace_back(asked, Duration::seconds(1), static_cast<std::uint64_t>(i));
+        due.push({Duration::micros(i), i});
       }
-      std::deque<Span> lately;
-      Span last;
+      std::deque<Duration> lately;
+      Duration last;
       long called = 0;
-      while (!due.empty() && due.top().first < Span::seconds(60)) {
+      while (!due.empty() && due.top().first < Duration::seconds(60)) {
         const auto [now, i] = due.top();
         due.pop();
         ++called;
         lately.push_back(now);
-        while (now - lately.front() > Span::millis(250)) lately.pop_front();
+        while (now - lately.front() > Duration::millis(250)) lately.pop_front();
         if (std::ssize(lately) * 10 > routers)
           due.push({now + all[static_cast<std::size_t>(i)].pause(), i});
         else
--- a/tests/claims.cpp
+++ b/tests/claims.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-Span ms(std::int64_t n) { return Span::millis(n); }
+Duration ms(std::int64_t n) { return Duration::millis(n); }
 
 // --- Worlds: routers, some of them keepers, that talk over links which break and stall, lose their power and
 // their disks, and clients that repeat their ids anywhere. The world knows what truly ran.
@@ -62,7 +62,7 @@
     }
   }
 
-  // What broke; empty: nothing.
+  // Kind broke; empty: nothing.
   std::string play() {
     constexpr std::int64_t kEnd = 40'000;
     for (std::int64_t at = 0; at < kEnd; at += 20 + static_cast<std::int64_t>(pick(200)))
@@ -75,7 +75,8 @@
       if (!routers_[i].up || routers_[i].list != lists_.size() - 1) killFor(i, ms(50));
     run(kRetention + kRetention + ms(10'000));
     admits_.clear();
-    for (std::size_t i = 0; i < routers_.size(); ++i) later(Span(), [=, this] { askAt(i, "new" + name(i)); });
+    for (std::size_t i = 0; i < routers_.size(); ++i)
+      later(Duration(), [=, this] { askAt(i, "new" + name(i)); });
     run(ms(2000));
     if (fault_.empty() && admits_.size() < routers_.size())
       broken("only " + std::to_string(admits_.size()) + " of " + std::to_string(routers_.size()) +
@@ -84,24 +85,24 @@
   }
 
  private:
-  static constexpr Span kRetention = Span::millis(20'000);
+  static constexpr Duration kRetention = Duration::millis(20'000);
   struct Disk {  // what is durable
-    std::vector<Start> own;
+    std::vector<VoterIncarnation> own;
     std::uint64_t newSince = 0;
     bool whole = false;
-    std::map<std::string, Entry> entries;
-    std::map<std::string, Start> starts;
-    Lists lists;
+    std::map<std::string, ClaimRecord> entries;
+    std::map<std::string, VoterIncarnation> starts;
+    VoterListHistory lists;
   };
   struct Router {
     bool up = false;
     std::size_t list = 0;    // that it serves under: its number among all
     std::uint64_t life = 0;  // counts its starts; what was under way for an earlier one is void
-    std::unique_ptr<Keeper> keeper;
-    std::unique_ptr<Claimant> claimant;
+    std::unique_ptr<VotingMember> keeper;
+    std::unique_ptr<ClaimCoordinator> claimant;
     std::uint64_t start = 0;  // for tokens
     Disk disk, copy;          // copy: as it was when the last start began
-    std::deque<std::pair<std::vector<Keeper::Change>, std::function<void()>>> writes;
+    std::deque<std::pair<std::vector<VotingMember::DiskChange>, std::function<void()>>> writes;
     bool writing = false;
     Instant lostAt;                             // never: its disk was not touched
     std::map<std::size_t, std::uint64_t> link;  // to each keeper: its generation; odd: up
@@ -117,7 +118,7 @@
   bool one(std::size_t in) { return pick(in) == 0; }
   Disk& disk(std::size_t i) { return routers_[i].disk; }
   static std::string name(std::size_t i) { return "r" + std::to_string(i); }
-  const List& listOf(std::size_t i) const { return lists_[routers_[i].list]; }
+  const VoterList& listOf(std::size_t i) const { return lists_[routers_[i].list]; }
   bool isKeeper(std::size_t i) const { return listOf(i).names.contains(name(i)); }
   // The keepers by router i's list, each at its row.
   std::vector<std::size_t> rowsOf(std::size_t i) const {
@@ -130,16 +131,16 @@
     return static_cast<std::size_t>(std::find(rows.begin(), rows.end(), keeper) - rows.begin());
   }
 
-  void later(Span after, std::function<void()> call) {
+  void later(Duration after, std::function<void()> call) {
     events_.push({now_ + after, ++order_, std::move(call)});
   }
   // Only if that router has not been down meanwhile.
-  void laterAt(std::size_t i, Span after, std::function<void()> call) {
+  void laterAt(std::size_t i, Duration after, std::function<void()> call) {
     later(after, [this, i, life = routers_[i].life, call = std::move(call)] {
       if (routers_[i].up && routers_[i].life == life) call();
     });
   }
-  void run(Span span) {
+  void run(Duration span) {
     const Instant end = now_ + span;
     while (fault_.empty() && events_.top().at < end) {
       const auto event = events_.top();
@@ -163,44 +164,44 @@
     r.up = true;
     ++r.life;
     r.start = bug_ == Bug::sameTokens ? 1 : chance_() * 4096ULL + i;
-    ClaimantBounds bounds;
-    bounds.keepers = bug_ == Bug::halfIsEnough && keepers > 1 && i % 2 == 1 ? keepers - 2 : keepers;
+    ClaimCoordinatorLimits bounds;
+    bounds.voterCount = bug_ == Bug::halfIsEnough && keepers > 1 && i % 2 == 1 ? keepers - 2 : keepers;
     bounds.retention = kRetention;
-    r.claimant = std::make_unique<Claimant>(bounds, chance_());
+    r.claimant = std::make_unique<ClaimCoordinator>(bounds, chance_());
     r.open.clear();
     r.writes.clear();
     r.writing = false;
     if (isKeeper(i)) {
       r.copy = r.disk;
       r.disk.own.push_back({r.disk.own.empty() ? 1 : r.disk.own.back().number + 1, chance_()});
-      const Moved moved = movedTo(r.disk.lists, lists_, name(i));
-      if (!moved.refused.empty()) return broken("did not start: keepers " + moved.refused);
+      const VoterListTransition moved = transitionTo(r.disk.lists, lists_, name(i));
+      if (!moved.rejectReason.empty()) return broken("did not start: keepers " + moved.rejectReason);
       r.disk.lists = moved.lists;
-      if (bug_ == Bug::changesAtOnce) r.disk.lists.before.clear();
+      if (bug_ == Bug::changesAtOnce) r.disk.lists.previous.clear();
       if (!moved.diskCounts && bug_ != Bug::newcomersVote) {
         r.disk.whole = false;
         r.disk.newSince = r.disk.own.back().number;
         r.lostAt = now_;
       }
       if (!moved.diskCounts && bug_ == Bug::newcomersVote) r.disk.whole = true;
-      Kept kept;
+      StoredState kept;
       kept.own = r.disk.own;
       kept.newSince = r.disk.newSince;
-      kept.whole = r.disk.whole || bug_ == Bug::silenceForgotten;
+      kept.isComplete = r.disk.whole || bug_ == Bug::silenceForgotten;
       kept.starts = r.disk.starts;
       kept.lists = r.disk.lists;
       for (const auto& [id, entry] : r.disk.entries) kept.entries.push_back(entry);
-      KeeperBounds keeperBounds;
+      VotingMemberLimits keeperBounds;
       keeperBounds.retention = kRetention;
-      r.keeper = std::make_unique<Keeper>(now_, name(i), keeperBounds, std::move(kept));
+      r.keeper = std::make_unique<VotingMember>(now_, name(i), keeperBounds, std::move(kept));
     }
     for (const std::size_t k : rowsOf(i)) connect(i, k);
     tick(i);
   }
   void tick(std::size_t i) {
     Router& r = routers_[i];
-    if (r.keeper) r.keeper->due(now_);
-    r.claimant->due(now_);
+    if (r.keeper) r.keeper->runTimers(now_);
+    r.claimant->runTimers(now_);
     settle(i);
     laterAt(i, ms(50), [this, i] { tick(i); });
   }
@@ -230,7 +231,7 @@
     if (!routers_[to].up || routers_[to].list != r.list)
       return laterAt(from, ms(200), [this, from, to] { connect(from, to); });
     ++r.link[to];
-    r.claimant->reached(rowOf(from, to), true);
+    r.claimant->setReachable(rowOf(from, to), true);
     greet(from, to);
     settle(from);
   }
@@ -238,7 +239,7 @@
     Router& r = routers_[from];
     if (!r.up || !(r.link[to] & 1)) return;
     ++r.link[to];
-    r.claimant->reached(rowOf(from, to), false);
+    r.claimant->setReachable(rowOf(from, to), false);
     settle(from);
     laterAt(from, ms(100 + static_cast<std::int64_t>(pick(1000))), [this, from, to] { connect(from, to); });
   }
@@ -249,7 +250,7 @@
     if (!(generation & 1)) return;
     Instant& clear = r.clear[keeper * 2 + (from == owner)];
     clear = std::max(clear, now_ + ms(1 + static_cast<std::int64_t>(pick(20))));
-    // What was said on a link that broke since may arrive all the same, late, when it is a claimant's word.
+    // Kind was said on a link that broke since may arrive all the same, late, when it is a claimant's word.
     const bool strays = from == owner && one(3);
     later(clear - now_, [=, this, life = routers_[to].life, call = std::move(call)] {
       Router& at = routers_[owner];
@@ -259,17 +260,17 @@
   }
   void greet(std::size_t from, std::size_t to) {
     if (!isKeeper(from) || from == to) return;
-    const Start start = routers_[from].keeper->start();
+    const VoterIncarnation start = routers_[from].keeper->start();
     send(from, to, from, to, [=, this] {
-      const auto greeted = routers_[to].keeper->greeted(name(from), start);
+      const auto greeted = routers_[to].keeper->onGreeting(name(from), start);
       if (!greeted) return cut(from, to);
-      const Start knew = *greeted;
+      const VoterIncarnation knew = *greeted;
       write(to, [=, this] {
         send(to, from, from, to, [=, this] {
-          Keeper& keeper = *routers_[from].keeper;
-          Start told = knew;
+          VotingMember& keeper = *routers_[from].keeper;
+          VoterIncarnation told = knew;
           if (bug_ == Bug::oldTakenForNew) told = {};
-          if (keeper.heard(now_, name(to), start.number, told))
+          if (keeper.onGreetingReply(now_, name(to), start.number, told))
             write(from, [=, this] {
               for (const std::size_t k : rowsOf(from)) greet(from, k);
             });
@@ -301,14 +302,14 @@
         drain(i);
     });
   }
-  static void apply(Disk& disk, const std::vector<Keeper::Change>& changes) {
+  static void apply(Disk& disk, const std::vector<VotingMember::DiskChange>& changes) {
     for (const auto& change : changes) {
-      using What = Keeper::Change::What;
-      if (change.what == What::put) disk.entries[change.id] = change.entry;
-      if (change.what == What::drop) disk.entries.erase(change.id);
-      if (change.what == What::lists) disk.lists = change.lists;
-      if (change.what == What::voting) disk.whole = change.whole, disk.newSince = change.start.number;
-      if (change.what != What::start) continue;
+      using Kind = VotingMember::DiskChange::Kind;
+      if (change.kind == Kind::put) disk.entries[change.id] = change.entry;
+      if (change.kind == Kind::drop) disk.entries.erase(change.id);
+      if (change.kind == Kind::lists) disk.lists = change.lists;
+      if (change.kind == Kind::voting) disk.whole = change.isComplete, disk.newSince = change.start.number;
+      if (change.kind != Kind::start) continue;
       if (change.id.empty())
         disk.own.push_back(change.start);
       else
@@ -320,32 +321,33 @@
 
   void settle(std::size_t i) {
     Router& r = routers_[i];
-    for (const auto& word : r.claimant->takeWords()) {
-      const Token token{name(i), r.start, word.number};
-      const std::size_t k = rowsOf(i)[word.keeper];
+    for (const auto& word : r.claimant->takeMessages()) {
+      const ClaimToken token{name(i), r.start, word.number};
+      const std::size_t k = rowsOf(i)[word.voter];
       constexpr const char* kWords[] = {" claims ", " gives back ", " tells as committed "};
       say(word.id,
-          name(i) + kWords[static_cast<int>(word.what)] + std::to_string(word.number) + " at " + name(k));
+          name(i) + kWords[static_cast<int>(word.kind)] + std::to_string(word.number) + " at " + name(k));
       send(i, k, i, k, [=, this, life = r.life] {
-        Keeper& keeper = *routers_[k].keeper;
-        if (word.what == Claimant::Word::What::release) keeper.released(word.id, token);
-        if (word.what == Claimant::Word::What::committed) keeper.committed(now_, word.id, token, word.value);
-        if (word.what == Claimant::Word::What::claim) {
-          const auto vote = keeper.claimed(now_, word.id, token);
+        VotingMember& keeper = *routers_[k].keeper;
+        if (word.kind == ClaimCoordinator::ClaimMessage::Kind::release) keeper.onReleased(word.id, token);
+        if (word.kind == ClaimCoordinator::ClaimMessage::Kind::committed)
+          keeper.onCommitted(now_, word.id, token, word.value);
+        if (word.kind == ClaimCoordinator::ClaimMessage::Kind::claim) {
+          const auto vote = keeper.onClaim(now_, word.id, token);
           // On the connection that it came on, or not at all.
           const auto tell = [=, this](const Vote& told) {
             constexpr const char* kVotes[] = {" yours", " taken", " silent"};
-            say(word.id, name(k) + " to " + name(i) + kVotes[static_cast<int>(told.what)]);
+            say(word.id, name(k) + " to " + name(i) + kVotes[static_cast<int>(told.kind)]);
             if (routers_[i].life != life) return;
             send(k, i, i, k, [=, this] {
-              routers_[i].claimant->voted(word.keeper, word.number, told);
+              routers_[i].claimant->onVote(word.voter, word.number, told);
               settle(i);
             });
           };
           if (vote) return tell(*vote);
-          if (bug_ == Bug::toldBeforeDurable) tell({Vote::What::yours, false, ""});
+          if (bug_ == Bug::toldBeforeDurable) tell({Vote::Kind::granted, false, ""});
           return write(k, [=, this] {
-            const auto durable = routers_[k].keeper->written(word.id, token, calm_ || !one(50));
+            const auto durable = routers_[k].keeper->onWritten(word.id, token, calm_ || !one(50));
             if (durable && bug_ != Bug::toldBeforeDurable) tell(*durable);
           });
         }
@@ -354,27 +356,29 @@
     }
     for (const auto& decision : r.claimant->takeDecisions()) decided(i, decision);
   }
-  void decided(std::size_t i, const Claimant::Decision& decision) {
+  void decided(std::size_t i, const ClaimCoordinator::Decision& decision) {
     Router& r = routers_[i];
     const auto at = r.open.find(decision.txn);
     if (at == r.open.end()) return broken("decided twice");
     const std::string id = at->second;
     r.open.erase(at);
-    say(id, name(i) + " decides " + std::to_string(static_cast<int>(decision.what)) + " " +
-                std::string(decision.why));
-    using What = Claimant::Decision::What;
-    if (decision.what == What::committed) {
+    say(id, name(i) + " decides " + std::to_string(static_cast<int>(decision.kind)) + " " +
+                std::string(decision.reason));
+    using Kind = ClaimCoordinator::Decision::Kind;
+    if (decision.kind == Kind::committed) {
       ++seen_.told;
       if (!ran_[id]) broken(id + " told as committed and never ran");
       if (!decision.value.empty() && decision.value != "value of " + id)
         broken(id + " told with a wrong value");
     }
-    if (decision.what != What::admit) return over(i, decision.txn, Claimant::Fate::neverRan);
+    if (decision.kind != Kind::admit)
+      return over(i, decision.txn, ClaimCoordinator::ExecutionOutcome::neverRan);
     ++seen_.admitted;
     admits_.insert(i);
     // It is sent after a while, and what comes of it is known after another; a kill may come between.
     const TxnKey txn = decision.txn;
-    if (one(6)) return laterAt(i, ms(30), [=, this] { over(i, txn, Claimant::Fate::neverRan); });
+    if (one(6))
+      return laterAt(i, ms(30), [=, this] { over(i, txn, ClaimCoordinator::ExecutionOutcome::neverRan); });
     laterAt(i, ms(static_cast<std::int64_t>(pick(60))), [=, this] {
       const bool runs = !one(8);
       later(ms(static_cast<std::int64_t>(pick(100))), [=, this] {
@@ -384,20 +388,20 @@
         const bool answered = runs && !one(4);
         laterAt(i, ms(30), [=, this] {
           if (answered) {
-            routers_[i].claimant->commits(txn, one(3) ? "" : "value of " + id);
+            routers_[i].claimant->onCommitted(txn, one(3) ? "" : "value of " + id);
             settle(i);
           }
-          const auto fate = answered                    ? Claimant::Fate::committed
-                            : bug_ == Bug::freesUnknown ? Claimant::Fate::neverRan
-                                                        : Claimant::Fate::unknown;
+          const auto fate = answered                    ? ClaimCoordinator::ExecutionOutcome::committed
+                            : bug_ == Bug::freesUnknown ? ClaimCoordinator::ExecutionOutcome::neverRan
+                                                        : ClaimCoordinator::ExecutionOutcome::unknown;
           over(i, txn, fate);
         });
       });
     });
   }
-  void over(std::size_t i, TxnKey txn, Claimant::Fate fate) {
-    routers_[i].claimant->over(txn, fate);
-    laterAt(i, Span(), [this, i] { settle(i); });
+  void over(std::size_t i, TxnKey txn, ClaimCoordinator::ExecutionOutcome fate) {
+    routers_[i].claimant->onTransactionEnded(txn, fate);
+    laterAt(i, Duration(), [this, i] { settle(i); });
   }
   void broken(const std::string& what) {
     if (fault_.empty()) fault_ = what;
@@ -409,7 +413,7 @@
     if (repeats) ++seen_.repeats;
     std::size_t id = ids_.size();
     if (repeats) {
-      // What is repeated later than that is more than a client may do.
+      // Kind is repeated later than that is more than a client may do.
       std::size_t first = ids_.size() - 1;
       while (first > 0 && now_ - ids_[first - 1] < kRetention - ms(3000)) --first;
       id = one(2) ? ids_.size() - 1 - pick(std::min<std::size_t>(ids_.size() - first, 6))
@@ -425,7 +429,7 @@
     ++seen_.asked;
     const TxnKey txn = ++lastTxn_;
     r.open[txn] = id;
-    r.claimant->begin(now_, txn, id, ms(2000));
+    r.claimant->beginClaim(now_, txn, id, ms(2000));
     settle(i);
     laterAt(i, ms(2000), [this, i, txn, id] {
       if (routers_[i].open.contains(txn)) broken(id + " got no decision in its time");
@@ -443,7 +447,7 @@
   // An operator names another keeper, or two more, in a new list. The routers take it one by one as they are
   // restarted, some of them late.
   void changeList() {
-    List list = lists_.back();
+    VoterList list = lists_.back();
     std::vector<std::size_t> others;
     for (std::size_t j = 0; j < routers_.size(); ++j)
       if (!list.names.contains(name(j))) others.push_back(j);
@@ -458,7 +462,8 @@
       return;
     }
     for (std::size_t j = 0; j < routers_.size(); ++j)
-      if (routers_[j].list != lists_.size() - 1 || !disk(j).lists.before.empty()) return;  // one is under way
+      if (routers_[j].list != lists_.size() - 1 || !disk(j).lists.previous.empty())
+        return;  // one is under way
     ++seen_.lists;
     lists_.push_back(list);
     say("", "the list changes");
@@ -517,7 +522,7 @@
         return changeList();
     }
   }
-  void killFor(std::size_t i, Span pause) {
+  void killFor(std::size_t i, Duration pause) {
     kill(i);
     later(pause, [this, i] {
       if (!routers_[i].up) boot(i);
@@ -536,9 +541,9 @@
   Bug bug_;
   Seen& seen_;
   std::string shown_;
-  std::vector<List> lists_;  // all that there were, the newest last
+  std::vector<VoterList> lists_;  // all that there were, the newest last
   std::vector<Router> routers_;
-  Instant now_ = Instant() + Span::millis(1'000'000);
+  Instant now_ = Instant() + Duration::millis(1'000'000);
   std::uint64_t order_ = 0;
   std::priority_queue<Event> events_;
   std::vector<Instant> ids_;  // when each was asked for first
@@ -584,198 +589,202 @@
 
 // --- Step by step
 
-const Instant kBegin = Instant() + Span::millis(1'000'000);
+const Instant kBegin = Instant() + Duration::millis(1'000'000);
 
 std::string shown(const Vote& vote) {
   constexpr const char* kWhat[] = {"yours", "taken", "silent"};
-  return std::string(kWhat[static_cast<int>(vote.what)]) +
+  return std::string(kWhat[static_cast<int>(vote.kind)]) +
          (vote.committed ? " committed '" + vote.value + "'" : "");
 }
 std::string shown(const std::optional<Vote>& vote) { return vote ? shown(*vote) : "once it is durable"; }
 
-void shown(Keeper& keeper) {
+void shown(VotingMember& keeper) {
   constexpr const char* kWhat[] = {"put", "drop", "start", "voting", "node", "primary", "member", "lists"};
   std::cout << "  " << nameOf(keeper.state()) << ", start " << keeper.start().number << ", holds "
             << keeper.size();
-  for (const auto& name : keeper.unheard()) std::cout << ", waits for " << name;
+  for (const auto& name : keeper.unverifiedVoters()) std::cout << ", waits for " << name;
   std::cout << "; to disk:";
   for (const auto& change : keeper.takeChanges()) {
-    std::cout << " " << kWhat[static_cast<int>(change.what)] << " " << change.id;
-    if (change.what == Keeper::Change::What::put)
+    std::cout << " " << kWhat[static_cast<int>(change.kind)] << " " << change.id;
+    if (change.kind == VotingMember::DiskChange::Kind::put)
       std::cout << " of " << change.entry.token.router << (change.entry.committed ? " committed" : "");
-    if (change.what == Keeper::Change::What::start) std::cout << "=" << change.start.number;
-    if (change.what == Keeper::Change::What::voting) std::cout << (change.whole ? "yes" : "no");
+    if (change.kind == VotingMember::DiskChange::Kind::start) std::cout << "=" << change.start.number;
+    if (change.kind == VotingMember::DiskChange::Kind::voting)
+      std::cout << (change.isComplete ? "yes" : "no");
   }
   std::cout << "\n";
 }
 
-Kept keptBy(const List& list, std::vector<Start> own, std::vector<Entry> entries = {}) {
-  Kept kept;
+StoredState keptBy(const VoterList& list, std::vector<VoterIncarnation> own,
+                   std::vector<ClaimRecord> entries = {}) {
+  StoredState kept;
   kept.own = std::move(own);
-  kept.whole = true;
+  kept.isComplete = true;
   kept.entries = std::move(entries);
-  kept.lists.now = list;
+  kept.lists.current = list;
   return kept;
 }
-const List kThree{1, {"k1", "k2", "k3"}};
+const VoterList kThree{1, {"k1", "k2", "k3"}};
 
 void slowDisk();
 
 void keeper(std::uint64_t) {
-  KeeperBounds bounds;
+  VotingMemberLimits bounds;
   bounds.retention = ms(60'000);
-  bounds.longestValue = 8;
-  bounds.most = 4;
-  const Token a{"a", 11, 1}, b{"b", 22, 1};
-  Keeper one(kBegin, "k1", bounds, keptBy(kThree, {{4, 8}, {5, 1}}, {{"old", a, true, "v"}}));
-  std::cout << "it has started: " << shown(one.claimed(kBegin, "id1", a))
-            << "; of what it holds: " << shown(one.claimed(kBegin, "old", b)) << "\n";
+  bounds.maxValueBytes = 8;
+  bounds.maxClaims = 4;
+  const ClaimToken a{"a", 11, 1}, b{"b", 22, 1};
+  VotingMember one(kBegin, "k1", bounds, keptBy(kThree, {{4, 8}, {5, 1}}, {{"old", a, true, "v"}}));
+  std::cout << "it has started: " << shown(one.onClaim(kBegin, "id1", a))
+            << "; of what it holds: " << shown(one.onClaim(kBegin, "old", b)) << "\n";
   shown(one);
   std::cout << "an answer to an older greeting, one of a stranger, then one of its own start\n";
-  one.heard(kBegin, "k2", 4, {});
-  one.heard(kBegin, "k9", 5, {});
+  one.onGreetingReply(kBegin, "k2", 4, {});
+  one.onGreetingReply(kBegin, "k9", 5, {});
   shown(one);
-  one.heard(kBegin, "k2", 5, {4, 8});
+  one.onGreetingReply(kBegin, "k2", 5, {4, 8});
   shown(one);
-  std::cout << "a claims id1: " << shown(one.claimed(kBegin, "id1", a))
-            << "; b: " << shown(one.claimed(kBegin, "id1", b)) << "\n";
+  std::cout << "a claims id1: " << shown(one.onClaim(kBegin, "id1", a))
+            << "; b: " << shown(one.onClaim(kBegin, "id1", b)) << "\n";
   shown(one);
-  std::cout << "durable: " << shown(one.written("id1", a, true))
-            << "; a again: " << shown(one.claimed(kBegin, "id1", a)) << "\n";
+  std::cout << "durable: " << shown(one.onWritten("id1", a, true))
+            << "; a again: " << shown(one.onClaim(kBegin, "id1", a)) << "\n";
   std::cout << "b gives back what it never had, a what it has; b: ";
-  one.released("id1", b);
-  one.released("id1", a);
-  std::cout << shown(one.claimed(kBegin, "id1", b))
-            << "; not durable: " << shown(one.written("id1", b, false))
-            << "; b again: " << shown(one.claimed(kBegin, "id1", b)) << "\n";
+  one.onReleased("id1", b);
+  one.onReleased("id1", a);
+  std::cout << shown(one.onClaim(kBegin, "id1", b))
+            << "; not durable: " << shown(one.onWritten("id1", b, false))
+            << "; b again: " << shown(one.onClaim(kBegin, "id1", b)) << "\n";
   shown(one);
   std::cout << "committed by b, with a value; its end again by a release; a asks\n";
-  one.committed(kBegin, "id1", b, "value");
-  one.released("id1", b);
-  std::cout << "  " << shown(one.claimed(kBegin, "id1", a)) << "\n";
+  one.onCommitted(kBegin, "id1", b, "value");
+  one.onReleased("id1", b);
+  std::cout << "  " << shown(one.onClaim(kBegin, "id1", a)) << "\n";
   std::cout << "committed by a elsewhere, with a value that is too long\n";
-  one.committed(kBegin, "id2", a, "a value of some length");
+  one.onCommitted(kBegin, "id2", a, "a value of some length");
   shown(one);
-  std::cout << "it is full: " << shown(one.claimed(kBegin, "id3", a)) << "\n";
+  std::cout << "it is full: " << shown(one.onClaim(kBegin, "id3", a)) << "\n";
   std::cout << "after the time of retention\n";
-  one.due(kBegin + ms(60'000));
+  one.runTimers(kBegin + ms(60'000));
   shown(one);
   std::cout << "others know a start of it that its disk doesn't\n";
-  Keeper two(kBegin, "k1", bounds, keptBy(kThree, {{5, 1}}));
-  std::cout << "  to be told anew: " << two.heard(kBegin, "k2", 5, {3, 9}) << "\n";
+  VotingMember two(kBegin, "k1", bounds, keptBy(kThree, {{5, 1}}));
+  std::cout << "  to be told anew: " << two.onGreetingReply(kBegin, "k2", 5, {3, 9}) << "\n";
   shown(two);
-  two.heard(kBegin, "k2", 5, {});
-  two.heard(kBegin, "k3", 6, {3, 9});
+  two.onGreetingReply(kBegin, "k2", 5, {});
+  two.onGreetingReply(kBegin, "k3", 6, {3, 9});
   shown(two);
-  std::cout << "  " << shown(two.claimed(kBegin, "id1", a)) << "\n";
-  two.due(kBegin + ms(60'000));
+  std::cout << "  " << shown(two.onClaim(kBegin, "id1", a)) << "\n";
+  two.runTimers(kBegin + ms(60'000));
   shown(two);
-  std::cout << "others greet: knew " << two.greeted("k2", {3, 1})->number << ", then "
-            << two.greeted("k2", {2, 5})->number << ", then " << two.greeted("k2", {4, 5})->number
-            << "; a stranger " << two.greeted("k9", {4, 5})->number << "\n";
+  std::cout << "others greet: knew " << two.onGreeting("k2", {3, 1})->number << ", then "
+            << two.onGreeting("k2", {2, 5})->number << ", then " << two.onGreeting("k2", {4, 5})->number
+            << "; a stranger " << two.onGreeting("k9", {4, 5})->number << "\n";
   shown(two);
   slowDisk();
 }
 
 void slowDisk() {
-  KeeperBounds bounds;
-  bounds.mostWaiting = 2;
-  Keeper one(kBegin, "k1", bounds, keptBy({1, {"k1"}}, {{1, 1}}));
-  const Token a{"a", 11, 1};
-  std::cout << "a slow disk, two votes may wait: " << shown(one.claimed(kBegin, "w1", a)) << ", "
-            << shown(one.claimed(kBegin, "w2", a)) << ", " << shown(one.claimed(kBegin, "w3", a))
-            << ", again " << shown(one.claimed(kBegin, "w1", a));
-  std::cout << "; one is durable: " << shown(one.written("w1", a, true)) << ", "
-            << shown(one.claimed(kBegin, "w3", a)) << "\n";
+  VotingMemberLimits bounds;
+  bounds.maxPendingWrites = 2;
+  VotingMember one(kBegin, "k1", bounds, keptBy({1, {"k1"}}, {{1, 1}}));
+  const ClaimToken a{"a", 11, 1};
+  std::cout << "a slow disk, two votes may wait: " << shown(one.onClaim(kBegin, "w1", a)) << ", "
+            << shown(one.onClaim(kBegin, "w2", a)) << ", " << shown(one.onClaim(kBegin, "w3", a))
+            << ", again " << shown(one.onClaim(kBegin, "w1", a));
+  std::cout << "; one is durable: " << shown(one.onWritten("w1", a, true)) << ", "
+            << shown(one.onClaim(kBegin, "w3", a)) << "\n";
 }
 
-void shown(Claimant& claimant) {
+void shown(ClaimCoordinator& claimant) {
   constexpr const char* kWhat[] = {"admit", "committed", "roll back", "refuse"};
   constexpr const char* kWords[] = {"claim", "release", "committed"};
   for (const auto& d : claimant.takeDecisions()) {
-    std::cout << "  " << d.txn << ": " << kWhat[static_cast<int>(d.what)];
-    if (d.what == Claimant::Decision::What::committed) std::cout << " '" << d.value << "'";
-    if (d.what == Claimant::Decision::What::refuse)
-      std::cout << (d.comeBack >= ms(125) && d.comeBack <= ms(375) ? ", come back" : ", come back when?");
-    std::cout << (d.why.empty() ? "" : ", ") << d.why << "\n";
+    std::cout << "  " << d.txn << ": " << kWhat[static_cast<int>(d.kind)];
+    if (d.kind == ClaimCoordinator::Decision::Kind::committed) std::cout << " '" << d.value << "'";
+    if (d.kind == ClaimCoordinator::Decision::Kind::reject)
+      std::cout << (d.retryAfter >= ms(125) && d.retryAfter <= ms(375) ? ", come back" : ", come back when?");
+    std::cout << (d.reason.empty() ? "" : ", ") << d.reason << "\n";
   }
   std::string line;
-  for (const auto& w : claimant.takeWords())
-    line += " " + std::string(kWords[static_cast<int>(w.what)]) + " " + w.id + "/" +
-            std::to_string(w.number) + " to " + std::to_string(w.keeper) +
+  for (const auto& w : claimant.takeMessages())
+    line += " " + std::string(kWords[static_cast<int>(w.kind)]) + " " + w.id + "/" +
+            std::to_string(w.number) + " to " + std::to_string(w.voter) +
             (w.value.empty() ? "" : " '" + w.value + "'") + ";";
   if (!line.empty()) std::cout << "  said:" << line << "\n";
 }
 
 void claimant(std::uint64_t) {
-  ClaimantBounds bounds;
-  bounds.keepers = 3;
+  ClaimCoordinatorLimits bounds;
+  bounds.voterCount = 3;
   bounds.retention = ms(60'000);
-  Claimant one(bounds, 7);
-  const Vote yours{Vote::What::yours, false, ""}, taken{Vote::What::taken, false, ""}, silent{};
+  ClaimCoordinator one(bounds, 7);
+  const Vote yours{Vote::Kind::granted, false, ""}, taken{Vote::Kind::takenByOther, false, ""}, silent{};
   const auto begin = [&](TxnKey txn, const std::string& id) {
     std::cout << "txn " << txn << ", " << id << "\n";
-    one.begin(kBegin, txn, id, ms(2000));
+    one.beginClaim(kBegin, txn, id, ms(2000));
     shown(one);
   };
-  const auto vote = [&](KeeperNumber keeper, ClaimNumber number, const Vote& told) {
+  const auto vote = [&](VoterIndex keeper, ClaimNumber number, const Vote& told) {
     std::cout << " keeper " << keeper << ": " << shown(told) << "\n";
-    one.voted(keeper, number, told);
+    one.onVote(keeper, number, told);
     shown(one);
   };
-  one.reached(0, true);
+  one.setReachable(0, true);
   begin(1, "a");
-  one.reached(1, true);
+  one.setReachable(1, true);
   begin(2, "b");
   vote(0, 1, yours);
   vote(0, 1, yours);
   vote(1, 1, yours);
   vote(1, 1, taken);
-  one.commits(2, "done");
-  one.over(2, Claimant::Fate::committed);
+  one.onCommitted(2, "done");
+  one.onTransactionEnded(2, ClaimCoordinator::ExecutionOutcome::committed);
   shown(one);
-  one.reached(2, true);
+  one.setReachable(2, true);
   begin(3, "c");
   vote(0, 2, taken);
   vote(1, 2, taken);
-  vote(2, 2, {Vote::What::taken, true, "done"});
-  one.over(3, Claimant::Fate::neverRan);
+  vote(2, 2, {Vote::Kind::takenByOther, true, "done"});
+  one.onTransactionEnded(3, ClaimCoordinator::ExecutionOutcome::neverRan);
   begin(4, "d");
   vote(0, 3, taken);
   vote(1, 3, yours);
   vote(2, 3, silent);
-  one.over(4, Claimant::Fate::neverRan);
+  one.onTransactionEnded(4, ClaimCoordinator::ExecutionOutcome::neverRan);
   begin(5, "e");
   vote(2, 4, silent);
   std::cout << " keeper 1 is gone\n";
-  one.reached(1, false);
+  one.setReachable(1, false);
   shown(one);
-  one.over(5, Claimant::Fate::neverRan);
+  one.onTransactionEnded(5, ClaimCoordinator::ExecutionOutcome::neverRan);
   begin(6, "f");
   vote(0, 5, yours);
   std::cout << " time goes by\n";
-  one.due(kBegin + ms(799));
+  one.runTimers(kBegin + ms(799));
   shown(one);
-  one.due(kBegin + ms(800));
+  one.runTimers(kBegin + ms(800));
   shown(one);
   vote(2, 5, yours);
-  one.over(6, Claimant::Fate::neverRan);
-  for (const auto fate : {Claimant::Fate::neverRan, Claimant::Fate::unknown}) {
+  one.onTransactionEnded(6, ClaimCoordinator::ExecutionOutcome::neverRan);
+  for (const auto fate :
+       {ClaimCoordinator::ExecutionOutcome::neverRan, ClaimCoordinator::ExecutionOutcome::unknown}) {
     begin(7, "g");
-    const ClaimNumber number = fate == Claimant::Fate::neverRan ? 6 : 7;
+    const ClaimNumber number = fate == ClaimCoordinator::ExecutionOutcome::neverRan ? 6 : 7;
     vote(0, number, yours);
     vote(2, number, yours);
-    std::cout << " it is over, " << (fate == Claimant::Fate::unknown ? "unknown" : "never ran") << "\n";
-    one.over(7, fate);
+    std::cout << " it is over, "
+              << (fate == ClaimCoordinator::ExecutionOutcome::unknown ? "unknown" : "never ran") << "\n";
+    one.onTransactionEnded(7, fate);
     shown(one);
   }
   begin(8, "h");
   std::cout << " its client leaves\n";
-  one.over(8, Claimant::Fate::neverRan);
+  one.onTransactionEnded(8, ClaimCoordinator::ExecutionOutcome::neverRan);
   shown(one);
   begin(9, "");
   std::cout << "one that would be sent after its votes were forgotten\n";
-  one.begin(kBegin, 10, "i", ms(40'000));
+  one.beginClaim(kBegin, 10, "i", ms(40'000));
   shown(one);
   std::cout << "open: " << one.open() << "\n";
 }
--- a/tests/day.cpp
+++ b/tests/day.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-Span ms(std::int64_t n) { return Span::millis(n); }
+Duration ms(std::int64_t n) { return Duration::millis(n); }
 
 std::string freeAddress() {
   const event_loop::Descriptor held = event_loop::listenOn("127.0.0.1", 0);
@@ -92,7 +92,7 @@
 
 // A group of three nodes, its list, a program and a proxy, all on one loop.
 struct Fleet {
-  explicit Fleet(fake_servers::ProxySetup setup = {}, const std::string& more = "")
+  explicit Fleet(fake_servers::FakeProxyConfig setup = {}, const std::string& more = "")
       : discovery(loop),
         p(loop, "p", true),
         a(loop, "a", false),
@@ -101,15 +101,16 @@
         proxy(loop, with(std::move(setup), program.processor())) {
     for (auto* node : {&p, &a, &b}) list(*node, "up");
   }
-  static fake_servers::ProxySetup with(fake_servers::ProxySetup setup, const std::string& processor) {
+  static fake_servers::FakeProxyConfig with(fake_servers::FakeProxyConfig setup,
+                                            const std::string& processor) {
     setup.processor = processor;
     return setup;
   }
-  void list(fake_servers::Node& node, const std::string& state) {
+  void list(fake_servers::FakeNode& node, const std::string& state) {
     discovery.set({node.id(), node.address(), state, node.primary, 1});
   }
 
-  void ask(const std::string& type, const std::string& id, Span patience = ms(900)) {
+  void ask(const std::string& type, const std::string& id, Duration patience = ms(900)) {
     ++asked;
     if (type == "book-charge") onceOnly.insert(id);
     if (type == "own") ownReads.insert(id);
@@ -169,11 +170,11 @@
     std::cerr << asked << " asked " << committed.size() << " committed " << refused.size() << " refused\n";
   }
 
-  event_loop::Loop loop;
-  fake_servers::Discovery discovery;
-  fake_servers::Node p, a, b;
+  event_loop::EventLoop loop;
+  fake_servers::FakeDiscovery discovery;
+  fake_servers::FakeNode p, a, b;
   Program program;
-  fake_servers::Proxy proxy;
+  fake_servers::FakeProxy proxy;
   std::size_t asked = 0;
   std::map<std::string, unsigned> answers;
   std::set<std::string> onceOnly, ownReads, refused, committed;
@@ -259,7 +260,7 @@
 
 void killed() {
   // Tries are spread over the time that a program takes to start, sanitized and linked with all there is.
-  fake_servers::ProxySetup setup;
+  fake_servers::FakeProxyConfig setup;
   setup.pauseBetween = ms(200);
   Fleet f(setup);
   f.play(killedTask);
@@ -285,7 +286,7 @@
 }
 
 void request() {
-  fake_servers::ProxySetup setup;
+  fake_servers::FakeProxyConfig setup;
   setup.asksForTries = false;
   Fleet f(setup, R"(,"placement":"request")");
   f.play(requestTask);
--- a/tests/ext_proc.cpp
+++ b/tests/ext_proc.cpp
@@ -16,15 +16,15 @@
 using trace::ms;
 namespace wire = gulltrestle::ext_proc;
 namespace front = gulltrestle::downstream::ext_proc;
-using endpoint_leases::Outcome;
+using endpoint_leases::FinalOutcome;
 using wire::Phase;
 
 namespace {
 
-Terms terms() {
+RoutingConfig terms() {
   return trace::usualTerms({trace::type(ReadLevel::any), trace::type(ReadLevel::bounded),
                             trace::type(ReadLevel::session),
-                            trace::type(ReadLevel::write, Effect::onceOnly)});
+                            trace::type(ReadLevel::write, Effect::atMostOnce)});
 }
 const std::vector<std::string> kTypes{"any", "bounded", "session", "charge"};
 
@@ -33,11 +33,11 @@
 }
 
 struct Setup {
-  endpoint_leases::Placement placement = endpoint_leases::Placement::tries;
+  endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::attempts;
   endpoint_leases::MessageTime time{ms(200), ms(0)};
   std::size_t mostStreams = 100, remembered = 100;
   std::string start = "one";
-  Span toldWithin;
+  Duration toldWithin;
 };
 
 // A ledger with the front on it, and a proxy that is a test. Node p is the primary, a and b its replicas.
@@ -45,27 +45,28 @@
  public:
   explicit Processor(Setup setup = {})
       : ledger_(terms(), 7, 1 << 20, [] {}),
-        streams_(ledger_, front::Mapping({}, terms(), kTypes),
-                 endpoint_leases::Book(terms().types, setup.placement, {setup.remembered}, setup.start),
+        streams_(ledger_, front::HeaderMapping({}, terms(), kTypes),
+                 endpoint_leases::LeaseRegistry(terms().transactionClasses, setup.placement,
+                                                {setup.remembered}, setup.start),
                  {ms(1000), setup.toldWithin}, {setup.mostStreams, ms(2000), setup.time}, *this) {
-    ledger_.add(streams_.carrier());
-    ledger_.see(now_);
+    ledger_.addTransport(streams_.carrier());
+    ledger_.advanceTo(now_);
     list({"p", "a", "b"});
     heard();
   }
 
   void say(const std::string& text) { std::cout << "-- " << text << "\n"; }
   void list(const std::vector<std::string>& nodes, Health health = Health::live) {
-    std::vector<transactions::Addressed> all;
+    std::vector<transactions::ResolvedEndpoint> all;
     for (const auto& node : nodes) {
-      ListEntry entry;
+      EndpointEntry entry;
       entry.node = node;
       entry.group = 1;
       entry.primary = node == "p";
       entry.health = health;
       all.push_back({entry, addressOf(node)});
     }
-    ledger_.listed(ListKind::changes, all);
+    ledger_.onEndpointList(EndpointUpdateKind::delta, all);
     settle();
   }
   void heard() { streams_.listHeard(); }
@@ -123,7 +124,7 @@
   void pass(std::int64_t millis) {
     const Instant until = now_ + ms(millis);
     while (next_ != Instant() && next_ <= until) {
-      now_ = std::max(next_, now_ + Span::micros(1));
+      now_ = std::max(next_, now_ + Duration::micros(1));
       turn();
     }
     now_ = until;
@@ -135,7 +136,7 @@
     std::cout << "asked " << c.asked << " granted " << c.granted << " committed " << c.committed
               << " refused " << c.refused << " rolled back " << c.rolledBack << " unreported " << c.unreported
               << " misused " << c.misused << "; grants out " << streams_.grantsOut() << ", open txns "
-              << ledger_.open() << ", remembered " << streams_.remembered() << "\n";
+              << ledger_.openCount() << ", remembered " << streams_.remembered() << "\n";
   }
   const std::string& token(std::uint64_t stream) { return tokens_[stream]; }
   std::string lastNode;
@@ -144,7 +145,7 @@
 
  private:
   void turn() {
-    ledger_.see(now_);
+    ledger_.advanceTo(now_);
     streams_.endTurn();
     next_ = ledger_.endTurn();
     const Instant due = streams_.nextDue();
@@ -164,7 +165,7 @@
   void send(std::uint64_t stream, std::string_view message) override {
     const auto told = wire::readResponse(message);
     auto& out = line(stream);
-    if (told.wait > Span()) {
+    if (told.wait > Duration()) {
       out << "wait " << told.wait.inMicros() / 1000 << " ms more\n";
     } else if (told.isImmediate) {
       out << told.immediate.status;
@@ -189,10 +190,10 @@
       out << "\n";
     }
   }
-  void close(std::uint64_t stream, front::Close how, std::string_view why) override {
-    if (how != front::Close::done)
+  void close(std::uint64_t stream, front::StreamCloseReason how, std::string_view why) override {
+    if (how != front::StreamCloseReason::done)
       line(stream) << "closed (" << static_cast<int>(how) << "): " << why << "\n";
-    if (how != front::Close::done) closed_.push_back(stream);
+    if (how != front::StreamCloseReason::done) closed_.push_back(stream);
   }
   void log(std::string_view event, const std::string& fields) override {
     if (!quiet) std::cout << "log " << event << " " << fields << "\n";
@@ -202,8 +203,8 @@
   Instant now_ = kStart, next_;
   std::map<std::uint64_t, std::string> tokens_;
   std::vector<std::uint64_t> closed_;
-  transactions::Ledger ledger_;
-  front::Streams streams_;
+  transactions::TransactionTable ledger_;
+  front::RequestStreams streams_;
 };
 
 wire::Headers attempt(int count, const std::string& written = "", const std::string& token = "") {
@@ -359,7 +360,7 @@
   t.ask(16, "w4", "charge");
   t.tellCounts();
   Setup once;
-  once.placement = endpoint_leases::Placement::request;
+  once.placement = endpoint_leases::ProxyPlacement::request;
   Processor q(once);
   q.say("asked once a request: what is refused after a grant is over");
   q.ask(1, "r1", "any");
@@ -549,24 +550,25 @@
  public:
   static std::string go(bool throughProxy) {
     std::string out;
-    Terms same = terms();
-    same.hedges = false;  // this front can carry one attempt a stream
-    same.probesAllowed = false;
-    same.mostAttempts = 1;
-    transactions::Ledger ledger(same, 11, 1 << 20, [] {});
+    RoutingConfig same = terms();
+    same.hedgingAllowed = false;  // this front can carry one attempt a stream
+    same.healthChecksAllowed = false;
+    same.maxAttempts = 1;
+    transactions::TransactionTable ledger(same, 11, 1 << 20, [] {});
     Instant now = Instant::atMicros(1'700'000'000'000'000);
-    struct Node final : transactions::Carrier {  // stands for the carrier of either, and answers in order
-      transactions::Ledger& ledger;
+    struct Node final
+        : transactions::UpstreamTransport {  // stands for the carrier of either, and answers in order
+      transactions::TransactionTable& ledger;
       std::string& out;
-      std::vector<std::pair<transactions::Job, NodeId>> jobs;
-      Node(transactions::Ledger& l, std::string& o) : ledger(l), out(o) {}
-      void carry(transactions::Job job, const NodeId& node) override {
+      std::vector<std::pair<transactions::AttemptId, NodeId>> jobs;
+      Node(transactions::TransactionTable& l, std::string& o) : ledger(l), out(o) {}
+      void startAttempt(transactions::AttemptId job, const NodeId& node) override {
         out += " " + std::to_string(job.txn) + ">" + node;
         jobs.emplace_back(job, node);
       }
-      void cancel(transactions::Job, const NodeId&) override {}
-      void listed(const std::vector<NodeId>&) override {}
-      void forget(const NodeId&) override {}
+      void cancelAttempt(transactions::AttemptId, const NodeId&) override {}
+      void onEndpointList(const std::vector<NodeId>&) override {}
+      void forgetNode(const NodeId&) override {}
     };
     struct Silent final : front::Effects, downstream::postgres::Effects {
       std::string& out;
@@ -581,9 +583,9 @@
             if (value == addressOf(id) && granted.insert(stream).second)
               out += " " + std::to_string(stream) + ">" + id;
       }
-      void close(std::uint64_t, front::Close, std::string_view) override {}
+      void close(std::uint64_t, front::StreamCloseReason, std::string_view) override {}
       void log(std::string_view, const std::string&) override {}
-      void writeClient(std::uint64_t client, transactions::Parts parts) override {
+      void writeClient(std::uint64_t client, transactions::ByteSlices parts) override {
         for (const auto part : parts)
           if (part.find("53300") != part.npos)
             out += " " + std::to_string(client) + "-";
@@ -594,21 +596,23 @@
       void closeClient(std::uint64_t) override {}
     } effects(out);
     Node node(ledger, out);
-    front::Streams streams(ledger, front::Mapping({}, same, kTypes),
-                           endpoint_leases::Book(same.types, endpoint_leases::Placement::tries, {}, "one"),
-                           {ms(1000), {}}, {1000, ms(2000), {ms(5000), {}}}, effects);
-    downstream::postgres::Clients clients(ledger, node, same, kTypes, {ms(250), 0}, effects);
-    ledger.add(throughProxy ? streams.carrier() : node);
-    ledger.see(now);
-    std::vector<transactions::Addressed> all;
+    front::RequestStreams streams(
+        ledger, front::HeaderMapping({}, same, kTypes),
+        endpoint_leases::LeaseRegistry(same.transactionClasses, endpoint_leases::ProxyPlacement::attempts, {},
+                                       "one"),
+        {ms(1000), {}}, {1000, ms(2000), {ms(5000), {}}}, effects);
+    downstream::postgres::ClientSessions clients(ledger, node, same, kTypes, {ms(250), 0}, effects);
+    ledger.addTransport(throughProxy ? streams.carrier() : node);
+    ledger.advanceTo(now);
+    std::vector<transactions::ResolvedEndpoint> all;
     for (const std::string id : {"p", "a", "b"}) {
-      ListEntry entry;
+      EndpointEntry entry;
       entry.node = id;
       entry.group = 1;
       entry.primary = id == "p";
       all.push_back({entry, addressOf(id)});
     }
-    ledger.listed(ListKind::whole, all);
+    ledger.onEndpointList(EndpointUpdateKind::snapshot, all);
     clients.listKnown();
     std::knuth_b chance(5);
     std::map<std::uint64_t, Instant> open;  // by txn, and when its node answers
@@ -616,7 +620,7 @@
     std::uint64_t last = 0;
     for (int step = 0; step < 400; ++step) {
       now = now + ms(5);
-      ledger.see(now);
+      ledger.advanceTo(now);
       // What is due is answered, a twentieth of it as rejected.
       for (auto at = open.begin(); at != open.end();) {
         const bool sent = throughProxy ? effects.granted.contains(at->first)
@@ -630,8 +634,8 @@
         at = open.erase(at);
         const bool away = chance() % 20 == 0;
         const Role role = typeOf[txn] == 3 ? Role::primary : Role::replica;
-        const Instant position = now - (role == Role::primary ? Span() : ms(7));
-        const Instant rounded = Instant() + Span::millis(position.inMicros() / 1000);
+        const Instant position = now - (role == Role::primary ? Duration() : ms(7));
+        const Instant rounded = Instant() + Duration::millis(position.inMicros() / 1000);
         if (throughProxy) {
           streams.message(txn,
                           wire::request({Phase::responseHeaders,
@@ -644,7 +648,8 @@
                                                  [&](auto& j) { return j.first.txn == txn; });
                    job != node.jobs.end()) {
           if (!away) ledger.commit(txn, {});
-          ledger.ended(job->first, job->second, away ? End::rejected : End::committed, {role, rounded});
+          ledger.onAttemptEnded(job->first, job->second,
+                                away ? AttemptOutcome::rejected : AttemptOutcome::committed, {role, rounded});
         }
       }
       for (int n = static_cast<int>(chance() % 3); n > 0; --n) {
@@ -702,10 +707,10 @@
 void configurations() {
   const auto read = [](const std::string& text) {
     try {
-      const auto setup = ext_proc_server::readSetup(text);
+      const auto setup = ext_proc_server::readExtProcConfig(text);
       std::cout << "listens on " << setup.listen.host << ":" << setup.listen.port << ", "
-                << (setup.placement == endpoint_leases::Placement::tries ? "try" : "request") << ", timeout "
-                << setup.streams.messageTime.timeout.inMicros() / 1000 << " to "
+                << (setup.placement == endpoint_leases::ProxyPlacement::attempts ? "try" : "request")
+                << ", timeout " << setup.streams.messageTime.timeout.inMicros() / 1000 << " to "
                 << setup.streams.messageTime.most.inMicros() / 1000 << " ms, " << setup.streams.mostStreams
                 << " streams, id in " << setup.headers.id << "\n";
     } catch (const std::exception& bad) { std::cout << bad.what() << "\n"; }
--- a/tests/fleet/cases.h
+++ b/tests/fleet/cases.h
@@ -9,11 +9,11 @@
 
 namespace gulltrestle::fleet {
 
-constexpr Span kTick = Span::millis(2);
+constexpr Duration kTick = Duration::millis(2);
 // Nothing takes so long unless it is wedged.
-constexpr Span kBound = Span::millis(60'000);
+constexpr Duration kBound = Duration::millis(60'000);
 
-// What plays on a loop of its own, and the first thing that broke in it.
+// Kind plays on a loop of its own, and the first thing that broke in it.
 class Scene {
  protected:
   void broken(const std::string& what) {
@@ -35,7 +35,7 @@
               });
   }
 
-  event_loop::Loop loop_;
+  event_loop::EventLoop loop_;
   std::string fault_;
 };
 
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-enum class Trouble {
+enum class FaultKind {
   powerAll,
   powerAllButOne,
   powerInAWave,
@@ -60,7 +60,7 @@
 constexpr int kKinds = 19;
 
 // How long clients repeat an id: what the time of retention, 4 s here, allows with their wait of 1 s.
-constexpr Span kRepeats = Span::millis(2500);
+constexpr Duration kRepeats = Duration::millis(2500);
 
 struct Sum {
   std::uint64_t asked = 0, committed = 0, refused = 0, rolledBack = 0, none = 0, ran = 0, losses = 0;
@@ -68,7 +68,7 @@
 
 class World : private Scene {
  public:
-  World(std::uint64_t seed, Trouble trouble, Shape shape, Sum& sum)
+  World(std::uint64_t seed, FaultKind trouble, Shape shape, Sum& sum)
       : rig_(loop_, seed, shape), trouble_(trouble), settles_(shape.settles), sum_(sum) {}
 
   std::string play(int rounds) {
@@ -79,10 +79,10 @@
     for (std::size_t row = 0; row < rig_.rows(); ++row) {
       const Asked& asked = rig_.asked(row);
       ++sum_.asked;
-      ++(asked.outcome == Outcome::committed    ? sum_.committed
-         : asked.outcome == Outcome::refused    ? sum_.refused
-         : asked.outcome == Outcome::rolledBack ? sum_.rolledBack
-                                                : sum_.none);
+      ++(asked.outcome == FinalOutcome::committed    ? sum_.committed
+         : asked.outcome == FinalOutcome::refused    ? sum_.refused
+         : asked.outcome == FinalOutcome::rolledBack ? sum_.rolledBack
+                                                     : sum_.none);
     }
     sum_.ran += rig_.writes();
     return fault_;
@@ -103,7 +103,7 @@
       const std::size_t row = rig_.ask(rig_.pick(rig_.routers()), id);
       // One that was stopped answers when it goes on; its client asks elsewhere meanwhile.
       while (!rig_.asked(row).over && rig_.isUp(rig_.asked(row).router)) co_await tick();
-      const bool refused = rig_.asked(row).outcome == Outcome::none;
+      const bool refused = rig_.asked(row).outcome == FinalOutcome::none;
       co_await loop_.sleepUntil(loop_.now() + (refused ? kTick * 5 : kTick));
     }
   }
@@ -120,7 +120,7 @@
         if (serving.contains(i)) continue;
         const std::size_t row = rig_.ask(i, "new" + std::to_string(++probes_));
         while (!rig_.asked(row).over) co_await tick();
-        if (rig_.asked(row).outcome == Outcome::committed) serving.insert(i);
+        if (rig_.asked(row).outcome == FinalOutcome::committed) serving.insert(i);
         if (const std::string died = rig_.died(); !died.empty()) broken(died);
         co_await tick();
       }
@@ -138,13 +138,13 @@
       for (const std::size_t i : order)
         if (i != one) others.push_back(i);
       switch (trouble_) {
-        case Trouble::powerAll:
+        case FaultKind::powerAll:
           lose(order);
           break;
-        case Trouble::powerAllButOne:
+        case FaultKind::powerAllButOne:
           lose(others);
           break;
-        case Trouble::powerInAWave:
+        case FaultKind::powerInAWave:
           for (const std::size_t i : order) {
             lose({i});
             const std::size_t rows = rig_.rows() + rig_.pick(6);
@@ -152,7 +152,7 @@
             while (!waited(rig_.rows() >= rows, until, "questions")) co_await tick();
           }
           break;
-        case Trouble::powerAgainWhileStarting:
+        case FaultKind::powerAgainWhileStarting:
           lose(order);
           for (int again = 0; again < 2; ++again) {
             std::map<std::size_t, std::size_t> before;
@@ -167,7 +167,7 @@
             lose(order);
           }
           break;
-        case Trouble::powerBetweenRunAndAnswer: {
+        case FaultKind::powerBetweenRunAndAnswer: {
           bool lost = false;
           rig_.node().onWrite = [&](const std::string&) {
             if (!std::exchange(lost, true)) lose(order);
@@ -177,7 +177,7 @@
           rig_.node().onWrite = nullptr;
           break;
         }
-        case Trouble::answersLost: {
+        case FaultKind::answersLost: {
           rig_.node().swallowAnswers = true;
           const std::uint64_t some = rig_.writes() + 5;
           const Instant until = loop_.now() + kBound;
@@ -186,37 +186,37 @@
           rig_.node().swallowAnswers = false;
           break;
         }
-        case Trouble::stoppedThroughIt:
+        case FaultKind::stoppedThroughIt:
           rig_.stop(one);
           lose(others);
           break;
-        case Trouble::onePairCut:
+        case FaultKind::onePairCut:
           if (one < rig_.keepers()) rig_.flow((one + 1) % rig_.keepers(), one, Flow::cut);
           rig_.flow(one, one < rig_.keepers() ? (one + 1) % rig_.keepers() : keeper, Flow::cut);
           break;
-        case Trouble::hearsAndIsNotHeard:
-        case Trouble::isHeardAndDoesNotHear:
+        case FaultKind::hearsAndIsNotHeard:
+        case FaultKind::isHeardAndDoesNotHear:
           for (std::size_t k = 0; k < rig_.keepers(); ++k)
-            rig_.flow(one, k, trouble_ == Trouble::hearsAndIsNotHeard ? Flow::deafThere : Flow::deafBack);
+            rig_.flow(one, k, trouble_ == FaultKind::hearsAndIsNotHeard ? Flow::deafThere : Flow::deafBack);
           break;
-        case Trouble::halves:
+        case FaultKind::halves:
           for (std::size_t i = 0; i < rig_.routers(); ++i)
             for (std::size_t k = 0; k < rig_.keepers(); ++k)
               if ((i < rig_.keepers() ? i == 0 : i % 2 == 1) != (k == 0)) rig_.flow(i, k, Flow::cut);
           break;
-        case Trouble::oneOfAllLeft:
+        case FaultKind::oneOfAllLeft:
           lose(others);
           break;
-        case Trouble::oneNeverReturns:
+        case FaultKind::oneNeverReturns:
           lose({keeper});
           without_ = {keeper};
           break;
-        case Trouble::diskLost:
+        case FaultKind::diskLost:
           rig_.kill(keeper);
           std::filesystem::remove_all(rig_.folder(keeper));
           std::filesystem::create_directory(rig_.folder(keeper));
           break;
-        case Trouble::diskOfAnother: {
+        case FaultKind::diskOfAnother: {
           const std::size_t other = (keeper + 1) % rig_.keepers();
           lose({keeper, other});
           swap(keeper, other);
@@ -228,7 +228,7 @@
           swap(keeper, other);
           break;
         }
-        case Trouble::oldListAfterADrain: {
+        case FaultKind::oldListAfterADrain: {
           rig_.list(++listVersion_, "draining");
           for (const std::size_t i : order) {
             const std::string line = "list version " + std::to_string(listVersion_) + ":";
@@ -251,14 +251,14 @@
           }
           break;
         }
-        case Trouble::powerAllAndNode:
+        case FaultKind::powerAllAndNode:
           lose(order);
           rig_.losePowerOfNode();
           break;
-        case Trouble::powerOfTheNode:
+        case FaultKind::powerOfTheNode:
           rig_.losePowerOfNode();
           break;
-        case Trouble::diskTorn:
+        case FaultKind::diskTorn:
           rig_.kill(keeper);
           spoil(rig_.folder(keeper) + "/claims.db");
           break;
@@ -269,11 +269,12 @@
       const std::size_t rows = rig_.rows() + 12 + rig_.pick(12);
       const Instant until = loop_.now() + kBound;
       while (!waited(rig_.rows() >= rows, until, "questions")) co_await tick();
-      // What had been admitted before may still run.
-      for (std::size_t n = idsAtLoss_; trouble_ == Trouble::oneOfAllLeft && settles_ && n < ids_.size(); ++n)
+      // Kind had been admitted before may still run.
+      for (std::size_t n = idsAtLoss_; trouble_ == FaultKind::oneOfAllLeft && settles_ && n < ids_.size();
+           ++n)
         if (rig_.ran(ids_[n].first) > 0) broken("a minority ran a txn");
 
-      if (trouble_ == Trouble::oldListAfterADrain) {
+      if (trouble_ == FaultKind::oldListAfterADrain) {
         if (rig_.writes() != writesBefore) broken("sent to a node that was drained");
         rig_.list(listVersion_ += 2, "up");
       }
@@ -319,7 +320,7 @@
   }
 
   Rig rig_;
-  Trouble trouble_;
+  FaultKind trouble_;
   bool settles_;
   Sum& sum_;
   std::vector<std::pair<std::string, Instant>> ids_;  // when each was asked for first
@@ -336,9 +337,9 @@
   return shape;
 }
 
-std::string played(std::uint64_t seed, Trouble trouble, Shape shape, Sum& sum) {
-  if (trouble >= Trouble::powerAllAndNode && shape.node == Syncs::never) shape.node = Syncs::always;
-  const bool spoilsDisk = trouble >= Trouble::oneNeverReturns && trouble <= Trouble::diskTorn;
+std::string played(std::uint64_t seed, FaultKind trouble, Shape shape, Sum& sum) {
+  if (trouble >= FaultKind::powerAllAndNode && shape.node == Syncs::never) shape.node = Syncs::always;
+  const bool spoilsDisk = trouble >= FaultKind::oneNeverReturns && trouble <= FaultKind::diskTorn;
   World world(seed, trouble, shape, sum);
   const std::string fault = world.play(spoilsDisk ? 1 : 2);
   if (!fault.empty())
@@ -361,7 +362,7 @@
     std::string fault;
     const auto began = std::time(nullptr);
     for (std::uint64_t seed = from; seed < from + seeds && fault.empty(); ++seed)
-      fault = played(seed + static_cast<std::uint64_t>(kind) * 7, static_cast<Trouble>(kind),
+      fault = played(seed + static_cast<std::uint64_t>(kind) * 7, static_cast<FaultKind>(kind),
                      shapeOf(seed + static_cast<std::uint64_t>(kind)), sum);
     std::cout << kTroubles[kind] << ": "
               << (fault.empty() ? "nothing ran twice, one answer each, all serve again" : fault) << "\n";
@@ -374,10 +375,11 @@
 
 // A verdict that can't fail shows nothing: routers that settle nothing, and a disk that lies, must be found.
 int bugs(std::uint64_t seeds, std::uint64_t from) {
-  const auto found = [&](const char* what, Trouble trouble, Shape shape, const char* expected = "ran twice") {
+  const auto found = [&](const char* what, FaultKind trouble, Shape shape,
+                         const char* expected = "ran twice") {
     Sum sum;
     std::string fault;
-    // What it is built in for: routers that settle nothing may also run a txn twice before that shows.
+    // Kind it is built in for: routers that settle nothing may also run a txn twice before that shows.
     for (std::uint64_t seed = from; seed < from + seeds && !fault.starts_with(expected); ++seed)
       fault = played(seed, trouble, shape, sum);
     std::cout << what << ": "
@@ -385,16 +387,16 @@
   };
   Shape alone;
   alone.settles = false;
-  found("routers that settle nothing among themselves", Trouble::powerAll, alone);
-  found("routers that tell each other nothing of drains", Trouble::oldListAfterADrain, alone,
+  found("routers that settle nothing among themselves", FaultKind::powerAll, alone);
+  found("routers that tell each other nothing of drains", FaultKind::oldListAfterADrain, alone,
         "sent to a node that was drained");
   Shape forgetful;
   forgetful.node = Syncs::lies;
-  found("a node that acknowledges what it has not synced", Trouble::powerAllAndNode, forgetful,
+  found("a node that acknowledges what it has not synced", FaultKind::powerAllAndNode, forgetful,
         "told as committed and not in the node's log");
   Shape lying;
   lying.lyingDisk = true;
-  found("disks that say that they synced and did not", Trouble::powerAll, lying);
+  found("disks that say that they synced and did not", FaultKind::powerAll, lying);
   return 0;
 }
 
@@ -410,7 +412,7 @@
   if (name == "trouble") {  // one alone, as standard error names it: its number from 0, and the seed
     Sum sum;
     const auto kind = argument(2, 0), seed = argument(3, 1);
-    const std::string fault = played(seed, static_cast<Trouble>(kind), shapeOf(seed - kind * 6), sum);
+    const std::string fault = played(seed, static_cast<FaultKind>(kind), shapeOf(seed - kind * 6), sum);
     std::cout << kTroubles[kind] << ": " << (fault.empty() ? "holds" : fault) << "\n";
     return fault.empty() ? 0 : 1;
   }
--- a/tests/fleet/grants.cpp
+++ b/tests/fleet/grants.cpp
@@ -18,10 +18,10 @@
       : discovery_(loop_), node_(loop_, "p", true), rig_(loop_, 1, shape(settles)), settles_(settles) {
     discovery_.set({node_.id(), node_.address(), "up", true, 1});
     for (std::size_t i = 0; i < 2; ++i) {
-      fake_servers::ProxySetup setup;
+      fake_servers::FakeProxyConfig setup;
       setup.processor = rig_.processor(i);
-      setup.messageTimeout = Span::millis(2000);
-      proxies_.push_back(std::make_unique<fake_servers::Proxy>(loop_, setup));
+      setup.messageTimeout = Duration::millis(2000);
+      proxies_.push_back(std::make_unique<fake_servers::FakeProxy>(loop_, setup));
       proxies_[i]->faults.neverReport = [this] { return quiet_; };
     }
   }
@@ -42,7 +42,7 @@
     ++open_;
     proxies_[router]->ask(
         {{":method", "POST"}, {"x-txn-id", id}, {"x-txn-type", "book-charge"}, {"x-txn-group", "1"}}, true,
-        Span::millis(900), [this](fake_servers::Answer answer) {
+        Duration::millis(900), [this](fake_servers::Answer answer) {
           --open_;
           committed_ += answer.outcome == "committed" || answer.status == 200;
         });
@@ -96,18 +96,18 @@
     loop_.stop();
   }
 
-  event_loop::Loop loop_;
-  fake_servers::Discovery discovery_;
-  fake_servers::Node node_;
+  event_loop::EventLoop loop_;
+  fake_servers::FakeDiscovery discovery_;
+  fake_servers::FakeNode node_;
   Rig rig_;
   bool settles_;
-  std::vector<std::unique_ptr<fake_servers::Proxy>> proxies_;
+  std::vector<std::unique_ptr<fake_servers::FakeProxy>> proxies_;
   bool quiet_ = false;  // proxies tell nothing of what became of a grant
   std::size_t open_ = 0;
   std::uint64_t committed_ = 0, probes_ = 0;
 };
 
-// What settling costs: the time of a once-only txn, connection included, alone and at several at a time,
+// Kind settling costs: the time of a once-only txn, connection included, alone and at several at a time,
 // spread over three routers. A measurement, no test.
 class Price {
  public:
@@ -129,7 +129,7 @@
     rig_.startAll();
     for (std::size_t row = rig_.ask(0, "first");; row = rig_.ask(0, "first" + std::to_string(row))) {
       while (!rig_.asked(row).over) co_await loop_.sleepUntil(loop_.now() + kTick);
-      if (rig_.asked(row).outcome == Outcome::committed && row > 300) break;
+      if (rig_.asked(row).outcome == FinalOutcome::committed && row > 300) break;
     }
     for (const std::size_t together : {1, 10, 50}) {
       const std::size_t from = rig_.rows(), count = together == 1 ? 1000 : 5000;
@@ -139,14 +139,14 @@
           rig_.ask(n % 3, "t" + std::to_string(together) + "n" + std::to_string(n));
           ++n;
         }
-        co_await loop_.sleepUntil(loop_.now() + Span::micros(200));
+        co_await loop_.sleepUntil(loop_.now() + Duration::micros(200));
       }
       const double seconds = (loop_.now() - began).inSeconds();
       std::vector<double> took;
       std::size_t committed = 0;
       for (std::size_t row = from; row < rig_.rows(); ++row) {
         took.push_back(rig_.asked(row).took.inSeconds() * 1000);
-        committed += rig_.asked(row).outcome == Outcome::committed;
+        committed += rig_.asked(row).outcome == FinalOutcome::committed;
       }
       std::sort(took.begin(), took.end());
       std::cout << (settles_ ? std::to_string(rig_.keepers()) + " keepers" : "nothing settled") << ", "
@@ -157,7 +157,7 @@
     loop_.stop();
   }
 
-  event_loop::Loop loop_;
+  event_loop::EventLoop loop_;
   Rig rig_;
   bool settles_;
 };
--- a/tests/fleet/last.cpp
+++ b/tests/fleet/last.cpp
@@ -26,12 +26,12 @@
         caughtUp_(loop_, "s", false),
         rig_(loop_, 1, shape()),
         tells_(tells) {
-    behind_.lag = Span::millis(3'600'000);
+    behind_.lag = Duration::millis(3'600'000);
     for (std::size_t i = 0; i < rig_.routers(); ++i) {
-      fake_servers::ProxySetup setup;
+      fake_servers::FakeProxyConfig setup;
       setup.processor = rig_.processor(i);
-      setup.messageTimeout = Span::millis(2000);
-      proxies_.push_back(std::make_unique<fake_servers::Proxy>(loop_, setup));
+      setup.messageTimeout = Duration::millis(2000);
+      proxies_.push_back(std::make_unique<fake_servers::FakeProxy>(loop_, setup));
     }
     for (const auto* node : {&primary_, &behind_, &caughtUp_})
       discovery_.set({node->id(), node->address(), "up", node == &primary_, 1});
@@ -62,10 +62,11 @@
       headers.push_back({"x-txn-session", "driver-7"});
       headers.push_back({"x-txn-write-age-ms", "5000"});
     }
-    proxies_[router]->ask(headers, false, Span::millis(900), [this, ofSession](fake_servers::Answer answer) {
-      --open_;
-      (ofSession ? ofSession_ : any_) += answer.outcome == "committed" || answer.status == 200;
-    });
+    proxies_[router]->ask(
+        headers, false, Duration::millis(900), [this, ofSession](fake_servers::Answer answer) {
+          --open_;
+          (ofSession ? ofSession_ : any_) += answer.outcome == "committed" || answer.status == 200;
+        });
   }
   std::size_t ranBehind() const {
     return static_cast<std::size_t>(std::count_if(behind_.runs.begin(), behind_.runs.end(),
@@ -86,7 +87,7 @@
     for (std::size_t i = 0; i < rig_.routers(); ++i) all.push_back(i);
     rig_.losePower(all);
     primary_.down = caughtUp_.down = true;
-    if (tells_) behind_.lag = Span::millis(2);
+    if (tells_) behind_.lag = Duration::millis(2);
     rig_.startAll();
     by = loop_.now() + kBound;
     const auto anyBefore = any_, sessionBefore = ofSession_;
@@ -109,11 +110,11 @@
     loop_.stop();
   }
 
-  fake_servers::Discovery discovery_;
-  fake_servers::Node primary_, behind_, caughtUp_;
+  fake_servers::FakeDiscovery discovery_;
+  fake_servers::FakeNode primary_, behind_, caughtUp_;
   Rig rig_;
   bool tells_;
-  std::vector<std::unique_ptr<fake_servers::Proxy>> proxies_;
+  std::vector<std::unique_ptr<fake_servers::FakeProxy>> proxies_;
   std::size_t open_ = 0;
   std::uint64_t any_ = 0, ofSession_ = 0, ids_ = 0;
 };
--- a/tests/fleet/members.cpp
+++ b/tests/fleet/members.cpp
@@ -91,7 +91,7 @@
     for (int n = 0; n < 20; ++n) {
       const std::size_t row = rig_.ask(4, id());
       while (!rig_.asked(row).over) co_await tick();
-      if (rig_.asked(row).outcome == Outcome::committed) broken("one off the list ran a txn");
+      if (rig_.asked(row).outcome == FinalOutcome::committed) broken("one off the list ran a txn");
     }
     for (auto wait = serve({0, 1, 2, 3}); wait.goesOn();) co_await tick();
     rig_.belong({0, 1, 2, 3, 4});
@@ -113,7 +113,7 @@
     for (int n = 0; n < 20; ++n) {
       const std::size_t row = rig_.ask(3, id());
       while (!rig_.asked(row).over) co_await tick();
-      if (rig_.asked(row).outcome == Outcome::committed) broken("a start that was superseded ran a txn");
+      if (rig_.asked(row).outcome == FinalOutcome::committed) broken("a start that was superseded ran a txn");
     }
     for (auto wait = serve({0, 1, 2, 4, twin}); wait.goesOn();) co_await tick();
     loop_.stop();
@@ -163,7 +163,7 @@
   std::vector<std::size_t> all() const { return {0, 1, 2, 3, 4}; }
   std::string id() { return "m" + std::to_string(++ids_); }
 
-  // What is waited for, looked at every few milliseconds; what does not come is a fault.
+  // Kind is waited for, looked at every few milliseconds; what does not come is a fault.
   struct Wait {
     Members& members;
     std::function<bool()> come;
@@ -184,7 +184,7 @@
     while (!waited(committed, by, "a router that serves")) {
       const std::size_t row = rig_.ask(router, id());
       while (!rig_.asked(row).over) co_await tick();
-      committed = rig_.asked(row).outcome == Outcome::committed;
+      committed = rig_.asked(row).outcome == FinalOutcome::committed;
       co_await tick();
     }
     ++*done;
@@ -201,7 +201,7 @@
       const bool repeats = asked_.size() > 0 && rig_.pick(3) > 0;
       if (!repeats) asked_.push_back({id(), loop_.now()});
       std::size_t first = asked_.size() - 1;
-      while (first > 0 && loop_.now() - asked_[first - 1].second < Span::millis(2500)) --first;
+      while (first > 0 && loop_.now() - asked_[first - 1].second < Duration::millis(2500)) --first;
       const std::size_t among = asked_.size() - first;
       const std::string& what = asked_[asked_.size() - 1 - (repeats ? rig_.pick(among) : 0)].first;
       const std::size_t row = rig_.ask(rig_.pick(rig_.routers()), what);
@@ -245,7 +245,7 @@
   }
 
  private:
-  static constexpr Span kMeasured = Span::millis(20'000);
+  static constexpr Duration kMeasured = Duration::millis(20'000);
   static Shape shape(std::size_t routers) {
     Shape made;
     made.routers = routers;
@@ -307,7 +307,7 @@
     tell("another router", rig_.routers() - 5, othersBefore, others);
     loop_.stop();
   }
-  static constexpr Span kLook = Span::millis(200);
+  static constexpr Duration kLook = Duration::millis(200);
   Rig rig_;
 };
 
--- a/tests/fleet/node_main.cpp
+++ b/tests/fleet/node_main.cpp
@@ -8,7 +8,7 @@
   using namespace gulltrestle;
   if (count != 5) return 2;
   try {
-    event_loop::Loop loop;
+    event_loop::EventLoop loop;
     fleet::PgNode node(loop, words[1], static_cast<unsigned short>(std::stoul(words[2])), words[3],
                        std::string(words[4]) == "lies" ? fleet::Syncs::lies : fleet::Syncs::always);
     loop.run([](Instant) { return Instant(); },
--- a/tests/fleet/pg_node.cpp
+++ b/tests/fleet/pg_node.cpp
@@ -50,8 +50,8 @@
   return ids;
 }
 
-PgNode::PgNode(event_loop::Loop& loop, const std::string& host, unsigned short port, const std::string& file,
-               Syncs syncs)
+PgNode::PgNode(event_loop::EventLoop& loop, const std::string& host, unsigned short port,
+               const std::string& file, Syncs syncs)
     : loop_(loop), file_(file), syncs_(syncs), ran_(readLog(file)) {
   log_ = event_loop::Descriptor(::open(file.c_str(), O_WRONLY | O_CREAT, 0600));
   if (!log_ || ftruncate(log_.number(), static_cast<off_t>(sizeOf(ran_))) != 0 ||
--- a/tests/fleet/pg_node.h
+++ b/tests/fleet/pg_node.h
@@ -9,14 +9,14 @@
 
 namespace gulltrestle::fleet {
 
-// What a disk does with a log: `lies` says that it synced and did not.
+// Kind a disk does with a log: `lies` says that it synced and did not.
 enum class Syncs { never, always, lies };
 
 class PgNode {
  public:
-  // What the log holds already has run; a line that is torn at its end is cut off. FILE.synced tells how far
+  // Kind the log holds already has run; a line that is torn at its end is cut off. FILE.synced tells how far
   // it was synced, for whoever takes the power. Throws std::system_error.
-  PgNode(event_loop::Loop& loop, const std::string& host, unsigned short port, const std::string& file,
+  PgNode(event_loop::EventLoop& loop, const std::string& host, unsigned short port, const std::string& file,
          Syncs syncs);
 
   std::string address() const { return address_; }
@@ -29,7 +29,7 @@
   event_loop::Task serve(event_loop::Descriptor descriptor);
   bool log(const std::string& id);
 
-  event_loop::Loop& loop_;
+  event_loop::EventLoop& loop_;
   std::string address_, file_;
   Syncs syncs_;
   event_loop::Descriptor log_;
--- a/tests/fleet/returns.cpp
+++ b/tests/fleet/returns.cpp
@@ -1,5 +1,5 @@
 // All routers lose power after a change of primary. The list that comes first is older and names the old
-// primary, which still believes in itself; the new one is not there yet. What was written to the old one now
+// primary, which still believes in itself; the new one is not there yet. Kind was written to the old one now
 // would be lost. Judged by the nodes' own counts.
 #include <algorithm>
 #include <iostream>
@@ -27,10 +27,10 @@
         settles_(settles),
         forced_(forced) {
     for (std::size_t i = 0; i < rig_.routers(); ++i) {
-      fake_servers::ProxySetup setup;
+      fake_servers::FakeProxyConfig setup;
       setup.processor = rig_.processor(i);
-      setup.messageTimeout = Span::millis(2000);
-      proxies_.push_back(std::make_unique<fake_servers::Proxy>(loop_, setup));
+      setup.messageTimeout = Duration::millis(2000);
+      proxies_.push_back(std::make_unique<fake_servers::FakeProxy>(loop_, setup));
     }
   }
   bool play() {
@@ -57,7 +57,7 @@
                            {"x-txn-id", id},
                            {"x-txn-type", isWrite ? "book-charge" : "route-lookup"},
                            {"x-txn-group", "1"}},
-                          isWrite, Span::millis(900), [this, isWrite](fake_servers::Answer answer) {
+                          isWrite, Duration::millis(900), [this, isWrite](fake_servers::Answer answer) {
                             --open_;
                             const bool committed = answer.outcome == "committed" || answer.status == 200;
                             (isWrite ? writes_ : reads_) += committed;
@@ -179,11 +179,11 @@
                                                   [](const auto& run) { return run.first[0] == 'w'; }));
   }
 
-  fake_servers::Discovery discovery_;
-  fake_servers::Node old_, new_;
+  fake_servers::FakeDiscovery discovery_;
+  fake_servers::FakeNode old_, new_;
   Rig rig_;
   bool settles_, forced_;
-  std::vector<std::unique_ptr<fake_servers::Proxy>> proxies_;
+  std::vector<std::unique_ptr<fake_servers::FakeProxy>> proxies_;
   std::size_t open_ = 0;
   std::uint64_t writes_ = 0, reads_ = 0, ids_ = 0;
 };
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -41,7 +41,7 @@
 // A client waits for its answer for so long in the protocol; far longer here, so that a busy machine is not
 // taken for a lost answer.
 constexpr int kPatienceMs = 1000;
-constexpr Span kWedged = Span::millis(20'000);
+constexpr Duration kWedged = Duration::millis(20'000);
 
 unsigned short portOf(int descriptor) {
   sockaddr_in address{};
@@ -80,7 +80,8 @@
   std::vector<event_loop::Stream*> streams;  // to wake when the flow changes
 };
 
-Rig::Rig(event_loop::Loop& loop, std::uint64_t seed, Shape shape) : chance(seed), loop_(loop), shape_(shape) {
+Rig::Rig(event_loop::EventLoop& loop, std::uint64_t seed, Shape shape)
+    : chance(seed), loop_(loop), shape_(shape) {
   path_ = scratchFolder("fleet");
   const auto listen = [&](auto serve) {
     event_loop::Descriptor made = event_loop::listenOn(kHost, 0);
@@ -378,7 +379,7 @@
   // Both ends are looked at whenever either has changed.
   while (!there.canWrite() && !there.hungUp()) {
     if (relay.flow == Flow::cut) co_return;
-    co_await loop_.sleepUntil(loop_.now() + Span::millis(2));
+    co_await loop_.sleepUntil(loop_.now() + Duration::millis(2));
   }
   if (!event_loop::isConnected(there.descriptor())) co_return;
   for (;;) {
@@ -387,7 +388,7 @@
     if (relay.flow != Flow::deafThere && !write(there, out)) co_return;
     if (relay.flow != Flow::deafBack && !write(here, back)) co_return;
     if (ends) co_return;
-    co_await loop_.sleepUntil(loop_.now() + Span::millis(1));
+    co_await loop_.sleepUntil(loop_.now() + Duration::millis(1));
   }
 }
 
@@ -518,12 +519,13 @@
       while (const auto message = postgres::takeMessage(bytes, kLongest)) {
         if (message->type == 'Z' && !std::exchange(welcomed, true)) continue;
         if (message->type == 'D') asked->value = std::string(message->body.substr(6));
-        if (message->type == 'C') asked->outcome = Outcome::committed;
+        if (message->type == 'C') asked->outcome = FinalOutcome::committed;
         if (message->type == 'E') {
           const std::string code(postgres::readError(message->body).code);
-          asked->outcome = code == "53300" || code == "57P03" ? Outcome::refused : Outcome::rolledBack;
+          asked->outcome =
+              code == "53300" || code == "57P03" ? FinalOutcome::refused : FinalOutcome::rolledBack;
         }
-        answered = asked->outcome != Outcome::none && (message->type == 'Z' || message->type == 'E');
+        answered = asked->outcome != FinalOutcome::none && (message->type == 'Z' || message->type == 'E');
         if (answered) break;
       }
       kept.erase(0, kept.size() - bytes.size());
@@ -549,12 +551,12 @@
     if (times > 1) return "ran twice: " + id;
   std::map<std::string, bool> mayHaveRun;  // by an answer, or by none
   for (const auto& asked : book_) {
-    if (asked->outcome == Outcome::none && !asked->excused) return "no final answer: " + asked->id;
-    if (asked->outcome == Outcome::committed && !runs.contains(asked->id))
+    if (asked->outcome == FinalOutcome::none && !asked->excused) return "no final answer: " + asked->id;
+    if (asked->outcome == FinalOutcome::committed && !runs.contains(asked->id))
       return "told as committed and not in the node's log: " + asked->id;
-    if (asked->outcome == Outcome::committed && asked->value != "value of " + asked->id)
+    if (asked->outcome == FinalOutcome::committed && asked->value != "value of " + asked->id)
       return "a wrong value: " + asked->id;
-    if (asked->outcome != Outcome::refused) mayHaveRun[asked->id] = true;
+    if (asked->outcome != FinalOutcome::refused) mayHaveRun[asked->id] = true;
   }
   for (const auto& [id, times] : runs)
     if (!mayHaveRun[id]) return "ran, and all were told that it did not: " + id;
--- a/tests/fleet/rig.h
+++ b/tests/fleet/rig.h
@@ -1,6 +1,6 @@
 // A fleet of real processes of the program on loopback: routers, some of them keepers, a relay on every link
 // between them, a stand-in node that logs what ran, discovery, and clients that repeat their ids anywhere.
-// Everything but the routers lives in this process, on one loop. What was seen is judged afterwards, by the
+// Everything but the routers lives in this process, on one loop. Kind was seen is judged afterwards, by the
 // node's log and the clients' books alone.
 #pragma once
 
@@ -34,21 +34,21 @@
   std::string discovery;   // of stand-in nodes that speak HTTP: routers are external processors for them
 };
 
-enum class Outcome { committed, refused, rolledBack, none };
+enum class FinalOutcome { committed, refused, rolledBack, none };
 
 struct Asked {  // in a client's book
   std::string id, value;
   std::size_t router = 0;
-  Outcome outcome = Outcome::none;
+  FinalOutcome outcome = FinalOutcome::none;
   bool over = false, excused = false;  // excused: its router was killed or stopped meanwhile
-  Span took;
+  Duration took;
 };
 
 enum class Flow { open, cut, deafThere, deafBack };  // of a relay: deaf: what is sent that way waits
 
 class Rig {
  public:
-  Rig(event_loop::Loop& loop, std::uint64_t seed, Shape shape);
+  Rig(event_loop::EventLoop& loop, std::uint64_t seed, Shape shape);
   ~Rig();
 
   std::mt19937_64 chance;
@@ -94,7 +94,7 @@
   void flowAll(Flow how);
 
   // --- The node and its list
-  // What discovery tells from now on, also those that watch; a version that goes back is told to new ones
+  // Kind discovery tells from now on, also those that watch; a version that goes back is told to new ones
   // alone.
   void list(std::uint64_t version, const std::string& state);
   PgNode& node() { return *inner_; }  // where it is in this process
@@ -110,7 +110,7 @@
   std::size_t open() const { return open_; }
   std::size_t rows() const { return book_.size(); }
 
-  // What broke, in a sentence; empty: nothing. Call when no question is open.
+  // Kind broke, in a sentence; empty: nothing. Call when no question is open.
   std::string judge() const;
   std::string died() const;  // which router ended by itself; empty: none
   std::string path() const { return path_; }
@@ -133,7 +133,7 @@
   void excuse(std::size_t router);
   void tear(const std::string& file);
 
-  event_loop::Loop& loop_;
+  event_loop::EventLoop& loop_;
   Shape shape_;
   std::vector<std::set<std::size_t>> lists_;  // of keepers, the present one last
   std::set<std::size_t> belong_;
