--- a/tests/fleet/work.cpp
+++ b/tests/fleet/work.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-enum class Trouble {
+enum class FaultKind {
   none,
   foremanKilled,
   foremanStops,
@@ -63,7 +63,7 @@
 
 class Work : private Scene {
  public:
-  Work(std::uint64_t seed, Trouble trouble, const Shape& shape, bool machineOfPrimaries = false)
+  Work(std::uint64_t seed, FaultKind trouble, const Shape& shape, bool machineOfPrimaries = false)
       : discovery_(loop_),
         rig_(loop_, seed, with(shape, trouble)),
         trouble_(trouble),
@@ -73,7 +73,7 @@
     for (const std::uint64_t group : {1, 2})
       for (const char* name : {"p", "a", "b"}) {
         const std::string id = name + std::to_string(group);
-        auto& node = nodes_[id] = std::make_unique<fake_servers::Node>(loop_, id, *name == 'p');
+        auto& node = nodes_[id] = std::make_unique<fake_servers::FakeNode>(loop_, id, *name == 'p');
         groups_[id] = group;
         node->fault = [this, id](const std::string& txn) {
           if (const Machine* m = machineOf(id); m && m->off)
@@ -81,24 +81,24 @@
           return fake_servers::Fault::none;
         };
         // On odd seeds there is always something out when their machine's turn comes.
-        if (*name == 'a' && seed % 2 == 1) node->work = Span::millis(200);
+        if (*name == 'a' && seed % 2 == 1) node->work = Duration::millis(200);
         list(id, "up");
       }
     machines_["ma"];
     machines_["mb"];
     if (withPrimaries_) machines_["mp"];
     for (std::size_t i = 0; i < rig_.routers(); ++i) {
-      fake_servers::ProxySetup setup;
+      fake_servers::FakeProxyConfig setup;
       setup.processor = rig_.processor(i);
       // Longer than anything stands still here: what was granted late would be used.
-      setup.messageTimeout = Span::millis(15'000);
+      setup.messageTimeout = Duration::millis(15'000);
       setup.mostTries = 1;
-      proxies_.push_back(std::make_unique<fake_servers::Proxy>(loop_, setup));
+      proxies_.push_back(std::make_unique<fake_servers::FakeProxy>(loop_, setup));
     }
     logs_.resize(rig_.routers());
   }
 
-  // What broke; empty: nothing.
+  // Kind broke; empty: nothing.
   std::string play() {
     loop_.spawn(scene());
     loop_.spawn(clients());
@@ -117,18 +117,18 @@
   std::uint64_t asked() const { return asked_; }
 
  private:
-  static const char* phaseOf(Rig& rig, Trouble trouble, const Shape& shape) {
+  static const char* phaseOf(Rig& rig, FaultKind trouble, const Shape& shape) {
     // Where a built-in fault shows.
     if (shape.slowClock < SIZE_MAX) return kPhases[0];
     if (shape.hidesLoss) return kPhases[1];
     if (shape.lyingDisk) return kPhases[2];
-    const bool early = trouble == Trouble::nodeLost || trouble == Trouble::operatorStops;
-    return kPhases[rig.pick(early ? 2 : trouble == Trouble::asksAgain ? 3 : 4)];
+    const bool early = trouble == FaultKind::nodeLost || trouble == FaultKind::operatorStops;
+    return kPhases[rig.pick(early ? 2 : trouble == FaultKind::asksAgain ? 3 : 4)];
   }
-  Shape with(Shape shape, Trouble trouble) const {
+  Shape with(Shape shape, FaultKind trouble) const {
     // Where a router has nothing but its lease, discovery is not told: its list alone would do.
-    shape.announces = shape.announces && trouble != Trouble::routerStops &&
-                      trouble != Trouble::routerCutOff && trouble != Trouble::routerDeaf;
+    shape.announces = shape.announces && trouble != FaultKind::routerStops &&
+                      trouble != FaultKind::routerCutOff && trouble != FaultKind::routerDeaf;
     shape.routers = 5;
     shape.discovery = discovery_.address();
     return shape;
@@ -141,7 +141,7 @@
     return at == machines_.end() ? nullptr : &at->second;
   }
 
-  // --- What routers log of the plan: the newest version of each machine's phase
+  // --- Kind routers log of the plan: the newest version of each machine's phase
   void readLogs() {
     for (std::size_t i = 0; i < logs_.size(); ++i) {
       std::ifstream file(rig_.logFile(i), std::ios::binary);
@@ -221,7 +221,7 @@
         continue;
       }
       const std::string name = rig_.request(*at, text);
-      const Instant until = loop_.now() + Span::millis(4000);
+      const Instant until = loop_.now() + Duration::millis(4000);
       while (fault_.empty() && answer->empty() && rig_.isUp(*at) && loop_.now() < until) {
         *answer = rig_.answered(*at, name);
         co_await tick();
@@ -238,7 +238,7 @@
     for (const auto& name : names)
       all += (all.empty() ? "" : ",") + ("\"" + name + R"(":{"zone":"z","takes_ms":1000,"nodes":[")") +
              name[1] + "1\",\"" + name[1] + "2\"]" +
-             (name == "mb" && trouble_ == Trouble::routerOnMachine ? R"(,"routers":["r3"])" : "") + "}";
+             (name == "mb" && trouble_ == FaultKind::routerOnMachine ? R"(,"routers":["r3"])" : "") + "}";
     return R"({"by":"kim","machines":{)" + all + "}}";
   }
 
@@ -246,7 +246,7 @@
   event_loop::Task clients() {
     while (!ending_ && fault_.empty()) {
       ask(rig_.pick(rig_.routers()));
-      co_await loop_.sleepUntil(loop_.now() + Span::millis(4));
+      co_await loop_.sleepUntil(loop_.now() + Duration::millis(4));
       readLogs();
       feedDiscovery();
     }
@@ -265,12 +265,13 @@
       headers.push_back({"x-txn-session", "driver-" + std::to_string(rig_.pick(20))});
       headers.push_back({"x-txn-write-age-ms", "3000"});
     }
-    proxies_[router]->ask(headers, isWrite, Span::millis(950), [this, router](fake_servers::Answer answer) {
-      committed_[router] += answer.outcome == "committed" || answer.status == 200;
-    });
+    proxies_[router]->ask(headers, isWrite, Duration::millis(950),
+                          [this, router](fake_servers::Answer answer) {
+                            committed_[router] += answer.outcome == "committed" || answer.status == 200;
+                          });
   }
 
-  bool isQuiet() const { return trouble_ == Trouble::none || trouble_ == Trouble::routerOnMachine; }
+  bool isQuiet() const { return trouble_ == FaultKind::none || trouble_ == FaultKind::routerOnMachine; }
   bool isThrough(const std::string& name) const { return machines_.at(name).phase == "over"; }
   bool allThrough() const {
     return std::all_of(machines_.begin(), machines_.end(), [](auto& m) { return m.second.phase == "over"; });
@@ -298,7 +299,7 @@
           continue;
         }
         if (machine.doneAt == 0) machine.doneAt = asked_ + 100;
-        // What is told free stays so while the trouble lasts, and for a hundred questions more.
+        // Kind is told free stays so while the trouble lasts, and for a hundred questions more.
         if (asked_ < machine.doneAt || troubleOn_ || !machine.doneName.empty()) continue;
         machine.doneName = "asked";
         loop_.spawn(done(name));
@@ -320,7 +321,7 @@
   }
   event_loop::Task done(std::string name) {
     Machine& machine = machines_.at(name);
-    if (name == "mb" && trouble_ == Trouble::routerOnMachine) {
+    if (name == "mb" && trouble_ == FaultKind::routerOnMachine) {
       if (rig_.endsWith(3) != 0) broken("the router on a machine that is free has not ended in good order");
       rig_.start(3);
     }
@@ -341,14 +342,14 @@
   }
 
   // --- The trouble
-  static constexpr Span kWhole = Span::millis(150'000);
+  static constexpr Duration kWhole = Duration::millis(150'000);
   event_loop::Task troubled() {
     if (isQuiet()) co_return;
     const Instant by = loop_.now() + kWhole;
     // A router is troubled once it knows; others where the machine is.
     const std::size_t router = 4;
-    const bool ofRouter = trouble_ == Trouble::routerStops || trouble_ == Trouble::routerCutOff ||
-                          trouble_ == Trouble::routerDeaf;
+    const bool ofRouter = trouble_ == FaultKind::routerStops || trouble_ == FaultKind::routerCutOff ||
+                          trouble_ == FaultKind::routerDeaf;
     const std::string phase = phase_;
     const auto come = [&] {
       if (ofRouter) return knows_[router].contains("ma " + phase) || knows_[router].contains("mb " + phase);
@@ -363,24 +364,24 @@
     const auto goneOn = [&] { return machines_[hit].version > version; };
     std::uint64_t questions = asked_ + 1200;
     switch (trouble_) {
-      case Trouble::foremanKilled:
+      case FaultKind::foremanKilled:
         rig_.kill(0);
         while (!waited(goneOn() || asked_ > questions, by, "others to go on")) co_await tick();
         rig_.start(0);
         break;
-      case Trouble::foremanStops:
+      case FaultKind::foremanStops:
         rig_.stop(0);
         while (!waited(goneOn() || asked_ > questions, by, "others to go on")) co_await tick();
         rig_.goOn(0);
         break;
-      case Trouble::foremanCutOff:
+      case FaultKind::foremanCutOff:
         cutKeeper(Flow::cut);
         cut_.insert(0);
         while (!waited(goneOn() || asked_ > questions, by, "others to go on")) co_await tick();
         cut_.erase(0);
         cutKeeper(Flow::open);
         break;
-      case Trouble::routerStops:
+      case FaultKind::routerStops:
         rig_.stop(router);
         // Longer than its lease lasts, whether or not the machine is free by then.
         questions = asked_ + 2500;
@@ -393,8 +394,8 @@
           co_await tick();
         }
         break;
-      case Trouble::routerCutOff:
-      case Trouble::routerDeaf: {
+      case FaultKind::routerCutOff:
+      case FaultKind::routerDeaf: {
         // It knows that the machine is next, says so, and never hears that it leaves: its lease alone tells
         // it.
         if (phase == "next")
@@ -402,7 +403,7 @@
         while (phase == "next" && !waited(goneOn(), by, "the next phase")) co_await tick();
         rig_.clockStands();
         for (std::size_t k = 0; k < rig_.keepers(); ++k)
-          rig_.flow(router, k, trouble_ == Trouble::routerDeaf ? Flow::deafBack : Flow::cut);
+          rig_.flow(router, k, trouble_ == FaultKind::routerDeaf ? Flow::deafBack : Flow::cut);
         const std::uint64_t before = committed_[router];
         questions = asked_ + 2500;
         while (!waited(machines_[hit].off || asked_ > questions, by, "the machine to be free"))
@@ -413,19 +414,19 @@
         for (std::size_t k = 0; k < rig_.keepers(); ++k) rig_.flow(router, k, Flow::open);
         break;
       }
-      case Trouble::powerAll: {
+      case FaultKind::powerAll: {
         std::vector<std::size_t> all;
         for (std::size_t i = 0; i < rig_.routers(); ++i) all.push_back(i);
         rig_.losePower(all);
         rig_.startAll();
         break;
       }
-      case Trouble::powerKeepers:
+      case FaultKind::powerKeepers:
         rig_.losePower({1, 2});
         for (const std::uint64_t more = asked_ + 200; asked_ < more && fault_.empty();) co_await tick();
         rig_.startAll();
         break;
-      case Trouble::nodeLost: {
+      case FaultKind::nodeLost: {
         const std::string other = hit == "ma" ? "b1" : "a1";
         lost_.insert(other);
         nodes_.at(other)->down = !hidesLoss_;
@@ -437,12 +438,12 @@
         list(other, "up");
         break;
       }
-      case Trouble::operatorStops: {
+      case FaultKind::operatorStops: {
         const auto answer = saySoon(request("stop", hit));
         while (!waited(!answer->empty(), by, "the answer")) co_await tick();
         break;
       }
-      case Trouble::asksAgain: {
+      case FaultKind::asksAgain: {
         const std::pair<std::string, std::string> asks[] = {
             {order({hit}), "asked for it already"},
             {R"({"by":"jo","machines":{"mx":{"nodes":["p1","a1","b1"]}}})", "could not serve"},
@@ -458,7 +459,7 @@
         }
         break;
       }
-      case Trouble::keeperDiskLost:
+      case FaultKind::keeperDiskLost:
         rig_.kill(1);
         rig_.loseDisk(1);
         rig_.start(1);
@@ -480,15 +481,15 @@
     for (std::size_t k = 1; k < rig_.keepers(); ++k) rig_.flow(0, k, how);
   }
 
-  fake_servers::Discovery discovery_;
-  std::map<std::string, std::unique_ptr<fake_servers::Node>> nodes_;
+  fake_servers::FakeDiscovery discovery_;
+  std::map<std::string, std::unique_ptr<fake_servers::FakeNode>> nodes_;
   std::map<std::string, std::uint64_t> groups_;
   Rig rig_;
-  Trouble trouble_;
+  FaultKind trouble_;
   const char* phase_;
   bool withPrimaries_;
   std::map<std::string, Machine> machines_;
-  std::vector<std::unique_ptr<fake_servers::Proxy>> proxies_;
+  std::vector<std::unique_ptr<fake_servers::FakeProxy>> proxies_;
   std::vector<std::size_t> logs_;  // read so far
   std::map<std::size_t, std::set<std::string>> knows_;
   std::set<std::size_t> cut_;
@@ -502,7 +503,7 @@
   bool ending_ = false, troubleOn_ = false, troubledOver_ = false;
 };
 
-std::string played(std::uint64_t seed, Trouble trouble, const Shape& shape = {}, bool primaries = false,
+std::string played(std::uint64_t seed, FaultKind trouble, const Shape& shape = {}, bool primaries = false,
                    std::uint64_t* asked = nullptr) {
   Work work(seed, trouble, shape, primaries);
   const std::string fault = work.play();
@@ -514,11 +515,11 @@
 
 }  // namespace
 
-int workKinds() { return static_cast<int>(Trouble::kinds) + 1; }
+int workKinds() { return static_cast<int>(FaultKind::kinds) + 1; }
 
 int work(int kind, std::uint64_t seeds, std::uint64_t from) {
   // The last one is a machine of primaries, without a trouble.
-  const bool primaries = kind == static_cast<int>(Trouble::kinds);
+  const bool primaries = kind == static_cast<int>(FaultKind::kinds);
   if (kind < 0 || kind >= workKinds()) return 2;
   std::string fault;
   std::uint64_t asked = 0;
@@ -526,7 +527,7 @@
   for (std::uint64_t seed = from; seed < from + seeds; ++seed)
     if (const auto one =
             played(seed * 100 + static_cast<std::uint64_t>(kind),
-                   primaries ? Trouble::none : static_cast<Trouble>(kind), {}, primaries, &asked);
+                   primaries ? FaultKind::none : static_cast<FaultKind>(kind), {}, primaries, &asked);
         !one.empty())
       fault = one;
   std::cout << (primaries ? "a machine of primaries, which have to move first" : kTroubles[kind]) << ": "
@@ -539,7 +540,7 @@
 
 // A verdict that can't fail shows nothing.
 int workBugs() {
-  const auto found = [](const char* what, Trouble trouble, const Shape& shape, const char* expected) {
+  const auto found = [](const char* what, FaultKind trouble, const Shape& shape, const char* expected) {
     std::string fault;
     std::uint64_t seed = 0;
     // Even seeds: no node is slow, so each gets its part.
@@ -550,16 +551,16 @@
   };
   Shape slow;
   slow.slowClock = 4;
-  found("a router whose running clock all but stands still", Trouble::routerCutOff, slow,
+  found("a router whose running clock all but stands still", FaultKind::routerCutOff, slow,
         "a txn came to a node that was told free");
   Shape lying;
   lying.lyingDisk = true;
   lying.announces = false;
-  found("disks that say that they synced and did not", Trouble::powerAll, lying,
+  found("disks that say that they synced and did not", FaultKind::powerAll, lying,
         "a txn came to a node that was told free");
   Shape hidden;
   hidden.hidesLoss = true;
-  found("a node that is lost, listed, and tells that it serves", Trouble::nodeLost, hidden,
+  found("a node that is lost, listed, and tells that it serves", FaultKind::nodeLost, hidden,
         "more of a group away than its budget");
   return 0;
 }
--- a/tests/gateway.cpp
+++ b/tests/gateway.cpp
@@ -67,7 +67,7 @@
   explicit Sockets(Bounds bounds = {ms(10000), ms(250), 8, 100000}, bool known = true,
                    bool onlyDraining = false)
       : gateway_(terms(onlyDraining), {"any", "bounded", "session", "charge"}, 7, bounds, *this) {
-    if (known) list(ListKind::disk, {"p", "a"});
+    if (known) list(EndpointUpdateKind::restored, {"p", "a"});
   }
 
   void say(const std::string& text) { std::cout << "-- " << text << "\n"; }
@@ -76,7 +76,7 @@
   bool clears = true;  // nodes answer the empty queries that ask whether more than an answer comes
 
   void follow() {
-    gateway_.ledger().trace().to([this](const std::string& told) { line() << told << "\n"; });
+    gateway_.transactions().trace().setSink([this](const std::string& told) { line() << told << "\n"; });
   }
 
   // Events.
@@ -88,47 +88,49 @@
     accepted(client, postgres::startup("worker", "catalog") + bytes);
   }
   void sent(ClientId client, const std::string& bytes) { kept_[client] += bytes, offer(client); }
-  void sendsNoMore(ClientId client) { gateway_.clientSendsNoMore(now_, client), settle(); }
-  void left(ClientId client) { gateway_.clientEnded(now_, client, ConnectionEnd::broken), settle(); }
-  void up(LinkId link) {
-    gateway_.linkUp(now_, link);
-    gateway_.linkSent(now_, link, kGreeting);
+  void sendsNoMore(ClientId client) { gateway_.clientHalfClosed(now_, client), settle(); }
+  void left(ClientId client) { gateway_.clientClosed(now_, client, ConnectionCloseReason::broken), settle(); }
+  void up(NodeConnectionId link) {
+    gateway_.nodeConnected(now_, link);
+    gateway_.nodeReceived(now_, link, kGreeting);
     settle();
   }
-  void rejects(LinkId link) {
-    gateway_.linkUp(now_, link);
+  void rejects(NodeConnectionId link) {
+    gateway_.nodeConnected(now_, link);
     answers(link, postgres::error("FATAL", "53300", "too many connections"));
   }
-  void answers(LinkId link, const std::string& bytes) {
-    const auto used = gateway_.linkSent(now_, link, bytes);
+  void answers(NodeConnectionId link, const std::string& bytes) {
+    const auto used = gateway_.nodeReceived(now_, link, bytes);
     if (used != bytes.size()) std::cout << "  " << bytes.size() - used << " bytes left on l" << link << "\n";
     settle();
   }
-  void written(LinkId link) { gateway_.linkWritten(now_, link), settle(); }
-  void ended(LinkId link, ConnectionEnd how) { gateway_.linkEnded(now_, link, how), settle(); }
-  void list(ListKind kind, const std::vector<std::string>& nodes, Health health = Health::live) {
-    std::vector<Addressed> all;
+  void written(NodeConnectionId link) { gateway_.nodeWritten(now_, link), settle(); }
+  void ended(NodeConnectionId link, ConnectionCloseReason how) {
+    gateway_.nodeConnectionClosed(now_, link, how), settle();
+  }
+  void list(EndpointUpdateKind kind, const std::vector<std::string>& nodes, Health health = Health::live) {
+    std::vector<ResolvedEndpoint> all;
     for (const auto& node : nodes) {
-      ListEntry entry;
+      EndpointEntry entry;
       entry.node = node == "B" ? "b" : node;
       entry.group = 1;
       entry.primary = node == "p";
       entry.health = health;
       all.push_back({entry, addressOf(node)});
     }
-    gateway_.listed(now_, kind, all);
+    gateway_.onEndpointList(now_, kind, all);
     settle();
   }
   void shutDown() { gateway_.shutDown(now_), settle(); }
   void configured(const std::string& discovery, const std::vector<std::string>& kept = {}) {
-    gateway_.configured(now_, discovery, kept), settle();
+    gateway_.onConfigLoaded(now_, discovery, kept), settle();
   }
-  void misconfigured(const std::string& fault) { gateway_.misconfigured(now_, fault), settle(); }
+  void misconfigured(const std::string& fault) { gateway_.onConfigRejected(now_, fault), settle(); }
   // The clock goes on by so many ms, with each turn that was asked for on the way.
   void pass(std::int64_t millis) {
     const Instant until = now_ + ms(millis);
     while (next_ != Instant() && next_ <= until) {
-      now_ = std::max(next_, now_ + Span::micros(1));
+      now_ = std::max(next_, now_ + Duration::micros(1));
       turn();
     }
     now_ = until;
@@ -138,53 +140,53 @@
   bool finished() const { return gateway_.finished(); }
   bool closeIdle(std::size_t most = 1) { return gateway_.closeIdleClients(most); }
   // The link that was opened last, of all or to a node.
-  LinkId last() const { return last_; }
-  LinkId to(const std::string& node) { return lastTo_[addressOf(node)]; }
+  NodeConnectionId last() const { return last_; }
+  NodeConnectionId to(const std::string& node) { return lastTo_[addressOf(node)]; }
 
  private:
   static std::string addressOf(const std::string& node) {
     return "10.0.0." + std::to_string(node[0] - 'A' + 1) + ":1";
   }
-  static Terms terms(bool onlyDraining) {
-    Terms made =
-        trace::usualTerms({trace::type(ReadLevel::any), trace::type(ReadLevel::bounded),
-                           trace::type(ReadLevel::session), trace::type(ReadLevel::write, Effect::onceOnly)});
-    made.onlyDrainingBinds = onlyDraining;
+  static RoutingConfig terms(bool onlyDraining) {
+    RoutingConfig made = trace::usualTerms({trace::type(ReadLevel::any), trace::type(ReadLevel::bounded),
+                                            trace::type(ReadLevel::session),
+                                            trace::type(ReadLevel::write, Effect::atMostOnce)});
+    made.onlyDrainingExcludes = onlyDraining;
     return made;
   }
   void offer(ClientId client) {
     auto& kept = kept_[client];
-    kept.erase(0, gateway_.clientSent(now_, client, kept));
+    kept.erase(0, gateway_.clientReceived(now_, client, kept));
     settle();
   }
   void turn() { next_ = gateway_.endTurn(now_); }
   void settle() {
     turn();
-    for (const LinkId link : std::exchange(asked_, {}))
-      if (clears) gateway_.linkSent(now_, link, kAllClear);
+    for (const NodeConnectionId link : std::exchange(asked_, {}))
+      if (clears) gateway_.nodeReceived(now_, link, kAllClear);
     for (const ClientId client : std::exchange(offered_, {})) offer(client);
     while (next_ != Instant() && next_ <= now_) turn();
   }
   std::ostream& line() { return std::cout << (now_ - kStart).inMicros() / 1000 << " ms: "; }
-  static std::string joined(Parts parts) {
+  static std::string joined(ByteSlices parts) {
     std::string all;
     for (const auto part : parts) all += part;
     return all;
   }
 
-  void connect(LinkId link, const std::string& address) override {
+  void connect(NodeConnectionId link, const std::string& address) override {
     last_ = lastTo_[address] = link;
     line() << "connect l" << link << " to " << address << "\n";
   }
-  bool writeNode(LinkId link, Parts parts) override {
+  bool writeNode(NodeConnectionId link, ByteSlices parts) override {
     const auto text = shown(joined(parts));
     if (text == " Q()") asked_.push_back(link);
     if (clears && text == " Q()") return true;
     if (showProbes || text.find("SHOW") == std::string::npos) line() << "to l" << link << ":" << text << "\n";
     return writesWhole;
   }
-  void closeNode(LinkId link) override { line() << "close l" << link << "\n"; }
-  void writeClient(ClientId client, Parts parts) override {
+  void closeNode(NodeConnectionId link) override { line() << "close l" << link << "\n"; }
+  void writeClient(ClientId client, ByteSlices parts) override {
     line() << "to c" << client << ":" << shown(joined(parts)) << "\n";
   }
   void readClient(ClientId client) override {
@@ -193,17 +195,17 @@
   }
   void closeClient(ClientId client) override { line() << "close c" << client << "\n"; }
   void stopListening() override { line() << "stop listening\n"; }
-  void askForList() override { line() << "ask for the list\n"; }
+  void requestEndpointList() override { line() << "ask for the list\n"; }
   void followDiscovery(const std::string& at) override { line() << "follow discovery at " << at << "\n"; }
   void log(std::string text) override { line() << "log: " << text << "\n"; }
 
   static constexpr Instant kStart = Instant::atMicros(1'700'000'000'000'000);
   Instant now_ = kStart, next_;
-  LinkId last_ = 0;
-  std::map<std::string, LinkId> lastTo_;
+  NodeConnectionId last_ = 0;
+  std::map<std::string, NodeConnectionId> lastTo_;
   std::map<ClientId, std::string> kept_;
   std::vector<ClientId> offered_;
-  std::vector<LinkId> asked_;
+  std::vector<NodeConnectionId> asked_;
   Gateway gateway_;
 };
 
@@ -244,7 +246,7 @@
   s.open(2, query(";"));
   s.open(3);
   s.sent(3, query(""));
-  s.list(ListKind::whole, {"p", "a"});
+  s.list(EndpointUpdateKind::snapshot, {"p", "a"});
   s.sent(2, query(" ; "));
   s.say("versions, cancel requests, nonsense");
   s.open(5);
@@ -291,16 +293,16 @@
   Sockets s;
   s.say("a write whose connection is refused, or breaks before its last byte is written, is sent again");
   s.open(1, write("aa"));
-  s.ended(1, ConnectionEnd::refused);
+  s.ended(1, ConnectionCloseReason::refused);
   s.pass(5);
   s.writesWhole = false;
   s.up(2);
-  s.ended(2, ConnectionEnd::broken);
+  s.ended(2, ConnectionCloseReason::broken);
   s.pass(5);
   s.say("once it is written it may have run: rolled back, and never sent again");
   s.up(3);
   s.written(3);
-  s.ended(3, ConnectionEnd::broken);
+  s.ended(3, ConnectionCloseReason::broken);
   s.pass(1000);
   Sockets t;
   t.say("a node that never comes up, or turns the write away, has not run it");
@@ -335,7 +337,7 @@
   s.up(s.to("a"));
   const auto link = s.to("a");
   s.answers(link, row("a value that breaks off").substr(0, 40));
-  s.ended(link, ConnectionEnd::broken);
+  s.ended(link, ConnectionCloseReason::broken);
   s.pass(5);
   s.up(s.to("a"));
   s.answers(s.to("a"), postgres::error("FATAL", "XX000", "going down"));
@@ -353,7 +355,7 @@
   s.up(2);
   s.answers(2, row("body"));
   s.say("so does its end; the next is retired at half of the node's limit");
-  s.ended(2, ConnectionEnd::broken);
+  s.ended(2, ConnectionCloseReason::broken);
   s.sent(1, read("cc"));
   s.up(3);
   s.answers(3, row("body"));
@@ -494,15 +496,15 @@
   Sockets s;
   s.say("a is not reached, drains and leaves, b comes: a comes back after a minute, as one that is new");
   s.open(1, read("aa"));
-  s.ended(1, ConnectionEnd::refused);
+  s.ended(1, ConnectionCloseReason::refused);
   s.pass(1000);
-  s.list(ListKind::changes, {"a"}, Health::draining);
-  s.list(ListKind::changes, {"a"}, Health::gone);
-  s.list(ListKind::changes, {"b"});
+  s.list(EndpointUpdateKind::delta, {"a"}, Health::draining);
+  s.list(EndpointUpdateKind::delta, {"a"}, Health::removed);
+  s.list(EndpointUpdateKind::delta, {"b"});
   s.pass(61000);
-  s.list(ListKind::changes, {"b"});
-  s.list(ListKind::changes, {"a"});
-  s.list(ListKind::changes, {"b"}, Health::draining);
+  s.list(EndpointUpdateKind::delta, {"b"});
+  s.list(EndpointUpdateKind::delta, {"a"});
+  s.list(EndpointUpdateKind::delta, {"b"}, Health::draining);
   s.sent(1, read("bb"));
   s.up(s.to("a"));
   s.answers(s.to("a"), row("body"));
@@ -510,7 +512,7 @@
 
 void cancelled() {
   Sockets s;
-  s.list(ListKind::changes, {"b"});
+  s.list(EndpointUpdateKind::delta, {"b"});
   s.open(1, read("aa"));
   s.up(1);
   s.answers(1, row("quick"));
@@ -553,8 +555,8 @@
   s.say(
       "three are for the only replica, which drains: one is out, two wait for a connection and go elsewhere");
   for (ClientId client = 2; client <= 4; ++client) s.open(client, read("b" + std::to_string(client)));
-  s.list(ListKind::changes, {"b"});
-  s.list(ListKind::changes, {"a"}, Health::draining);
+  s.list(EndpointUpdateKind::delta, {"b"});
+  s.list(EndpointUpdateKind::delta, {"a"}, Health::draining);
   s.up(s.to("b"));
   s.say("what is out may end there, and its connection is not kept; what comes up late is closed");
   s.answers(1, row("from a"));
@@ -562,16 +564,16 @@
   s.answers(s.to("b"), row("from b"));
   s.say("b has another address: its idle connection is closed");
   s.answers(s.to("b"), row("from b"));
-  s.list(ListKind::whole, {"B"});
+  s.list(EndpointUpdateKind::snapshot, {"B"});
   Sockets t({ms(10000), ms(250), 8, 100000}, true, true);
   t.say("where only draining binds, a node that is listed as gone keeps its connections");
   t.open(1, read("aa"));
   t.up(1);
   t.answers(1, row("body"));
-  t.list(ListKind::changes, {"a"}, Health::gone);
+  t.list(EndpointUpdateKind::delta, {"a"}, Health::removed);
   t.sent(1, read("bb"));
   t.answers(1, row("body"));
-  t.list(ListKind::changes, {"a"}, Health::draining);
+  t.list(EndpointUpdateKind::delta, {"a"}, Health::draining);
 }
 
 void bounds() {
@@ -588,7 +590,7 @@
   s.sent(1, read("dd"));
   s.open(3, read("ee"));
   s.say("no descriptor: told as not sent");
-  s.ended(s.to("a"), ConnectionEnd::notOpened);
+  s.ended(s.to("a"), ConnectionCloseReason::noDescriptor);
   s.say("of the idle clients the one that was idle longest makes room");
   s.pass(1000);
   s.sent(3, query(""));
@@ -604,7 +606,7 @@
   t.pass(1);
   t.sent(1, read("cc"));
   t.answers(1, row("body"));
-  t.list(ListKind::changes, {"b"});
+  t.list(EndpointUpdateKind::delta, {"b"});
   t.sent(1, read("dd"));
   if (t.last() == 2) t.answers(1, row("body")), t.sent(1, read("ee"));
 }
@@ -744,8 +746,8 @@
 }
 
 void ends() {
-  for (int i = 0; i <= static_cast<int>(ConnectionEnd::shuttingDown); ++i) {
-    const auto how = static_cast<ConnectionEnd>(i);
+  for (int i = 0; i <= static_cast<int>(ConnectionCloseReason::shuttingDown); ++i) {
+    const auto how = static_cast<ConnectionCloseReason>(i);
     constexpr const char* kEnds[] = {"committed",       "error",     "rejected", "no answer", "no connection",
                                      "connection lost", "cancelled", "not sent", "not here"};
     std::cout << nameOf(how) << ": " << kEnds[static_cast<int>(outcomeOf(how, false))]
@@ -763,7 +765,7 @@
   sockets.answers(sockets.last(), row("v"));
   sockets.open(2, write("b"));
   sockets.up(sockets.last());
-  sockets.ended(sockets.last(), ConnectionEnd::broken);
+  sockets.ended(sockets.last(), ConnectionCloseReason::broken);
   sockets.open(3, read("c", "bounded"));
   sockets.left(3);
   sockets.shutDown();
--- a/tests/guard.cpp
+++ b/tests/guard.cpp
@@ -13,94 +13,96 @@
 namespace {
 
 // A ledger between a front, a carrier and a guard that all print what they are told.
-class World final : Front, Carrier, Guard {
+class World final : DownstreamHandler, UpstreamTransport, ExecutionGate {
  public:
   World() : ledger_(terms(), 7, 1 << 20, [] {}) {
-    ledger_.see(now_);
-    ledger_.add(*this);
-    ledger_.guardBy(this);
-    ListEntry entry;
+    ledger_.advanceTo(now_);
+    ledger_.addTransport(*this);
+    ledger_.setExecutionGate(this);
+    EndpointEntry entry;
     entry.node = "p";
     entry.group = 1;
     entry.primary = true;
-    ledger_.listed(ListKind::whole, {{entry, "127.0.0.1:1"}});
+    ledger_.onEndpointList(EndpointUpdateKind::snapshot, {{entry, "127.0.0.1:1"}});
     ledger_.endTurn();
   }
 
   TxnId take(std::size_t type, const std::string& id, bool mayHaveRunEarlier = false) {
-    Txn txn;
+    Transaction txn;
     txn.type = type;
     txn.group = 1;
-    txn.patience = ms(2000);
-    if (mayHaveRunEarlier) txn.earlier.mayHaveRunFor = ms(10);
-    const TxnId made = ledger_.take(*this, ++owner_, *this, txn, {"text", 0, 0, 0, 0}, id);
+    txn.remainingTime = ms(2000);
+    if (mayHaveRunEarlier) txn.priorAttempts.ambiguousAttemptAge = ms(10);
+    const TxnId made = ledger_.openTransaction(*this, ++owner_, *this, txn, {"text", 0, 0, 0, 0}, id);
     std::cout << id << " is taken\n";
     turn();
     return made;
   }
   void turn(std::int64_t later = 0) {
     now_ = now_ + ms(later);
-    ledger_.see(now_);
+    ledger_.advanceTo(now_);
     ledger_.endTurn();
   }
-  void end(TxnId txn, End how) {
-    if (how == End::committed) ledger_.commit(txn, {"va", "lue", ""});
-    ledger_.ended({txn, 0}, "p", how);
+  void end(TxnId txn, AttemptOutcome how) {
+    if (how == AttemptOutcome::committed) ledger_.commit(txn, {"va", "lue", ""});
+    ledger_.onAttemptEnded({txn, 0}, "p", how);
     turn();
   }
-  Ledger& ledger() { return ledger_; }
+  TransactionTable& ledger() { return ledger_; }
   bool wantsValue = true;
   NodeId better;  // whose drain the guard knows of
   void keepOut(std::set<NodeId> now, std::set<NodeId> later, std::int64_t after) {
-    ledger_.keepOut(std::move(now), std::move(later), now_ + ms(after));
+    ledger_.excludeNodes(std::move(now), std::move(later), now_ + ms(after));
     turn();
   }
   void list(std::uint64_t version) {
-    ListEntry entry;
+    EndpointEntry entry;
     entry.node = "p";
     entry.group = 1;
     entry.primary = true;
-    ledger_.listed(ListKind::whole, {{entry, "127.0.0.1:1"}}, version);
+    ledger_.onEndpointList(EndpointUpdateKind::snapshot, {{entry, "127.0.0.1:1"}}, version);
     turn();
-    std::cout << "p is leaving: " << ledger_.nodes().leaving("p") << "\n";
+    std::cout << "p is leaving: " << ledger_.endpoints().isDraining("p") << "\n";
   }
 
  private:
-  static Terms terms() {
-    return trace::usualTerms({trace::type(ReadLevel::write, Effect::onceOnly), trace::type(ReadLevel::any)});
+  static RoutingConfig terms() {
+    return trace::usualTerms(
+        {trace::type(ReadLevel::write, Effect::atMostOnce), trace::type(ReadLevel::any)});
   }
-  void committed(OwnerId owner, const Value& v) override {
+  void committed(OwnerId owner, const ResultValue& v) override {
     std::cout << "  front " << owner << ": committed '" << v[0] << v[1] << v[2] << "'\n";
   }
-  void refused(OwnerId owner, Span after, unsigned) override {
+  void rejected(OwnerId owner, Duration after, unsigned) override {
     std::cout << "  front " << owner << ": refused, retry after " << after.inMicros() / 1000 << "\n";
   }
   void rolledBack(OwnerId owner) override { std::cout << "  front " << owner << ": rolled back\n"; }
-  bool needsValue() const override { return wantsValue; }
-  void carry(Job job, const NodeId& node) override {
+  bool requiresValue() const override { return wantsValue; }
+  void startAttempt(AttemptId job, const NodeId& node) override {
     if (job.txn != 0) std::cout << "  carrier: " << job.txn << " to " << node << "\n";
   }
-  void cancel(Job, const NodeId&) override {}
-  void listed(const std::vector<NodeId>&) override {}
-  void forget(const NodeId&) override {}
-  void asked(TxnId txn, std::string_view id, Span patience) override {
+  void cancelAttempt(AttemptId, const NodeId&) override {}
+  void onEndpointList(const std::vector<NodeId>&) override {}
+  void forgetNode(const NodeId&) override {}
+  void requestExecution(TxnId txn, std::string_view id, Duration patience) override {
     std::cout << "  guard: asked for " << txn << ", " << id << ", " << patience.inMicros() / 1000 << " ms\n";
   }
-  void commits(TxnId txn, const Value& v) override {
+  void onCommitted(TxnId txn, const ResultValue& v) override {
     std::cout << "  guard: " << txn << " committed '" << v[0] << v[1] << v[2] << "'\n";
   }
-  void listed(ListKind, std::uint64_t version, std::vector<Addressed>& list) override {
+  void amendEndpointList(EndpointUpdateKind, std::uint64_t version,
+                         std::vector<ResolvedEndpoint>& list) override {
     for (auto& [entry, address] : list) {
       std::cout << "  guard: list " << version << " names " << entry.node << "\n";
       if (entry.node == better) entry.health = Health::draining;
     }
   }
-  void over(TxnId txn, Fate fate) override {
+  void onTransactionEnded(TxnId txn, ExecutionOutcome fate) override {
     constexpr const char* kFates[] = {"committed", "never ran", "unknown"};
     std::cout << "  guard: " << txn << " over, " << kFates[static_cast<int>(fate)] << "\n";
   }
 
-  Ledger ledger_;
+  TransactionTable ledger_;
   Instant now_ = Instant() + ms(1'000'000);
   OwnerId owner_ = 0;
 };
@@ -113,8 +115,8 @@
   world.ledger().admit(first);
   world.ledger().admit(first);
   world.turn();
-  world.end(first, End::committed);
-  for (const End how : {End::connectionLost, End::notSent}) {
+  world.end(first, AttemptOutcome::committed);
+  for (const AttemptOutcome how : {AttemptOutcome::connectionLost, AttemptOutcome::notSent}) {
     const TxnId txn = world.take(0, "b2");
     world.ledger().admit(txn);
     world.turn();
@@ -125,7 +127,7 @@
 
 void refused() {
   World world;
-  world.ledger().answerRefused(world.take(0, "b1"), ms(200));
+  world.ledger().answerRejected(world.take(0, "b1"), ms(200));
   world.ledger().answerRolledBack(world.take(0, "b2"));
   world.ledger().answerCommitted(world.take(0, "b3"), {"known", "", ""});
   world.ledger().answerCommitted(world.take(0, "b4"), {});
@@ -135,7 +137,7 @@
   world.ledger().admit(6);
   world.ledger().answerRolledBack(6);
   world.turn();
-  std::cout << "open: " << world.ledger().open() << "\n";
+  std::cout << "open: " << world.ledger().openCount() << "\n";
 }
 
 void left() {
@@ -148,12 +150,12 @@
   world.ledger().admit(out);
   world.turn();
   world.ledger().leave(out);
-  world.end(out, End::cancelled);
+  world.end(out, AttemptOutcome::cancelled);
   std::cout << "tried elsewhere before\n";
   const TxnId again = world.take(0, "b3", true);
   world.ledger().admit(again);
   world.turn();
-  std::cout << "open: " << world.ledger().open() << "\n";
+  std::cout << "open: " << world.ledger().openCount() << "\n";
 }
 
 // What the guard knows of a node counts, in a list that comes and after it.
@@ -162,7 +164,7 @@
   world.list(7);
   world.ledger().leave({"p", "nobody"});
   world.turn();
-  std::cout << "learnt: p is leaving: " << world.ledger().nodes().leaving("p") << "\n";
+  std::cout << "learnt: p is leaving: " << world.ledger().endpoints().isDraining("p") << "\n";
   world.list(8);
   world.better = "p";
   world.list(6);
@@ -173,16 +175,16 @@
 void keptOut() {
   World world;
   const auto asks = [&](const char* what) {
-    std::cout << what << ": leaving " << world.ledger().nodes().leaving("p") << "\n";
-    world.ledger().ask("p");
+    std::cout << what << ": leaving " << world.ledger().endpoints().isDraining("p") << "\n";
+    world.ledger().requestLoadReport("p");
     const TxnId txn = world.take(0, "b");
     world.ledger().admit(txn);
     world.turn();
-    std::cout << "  out there: " << world.ledger().isOutAt({"p"}) << ", elsewhere "
-              << world.ledger().isOutAt({"q"}) << "\n";
+    std::cout << "  out there: " << world.ledger().hasAttemptAt({"p"}) << ", elsewhere "
+              << world.ledger().hasAttemptAt({"q"}) << "\n";
     const auto* attempt = world.ledger().attempt({txn, 0});
-    if (attempt && !attempt->over)
-      world.end(txn, End::committed);
+    if (attempt && !attempt->hasEnded)
+      world.end(txn, AttemptOutcome::committed);
     else
       world.ledger().leave(txn);
     world.turn(5000);
--- a/tests/http2.cpp
+++ b/tests/http2.cpp
@@ -44,7 +44,7 @@
 const std::string kPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
 // A server whose calls are printed, and what it writes, frame by frame.
-class Server final : private grpc::Receiver {
+class Server final : private grpc::CallHandler {
  public:
   explicit Server(grpc::Bounds bounds = {}, const std::string& settings = "") : calls("/a/b", bounds, *this) {
     quiet = true;
@@ -74,7 +74,7 @@
   bool quiet = false;
   std::size_t wrote = 0;
   Instant now = Instant::atMicros(1'700'000'000'000'000);
-  grpc::Calls calls;
+  grpc::ServerCalls calls;
 
  private:
   void tell(const std::string& bytes) {
@@ -195,7 +195,7 @@
     Server s;
     s.flood(
         [&](auto n) {
-          s.now = s.now + Span::millis(2);
+          s.now = s.now + Duration::millis(2);
           return frame(kHeaders, kEndHeaders, n * 2 + 1, block) + frame(kReset, 0, n * 2 + 1, number(8, 4));
         },
         20000);
--- a/tests/invariants.cpp
+++ b/tests/invariants.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-Instant at(std::int64_t millis) { return Instant() + Span::millis(1'000'000 + millis); }
+Instant at(std::int64_t millis) { return Instant() + Duration::millis(1'000'000 + millis); }
 
 std::string subject() { return "txn a to node n"; }
 
 class Checked {
  public:
   Checked() {
-    checks_.tell([](const Violation& broken, std::uint64_t count) {
+    checks_.setListener([](const Violation& broken, std::uint64_t count) {
       std::cout << "  told: " << nameOf(broken.check) << ": " << broken.rule << ": " << broken.subject << ", "
                 << count << "\n";
     });
@@ -36,21 +36,21 @@
 // Finds: an attempt for nobody, too late, to a node that leaves, or with more time than the client has.
 void sending() {
   Checked checked;
-  const Send good{at(0), at(100), at(200), Span::millis(200), true, false};
+  const Send good{at(0), at(100), at(200), Duration::millis(200), true, false};
   checked.send("in order", good);
   Send wrong = good;
-  wrong.isOwed = false;
+  wrong.isAnswerPending = false;
   checked.send("its client left", wrong);
   wrong = good;
   wrong.now = at(100);
   checked.send("at its last moment", wrong);
   wrong = good;
-  wrong.told = Span::millis(350);
+  wrong.timeoutSent = Duration::millis(350);
   checked.send("told as much as the slack allows", wrong);
-  wrong.told = Span::millis(351);
+  wrong.timeoutSent = Duration::millis(351);
   checked.send("told more", wrong);
   wrong = good;
-  wrong.nodeLeaves = true;
+  wrong.isNodeDraining = true;
   wrong.now = at(20'000);
   wrong.sendBy = wrong.answerBy = at(30'000);
   checked.send("to a node that leaves, when the pause between lines is over", wrong);
@@ -60,20 +60,20 @@
 // Finds: a second run of what may run once, and a repeat that the node has forgotten the first of.
 void repeating() {
   Checked checked;
-  checked.repeat("the first", {at(0), Effect::onceOnly, Span(), Instant()});
-  checked.repeat("repeatable", {at(9'000), Effect::repeatable, Span(), at(0)});
-  checked.repeat("once only, and one may have run", {at(1), Effect::onceOnly, Span::seconds(5), at(0)});
-  checked.repeat("referenced, in its window", {at(99), Effect::referenced, Span::millis(100), at(0)});
-  checked.repeat("referenced, after it", {at(100), Effect::referenced, Span::millis(100), at(0)});
-  checked.repeat("referenced, without a window", {at(0), Effect::referenced, Span(), at(0)});
+  checked.repeat("the first", {at(0), Effect::atMostOnce, Duration(), Instant()});
+  checked.repeat("repeatable", {at(9'000), Effect::idempotent, Duration(), at(0)});
+  checked.repeat("once only, and one may have run", {at(1), Effect::atMostOnce, Duration::seconds(5), at(0)});
+  checked.repeat("referenced, in its window", {at(99), Effect::deduplicated, Duration::millis(100), at(0)});
+  checked.repeat("referenced, after it", {at(100), Effect::deduplicated, Duration::millis(100), at(0)});
+  checked.repeat("referenced, without a window", {at(0), Effect::deduplicated, Duration(), at(0)});
 }
 
 void closing() {
   Checked checked;
   checked.say("a client that is owed nothing", checked.checks().close(at(0), false, subject));
   checked.say("a client that is owed an answer", checked.checks().close(at(0), true, subject));
-  checked.say("a start of 10 s", checked.checks().started(at(0), Span::seconds(10), subject));
-  checked.say("a start of 11 s", checked.checks().started(at(0), Span::seconds(11), subject));
+  checked.say("a start of 10 s", checked.checks().started(at(0), Duration::seconds(10), subject));
+  checked.say("a start of 11 s", checked.checks().started(at(0), Duration::seconds(11), subject));
 }
 
 }  // namespace
--- a/tests/levels.cpp
+++ b/tests/levels.cpp
@@ -27,7 +27,7 @@
 class Steps {
  public:
   explicit Steps(Bounds bounds = {}) : levels_(bounds, 7) {}
-  Levels& levels() { return levels_; }
+  DegradationController& levels() { return levels_; }
   Instant now = kStart;
 
   // For so many ms, `each` is called every 50 ms; changes are printed.
@@ -48,14 +48,14 @@
   // Four txns a step that took this share of their latency target.
   std::function<void(Instant, int)> load(double share, GroupId group = 1) {
     return [this, share, group](Instant at, int) {
-      for (int i = 0; i < 4; ++i) levels_.answered(at, group, 0, share);
+      for (int i = 0; i < 4; ++i) levels_.recordAnswer(at, group, 0, share);
     };
   }
   bool quiet = false;
   unsigned changes = 0;
 
  private:
-  Levels levels_;
+  DegradationController levels_;
   int step_ = 0;
 };
 
@@ -69,23 +69,24 @@
   s.say("a burst: some wait, a quarter do not");
   Steps burst;
   burst.run(20000, [&](Instant at, int) {
-    for (int i = 0; i < 4; ++i) burst.levels().answered(at, 1, 0, i < 2 ? 0.1 : 3);
+    for (int i = 0; i < 4; ++i) burst.levels().recordAnswer(at, 1, 0, i < 2 ? 0.1 : 3);
   });
   std::cout << burst.changes << " changes\n";
   s.say("a trial that fails: what was let in waits");
   Steps trial;
   trial.run(3000, trial.load(0.9));
   trial.run(40000, [&](Instant at, int) {
-    for (int i = 0; i < 4; ++i) trial.levels().answered(at, 1, 0, trial.levels().of(1).trial > 0 ? 0.5 : 0.1);
+    for (int i = 0; i < 4; ++i)
+      trial.levels().recordAnswer(at, 1, 0, trial.levels().stateOf(1).trial > 0 ? 0.5 : 0.1);
   });
-  std::cout << "level " << trial.levels().of(1).level << "\n";
+  std::cout << "level " << trial.levels().stateOf(1).level << "\n";
 }
 
 void hovers() {
   Steps s;
   s.say("ten minutes at a boundary");
   s.run(600'000, [&](Instant at, int n) {
-    for (int i = 0; i < 4; ++i) s.levels().answered(at, 1, 0, n / 20 % 2 ? 0.65 : 0.55);
+    for (int i = 0; i < 4; ++i) s.levels().recordAnswer(at, 1, 0, n / 20 % 2 ? 0.65 : 0.55);
   });
   std::cout << s.changes << " changes\n";
   Steps saw;
@@ -95,7 +96,7 @@
   for (int minute = 0; minute < 10; ++minute) {
     const unsigned before = saw.changes;
     saw.run(60'000, [&](Instant at, int n) {
-      for (int i = 0; i < 4; ++i) saw.levels().answered(at, 1, 0, n % 100 / 100.0 * 1.2);
+      for (int i = 0; i < 4; ++i) saw.levels().recordAnswer(at, 1, 0, n % 100 / 100.0 * 1.2);
     });
     most = std::max(most, saw.changes - before);
   }
@@ -103,7 +104,7 @@
   Steps square;
   square.say("calm and overload in turn, 12 s each: as often as it may change, then it stays the higher");
   square.run(240'000, [&](Instant at, int n) {
-    for (int i = 0; i < 4; ++i) square.levels().answered(at, 1, 0, n / 240 % 2 ? 0.05 : 1.5);
+    for (int i = 0; i < 4; ++i) square.levels().recordAnswer(at, 1, 0, n / 240 % 2 ? 0.05 : 1.5);
   });
 }
 
@@ -112,60 +113,61 @@
   s.say("one group of three is overloaded: only that one is reduced");
   s.run(8000, [&](Instant at, int) {
     for (GroupId group = 1; group <= 3; ++group)
-      for (int i = 0; i < 4; ++i) s.levels().answered(at, group, 0, group == 2 ? 1.2 : 0.1);
+      for (int i = 0; i < 4; ++i) s.levels().recordAnswer(at, group, 0, group == 2 ? 1.2 : 0.1);
   });
-  std::cout << s.levels().of(1).level << s.levels().of(2).level << s.levels().of(3).level
-            << s.levels().of(9).level << "\n";
+  std::cout << s.levels().stateOf(1).level << s.levels().stateOf(2).level << s.levels().stateOf(3).level
+            << s.levels().stateOf(9).level << "\n";
   Steps hang;
   hang.say("nodes that answer nothing raise no level, and keep none from falling");
-  hang.run(30'000, [&](Instant at, int) { hang.levels().gaveUp(at, 1, 0, 2); });
+  hang.run(30'000, [&](Instant at, int) { hang.levels().recordAbandoned(at, 1, 0, 2); });
   hang.run(3000, hang.load(0.9));
-  hang.run(5000, [&](Instant at, int) { hang.levels().gaveUp(at, 1, 0, 2); });
+  hang.run(5000, [&](Instant at, int) { hang.levels().recordAbandoned(at, 1, 0, 2); });
   hang.run(30'000, hang.load(0.1));
   Steps storm;
   storm.say("clients that come again at once: what is refused tells nothing, up or down");
   storm.run(3000, storm.load(0.9));
   storm.run(20'000, [&](Instant at, int) {
-    for (int i = 0; i < 400; ++i) storm.levels().gaveUp(at, 1, 0, 0);
-    for (int i = 0; i < 4; ++i) storm.levels().answered(at, 1, 0, 0.9);
+    for (int i = 0; i < 400; ++i) storm.levels().recordAbandoned(at, 1, 0, 0);
+    for (int i = 0; i < 4; ++i) storm.levels().recordAnswer(at, 1, 0, 0.9);
   });
   storm.run(60'000, [&](Instant at, int) {
-    for (int i = 0; i < 400; ++i) storm.levels().gaveUp(at, 1, 0, 0);
-    for (int i = 0; i < 4; ++i) storm.levels().answered(at, 1, 0, 0.1);
+    for (int i = 0; i < 400; ++i) storm.levels().recordAbandoned(at, 1, 0, 0);
+    for (int i = 0; i < 4; ++i) storm.levels().recordAnswer(at, 1, 0, 0.1);
   });
   Steps still;
   still.say("this router stood still: what it measured by that is left out");
   for (int i = 0; i < 10; ++i) {
     still.run(1000, still.load(0.1));
-    for (int n = 0; n < 40; ++n) still.levels().answered(still.now, 1, 0, 3);
-    still.levels().stoodStill(still.now);
+    for (int n = 0; n < 40; ++n) still.levels().recordAnswer(still.now, 1, 0, 3);
+    still.levels().onProcessStalled(still.now);
   }
   std::cout << still.changes << " changes\n";
   Steps named;
   named.say("clients name groups that nobody serves: none is kept");
   named.run(50, named.load(0.1));
-  for (GroupId group = 2; group < 20'000; ++group) named.levels().gaveUp(named.now, group, 0, 2);
+  for (GroupId group = 2; group < 20'000; ++group) named.levels().recordAbandoned(named.now, group, 0, 2);
   named.run(1000, named.load(0.1));
-  std::cout << named.levels().all().size() << " group\n";
+  std::cout << named.levels().states().size() << " group\n";
   Steps pinned;
   pinned.say("an operator pins, caps, lets go");
   Bounds bounds;
   bounds.pinned = 2;
-  pinned.levels().bound(bounds);
+  pinned.levels().setBounds(bounds);
   pinned.run(2000, pinned.load(0.1));
   bounds.pinned.reset();
   bounds.cap = 1;
-  pinned.levels().bound(bounds);
+  pinned.levels().setBounds(bounds);
   pinned.run(20'000, pinned.load(2));
-  pinned.levels().bound({});
+  pinned.levels().setBounds({});
   pinned.run(7000, pinned.load(2));
   Steps full;
   full.say(
       "this router's own limits are nearly taken: a group whose txns wait a little is reduced, an idle one "
       "not");
-  full.levels().own(0.9);
+  full.levels().setOwnUtilization(0.9);
   full.run(3000, [&](Instant at, int) {
-    for (int i = 0; i < 4; ++i) full.levels().answered(at, 1, 0, 0.4), full.levels().answered(at, 2, 0, 0.05);
+    for (int i = 0; i < 4; ++i)
+      full.levels().recordAnswer(at, 1, 0, 0.4), full.levels().recordAnswer(at, 2, 0, 0.05);
   });
   Steps quiet;
   quiet.say("nobody asks any more: the level goes");
@@ -173,46 +175,46 @@
   quiet.run(60'000, [](Instant, int) {});
 }
 
-std::vector<TxnType> hanulTypes() {
+std::vector<TransactionClass> hanulTypes() {
   const auto made = [](ReadLevel level, std::int64_t sla, std::int64_t deadline, double value,
                        Effect effect) {
-    TxnType type = trace::type(level, effect);
+    TransactionClass type = trace::type(level, effect);
     type.latencyTarget = ms(sla);
     type.deadline = ms(deadline);
-    type.value = value;
-    type.bound = ms(3000);
+    type.priorityWeight = value;
+    type.maxStaleness = ms(3000);
     return type;
   };
-  return {made(ReadLevel::bounded, 300, 750, 1, Effect::repeatable),
-          made(ReadLevel::session, 400, 1000, 1, Effect::repeatable),
-          made(ReadLevel::any, 300, 1200, 2, Effect::repeatable),
-          made(ReadLevel::any, 3000, 6000, 6, Effect::repeatable),
-          made(ReadLevel::write, 400, 5000, 3, Effect::onceOnly)};
+  return {made(ReadLevel::bounded, 300, 750, 1, Effect::idempotent),
+          made(ReadLevel::session, 400, 1000, 1, Effect::idempotent),
+          made(ReadLevel::any, 300, 1200, 2, Effect::idempotent),
+          made(ReadLevel::any, 3000, 6000, 6, Effect::idempotent),
+          made(ReadLevel::write, 400, 5000, 3, Effect::atMostOnce)};
 }
 
 void tables() {
   const auto types = hanulTypes();
-  const Table table = tableOf(types);
+  const AdmissionTable table = defaultAdmissionTable(types);
   for (std::size_t at = 0; at < table.size(); ++at) {
-    std::cout << "level " << at + 1 << (table[at].sparing ? ", sparing:" : ":");
-    for (const Admit admit : table[at].admits) std::cout << " " << nameOf(admit);
+    std::cout << "level " << at + 1 << (table[at].limitsBackgroundWork ? ", sparing:" : ":");
+    for (const AdmissionPolicy admit : table[at].admission) std::cout << " " << nameOf(admit);
     std::cout << "\n";
   }
-  const auto tried = [&](Table wrong, const std::string& what) {
+  const auto tried = [&](AdmissionTable wrong, const std::string& what) {
     try {
-      check(wrong, types);
+      validate(wrong, types);
       std::cout << what << ": taken\n";
-    } catch (const BadTable& bad) { std::cout << what << ": " << bad.what() << "\n"; }
+    } catch (const InvalidAdmissionTable& bad) { std::cout << what << ": " << bad.what() << "\n"; }
   };
   tried(table, "the default");
-  Table wrong = table;
-  wrong[2].admits[3] = Admit::all;
+  AdmissionTable wrong = table;
+  wrong[2].admission[3] = AdmissionPolicy::all;
   tried(wrong, "a higher level that lets in more");
   wrong = table;
-  wrong[3].admits[4] = Admit::spare;
+  wrong[3].admission[4] = AdmissionPolicy::withSpareCapacity;
   tried(wrong, "a write that may not run twice");
   wrong = table;
-  wrong[0].admits.pop_back();
+  wrong[0].admission.pop_back();
   tried(wrong, "a row that is short");
 }
 
@@ -220,54 +222,56 @@
 
 void taken() {
   using namespace trace;
-  Terms terms =
-      usualTerms({type(ReadLevel::any), type(ReadLevel::session), type(ReadLevel::write, Effect::onceOnly)});
-  terms.reducedByLevel = true;
+  RoutingConfig terms = usualTerms(
+      {type(ReadLevel::any), type(ReadLevel::session), type(ReadLevel::write, Effect::atMostOnce)});
+  terms.degradationEnabled = true;
   Bench b(terms);
   b.quietProbes = true;
-  Reduction none, row;
+  DegradationRules none, row;
   b.at(0, [&](Router& r) {
-    r.listed(ListKind::whole, {b.entry("p", true), b.entry("a"), b.entry("b")});
-    r.taken(b.txn(1));
+    r.onEndpointList(EndpointUpdateKind::snapshot, {b.entry("p", true), b.entry("a"), b.entry("b")});
+    r.onTransaction(b.txn(1));
   });
   b.at(5, [&](Router& r) {
-    r.ended(1, 0, b.nodeOf(1), End::committed, true, ms(5), b.standing(Role::replica, 0), {});
+    r.onAttemptEnded(1, 0, b.nodeOf(1), AttemptOutcome::committed, true, ms(5), b.standing(Role::replica, 0),
+                     {});
   });
   b.say(
       "ready: a session read is refused at once where no replica is known to have what it must see, and is "
       "never given older data; writes and the others are let in");
-  row.admits = {Admit::all, Admit::ready, Admit::all};
-  row.sparing = true;
+  row.admission = {AdmissionPolicy::all, AdmissionPolicy::withReadyReplica, AdmissionPolicy::all};
+  row.limitsBackgroundWork = true;
   b.at(10, [&](Router& r) {
-    r.reduced(1, row, none, 0);
-    r.taken(b.sessionRead(2, 1, 2));
-    r.taken(b.txn(3, 2));
-    r.taken(b.txn(4));
+    r.setDegradation(1, row, none, 0);
+    r.onTransaction(b.sessionRead(2, 1, 2));
+    r.onTransaction(b.txn(3, 2));
+    r.onTransaction(b.txn(4));
   });
   b.say("one that a replica can answer is let in");
-  b.at(15, [&](Router& r) { r.taken(b.sessionRead(5, 1, 100)); });
+  b.at(15, [&](Router& r) { r.onTransaction(b.sessionRead(5, 1, 100)); });
   b.say("none: refused at once; what was taken before stays");
   b.say("spare: not where half of the room is taken");
-  row.admits = {Admit::spare, Admit::ready, Admit::all};
+  row.admission = {AdmissionPolicy::withSpareCapacity, AdmissionPolicy::withReadyReplica,
+                   AdmissionPolicy::all};
   b.at(17, [&](Router& r) {
-    r.reduced(1, row, none, 0);
-    for (TxnId id = 50; id < 55; ++id) r.taken(b.txn(id));
+    r.setDegradation(1, row, none, 0);
+    for (TxnId id = 50; id < 55; ++id) r.onTransaction(b.txn(id));
   });
-  row.admits = {Admit::none, Admit::none, Admit::all};
+  row.admission = {AdmissionPolicy::none, AdmissionPolicy::none, AdmissionPolicy::all};
   b.at(20, [&](Router& r) {
-    r.reduced(1, row, none, 0);
-    r.taken(b.txn(6));
-    r.taken(b.txn(7, 2));
+    r.setDegradation(1, row, none, 0);
+    r.onTransaction(b.txn(6));
+    r.onTransaction(b.txn(7, 2));
   });
   b.say("a trial lets in a part of what the level below would");
   b.at(25, [&](Router& r) {
-    r.reduced(1, row, none, 0.25);
-    for (TxnId id = 10; id < 30; ++id) r.taken(b.txn(id));
+    r.setDegradation(1, row, none, 0.25);
+    for (TxnId id = 10; id < 30; ++id) r.onTransaction(b.txn(id));
   });
   b.say("full service again; another group was never reduced");
   b.at(2500, [&](Router& r) {
-    r.reduced(1, none, none, 0);
-    r.taken(b.txn(40));
+    r.setDegradation(1, none, none, 0);
+    r.onTransaction(b.txn(40));
   });
 }
 
@@ -278,12 +282,12 @@
   const std::vector<std::string> names{"board", "own", "route", "report", "charge"};
   const auto read = [&](const std::string& text) {
     try {
-      const auto setup = degradation_service::readSetup(text, types, names);
+      const auto setup = degradation_service::readDegradationConfig(text, types, names);
       std::cout << "up " << setup.bounds.up << " down " << setup.bounds.down << " stay "
                 << setup.bounds.shortestStay.inMicros() / 1000 << " ms";
       if (setup.bounds.pinned) std::cout << ", pinned " << *setup.bounds.pinned << " by " << setup.pinnedBy;
       if (!setup.cappedBy.empty()) std::cout << ", cap " << setup.bounds.cap << " by " << setup.cappedBy;
-      std::cout << ", own at 2: " << nameOf(setup.table[1].admits[1]) << "\n";
+      std::cout << ", own at 2: " << nameOf(setup.table[1].admission[1]) << "\n";
     } catch (const std::exception& bad) { std::cout << bad.what() << "\n"; }
   };
   for (
@@ -300,57 +304,59 @@
 
 // A ledger with levels on it, whose one node answers late.
 void seen() {
-  struct Nobody final : transactions::Front, transactions::Carrier {
-    void committed(transactions::OwnerId, const transactions::Value&) override {}
-    void refused(transactions::OwnerId, Span, unsigned level) override { ++refusals[level]; }
+  struct Nobody final : transactions::DownstreamHandler, transactions::UpstreamTransport {
+    void committed(transactions::OwnerId, const transactions::ResultValue&) override {}
+    void rejected(transactions::OwnerId, Duration, unsigned level) override { ++refusals[level]; }
     void rolledBack(transactions::OwnerId) override {}
-    void carry(transactions::Job job, const NodeId& node) override { jobs.emplace_back(job, node); }
-    void cancel(transactions::Job, const NodeId&) override {}
-    void listed(const std::vector<NodeId>&) override {}
-    void forget(const NodeId&) override {}
-    std::vector<std::pair<transactions::Job, NodeId>> jobs;
+    void startAttempt(transactions::AttemptId job, const NodeId& node) override {
+      jobs.emplace_back(job, node);
+    }
+    void cancelAttempt(transactions::AttemptId, const NodeId&) override {}
+    void onEndpointList(const std::vector<NodeId>&) override {}
+    void forgetNode(const NodeId&) override {}
+    std::vector<std::pair<transactions::AttemptId, NodeId>> jobs;
     std::map<unsigned, unsigned> refusals;
   } nobody;
   auto types = hanulTypes();
-  Terms terms = trace::usualTerms(types);
-  terms.reducedByLevel = true;
-  terms.probesAllowed = false;
-  transactions::Ledger ledger(terms, 7, 1 << 20, [] {});
-  ledger.add(nobody);
+  RoutingConfig terms = trace::usualTerms(types);
+  terms.degradationEnabled = true;
+  terms.healthChecksAllowed = false;
+  transactions::TransactionTable ledger(terms, 7, 1 << 20, [] {});
+  ledger.addTransport(nobody);
   std::string file = R"({"status_every_ms":1000})";
   const std::vector<std::string> names{"board", "own", "route", "report", "charge"};
   Instant now = kStart;
-  degradation_service::Reduced part(
-      ledger, degradation_service::readSetup(file, types, names), names, 7,
-      [&] { return degradation_service::readSetup(file, types, names); },
+  degradation_service::DegradationService part(
+      ledger, degradation_service::readDegradationConfig(file, types, names), names, 7,
+      [&] { return degradation_service::readDegradationConfig(file, types, names); },
       [&](const std::string& line) {
         std::cout << (now - kStart).inMicros() / 1000 << " ms: " << line << "\n";
       });
-  ListEntry entry;
+  EndpointEntry entry;
   entry.node = "a";
   entry.group = 1;
-  ledger.see(now);
-  ledger.listed(ListKind::whole, {{entry, "x"}});
+  ledger.advanceTo(now);
+  ledger.onEndpointList(EndpointUpdateKind::snapshot, {{entry, "x"}});
   const auto run = [&](int millis, int late) {
-    std::vector<std::pair<Instant, std::pair<transactions::Job, NodeId>>> out;
+    std::vector<std::pair<Instant, std::pair<transactions::AttemptId, NodeId>>> out;
     for (int t = 0; t < millis; t += 20) {
       now = now + ms(20);
-      ledger.see(now);
-      Txn txn;
+      ledger.advanceTo(now);
+      Transaction txn;
       txn.type = 2;
       txn.group = 1;
-      txn.patience = ms(1200);
-      ledger.take(nobody, 1, nobody, txn, {});
+      txn.remainingTime = ms(1200);
+      ledger.openTransaction(nobody, 1, nobody, txn, {});
       txn.type = 3;
-      if (t % 200 == 0) ledger.take(nobody, 1, nobody, txn, {});
+      if (t % 200 == 0) ledger.openTransaction(nobody, 1, nobody, txn, {});
       for (auto& job : std::exchange(nobody.jobs, {})) out.emplace_back(now + ms(late), job);
       for (auto at = out.begin(); at != out.end();) {
         if (at->first > now) {
           ++at;
           continue;
         }
-        if (ledger.isOwed(at->second.first.txn)) ledger.commit(at->second.first.txn, {});
-        ledger.ended(at->second.first, at->second.second, End::committed);
+        if (ledger.isAnswerPending(at->second.first.txn)) ledger.commit(at->second.first.txn, {});
+        ledger.onAttemptEnded(at->second.first, at->second.second, AttemptOutcome::committed);
         at = out.erase(at);
       }
       part.endTurn();
@@ -365,19 +371,19 @@
   std::cout << "\n";
   run(25'000, 270);
   file = R"({"pin":{"level":0,"by":"kim"}})";
-  part.readAnew();
+  part.reloadConfig();
   run(1000, 20);
   file = R"({"pin":{"level":9,"by":"kim"}})";
-  part.readAnew();
+  part.reloadConfig();
   run(1000, 20);
 }
 
 // --- Minutes of swinging load on a modelled group.
 
-fleet_model::Sheet sheet(std::size_t routers, fleet_model::Refusing refusing,
-                         fleet_model::Trouble trouble = {}) {
+fleet_model::FleetParameters sheet(std::size_t routers, fleet_model::LoadShedding refusing,
+                                   fleet_model::FaultPlan trouble = {}) {
   const auto types = hanulTypes();
-  fleet_model::Sheet made;
+  fleet_model::FleetParameters made;
   const double shares[] = {0.30, 0.25, 0.25, 0.04, 0.16};
   for (std::size_t row = 0; row < types.size(); ++row)
     made.kinds.push_back({types[row], shares[row], row == 3 ? ms(200) : ms(20)});
@@ -389,10 +395,10 @@
 }
 
 using Demand = std::function<double(double)>;
-using fleet_model::Refusing;
+using fleet_model::LoadShedding;
 
-fleet_model::Result play(std::size_t routers, Refusing refusing, double seconds, const Demand& demand,
-                         fleet_model::Trouble trouble = {}) {
+fleet_model::Result play(std::size_t routers, LoadShedding refusing, double seconds, const Demand& demand,
+                         fleet_model::FaultPlan trouble = {}) {
   return fleet_model::Fleet(sheet(routers, refusing, trouble)).run(seconds, demand);
 }
 
@@ -401,9 +407,9 @@
   const auto flat = [](double at) { return [at](double) { return at; }; };
   const Demand jump = [](double t) { return t >= 20 && t < 60 ? 2.0 : 0.5; };
   const auto tell = [](const std::string& what, std::size_t routers, const Demand& demand,
-                       fleet_model::Trouble trouble) {
-    const auto with = play(routers, Refusing::byLevels, 120, demand, trouble);
-    const auto before = play(routers, Refusing::byModule, 120, demand, trouble);
+                       fleet_model::FaultPlan trouble) {
+    const auto with = play(routers, LoadShedding::byLevels, 120, demand, trouble);
+    const auto before = play(routers, LoadShedding::byModule, 120, demand, trouble);
     std::cout << std::fixed << std::setprecision(2) << what << ", " << routers << ": value " << with.value
               << " (before " << before.value << "), worst 10 s " << with.worst << " (" << before.worst
               << "), changes " << with.changes << ", highest level " << with.mostLevel << ", refusals right "
@@ -413,7 +419,7 @@
     std::cout << "\n";
   };
   for (const std::size_t routers : {1, 4}) {
-    fleet_model::Trouble again, restarted, behind, late, drained;
+    fleet_model::FaultPlan again, restarted, behind, late, drained;
     again.comeAgain = 3;
     restarted.restartAt = 40;
     behind.behindFrom = 20, behind.behindTo = 80;
@@ -446,9 +452,9 @@
          "one; highest level; rules broken\n";
   for (const auto& [name, demand] : shapes) {
     for (const std::size_t routers : sizes) {
-      const auto with = play(routers, Refusing::byLevels, minutes * 60, demand);
-      const auto before = play(routers, Refusing::byModule, minutes * 60, demand);
-      const auto none = play(routers, Refusing::nobody, minutes * 60, demand);
+      const auto with = play(routers, LoadShedding::byLevels, minutes * 60, demand);
+      const auto before = play(routers, LoadShedding::byModule, minutes * 60, demand);
+      const auto none = play(routers, LoadShedding::nobody, minutes * 60, demand);
       std::cout << std::fixed << std::setprecision(2) << name << ", " << routers << ": " << with.value << " "
                 << before.value << " " << none.value << "; "
                 << static_cast<double>(with.changes) / static_cast<double>(routers) / minutes << ", "
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -18,25 +18,25 @@
 
 namespace {
 
-Span ms(std::int64_t n) { return Span::millis(n); }
-const Instant kBegin = Instant() + Span::millis(1'000'000);
+Duration ms(std::int64_t n) { return Duration::millis(n); }
+const Instant kBegin = Instant() + Duration::millis(1'000'000);
 
 // --- Step by step
 
 void entry() {
-  Entry one(3, 7);
+  JoinProtocol one(3, 7);
   const auto shown = [&](const char* what) {
     std::cout << what << ": " << nameOf(one.state()) << " " << one.incarnation().number << ";";
-    for (const auto& [keeper, number] : one.takeWishes())
+    for (const auto& [keeper, number] : one.takeJoinRequests())
       std::cout << " wishes " << number << " of " << keeper;
     std::cout << "\n";
   };
-  const auto greeted = [&](KeeperNumber keeper, Incarnation newest, const char* what) {
-    one.greeted(kBegin, keeper, newest);
+  const auto greeted = [&](VoterIndex keeper, Incarnation newest, const char* what) {
+    one.onNewestKnown(kBegin, keeper, newest);
     shown(what);
   };
-  const auto answered = [&](KeeperNumber keeper, Incarnation newest, const char* what) {
-    one.answered(kBegin, keeper, newest);
+  const auto answered = [&](VoterIndex keeper, Incarnation newest, const char* what) {
+    one.onJoinReply(kBegin, keeper, newest);
     shown(what);
   };
   greeted(0, {4, 1}, "one keeper of three tells start 4");
@@ -44,102 +44,103 @@
   answered(0, {5, 7}, "the first has it on disk");
   greeted(2, {3, 3}, "the third greets, behind");
   answered(2, {5, 7}, "and has it");
-  std::cout << "may speak at 0, 1, 2: " << one.isAt(0) << one.isAt(1) << one.isAt(2) << "\n";
-  one.lost(2);
+  std::cout << "may speak at 0, 1, 2: " << one.isJoinedAt(0) << one.isJoinedAt(1) << one.isJoinedAt(2)
+            << "\n";
+  one.onVoterLost(2);
   greeted(2, {5, 7}, "one that was lost is back, and has it");
   answered(0, {6, 9}, "one knows another start");
   answered(2, {6, 9}, "more than half do");
-  Entry two(3, 8);
+  JoinProtocol two(3, 8);
   std::cout << "two processes of one name start at a time\n";
   std::swap(one, two);
   greeted(0, {}, "nothing is known");
   greeted(1, {}, "nor there");
   answered(0, {1, 5}, "the other was first");
   answered(1, {1, 5}, "at both");
-  std::cout << "it rests for some time: " << (one.due(kBegin) > kBegin) << "\n";
-  one.due(kBegin + ms(500));
+  std::cout << "it rests for some time: " << (one.runTimers(kBegin) > kBegin) << "\n";
+  one.runTimers(kBegin + ms(500));
   shown("then");
-  one.lost(0);
-  one.lost(1);
+  one.onVoterLost(0);
+  one.onVoterLost(1);
   shown("all are lost");
 }
 
-void shown(const std::vector<Report>& reports) {
+void shown(const std::vector<LivenessReport>& reports) {
   constexpr const char* kHearing[] = {"awaited", "heard", "silent", "left"};
   for (const auto& report : reports)
     std::cout << "  " << report.router << " " << report.incarnation.number << " "
-              << kHearing[static_cast<int>(report.hearing)] << " " << report.progress.stage << "\n";
+              << kHearing[static_cast<int>(report.liveness)] << " " << report.progress.recoveryStage << "\n";
 }
 
 void roll() {
-  Roll one(kBegin, {"a", "b"}, {{"b", {4, 40}}, {"old", {9, 90}}});
+  FailureDetector one(kBegin, {"a", "b"}, {{"b", {4, 40}}, {"old", {9, 90}}});
   std::uint64_t told = 0;
   const auto since = [&](const char* what) {
     std::cout << what << "\n";
-    shown(one.since(told, 10));
+    shown(one.reportsSince(told, 10));
     for (const auto& [router, start] : one.takeChanges())
       std::cout << "  to disk: " << router << "=" << start.number << "\n";
   };
   const auto turnTo = [&](std::int64_t at) {
-    for (std::int64_t t = 500; t <= at; t += 500) one.turn(kBegin + ms(t));
+    for (std::int64_t t = 500; t <= at; t += 500) one.checkTimeouts(kBegin + ms(t));
   };
   since("it starts, and knows b's last start from its disk");
-  one.enters(kBegin, "a", {1, 10});
-  one.enters(kBegin, "b", {4, 41});
-  one.enters(kBegin, "c", {1, 1});
-  one.enters(kBegin, "b", {5'000'000, 41});
+  one.onJoinRequest(kBegin, "a", {1, 10});
+  one.onJoinRequest(kBegin, "b", {4, 41});
+  one.onJoinRequest(kBegin, "c", {1, 1});
+  one.onJoinRequest(kBegin, "b", {5'000'000, 41});
   since("a enters; b by a number that is taken, and by one from the future; c is a stranger");
-  std::cout << "speaks: a " << one.speaks("a", 10) << ", another a " << one.speaks("a", 11) << ", b before "
-            << one.speaks("b", 40) << ", b now " << one.speaks("b", 41) << "\n";
+  std::cout << "speaks: a " << one.isCurrent("a", 10) << ", another a " << one.isCurrent("a", 11)
+            << ", b before " << one.isCurrent("b", 40) << ", b now " << one.isCurrent("b", 41) << "\n";
   turnTo(3500);
   since("neither is heard for the time of silence");
-  one.heard(kBegin + ms(3500), "a", 11, Progress{3});
-  one.heard(kBegin + ms(3500), "a", 10, Progress{2});
+  one.onHeartbeat(kBegin + ms(3500), "a", 11, MemberProgress{3});
+  one.onHeartbeat(kBegin + ms(3500), "a", 10, MemberProgress{2});
   since("a is heard, and one that does not speak for it");
-  one.heard(kBegin + ms(3500), "a", 10, std::nullopt);
+  one.onHeartbeat(kBegin + ms(3500), "a", 10, std::nullopt);
   since("a says something that tells no progress: nothing changes");
-  one.turn(kBegin + ms(60'000));
+  one.checkTimeouts(kBegin + ms(60'000));
   since("this keeper stood still for a minute: it misses nobody for that");
-  one.turn(kBegin + ms(60'500));
-  one.list(kBegin + ms(60'500), {"b", "old"});
-  one.heard(kBegin + ms(60'500), "a", 10, Progress{2});
+  one.checkTimeouts(kBegin + ms(60'500));
+  one.setMembers(kBegin + ms(60'500), {"b", "old"});
+  one.onHeartbeat(kBegin + ms(60'500), "a", 10, MemberProgress{2});
   since("a is taken off the list, one that was on it long ago is put back");
-  std::cout << "its next number is above what it had: " << one.newest("old").number << "\n";
+  std::cout << "its next number is above what it had: " << one.newestIncarnation("old").number << "\n";
   std::cout << "told in slices\n";
   told = 0;
-  shown(one.since(told, 2));
+  shown(one.reportsSince(told, 2));
   std::cout << "  and\n";
-  shown(one.since(told, 2));
+  shown(one.reportsSince(told, 2));
 }
 
 void view() {
-  View one(3);
-  const auto told = [&](KeeperNumber keeper, std::uint64_t incarnation, Hearing hearing, unsigned progress,
+  MembershipView one(3);
+  const auto told = [&](VoterIndex keeper, std::uint64_t incarnation, Liveness hearing, unsigned progress,
                         const char* what) {
-    one.told(keeper, {{"r", {incarnation, 1}, hearing, progress}});
-    const auto member = one.of("r");
+    one.onReports(keeper, {{"r", {incarnation, 1}, hearing, progress}});
+    const auto member = one.memberState("r");
     std::cout << what << ": " << nameOf(member.state) << " " << member.incarnation << ", progress "
-              << member.progress.stage;
-    for (const auto& step : one.takeSteps())
+              << member.progress.recoveryStage;
+    for (const auto& step : one.takeTransitions())
       std::cout << "; step to " << nameOf(step.to) << " " << step.incarnation << ", silent at "
                 << step.silentAt;
     std::cout << "\n";
   };
-  told(0, 4, Hearing::awaited, 0, "one waits");
-  told(1, 4, Hearing::heard, 2, "one hears it");
-  told(0, 5, Hearing::heard, 4, "another hears its next start");
-  told(0, 4, Hearing::heard, 4, "two hear it");
-  told(2, 1'000'000, Hearing::silent, 0, "one tells falsely that a start from the future is silent");
-  told(2, 4, Hearing::silent, 0, "one does not hear it");
-  told(1, 4, Hearing::silent, 0, "two do not");
-  told(1, 5, Hearing::heard, 1, "its next start is heard by one");
-  told(0, 5, Hearing::heard, 1, "and by two");
-  told(0, 5, Hearing::left, 0, "one has it off the list");
-  told(1, 5, Hearing::left, 0, "two have");
-  for (const KeeperNumber keeper : {0, 1}) one.lost(keeper);
-  std::cout << "the keepers that told so are lost: " << nameOf(one.of("r").state) << ", "
-            << one.takeSteps().size() << " steps\n";
-  one.lost(2);
+  told(0, 4, Liveness::awaited, 0, "one waits");
+  told(1, 4, Liveness::alive, 2, "one hears it");
+  told(0, 5, Liveness::alive, 4, "another hears its next start");
+  told(0, 4, Liveness::alive, 4, "two hear it");
+  told(2, 1'000'000, Liveness::silent, 0, "one tells falsely that a start from the future is silent");
+  told(2, 4, Liveness::silent, 0, "one does not hear it");
+  told(1, 4, Liveness::silent, 0, "two do not");
+  told(1, 5, Liveness::alive, 1, "its next start is heard by one");
+  told(0, 5, Liveness::alive, 1, "and by two");
+  told(0, 5, Liveness::removed, 0, "one has it off the list");
+  told(1, 5, Liveness::removed, 0, "two have");
+  for (const VoterIndex keeper : {0, 1}) one.onVoterLost(keeper);
+  std::cout << "the keepers that told so are lost: " << nameOf(one.memberState("r").state) << ", "
+            << one.takeTransitions().size() << " steps\n";
+  one.onVoterLost(2);
   std::cout << "names left: " << one.routers().size() << "\n";
 }
 
@@ -147,17 +148,17 @@
   std::map<std::int64_t, int> first;  // of the second, in tenths
   std::size_t said = 0;
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
-    Beats one(kBegin, seed);
+    HeartbeatTimer one(kBegin, seed);
     ++first[(one.next() - kBegin).inMicros() / 100'000];
-    for (std::int64_t t = 0; t < 60'000; t += 10) said += one.due(kBegin + ms(t));
+    for (std::int64_t t = 0; t < 60'000; t += 10) said += one.isDue(kBegin + ms(t));
   }
   int most = 0;
   for (const auto& [tenth, count] : first) most = std::max(most, count);
   std::cout << "300 routers that start together: " << said << " beats in a minute, at most "
             << (most < 60 ? "a fifth" : "TOO MANY") << " of them in one tenth of a second\n";
-  Beats one(kBegin, 1);
+  HeartbeatTimer one(kBegin, 1);
   int late = 0;
-  for (int n = 0; n < 10; ++n) late += one.due(kBegin + ms(30'000));
+  for (int n = 0; n < 10; ++n) late += one.isDue(kBegin + ms(30'000));
   std::cout << "one that slept for half a minute: " << late << " beat at once\n";
 }
 
@@ -199,7 +200,7 @@
     for (const auto& name : names_) start(name);
     run(ms(10'000));
     for (std::size_t p = processes_.size() - names_.size(); p < processes_.size(); ++p)
-      if (fault_.empty() && processes_[p].entry->state() != Entry::State::entered)
+      if (fault_.empty() && processes_[p].entry->state() != JoinProtocol::State::joined)
         fault_ = processes_[p].name +
                  " does not enter when all is well: " + std::string(nameOf(processes_[p].entry->state()));
     return fault_;
@@ -208,23 +209,23 @@
  private:
   struct KeeperAt {
     std::map<std::string, Incarnation> disk;
-    std::optional<Roll> roll;
+    std::optional<FailureDetector> roll;
     std::uint64_t life = 0;
   };
   struct Process {
     std::string name;
     std::uint64_t draw = 0;
-    std::optional<Entry> entry;
+    std::optional<JoinProtocol> entry;
     std::uint64_t above = 0;  // the highest that had entered when it started
     bool stopped = false, counted = false, counted2 = false;
     std::map<std::size_t, std::uint64_t> link;  // to each keeper: its generation
   };
 
   std::size_t pick(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(chance_); }
-  void later(Span after, std::function<void()> call) {
+  void later(Duration after, std::function<void()> call) {
     events_.push({now_ + after, ++order_, std::move(call)});
   }
-  void run(Span span) {
+  void run(Duration span) {
     const Instant end = now_ + span;
     while (fault_.empty() && !events_.empty() && events_.top().at < end) {
       const auto event = events_.top();
@@ -234,7 +235,7 @@
     }
     now_ = end;
   }
-  Span delay() { return ms(1 + static_cast<std::int64_t>(pick(calm_ || pick(10) ? 20 : 2000))); }
+  Duration delay() { return ms(1 + static_cast<std::int64_t>(pick(calm_ || pick(10) ? 20 : 2000))); }
 
   void boot(std::size_t k) {
     KeeperAt& keeper = keepers_[k];
@@ -259,7 +260,7 @@
   void tick(std::size_t p) {
     if (!processes_[p].entry) return;
     if (!processes_[p].stopped) {
-      processes_[p].entry->due(now_);
+      processes_[p].entry->runTimers(now_);
       settle(p);
     }
     later(ms(50), [this, p] { tick(p); });
@@ -273,7 +274,7 @@
     const std::string name = processes_[p].name;
     const auto changes = keepers_[k].roll->takeChanges();
     const auto tell = [=, this] {
-      const Incarnation newest = keepers_[k].roll->newest(name);
+      const Incarnation newest = keepers_[k].roll->newestIncarnation(name);
       later(delay(), [=, this] {
         if (isUp(p, k, link, life)) hear(p, k, newest, greets);
       });
@@ -289,7 +290,7 @@
   void connect(std::size_t p, std::size_t k) {
     Process& process = processes_[p];
     if (!process.entry) return;
-    process.entry->lost(k);
+    process.entry->onVoterLost(k);
     const std::uint64_t link = ++process.link[k];
     if (!keepers_[k].roll) return;
     const std::uint64_t life = keepers_[k].life;
@@ -305,25 +306,25 @@
       });
     ++seen_.words;
     if (greets)
-      process.entry->greeted(now_, k, newest);
+      process.entry->onNewestKnown(now_, k, newest);
     else
-      process.entry->answered(now_, k, newest);
+      process.entry->onJoinReply(now_, k, newest);
     settle(p);
   }
   void settle(std::size_t p) {
     Process& process = processes_[p];
-    for (const auto& [keeper, number] : process.entry->takeWishes()) {
+    for (const auto& [keeper, number] : process.entry->takeJoinRequests()) {
       const std::size_t k = keeper;
       const std::uint64_t link = process.link[k], life = keepers_[k].life;
       later(delay(), [=, this, n = number] {
         if (!isUp(p, k, link, life)) return;
-        keepers_[k].roll->enters(now_, processes_[p].name, {n, processes_[p].draw});
+        keepers_[k].roll->onJoinRequest(now_, processes_[p].name, {n, processes_[p].draw});
         answer(p, k, link, life, false);
       });
     }
-    if (process.entry->state() == Entry::State::superseded && !std::exchange(process.counted2, true))
+    if (process.entry->state() == JoinProtocol::State::superseded && !std::exchange(process.counted2, true))
       ++seen_.superseded;
-    if (process.entry->state() != Entry::State::entered || std::exchange(process.counted, true)) return;
+    if (process.entry->state() != JoinProtocol::State::joined || std::exchange(process.counted, true)) return;
     ++seen_.entered;
     const std::uint64_t number = process.entry->incarnation().number;
     if (number <= process.above)
@@ -346,7 +347,7 @@
         ++seen_.losses;
         keepers_[k].roll.reset();
         for (std::size_t p = 0; p < processes_.size(); ++p)
-          if (processes_[p].entry) processes_[p].entry->lost(k);
+          if (processes_[p].entry) processes_[p].entry->onVoterLost(k);
         return later(ms(static_cast<std::int64_t>(pick(3000))), [this, k] {
           if (!keepers_[k].roll) boot(k);
         });
--- a/tests/order.cpp
+++ b/tests/order.cpp
@@ -15,12 +15,12 @@
 
 namespace {
 
-// What a turn costs beside the work: all have to know, nothing to be out, and what comes back to serve warm.
+// Kind a turn costs beside the work: all have to know, nothing to be out, and what comes back to serve warm.
 constexpr double kTurn = 25;
 
 struct World {
   Plan plan;
-  Facts facts;
+  FleetState facts;
   Bounds bounds;
 };
 
@@ -31,7 +31,7 @@
     Machine machine;
     machine.name = "m" + std::to_string(100 + m);
     machine.zone = "z" + std::to_string(m % zones);
-    machine.takes = Span::millis(static_cast<std::int64_t>(60'000 + chance() % 840'000));
+    machine.expectedDuration = Duration::millis(static_cast<std::int64_t>(60'000 + chance() % 840'000));
     for (std::size_t n = 0; n < 1 + chance() % 3; ++n) {
       const std::string node = machine.name + "n" + std::to_string(n);
       auto& fact = world.facts.nodes[node];
@@ -55,7 +55,7 @@
       fact.live = fact.serves = true;
       fact.primary = *name == 'p';
     }
-  world.facts.routers["r0"].lives = true;
+  world.facts.routers["r0"].isAlive = true;
   return world;
 }
 
@@ -66,29 +66,29 @@
   std::map<std::string, double> ends;
   for (;;) {
     while (const Machine* next = choose(world.plan)) {
-      ends[next->name] = now + kTurn + next->takes.inSeconds();
-      world.plan.find(next->name)->phase = Phase::free;
+      ends[next->name] = now + kTurn + next->expectedDuration.inSeconds();
+      world.plan.find(next->name)->phase = Phase::released;
     }
     if (ends.empty()) break;
     const auto first =
         std::min_element(ends.begin(), ends.end(), [](auto& a, auto& b) { return a.second < b.second; });
     now = first->second;
-    world.plan.find(first->first)->phase = Phase::over;
+    world.plan.find(first->first)->phase = Phase::finished;
     ends.erase(first);
   }
   for (const auto& m : world.plan.machines)
-    if (m.phase != Phase::over) return -1;  // never: each group keeps two
+    if (m.phase != Phase::finished) return -1;  // never: each group keeps two
   return now;
 }
 Chooser taken(const World& world) {
-  return [&world](const Plan& plan) { return nextOf(plan, world.facts, world.bounds, {}); };
+  return [&world](const Plan& plan) { return nextMachine(plan, world.facts, world.bounds, {}); };
 }
 Chooser plainest() {
   return [](const Plan& plan) -> const Machine* {
     for (const auto& m : plan.machines)
-      if (m.phase == Phase::free) return nullptr;
+      if (m.phase == Phase::released) return nullptr;
     for (const auto& m : plan.machines)
-      if (m.phase == Phase::waits) return &m;
+      if (m.phase == Phase::waiting) return &m;
     return nullptr;
   };
 }
@@ -98,12 +98,12 @@
     std::size_t out = 0;
     std::string zone;
     for (const auto& m : plan.machines)
-      if (m.phase == Phase::free) ++out, zone = m.zone;
+      if (m.phase == Phase::released) ++out, zone = m.zone;
     if (out >= world.bounds.atOnce) return nullptr;
     for (const std::size_t i : order) {
       const Machine& m = plan.machines[i];
-      if (m.phase == Phase::waits && (zone.empty() || m.zone == zone) &&
-          heldUp(plan, m, world.facts, world.bounds).empty())
+      if (m.phase == Phase::waiting && (zone.empty() || m.zone == zone) &&
+          startBlockingReason(plan, m, world.facts, world.bounds).empty())
         return &m;
     }
     return nullptr;
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -109,8 +109,8 @@
       kept += slice;
       std::string_view bytes = kept;
       while (const auto answer = postgres::takeAnswer(bytes)) {
-        out += "verdict " + std::to_string(static_cast<int>(answer->verdict)) +
-               (answer->fatal ? " fatal" : "") + " value '" + std::string(answer->value) + "'";
+        out += "verdict " + std::to_string(static_cast<int>(answer->kind)) + (answer->fatal ? " fatal" : "") +
+               " value '" + std::string(answer->value) + "'";
         if (answer->fromPrimary) out += *answer->fromPrimary ? " from the primary" : " from a replica";
         if (answer->positionMs) out += " at " + std::to_string(*answer->positionMs);
         if (answer->report.inHand) out += " in hand " + std::to_string(*answer->report.inHand);
@@ -131,7 +131,7 @@
            std::string(read.id) + " type " + std::string(read.typeName) + " waits " +
            std::to_string(read.waitMs) + " group " + std::to_string(read.group) + " after " +
            std::to_string(read.afterMs.value_or(0));
-  } catch (const postgres::BadStatement& bad) {
+  } catch (const postgres::InvalidStatement& bad) {
     return "refused: " + std::string(bad.code()) + " " + bad.what();
   }
 }
@@ -234,12 +234,13 @@
       R"("lanes":[{"name":"basket","effect":"idempotent","objective":300000,"deadline":750000,"worth":2.5}],)"
       R"("specifics":{"readLevel":["recent"],"lagAllowed":[3000000]}}})";
   const auto started = config::readStart(good);
-  const auto& told = started.told;
+  const auto& told = started.deployment;
   std::cout << started.name << " on " << started.listen.host << " port " << started.listen.port << ", "
             << started.memoryBytes << " bytes, " << started.descriptors << " descriptors, seed "
             << started.seed << ", list " << started.known.version << " with " << started.known.nodes.size()
-            << " node, type " << told.typeNames[0] << " bound " << told.terms.types[0].bound.inMicros()
-            << " value " << told.terms.types[0].value << ", idle " << told.idleLimit.inMicros()
+            << " node, type " << told.typeNames[0] << " bound "
+            << told.routing.transactionClasses[0].maxStaleness.inMicros() << " value "
+            << told.routing.transactionClasses[0].priorityWeight << ", idle " << told.idleLimit.inMicros()
             << ", up within " << told.connectLimit.inMicros() << "\n";
   const std::pair<const char*, const char*> changes[] = {{"{\"name\"", "{\"nam"},
                                                          {"\"n0\"", "\"\""},
@@ -267,16 +268,16 @@
     try {
       config::readStart(bad);
       std::cout << from << " as " << to << ": taken\n";
-    } catch (const config::BadKey& fault) { std::cout << fault.what() << "\n"; }
+    } catch (const config::ConfigError& fault) { std::cout << fault.what() << "\n"; }
   }
   // Read anew: what waits for a restart, and whose word counts on discovery.
   auto other = good;
   for (const auto& [from, to] : {std::pair{"n0", "n1"}, {"6543", "6544"}, {"1024", "512"}, {"5000", "6000"}})
     other.replace(other.find(from), std::string(from).size(), to);
-  for (const auto& key : config::keptUntilRestart(started, config::readStart(other)))
+  for (const auto& key : config::keysNeedingRestart(started, config::readStart(other)))
     std::cout << key << " waits\n";
   setenv("BALANCER_DISCOVERY", "127.0.0.9:1", 1);
-  for (const auto first : {config::First::environment, config::First::file})
+  for (const auto first : {config::ValuePrecedence::environment, config::ValuePrecedence::file})
     std::cout << "discovery at " << config::readStart(good, first).discovery.host << "\n";
 }
 
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -28,14 +28,14 @@
 // Carries nothing out: no connection ever comes up.
 class NoSockets final : public gateway::Effects {
  public:
-  void connect(gateway::LinkId, const std::string&) override {}
-  bool writeNode(gateway::LinkId, transactions::Parts) override { return true; }
-  void closeNode(gateway::LinkId) override {}
-  void writeClient(gateway::ClientId, transactions::Parts) override { ++answers; }
+  void connect(gateway::NodeConnectionId, const std::string&) override {}
+  bool writeNode(gateway::NodeConnectionId, transactions::ByteSlices) override { return true; }
+  void closeNode(gateway::NodeConnectionId) override {}
+  void writeClient(gateway::ClientId, transactions::ByteSlices) override { ++answers; }
   void readClient(gateway::ClientId) override {}
   void closeClient(gateway::ClientId) override {}
   void stopListening() override {}
-  void askForList() override {}
+  void requestEndpointList() override {}
   void followDiscovery(const std::string&) override {}
   void log(std::string) override {}
   int answers = 0;
@@ -44,25 +44,28 @@
 // From the text of the file to a router that has had some turns, as main() puts them together.
 void startInProcess(const std::string& text, const std::string& levels) {
   const auto start = config::readStart(text);
-  Terms terms = start.told.terms;
-  terms.reducedByLevel = terms.ownConnections = true;
-  const auto setup = degradation_service::readSetup(levels, terms.types, start.told.typeNames);
+  RoutingConfig terms = start.deployment.routing;
+  terms.degradationEnabled = terms.connectionPerAttempt = true;
+  const auto setup = degradation_service::readDegradationConfig(levels, terms.transactionClasses,
+                                                                start.deployment.typeNames);
   NoSockets sockets;
-  gateway::Gateway router(terms, start.told.typeNames, start.seed,
-                          {start.told.idleLimit, start.told.connectLimit, 16, 1 << 20, 32}, sockets);
-  degradation_service::Reduced service(
-      router.ledger(), setup, start.told.typeNames, start.seed, [&] { return setup; }, [](const auto&) {});
+  gateway::Gateway router(terms, start.deployment.typeNames, start.seed,
+                          {start.deployment.idleLimit, start.deployment.connectLimit, 16, 1 << 20, 32},
+                          sockets);
+  degradation_service::DegradationService service(
+      router.transactions(), setup, start.deployment.typeNames, start.seed, [&] { return setup; },
+      [](const auto&) {});
   router.add(service);
   Instant now = Instant::atMicros(1'767'225'600'000'000);
-  router.listed(now, ListKind::disk, {});
+  router.onEndpointList(now, EndpointUpdateKind::restored, {});
   router.clientOpened(now, 1);
-  router.clientSent(now, 1, postgres::startup("worker", "catalog"));
-  for (std::size_t row = 0; row < terms.types.size(); ++row) {
+  router.clientReceived(now, 1, postgres::startup("worker", "catalog"));
+  for (std::size_t row = 0; row < terms.transactionClasses.size(); ++row) {
     const std::string comment =
-        " /* id=" + std::to_string(row) + ",c=" + start.told.typeNames[row] + ",t=t,d=100,cluster=1 */";
-    const bool writes = terms.types[row].level == ReadLevel::write;
+        " /* id=" + std::to_string(row) + ",c=" + start.deployment.typeNames[row] + ",t=t,d=100,cluster=1 */";
+    const bool writes = terms.transactionClasses[row].level == ReadLevel::write;
     router.clientOpened(now, 2 + row);
-    router.clientSent(
+    router.clientReceived(
         now, 2 + row,
         postgres::startup("worker", "catalog") +
             query((writes ? "INSERT INTO objects (oid, body) VALUES ('k', '\\x77') RETURNING body"
@@ -71,10 +74,10 @@
   }
   for (int turn = 0; turn < 8; ++turn) {
     router.endTurn(now);
-    now = now + Span::millis(100);
+    now = now + Duration::millis(100);
   }
   // A greeting each, and the final answer of each txn: nothing can be reached.
-  const auto owed = 1 + 2 * terms.types.size();
+  const auto owed = 1 + 2 * terms.transactionClasses.size();
   if (sockets.answers != static_cast<int>(owed))
     throw std::runtime_error(std::to_string(sockets.answers) + " answers for " + std::to_string(owed));
 }
--- a/tests/setups.cpp
+++ b/tests/setups.cpp
@@ -28,10 +28,10 @@
 void configurations() {
   const auto tried = [](const std::string& text, const std::string& name = "a") {
     try {
-      const Setup setup = readSetup(text, name, ms(3000));
+      const ClusterConfig setup = readClusterConfig(text, name, ms(3000));
       std::cout << "taken: keepers " << setup.list() << "; routers " << setup.routers.size() << "; store '"
                 << setup.folder << "'; connections " << setup.mostConnections << "\n";
-    } catch (const config::BadKey& bad) { std::cout << bad.what() << "\n"; }
+    } catch (const config::ConfigError& bad) { std::cout << bad.what() << "\n"; }
   };
   const std::string three = R"("keepers":{"c":"127.0.0.1:3","a":"127.0.0.1:1","b":"127.0.0.1:2"})";
   tried("{" + three + R"(,"store":"/s"})");
@@ -80,7 +80,7 @@
   tried({"store", "check", folder.c_str()});
   {
     store::Store store(folder, "r1", 5, {{1, {"r1"}}});
-    idempotency::Keeper::Change put;
+    idempotency::VotingMember::DiskChange put;
     put.id = put.entry.id = "b1";
     put.entry.token.router = "r2";
     put.entry.committed = true;
@@ -88,8 +88,8 @@
     store.write({put});
     put.id = put.entry.id = "b2";
     put.entry.committed = false;
-    idempotency::Keeper::Change start;
-    start.what = idempotency::Keeper::Change::What::start;
+    idempotency::VotingMember::DiskChange start;
+    start.kind = idempotency::VotingMember::DiskChange::Kind::start;
     start.id = "r3";
     start.start.number = 4;
     store.write({put, start});
@@ -105,8 +105,8 @@
     written(machines, text);
     std::cout << text << "\n";
     try {
-      std::cout << "  " << maintenance::readAsk(text).machines.size() << " machines\n";
-    } catch (const maintenance::BadAsk& bad) { std::cout << "  " << bad.what() << "\n"; }
+      std::cout << "  " << maintenance::readOperatorRequest(text).machines.size() << " machines\n";
+    } catch (const maintenance::InvalidRequest& bad) { std::cout << "  " << bad.what() << "\n"; }
   };
   asked("{");
   asked(R"({"machines":{}})");
@@ -130,70 +130,71 @@
 // A keeper's desk, with others' words put on it by hand.
 class World final : public Effects {
  public:
-  World() : ledger_(trace::usualTerms({trace::type(ReadLevel::write, Effect::onceOnly)}), 7, 1 << 20, [] {}) {
-    const Setup setup = readSetup(
+  World()
+      : ledger_(trace::usualTerms({trace::type(ReadLevel::write, Effect::atMostOnce)}), 7, 1 << 20, [] {}) {
+    const ClusterConfig setup = readClusterConfig(
         R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2","c":"127.0.0.1:3"},"routers":["d"],"store":"/s"})",
         "a", ms(2000));
-    idempotency::Kept kept;
+    idempotency::StoredState kept;
     kept.own = {{1, 50}};
-    kept.whole = true;
-    kept.lists.now = setup.lists.back();
-    desk_ = std::make_unique<Desk>(ledger_, Terms{}, setup, "a", 99, kept, *this);
+    kept.isComplete = true;
+    kept.lists.current = setup.lists.back();
+    desk_ = std::make_unique<ClaimDispatcher>(ledger_, RoutingConfig{}, setup, "a", 99, kept, *this);
   }
   void say(StreamKey stream, const std::string& what, const std::string& bytes) {
     std::cout << what << "\n";
-    desk_->said(stream, bytes);
+    desk_->onMessage(stream, bytes);
   }
   void durable(bool is) {
     std::cout << (is ? "durable\n" : "the disk fails\n");
-    for (const Ticket ticket : std::exchange(tickets_, {})) desk_->wrote(ticket, is);
+    for (const Ticket ticket : std::exchange(tickets_, {})) desk_->onWritten(ticket, is);
   }
-  Desk& desk() { return *desk_; }
+  ClaimDispatcher& desk() { return *desk_; }
   std::string status() const {
-    store::Figures disk;
+    store::StoreStatistics disk;
     disk.bytes = 20480;
     disk.fault = "disk I/O error";
     return statusOf(ledger_.now(), *desk_, &disk, {});
   }
 
  private:
-  void toKeeper(idempotency::KeeperNumber keeper, const Word&) override {
+  void sendToVoter(idempotency::VoterIndex keeper, const PeerMessage&) override {
     std::cout << "  to keeper " << keeper << "\n";
   }
-  void reply(StreamKey stream, const Reply& reply) override {
+  void reply(StreamKey stream, const PeerReply& reply) override {
     std::cout << "  to stream " << stream << ": ";
-    if (const auto* heard = std::get_if<Heard>(&reply))
+    if (const auto* heard = std::get_if<GreetingReply>(&reply))
       std::cout << "heard " << heard->number << ", knew " << heard->knew.number << "\n";
-    else if (const auto* seen = std::get_if<Seen>(&reply))
+    else if (const auto* seen = std::get_if<ObservationReport>(&reply))
       std::cout << "saw " << seen->nodes.size() << " nodes, " << (seen->serves ? "serves" : "starts") << "\n";
-    else if (const auto* entered = std::get_if<Entered>(&reply))
+    else if (const auto* entered = std::get_if<JoinReply>(&reply))
       std::cout << "entered " << entered->newest.number << " drawn " << entered->newest.draw << "\n";
-    else if (const auto* reports = std::get_if<Reports>(&reply)) {
+    else if (const auto* reports = std::get_if<HeartbeatReply>(&reply)) {
       for (const auto& report : reports->reports)
         std::cout << report.router << " " << report.incarnation.number << " "
-                  << static_cast<int>(report.hearing) << "; ";
+                  << static_cast<int>(report.liveness) << "; ";
       std::cout << "\n";
     } else
-      std::cout << "vote on " << std::get<VoteOf>(reply).number << ": "
-                << static_cast<int>(std::get<VoteOf>(reply).vote.what) << "\n";
+      std::cout << "vote on " << std::get<VoteReply>(reply).number << ": "
+                << static_cast<int>(std::get<VoteReply>(reply).vote.kind) << "\n";
   }
-  void refuse(StreamKey stream, std::string_view why) override {
+  void rejectStream(StreamKey stream, std::string_view why) override {
     std::cout << "  stream " << stream << " refused: " << why << "\n";
   }
-  Ticket write(std::vector<idempotency::Keeper::Change> changes) override {
+  Ticket write(std::vector<idempotency::VotingMember::DiskChange> changes) override {
     std::cout << "  to disk: " << changes.size() << "\n";
     tickets_.push_back(++last_);
     return last_;
   }
-  void endItself() override { std::cout << "  ends itself\n"; }
+  void terminate() override { std::cout << "  ends itself\n"; }
   void announce(std::uint64_t version, const std::set<std::string>& out) override {
     std::cout << "  announces plan " << version << ", out " << out.size() << "\n";
   }
   void log(std::string_view event, const std::string& fields) override {
     std::cout << "  " << event << " " << fields << "\n";
   }
-  transactions::Ledger ledger_;
-  std::unique_ptr<Desk> desk_;
+  transactions::TransactionTable ledger_;
+  std::unique_ptr<ClaimDispatcher> desk_;
   std::vector<Ticket> tickets_;
   Ticket last_ = 0;
 };
@@ -203,85 +204,86 @@
   const std::string list = "1: a b c";
   world.say(1, "nonsense", "\xff\xff\xff");
   world.say(1, "an empty word", "");
-  world.say(1, "a claim before a greeting", encoded(Word(Claim{"b1", 1})));
-  world.say(1, "a stranger greets", encoded(Word(Hello{"z", list, 5, {}})));
-  world.say(1, "a router with another list", encoded(Word(Hello{"d", "1: a b", 5, {}})));
-  world.say(1, "a router greets", encoded(Word(Hello{"d", list, 5, {}})));
+  world.say(1, "a claim before a greeting", encoded(PeerMessage(Claim{"b1", 1})));
+  world.say(1, "a stranger greets", encoded(PeerMessage(Greeting{"z", list, 5, {}})));
+  world.say(1, "a router with another list", encoded(PeerMessage(Greeting{"d", "1: a b", 5, {}})));
+  world.say(1, "a router greets", encoded(PeerMessage(Greeting{"d", list, 5, {}})));
   world.durable(true);
-  world.say(1, "it claims and has not entered", encoded(Word(Claim{"b1", 1})));
-  world.say(1, "it enters by a number from the future", encoded(Word(Enter{1'000'000'000})));
+  world.say(1, "it claims and has not entered", encoded(PeerMessage(Claim{"b1", 1})));
+  world.say(1, "it enters by a number from the future", encoded(PeerMessage(JoinRequest{1'000'000'000})));
   world.durable(true);
-  world.say(1, "it enters, and the disk fails", encoded(Word(Enter{1})));
+  world.say(1, "it enters, and the disk fails", encoded(PeerMessage(JoinRequest{1})));
   world.durable(false);
-  world.say(1, "it greets again", encoded(Word(Hello{"d", list, 5, {}})));
+  world.say(1, "it greets again", encoded(PeerMessage(Greeting{"d", list, 5, {}})));
   world.durable(true);
-  world.say(1, "it claims, and the keeper has not heard the others", encoded(Word(Claim{"b1", 1})));
+  world.say(1, "it claims, and the keeper has not heard the others", encoded(PeerMessage(Claim{"b1", 1})));
   std::cout << "a keeper answers with nonsense: ";
   try {
-    world.desk().replied(1, "\xff\xff");
-  } catch (const Malformed& bad) { std::cout << bad.what() << "\n"; }
+    world.desk().onReply(1, "\xff\xff");
+  } catch (const MalformedMessage& bad) { std::cout << bad.what() << "\n"; }
   std::cout << "one answers\n";
-  world.desk().replied(1, encoded(Reply(Heard{1, {}, {}})));
-  world.say(1, "it claims", encoded(Word(Claim{"b1", 2})));
+  world.desk().onReply(1, encoded(PeerReply(GreetingReply{1, {}, {}})));
+  world.say(1, "it claims", encoded(PeerMessage(Claim{"b1", 2})));
   world.durable(false);
-  world.say(2, "a keeper greets, and its start can't be kept", encoded(Word(Hello{"b", list, 6, {3, 60}})));
+  world.say(2, "a keeper greets, and its start can't be kept",
+            encoded(PeerMessage(Greeting{"b", list, 6, {3, 60}})));
   world.durable(false);
-  world.say(3, "it greets again", encoded(Word(Hello{"b", list, 6, {3, 60}})));
+  world.say(3, "it greets again", encoded(PeerMessage(Greeting{"b", list, 6, {3, 60}})));
   world.durable(true);
-  world.say(3, "it enters", encoded(Word(Enter{1})));
+  world.say(3, "it enters", encoded(PeerMessage(JoinRequest{1})));
   world.durable(true);
-  world.say(3, "it claims the same", encoded(Word(Claim{"b1", 1})));
-  world.desk().ended(3);
-  world.say(3, "a claim on a stream that ended", encoded(Word(Claim{"b2", 2})));
-  world.say(4, "another process of the name d greets", encoded(Word(Hello{"d", list, 8, {}})));
+  world.say(3, "it claims the same", encoded(PeerMessage(Claim{"b1", 1})));
+  world.desk().onStreamEnded(3);
+  world.say(3, "a claim on a stream that ended", encoded(PeerMessage(Claim{"b2", 2})));
+  world.say(4, "another process of the name d greets", encoded(PeerMessage(Greeting{"d", list, 8, {}})));
   world.durable(true);
-  world.say(4, "it enters by the same number", encoded(Word(Enter{1})));
+  world.say(4, "it enters by the same number", encoded(PeerMessage(JoinRequest{1})));
   world.durable(true);
-  world.say(4, "it enters by the next one", encoded(Word(Enter{2})));
-  world.say(1, "the first claims meanwhile", encoded(Word(Claim{"b4", 3})));
+  world.say(4, "it enters by the next one", encoded(PeerMessage(JoinRequest{2})));
+  world.say(1, "the first claims meanwhile", encoded(PeerMessage(Claim{"b4", 3})));
   world.durable(true);
-  world.say(1, "the first beats", encoded(Word(Beat{1, {4, 0, 0}})));
-  world.say(4, "the second beats", encoded(Word(Beat{1, {4, 0, 0}})));
+  world.say(1, "the first beats", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
+  world.say(4, "the second beats", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
   std::cout << "d is taken off the list\n";
-  Setup without = readSetup(
+  ClusterConfig without = readClusterConfig(
       R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2","c":"127.0.0.1:3"},"routers":["e"],"store":"/s"})",
       "a", ms(2000));
-  world.desk().readAnew(without);
-  world.say(5, "it greets", encoded(Word(Hello{"d", list, 8, {}})));
+  world.desk().reloadConfig(without);
+  world.say(5, "it greets", encoded(PeerMessage(Greeting{"d", list, 8, {}})));
   std::cout << "another keeper knows a start of this one that its disk doesn't\n";
-  world.desk().replied(2, encoded(Reply(Heard{1, {9, 70}, {}})));
+  world.desk().onReply(2, encoded(PeerReply(GreetingReply{1, {9, 70}, {}})));
   world.durable(true);
 }
 
 // Keepers that tell falsely of nodes, and what the status command makes of it.
 void tellers() {
   World world;
-  const auto tell = [&](idempotency::KeeperNumber by, const std::string& what, const Seen& seen) {
+  const auto tell = [&](idempotency::VoterIndex by, const std::string& what, const ObservationReport& seen) {
     std::cout << what << "\n";
-    world.desk().replied(by, encoded(Reply(seen)));
+    world.desk().onReply(by, encoded(PeerReply(seen)));
     world.desk().endTurn();
   };
   const auto sighting = [](const NodeId& node, Role role, std::int64_t position) {
-    return recovery::Sighting{node, Instant(), role, Instant() + ms(position), ms(3)};
+    return recovery::Observation{node, Instant(), role, Instant() + ms(position), ms(3)};
   };
-  std::vector<transactions::Addressed> list;
+  std::vector<transactions::ResolvedEndpoint> list;
   for (const NodeId node : {"p", "a"}) {
     list.emplace_back();
     list.back().entry.node = node;
     list.back().entry.group = 1;
     list.back().entry.primary = node == "p";
   }
-  world.desk().listed(ListKind::whole, 5, list);
+  world.desk().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
   world.desk().endTurn();
   tell(1, "one tells that the replica is a year ahead", {{sighting("a", Role::replica, 1 << 30)}, false});
   tell(2, "another tells the truth: what both reach is proven", {{sighting("a", Role::replica, 10)}, false});
   tell(1, "one tells that the replica is the primary", {{sighting("a", Role::primary, 20)}, false});
   tell(1, "one tells of a node that no list names", {{sighting("z", Role::primary, 20)}, false});
   std::cout << "one tells of a primary by a list from the future\n";
-  world.desk().replied(1, encoded(Reply(Primaries{{1, {"a", 1'000'000}}})));
+  world.desk().onReply(1, encoded(PeerReply(PrimaryUpdates{{1, {"a", 1'000'000}}})));
   world.desk().endTurn();
   std::cout << "the node that the list names says that it is the primary\n";
-  world.desk().service().told("p", {Role::primary, Instant() + ms(30), {}});
+  world.desk().recovery().onLoadReport("p", {Role::primary, Instant() + ms(30), {}});
   world.desk().endTurn();
   const auto kept = std::filesystem::path(scratch()) / ("gulltrestle-status-" + std::to_string(getpid()));
   const auto status = [&] {
@@ -294,10 +296,10 @@
   };
   status();
   std::cout << "an operator decides\n";
-  Setup forced;
+  ClusterConfig forced;
   forced.forced = recovery::Stage::all;
   forced.forcedBy = "kim";
-  world.desk().readAnew(forced);
+  world.desk().reloadConfig(forced);
   world.desk().endTurn();
   status();
   std::filesystem::remove(kept);
@@ -306,17 +308,17 @@
 // Two tell of a replica before any list is there: with the list it is proven.
 void aheadOfList() {
   World world;
-  for (const idempotency::KeeperNumber by : {1, 2}) {
+  for (const idempotency::VoterIndex by : {1, 2}) {
     std::cout << "one tells of a replica\n";
-    world.desk().replied(
-        by, encoded(Reply(Seen{{{"a", Instant(), Role::replica, Instant() + ms(10), ms(3)}}, false})));
+    world.desk().onReply(by, encoded(PeerReply(ObservationReport{
+                                 {{"a", Instant(), Role::replica, Instant() + ms(10), ms(3)}}, false})));
     world.desk().endTurn();
   }
   std::cout << "a list names it\n";
-  std::vector<transactions::Addressed> list(1);
+  std::vector<transactions::ResolvedEndpoint> list(1);
   list.back().entry.node = "a";
   list.back().entry.group = 1;
-  world.desk().listed(ListKind::whole, 5, list);
+  world.desk().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
   world.desk().endTurn();
 }
 
--- a/tests/small.cpp
+++ b/tests/small.cpp
@@ -31,7 +31,7 @@
 };
 
 constexpr std::size_t kKeepers = 3, kRouters = 2;
-const Instant kNow = Instant() + Span::millis(1'000'000);
+const Instant kNow = Instant() + Duration::millis(1'000'000);
 const std::string kId = "b1", kValue = "v";
 
 std::uint64_t mixed(std::uint64_t a, std::uint64_t b) {
@@ -41,46 +41,46 @@
 }
 
 struct Disk {
-  std::vector<Start> own;
+  std::vector<VoterIncarnation> own;
   std::uint64_t newSince = 0;
   bool whole = true;
-  std::map<std::string, Entry> entries;
-  std::map<std::string, Start> starts;
+  std::map<std::string, ClaimRecord> entries;
+  std::map<std::string, VoterIncarnation> starts;
 };
 
 struct Write {
-  std::vector<Keeper::Change> changes;
+  std::vector<VotingMember::DiskChange> changes;
   bool vote = false;  // of this token, to that router
-  Token token;
+  ClaimToken token;
   std::size_t router = 0;
 };
 
 struct Word {
-  enum class What { claim, release, committed, vote } what = What::claim;
+  enum class Kind { claim, release, committed, vote } what = Kind::claim;
   std::size_t router = 0, keeper = 0;
   std::uint64_t start = 0, number = 0;
   Vote vote;
   bool isAheadOf(const Word& later) const {
     return router == later.router && keeper == later.keeper && start == later.start &&
-           (what == What::vote) == (later.what == What::vote);
+           (what == Kind::vote) == (later.what == Kind::vote);
   }
   // But for the keeper: they are alike.
   std::uint64_t hash() const {
     std::uint64_t h = mixed(static_cast<std::uint64_t>(what), router);
     h = mixed(h, start * 64 + number);
-    return mixed(h, static_cast<std::uint64_t>(vote.what) * 2 + vote.committed);
+    return mixed(h, static_cast<std::uint64_t>(vote.kind) * 2 + vote.committed);
   }
 };
 
 struct State {
   struct KeeperAt {
-    std::optional<Keeper> keeper;
+    std::optional<VotingMember> keeper;
     Disk disk;
     std::vector<Write> writes;
     std::uint64_t history = 1;
   };
   struct Router {
-    std::optional<Claimant> claimant;
+    std::optional<ClaimCoordinator> claimant;
     std::uint64_t start = 1, history = 1;
     enum class At { idle, asked, admitted, running, over } at = At::idle;
     std::array<std::uint64_t, kKeepers> heard{};
@@ -127,7 +127,7 @@
     ask(state, 0);
     todo_.push_back(std::move(state));
   }
-  // What broke; empty: nothing.
+  // Kind broke; empty: nothing.
   std::string run(std::size_t most) {
     while (!todo_.empty() && fault_.empty() && seen_.size() < most) {
       State state = std::move(todo_.back());
@@ -171,62 +171,64 @@
     // Votes that nobody waits for any more change nothing.
     std::erase_if(next.words, [&](const Word& word) {
       const auto& router = next.routers[word.router];
-      return word.what == Word::What::vote &&
+      return word.what == Word::Kind::vote &&
              (router.start != word.start || router.at != State::Router::At::asked);
     });
     todo_.push_back(std::move(next));
   }
 
   void ask(State& state, std::size_t r) {
-    ClaimantBounds bounds;
-    bounds.keepers = bug_ == Bug::oneIsEnough && r == 0 ? 1 : kKeepers;
-    bounds.retention = Span::millis(600'000);
+    ClaimCoordinatorLimits bounds;
+    bounds.voterCount = bug_ == Bug::oneIsEnough && r == 0 ? 1 : kKeepers;
+    bounds.retention = Duration::millis(600'000);
     auto& router = state.routers[r];
     router.claimant.emplace(bounds, 1);
-    for (std::size_t k = 0; k < bounds.keepers; ++k)
-      router.claimant->reached(k, state.keepers[k].keeper.has_value());
+    for (std::size_t k = 0; k < bounds.voterCount; ++k)
+      router.claimant->setReachable(k, state.keepers[k].keeper.has_value());
     router.at = State::Router::At::asked;
-    router.claimant->begin(kNow, 1, kId, Span::millis(2000));
+    router.claimant->beginClaim(kNow, 1, kId, Duration::millis(2000));
     settle(state, r);
   }
   // Where it is on disk, after a greeting to all that are up.
   void boot(State& state, std::size_t k) {
     auto& at = state.keepers[k];
-    Kept kept;
+    StoredState kept;
     kept.own = at.disk.own;
     kept.newSince = at.disk.newSince;
-    kept.whole = at.disk.whole;
+    kept.isComplete = at.disk.whole;
     kept.starts = at.disk.starts;
-    for (std::size_t n = 0; n < kKeepers; ++n) kept.lists.now.names.insert(name(n));
-    kept.lists.now.version = 1;
+    for (std::size_t n = 0; n < kKeepers; ++n) kept.lists.current.names.insert(name(n));
+    kept.lists.current.version = 1;
     for (const auto& [id, entry] : at.disk.entries) kept.entries.push_back(entry);
-    at.keeper.emplace(kNow, name(k), KeeperBounds(), std::move(kept));
+    at.keeper.emplace(kNow, name(k), VotingMemberLimits(), std::move(kept));
     // Twice: the number of its start may have to grow.
     for (int round = 0; round < 2; ++round)
       for (std::size_t n = 0; n < kKeepers; ++n) {
         if (n == k || !state.keepers[n].keeper) continue;
         auto& other = state.keepers[n];
-        const auto knew = other.keeper->greeted(name(k), at.keeper->start());
+        const auto knew = other.keeper->onGreeting(name(k), at.keeper->start());
         apply(other.disk, other.keeper->takeChanges());
         const bool deaf = bug_ == Bug::lostTakenForWhole;
-        at.keeper->heard(kNow, name(n), at.keeper->start().number, deaf ? Start() : knew.value_or(Start()));
+        at.keeper->onGreetingReply(kNow, name(n), at.keeper->start().number,
+                                   deaf ? VoterIncarnation() : knew.value_or(VoterIncarnation()));
         apply(at.disk, at.keeper->takeChanges());
-        at.keeper->greeted(name(n), other.keeper->start());
-        other.keeper->heard(kNow, name(k), other.keeper->start().number,
-                            at.disk.starts.contains(name(n)) ? at.disk.starts[name(n)] : Start());
+        at.keeper->onGreeting(name(n), other.keeper->start());
+        other.keeper->onGreetingReply(
+            kNow, name(k), other.keeper->start().number,
+            at.disk.starts.contains(name(n)) ? at.disk.starts[name(n)] : VoterIncarnation());
         apply(at.disk, at.keeper->takeChanges());
         apply(other.disk, other.keeper->takeChanges());
         other.history = mixed(other.history, 1000 + at.keeper->start().number * 8 + k);
       }
     at.history = mixed(at.history, 77);
   }
-  static void apply(Disk& disk, const std::vector<Keeper::Change>& changes) {
+  static void apply(Disk& disk, const std::vector<VotingMember::DiskChange>& changes) {
     for (const auto& change : changes) {
-      using What = Keeper::Change::What;
-      if (change.what == What::put) disk.entries[change.id] = change.entry;
-      if (change.what == What::drop) disk.entries.erase(change.id);
-      if (change.what == What::voting) disk.whole = change.whole, disk.newSince = change.start.number;
-      if (change.what != What::start) continue;
+      using Kind = VotingMember::DiskChange::Kind;
+      if (change.kind == Kind::put) disk.entries[change.id] = change.entry;
+      if (change.kind == Kind::drop) disk.entries.erase(change.id);
+      if (change.kind == Kind::voting) disk.whole = change.isComplete, disk.newSince = change.start.number;
+      if (change.kind != Kind::start) continue;
       if (change.id.empty())
         disk.own.push_back(change.start);
       else
@@ -234,35 +236,35 @@
     }
   }
 
-  // What a claimant says and decides goes where it belongs.
+  // Kind a claimant says and decides goes where it belongs.
   void settle(State& state, std::size_t r) {
     auto& router = state.routers[r];
-    for (const auto& word : router.claimant->takeWords()) {
+    for (const auto& word : router.claimant->takeMessages()) {
       Word out;
-      out.what = word.what == Claimant::Word::What::claim     ? Word::What::claim
-                 : word.what == Claimant::Word::What::release ? Word::What::release
-                                                              : Word::What::committed;
+      out.what = word.kind == ClaimCoordinator::ClaimMessage::Kind::claim     ? Word::Kind::claim
+                 : word.kind == ClaimCoordinator::ClaimMessage::Kind::release ? Word::Kind::release
+                                                                              : Word::Kind::committed;
       out.router = r;
-      out.keeper = word.keeper;
+      out.keeper = word.voter;
       out.start = router.start;
       out.number = word.number;
-      if (state.keepers[word.keeper].keeper) state.words.push_back(out);
+      if (state.keepers[word.voter].keeper) state.words.push_back(out);
     }
     for (const auto& decision : router.claimant->takeDecisions()) {
-      using What = Claimant::Decision::What;
-      if (decision.what == What::committed && state.ran == 0) fault_ = "told as committed and never ran";
-      if (decision.what == What::admit) {
+      using Kind = ClaimCoordinator::Decision::Kind;
+      if (decision.kind == Kind::committed && state.ran == 0) fault_ = "told as committed and never ran";
+      if (decision.kind == Kind::admit) {
         router.at = State::Router::At::admitted;
       } else {
         router.at = State::Router::At::over;
-        router.claimant->over(decision.txn, Claimant::Fate::neverRan);
+        router.claimant->onTransactionEnded(decision.txn, ClaimCoordinator::ExecutionOutcome::neverRan);
         settle(state, r);
       }
     }
   }
-  void vote(State& state, std::size_t k, std::size_t r, const Token& token, const Vote& vote) {
+  void vote(State& state, std::size_t k, std::size_t r, const ClaimToken& token, const Vote& vote) {
     Word out;
-    out.what = Word::What::vote;
+    out.what = Word::Kind::vote;
     out.router = r;
     out.keeper = k;
     out.start = token.start;
@@ -283,29 +285,29 @@
     keeper.history = mixed(keeper.history, 55);
     apply(keeper.disk, write.changes);
     if (!write.vote) return;
-    const auto told = keeper.keeper->written(kId, write.token, true);
+    const auto told = keeper.keeper->onWritten(kId, write.token, true);
     if (told && bug_ != Bug::toldBeforeDurable) vote(state, k, write.router, write.token, *told);
   }
   void deliver(State& state, const Word& word) {
-    if (word.what == Word::What::vote) {
+    if (word.what == Word::Kind::vote) {
       auto& router = state.routers[word.router];
       if (router.start != word.start || router.at != State::Router::At::asked) return;
       router.heard[word.keeper] += mixed(5, word.hash());
-      router.claimant->voted(word.keeper, word.number, word.vote);
+      router.claimant->onVote(word.keeper, word.number, word.vote);
       return settle(state, word.router);
     }
     auto& at = state.keepers[word.keeper];
     if (!at.keeper) return;
     at.history = mixed(at.history, word.hash());
-    const Token token{"r" + std::to_string(word.router), word.start, word.number};
+    const ClaimToken token{"r" + std::to_string(word.router), word.start, word.number};
     Write write;
-    if (word.what == Word::What::release) at.keeper->released(kId, token);
-    if (word.what == Word::What::committed) at.keeper->committed(kNow, kId, token, kValue);
-    if (word.what == Word::What::claim) {
-      const auto told = at.keeper->claimed(kNow, kId, token);
+    if (word.what == Word::Kind::release) at.keeper->onReleased(kId, token);
+    if (word.what == Word::Kind::committed) at.keeper->onCommitted(kNow, kId, token, kValue);
+    if (word.what == Word::Kind::claim) {
+      const auto told = at.keeper->onClaim(kNow, kId, token);
       if (told) return vote(state, word.keeper, word.router, token, *told);
       if (bug_ == Bug::toldBeforeDurable)
-        vote(state, word.keeper, word.router, token, {Vote::What::yours, false, ""});
+        vote(state, word.keeper, word.router, token, {Vote::Kind::granted, false, ""});
       write.vote = true;
       write.token = token;
       write.router = word.router;
@@ -352,7 +354,7 @@
               {next.keepers[k].disk.own.empty() ? 1 : next.keepers[k].disk.own.back().number + 1, 200 + k});
           boot(next, k);
           for (std::size_t r = 0; r < kRouters; ++r) {
-            if (next.routers[r].claimant) next.routers[r].claimant->reached(k, true);
+            if (next.routers[r].claimant) next.routers[r].claimant->setReachable(k, true);
             next.routers[r].heard[k] = mixed(next.routers[r].heard[k], 300);
           }
         });
@@ -380,21 +382,24 @@
         to(state, [&](State& next) {
           --next.left.timeouts;
           next.routers[r].history = mixed(next.routers[r].history, 500);
-          next.routers[r].claimant->due(kNow + Span::millis(900));
+          next.routers[r].claimant->runTimers(kNow + Duration::millis(900));
           settle(next, r);
         });
       if (router.at == At::admitted) {
-        step(At::over, [](State&, State::Router& one) { one.claimant->over(1, Claimant::Fate::neverRan); });
+        step(At::over, [](State&, State::Router& one) {
+          one.claimant->onTransactionEnded(1, ClaimCoordinator::ExecutionOutcome::neverRan);
+        });
         step(At::running, [](State& next, State::Router&) { ++next.ran; });
       }
       if (router.at == At::running) {
         step(At::over, [](State&, State::Router& one) {
-          one.claimant->commits(1, kValue);
-          one.claimant->over(1, Claimant::Fate::committed);
+          one.claimant->onCommitted(1, kValue);
+          one.claimant->onTransactionEnded(1, ClaimCoordinator::ExecutionOutcome::committed);
         });
         step(At::over, [this](State&, State::Router& one) {
-          one.claimant->over(1,
-                             bug_ == Bug::freesUnknown ? Claimant::Fate::neverRan : Claimant::Fate::unknown);
+          one.claimant->onTransactionEnded(1, bug_ == Bug::freesUnknown
+                                                  ? ClaimCoordinator::ExecutionOutcome::neverRan
+                                                  : ClaimCoordinator::ExecutionOutcome::unknown);
         });
       }
       // It starts again and is asked for the id once more; what it said before may still arrive.
@@ -424,7 +429,7 @@
     for (std::size_t r = 0; r < kRouters; ++r) {
       state.routers[r].heard[k] = mixed(state.routers[r].heard[k], 800);
       if (!state.routers[r].claimant) continue;
-      state.routers[r].claimant->reached(k, false);
+      state.routers[r].claimant->setReachable(k, false);
       settle(state, r);
     }
   }
--- a/tests/soak/books.cpp
+++ b/tests/soak/books.cpp
@@ -7,27 +7,27 @@
 namespace {
 
 // The protocol's slack on every time limit.
-constexpr Span kSlack = Span::millis(50);
+constexpr Duration kSlack = Duration::millis(50);
 // An answer after its time only earns nothing, up to this.
-constexpr Span kLateAnswer = Span::millis(500);
+constexpr Duration kLateAnswer = Duration::millis(500);
 // An attempt this long after its client closed is a lost request.
-constexpr Span kAfterClose = Span::millis(100);
+constexpr Duration kAfterClose = Duration::millis(100);
 // The time a node is told may be this much over what is left.
-constexpr Span kDeadlineSlack = Span::millis(150);
+constexpr Duration kDeadlineSlack = Duration::millis(150);
 // A delay of this process counts for so long.
-constexpr Span kLateFor = Span::seconds(1);
+constexpr Duration kLateFor = Duration::seconds(1);
 
 }  // namespace
 
 void Books::turnEnded(Instant now) {
-  const Span turn = turnEndedAt_ == Instant() ? Span() : now - turnEndedAt_;
+  const Duration turn = turnEndedAt_ == Instant() ? Duration() : now - turnEndedAt_;
   turnEndedAt_ = now;
   if (turn < lateBy_ && now - lateAt_ < kLateFor) return;
   lateBy_ = turn;
   lateAt_ = now;
 }
 
-Span Books::slack(Instant now) const { return std::max(lateBy_, now - turnEndedAt_); }
+Duration Books::slack(Instant now) const { return std::max(lateBy_, now - turnEndedAt_); }
 
 void Books::broken(Instant now, const std::string& rule, const std::string& what) {
   verdicts_.push_back({rule, what, now});
@@ -61,7 +61,7 @@
   const auto at = requests_.find(seen.id);
   if (at == requests_.end()) return broken(now, "garbled", "no client asked for " + seen.id);
   Request& request = at->second;
-  const TxnType& type = types_.at(request.type);
+  const TransactionClass& type = types_.at(request.type);
   const std::string where = seen.id + " at " + seen.node;
   if (request.goneAt != Instant() && now > request.goneAt + kAfterClose + heldUp_ + slack(now))
     broken(now, "lost",
@@ -78,9 +78,9 @@
   if (request.firstSeenAt == Instant()) request.firstSeenAt = now;
   if (!seen.runs) return;
   ++request.runs;
-  if (request.runs == 1 || type.effect == Effect::repeatable) return;
-  const bool inWindow = now <= request.firstSeenAt + type.referenceWindow + kSlack + heldUp_ + slack(now);
-  if (type.effect == Effect::onceOnly || !inWindow)
+  if (request.runs == 1 || type.effect == Effect::idempotent) return;
+  const bool inWindow = now <= request.firstSeenAt + type.deduplicationWindow + kSlack + heldUp_ + slack(now);
+  if (type.effect == Effect::atMostOnce || !inWindow)
     broken(now, "duplicate", where + " ran " + std::to_string(request.runs) + " times");
 }
 
--- a/tests/soak/books.h
+++ b/tests/soak/books.h
@@ -32,7 +32,7 @@
 struct Seen {
   std::string id, node;
   std::size_t router = 0;
-  Span told;  // how long the node may take
+  Duration told;  // how long the node may take
   bool runs = false;
   Instant drainedSince;  // as this router was told; never: the node does not drain
 };
@@ -40,7 +40,7 @@
 class Books {
  public:
   // `heldUp`: how long the machine may hold up a router between its clock and a write.
-  Books(std::vector<TxnType> types, Span drainGrace, Span heldUp)
+  Books(std::vector<TransactionClass> types, Duration drainGrace, Duration heldUp)
       : types_(std::move(types)), drainGrace_(drainGrace), heldUp_(heldUp) {}
 
   // A turn of this process's loop is over; there is one every few milliseconds. What came while the process
@@ -65,14 +65,14 @@
   std::size_t committed = 0, refused = 0, failed = 0, crossed = 0;
 
  private:
-  Span slack(Instant now) const;
+  Duration slack(Instant now) const;
 
-  std::vector<TxnType> types_;
-  Span drainGrace_, heldUp_;
+  std::vector<TransactionClass> types_;
+  Duration drainGrace_, heldUp_;
   std::map<std::string, Request> requests_;
   std::vector<Verdict> verdicts_;
   std::size_t answers_ = 0;
-  Span lateBy_;  // the longest turn of late
+  Duration lateBy_;  // the longest turn of late
   Instant lateAt_, turnEndedAt_;
 };
 
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -11,12 +11,12 @@
 
 constexpr std::size_t kLongest = 1 << 20;
 // An answer that has not come this long after its txn's time won't.
-constexpr Span kGivesUpAfter = Span::millis(1500);
-constexpr Span kLongestRest = Span::millis(250);
+constexpr Duration kGivesUpAfter = Duration::millis(1500);
+constexpr Duration kLongestRest = Duration::millis(250);
 // What a slow writer sends at a time, and how often.
 constexpr std::size_t kSlowPiece = 40;
-constexpr Span kSlowPause = Span::millis(4);
-constexpr Span kLooksAgain = Span::millis(20), kComesUpWithin = Span::seconds(1);
+constexpr Duration kSlowPause = Duration::millis(4);
+constexpr Duration kLooksAgain = Duration::millis(20), kComesUpWithin = Duration::seconds(1);
 // What clients do, by chance: statements a connection, statements sent ahead, and one in so many that sends
 // ahead, writes slowly, leaves before its answer.
 constexpr std::uint64_t kMostAsks = 12, kMostAhead = 3, kAheadOneIn = 5, kSlowOneIn = 8, kLeavesOneIn = 6;
@@ -24,13 +24,13 @@
 }  // namespace
 
 struct Clients::Connection {
-  Connection(event_loop::Loop& loop, event_loop::Descriptor descriptor)
+  Connection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
       : stream(loop, std::move(descriptor)) {}
   event_loop::Stream stream;
   std::string kept, unsent;
   struct Asked {
     std::string id;
-    Span patience;
+    Duration patience;
     std::size_t type;
     bool isSent = false;  // whole: it is in the books
   };
@@ -54,7 +54,7 @@
 std::string Clients::statement(std::size_t type, std::string& id) {
   static std::uint64_t last = 0;
   id = std::to_string(++last);
-  const TxnType& of = world_.type(type);
+  const TransactionClass& of = world_.type(type);
   const std::string wait = std::to_string(of.deadline.inMicros() / 1000);
   std::string after;
   if (of.level == ReadLevel::session && lastCommit_ != Instant())
@@ -81,7 +81,7 @@
   request.router = number_;
   request.type = type;
   request.sentAt = world_.loop().now();
-  request.deadline = request.sentAt + Span::seconds(3600);
+  request.deadline = request.sentAt + Duration::seconds(3600);
   world_.books().asked(asked.id, request);
   connection.asked.push_back(std::move(asked));
 }
@@ -146,7 +146,7 @@
   connection.leaves = world_.below(kLeavesOneIn) == 0;
   if (router_.readyAt != Instant()) return;
   connection.unsent += postgres::message('Q', std::string(1, '\0'));
-  connection.asked.push_back({"", Span(), 0, true});
+  connection.asked.push_back({"", Duration(), 0, true});
 }
 
 // Once all is answered and it has rested: one statement, or some ahead. False: it has asked for all it
@@ -220,7 +220,7 @@
       if (!isOverdue(connection, world_.loop().now())) ended(connection);
     }
     co_await world_.loop().sleepUntil(world_.loop().now() +
-                                      Span::millis(5 + static_cast<std::int64_t>(world_.below(40))));
+                                      Duration::millis(5 + static_cast<std::int64_t>(world_.below(40))));
   }
   --running_;
 }
@@ -243,16 +243,16 @@
       const std::string id = connection.asked.front().id;
       Request& request = world_.books().of(id);
       request.deadline = request.sentAt + connection.asked.front().patience;
-      while (world_.loop().now() < request.deadline + Span::seconds(1) && !connection.asked.empty()) {
+      while (world_.loop().now() < request.deadline + Duration::seconds(1) && !connection.asked.empty()) {
         if (connection.stream.canWrite() && !write(connection.stream, connection.unsent)) break;
         if (!readAll(connection.stream, connection.kept) || !taken(connection)) break;
-        connection.stream.wakeAt(world_.loop().now() + Span::millis(20));
+        connection.stream.wakeAt(world_.loop().now() + Duration::millis(20));
         co_await connection.stream.changed();
       }
       served = connection.asked.empty() && world_.books().committed > before;
       if (!connection.asked.empty()) ended(connection);
     }
-    co_await world_.loop().sleepUntil(world_.loop().now() + Span::millis(100));
+    co_await world_.loop().sleepUntil(world_.loop().now() + Duration::millis(100));
   }
   if (!served)
     world_.books().broken(world_.loop().now(), "stuck",
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -24,10 +24,10 @@
 
 constexpr std::size_t kClientsARouter = 5;
 // After the faults' end a router serves again within this.
-constexpr Span kReturnsWithin = Span::seconds(12);
-constexpr Span kReadyWithin = Span::seconds(10);
+constexpr Duration kReturnsWithin = Duration::seconds(12);
+constexpr Duration kReadyWithin = Duration::seconds(10);
 // SIGKILL comes the longest deadline, three seconds at most, and this after SIGTERM.
-constexpr Span kLongestDeadline = Span::seconds(3), kEndsWithin = Span::millis(700);
+constexpr Duration kLongestDeadline = Duration::seconds(3), kEndsWithin = Duration::millis(700);
 // A verdict of these many is printed; the report has all.
 constexpr std::size_t kMostPrinted = 8;
 
@@ -46,19 +46,20 @@
   explicit Soak(const Options& options)
       : options_(options),
         folder_(scratchFolder("soak")),
-        told_(config::readStart(settings::configuration(options.seed)).told),
-        books_(told_.terms.types, told_.drainGrace, Span::millis(options.heldUpMillis)),
-        world_(loop_, books_, told_.terms, options.routers, options.seed * 3 + 1) {
-    for (const auto& type : told_.terms.types) longest_ = std::max(longest_, type.deadline);
+        told_(config::readStart(settings::configuration(options.seed)).deployment),
+        books_(told_.routing.transactionClasses, told_.drainGrace, Duration::millis(options.heldUpMillis)),
+        world_(loop_, books_, told_.routing, options.routers, options.seed * 3 + 1) {
+    for (const auto& type : told_.routing.transactionClasses) longest_ = std::max(longest_, type.deadline);
     for (std::size_t i = 0; i < options.routers; ++i) {
       routers_.push_back(
           std::make_unique<RouterProcess>(options.program, folder_, i, options.seed * 1000 + i));
       routers_[i]->configure(options.seed, world_.agents()[i]->port(), world_.list(i));
       clients_.push_back(std::make_unique<Clients>(world_, *routers_[i], i));
     }
-    schedule_ = std::make_unique<Schedule>(world_, routers_, options.seed * 7 + 5,
-                                           std::min(longest_, kLongestDeadline) + kEndsWithin +
-                                               Span::millis(options.heldUpMillis - Options().heldUpMillis));
+    schedule_ =
+        std::make_unique<Schedule>(world_, routers_, options.seed * 7 + 5,
+                                   std::min(longest_, kLongestDeadline) + kEndsWithin +
+                                       Duration::millis(options.heldUpMillis - Options().heldUpMillis));
   }
   ~Soak() {
     loop_.endTasks();
@@ -87,7 +88,7 @@
   // Looks after the processes; that it does so often makes a delay of this process itself known.
   event_loop::Task watch() {
     for (;;) {
-      co_await loop_.sleepUntil(loop_.now() + Span::millis(2));
+      co_await loop_.sleepUntil(loop_.now() + Duration::millis(2));
       const Instant now = loop_.now();
       for (std::size_t i = 0; i < routers_.size(); ++i) look(now, i);
     }
@@ -108,22 +109,22 @@
   event_loop::Task play() {
     for (const auto& router : routers_) router->start(loop_.now());
     for (const auto& clients : clients_) clients->begin(kClientsARouter);
-    const Instant until = loop_.now() + Span::seconds(options_.seconds);
-    co_await loop_.sleepUntil(loop_.now() + Span::millis(500));
+    const Instant until = loop_.now() + Duration::seconds(options_.seconds);
+    co_await loop_.sleepUntil(loop_.now() + Duration::millis(500));
     loop_.spawn(schedule_->play(until));
-    while (!schedule_->over()) co_await loop_.sleepUntil(loop_.now() + Span::millis(20));
+    while (!schedule_->over()) co_await loop_.sleepUntil(loop_.now() + Duration::millis(20));
     for (const auto& router : routers_) router->machine().heal();
     for (const auto& node : world_.nodes()) heal(*node);
     const Instant back = loop_.now() + kReturnsWithin;
     for (const auto& clients : clients_) loop_.spawn(clients->expectService(back));
-    co_await loop_.sleepUntil(loop_.now() + Span::millis(200));
+    co_await loop_.sleepUntil(loop_.now() + Duration::millis(200));
     while (std::any_of(clients_.begin(), clients_.end(), [](const auto& one) { return one->expecting > 0; }))
-      co_await loop_.sleepUntil(loop_.now() + Span::millis(20));
+      co_await loop_.sleepUntil(loop_.now() + Duration::millis(20));
     for (const auto& clients : clients_) clients->stop();
-    const Instant last = loop_.now() + longest_ + Span::seconds(5);
+    const Instant last = loop_.now() + longest_ + Duration::seconds(5);
     while (loop_.now() < last &&
            std::any_of(clients_.begin(), clients_.end(), [](const auto& one) { return !one->idle(); }))
-      co_await loop_.sleepUntil(loop_.now() + Span::millis(20));
+      co_await loop_.sleepUntil(loop_.now() + Duration::millis(20));
     loop_.stop();
   }
   void heal(Node& node) {
@@ -166,9 +167,9 @@
 
   Options options_;
   std::string folder_;
-  deployment::Told told_;
-  Span longest_;
-  event_loop::Loop loop_;
+  deployment::DeploymentSettings told_;
+  Duration longest_;
+  event_loop::EventLoop loop_;
   Books books_;
   World world_;
   std::vector<std::unique_ptr<RouterProcess>> routers_;
--- a/tests/soak/nodes.cpp
+++ b/tests/soak/nodes.cpp
@@ -15,15 +15,15 @@
 constexpr const char* kHost = "127.0.0.1";
 constexpr std::size_t kLongest = 1 << 20;
 // How often a connection that waits for nothing else looks at its node's state.
-constexpr Span kTick = Span::millis(3);
+constexpr Duration kTick = Duration::millis(3);
 // What discovery has to tell counts as told by then, whether it arrived or not.
-constexpr Span kToldWithin = Span::seconds(6);
+constexpr Duration kToldWithin = Duration::seconds(6);
 // An open watch says something this often.
-constexpr Span kWatchBeat = Span::seconds(2);
+constexpr Duration kWatchBeat = Duration::seconds(2);
 // How far a replica is behind at most when it does not lag.
-constexpr Span kUsualLag = Span::millis(20);
+constexpr Duration kUsualLag = Duration::millis(20);
 // A bound counts from the send: what travels, and a router that is held up before it writes.
-constexpr Span kBoundSlack = Span::millis(200);
+constexpr Duration kBoundSlack = Duration::millis(200);
 
 std::string nameOf(ReadLevel level) {
   const char* const names[] = {"any", "bounded", "session", "fresh", "write"};
@@ -124,9 +124,9 @@
     while (!unsent.empty() && world_.loop().now() < hangsUntil_ && !isDown() && life == life_)
       co_await world_.loop().sleepUntil(world_.loop().now() + kTick);
     // What was answered travels for a moment: an answer is a turn later than its run.
-    if (!unsent.empty()) co_await world_.loop().sleepUntil(world_.loop().now() + Span::micros(500));
+    if (!unsent.empty()) co_await world_.loop().sleepUntil(world_.loop().now() + Duration::micros(500));
     if (!write(stream, unsent) || !on) co_return;
-    stream.wakeAt(world_.loop().now() + Span::millis(100));
+    stream.wakeAt(world_.loop().now() + Duration::millis(100));
     co_await stream.changed();
   }
 }
@@ -151,15 +151,15 @@
   postgres::Statement statement;
   try {
     statement = postgres::readStatement(text);
-  } catch (const postgres::BadStatement& bad) {
+  } catch (const postgres::InvalidStatement& bad) {
     world_.books().broken(now, "garbled", id_ + " got '" + std::string(text.substr(0, 80)) + "'");
     return postgres::error("ERROR", "08P01", bad.what()) + told;
   }
   const std::string id(statement.id);
   const std::size_t row_ = std::stoul(std::string(statement.typeName).substr(5));  // "type-N"
-  const TxnType& type = world_.type(row_);
+  const TransactionClass& type = world_.type(row_);
   Seen seen{id,     id_,
-            router, Span::millis(static_cast<std::int64_t>(statement.waitMs)),
+            router, Duration::millis(static_cast<std::int64_t>(statement.waitMs)),
             false,  world_.agents()[router]->drainedSince(id_)};
   if (state == NodeState::draining) {
     world_.books().seen(now, seen);
@@ -170,7 +170,7 @@
     return postgres::error("ERROR", "25006", "no primary") + told;
   }
   const bool tooOld = isTooOld(now, position, type, statement);
-  const bool rejects = tooOld && world_.nodesGuard() && type.level != ReadLevel::fresh;
+  const bool rejects = tooOld && world_.nodesGuard() && type.level != ReadLevel::linearizable;
   seen.runs = !rejects && world_.runs(id, type);
   world_.books().seen(now, seen);
   if (rejects) return postgres::error("ERROR", "72000", "too far behind") + told;
@@ -180,17 +180,18 @@
 }
 
 // Whether what it would answer from is older than the read's type allows.
-bool Node::isTooOld(Instant now, Instant position, const TxnType& type,
+bool Node::isTooOld(Instant now, Instant position, const TransactionClass& type,
                     const postgres::Statement& statement) const {
-  const Instant after = Instant() + Span::millis(static_cast<std::int64_t>(statement.afterMs.value_or(0)));
+  const Instant after =
+      Instant() + Duration::millis(static_cast<std::int64_t>(statement.afterMs.value_or(0)));
   switch (type.level) {
     case ReadLevel::session:
       // Positions are rounded down to milliseconds. Without carried ages a router knows its own start's
       // writes alone.
-      return world_.agesCarried() && after > position + Span::millis(1);
+      return world_.agesCarried() && after > position + Duration::millis(1);
     case ReadLevel::bounded:
-      return position < now - type.bound - kBoundSlack;
-    case ReadLevel::fresh:
+      return position < now - type.maxStaleness - kBoundSlack;
+    case ReadLevel::linearizable:
       return !primary;
     case ReadLevel::any:
     case ReadLevel::write:
@@ -266,20 +267,20 @@
       saidAt = world_.loop().now();
     }
     if (!write(stream, unsent)) co_return;
-    stream.wakeAt(world_.loop().now() + Span::millis(50));
+    stream.wakeAt(world_.loop().now() + Duration::millis(50));
     co_await stream.changed();
   }
 }
 
 // --- The world
 
-World::World(event_loop::Loop& loop, Books& books, const Terms& terms, std::size_t routers,
+World::World(event_loop::EventLoop& loop, Books& books, const RoutingConfig& terms, std::size_t routers,
              std::uint64_t seed)
     : loop_(loop),
       books_(books),
-      types_(terms.types),
-      agesCarried_(terms.sessionAgeCarried),
-      nodesGuard_(terms.nodesGuard),
+      types_(terms.transactionClasses),
+      agesCarried_(terms.sessionAgeProvided),
+      nodesGuard_(terms.nodesRejectStaleReads),
       chance_(seed) {
   constexpr std::size_t kNodes = 5;
   for (std::size_t node = 0; node < kNodes; ++node)
@@ -302,10 +303,10 @@
   for (const auto& agent : agents_) agent->changed();
 }
 
-bool World::runs(const std::string& id, const TxnType& type) {
+bool World::runs(const std::string& id, const TransactionClass& type) {
   const auto [at, isNew] = ran_.try_emplace(id, loop_.now());
-  if (isNew || type.effect != Effect::referenced) return true;
-  return loop_.now() - at->second > type.referenceWindow;
+  if (isNew || type.effect != Effect::deduplicated) return true;
+  return loop_.now() - at->second > type.deduplicationWindow;
 }
 
 }  // namespace gulltrestle::soak
--- a/tests/soak/nodes.h
+++ b/tests/soak/nodes.h
@@ -47,7 +47,7 @@
   event_loop::Task serve(std::size_t router, event_loop::Descriptor descriptor);
   std::string answer(std::size_t router, std::string_view text);
   Instant position() const;
-  bool isTooOld(Instant now, Instant position, const TxnType& type,
+  bool isTooOld(Instant now, Instant position, const TransactionClass& type,
                 const postgres::Statement& statement) const;
   bool isDown() const;
 
@@ -83,11 +83,12 @@
 
 class World {
  public:
-  World(event_loop::Loop& loop, Books& books, const Terms& terms, std::size_t routers, std::uint64_t seed);
+  World(event_loop::EventLoop& loop, Books& books, const RoutingConfig& terms, std::size_t routers,
+        std::uint64_t seed);
 
-  event_loop::Loop& loop() { return loop_; }
+  event_loop::EventLoop& loop() { return loop_; }
   Books& books() { return books_; }
-  const TxnType& type(std::size_t row) const { return types_.at(row); }
+  const TransactionClass& type(std::size_t row) const { return types_.at(row); }
   bool agesCarried() const { return agesCarried_; }  // reads name their session's last commit
   bool nodesGuard() const { return nodesGuard_; }    // they reject a read that they are too far behind for
   std::size_t types() const { return types_.size(); }
@@ -100,12 +101,12 @@
   void changed();  // some node's state: a new version
 
   // Whether an effect of this txn is new; nodes drop repeats of referenced types within their window.
-  bool runs(const std::string& id, const TxnType& type);
+  bool runs(const std::string& id, const TransactionClass& type);
 
  private:
-  event_loop::Loop& loop_;
+  event_loop::EventLoop& loop_;
   Books& books_;
-  std::vector<TxnType> types_;
+  std::vector<TransactionClass> types_;
   bool agesCarried_, nodesGuard_;
   std::mt19937_64 chance_;
   std::vector<std::unique_ptr<Node>> nodes_;
--- a/tests/soak/schedule.cpp
+++ b/tests/soak/schedule.cpp
@@ -11,13 +11,14 @@
 }  // namespace
 
 Schedule::Schedule(World& world, std::vector<std::unique_ptr<RouterProcess>>& routers, std::uint64_t seed,
-                   Span killAfter)
+                   Duration killAfter)
     : world_(world), routers_(routers), chance_(seed), killAfter_(killAfter) {
   for (bool& one : played_) one = chance_() % 3 != 0;
 }
 
-Span Schedule::between(std::int64_t from, std::int64_t to) {
-  return Span::millis(from + static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(to - from)));
+Duration Schedule::between(std::int64_t from, std::int64_t to) {
+  return Duration::millis(from +
+                          static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(to - from)));
 }
 
 RouterProcess& Schedule::any() { return *routers_[chance_() % routers_.size()]; }
@@ -96,7 +97,7 @@
       kind, static_cast<std::uint32_t>(resets || slows ? 2 + chance_() % 10 : 20 + chance_() % 300));
   const Instant until = world_.loop().now() + between(300, 2500);
   // A reset that the machine made shows a little later.
-  if (resets) router.brokenBy = std::max(router.brokenBy, until + Span::millis(500));
+  if (resets) router.brokenBy = std::max(router.brokenBy, until + Duration::millis(500));
   co_await world_.loop().sleepUntil(until);
   router.machine().fail(kind, 0);
   --open_;
@@ -119,11 +120,11 @@
   const unsigned start = router.starts;
   const Instant until = world_.loop().now() + killAfter_;
   while (router.running && router.starts == start && world_.loop().now() < until)
-    co_await sleep(Span::millis(5));
+    co_await sleep(Duration::millis(5));
   if (router.running && router.starts == start) {
     world_.books().broken(world_.loop().now(), "end", "router has not ended by the time it is killed");
     router.signal(SIGKILL);
-    while (router.running) co_await sleep(Span::millis(2));
+    while (router.running) co_await sleep(Duration::millis(2));
   }
   co_await sleep(between(0, 300));
   if (!router.running && router.starts == start) router.start(world_.loop().now());
@@ -135,7 +136,7 @@
   ++open_;
   const unsigned start = router.starts;
   router.signal(SIGKILL);
-  while (router.running) co_await sleep(Span::millis(2));
+  while (router.running) co_await sleep(Duration::millis(2));
   co_await sleep(between(0, 500));
   if (!router.running && router.starts == start) router.start(world_.loop().now());
   --open_;
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -35,7 +35,7 @@
  public:
   // `killAfter`: SIGKILL comes so long after SIGTERM.
   Schedule(World& world, std::vector<std::unique_ptr<RouterProcess>>& routers, std::uint64_t seed,
-           Span killAfter);
+           Duration killAfter);
 
   event_loop::Task play(Instant until);
   bool over() const { return over_ && open_ == 0; }
@@ -51,15 +51,15 @@
   event_loop::Task stop(RouterProcess& router);
   event_loop::Task drain(Node& node);
   event_loop::Task crash(Node& node);
-  Span between(std::int64_t fromMillis, std::int64_t toMillis);
+  Duration between(std::int64_t fromMillis, std::int64_t toMillis);
   RouterProcess& any();
   Node& anyReplica();
-  auto sleep(Span span) { return world_.loop().sleepUntil(world_.loop().now() + span); }
+  auto sleep(Duration span) { return world_.loop().sleepUntil(world_.loop().now() + span); }
 
   World& world_;
   std::vector<std::unique_ptr<RouterProcess>>& routers_;
   std::mt19937_64 chance_;
-  Span killAfter_;
+  Duration killAfter_;
   std::array<bool, kFaults> played_{};
   std::array<std::uint64_t, kFaults> counts_{};
   std::size_t open_ = 0;
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -21,17 +21,17 @@
 using namespace gulltrestle;
 using namespace gulltrestle::store;
 using disk::Disk;
-using idempotency::Keeper;
+using idempotency::VotingMember;
 
 namespace {
 
-using Changes = std::vector<Keeper::Change>;
-using What = Keeper::Change::What;
+using Changes = std::vector<VotingMember::DiskChange>;
+using Kind = VotingMember::DiskChange::Kind;
 constexpr const char* kFile = "claims.db";
 
-Keeper::Change put(int id, int router, bool committed = false) {
+VotingMember::DiskChange put(int id, int router, bool committed = false) {
   const std::string name = "b" + std::to_string(id);
-  return {What::put,
+  return {Kind::put,
           name,
           {name,
            {"r" + std::to_string(router), 77, static_cast<std::uint64_t>(id)},
@@ -40,26 +40,27 @@
           {},
           false};
 }
-const idempotency::List kFirst{1, {"k1", "k2"}}, kSecond{2, {"k1", "k4"}};
-Keeper::Change changed(What what, const std::string& id, idempotency::Start start, bool whole = false) {
-  Keeper::Change made;
-  made.what = what;
+const idempotency::VoterList kFirst{1, {"k1", "k2"}}, kSecond{2, {"k1", "k4"}};
+VotingMember::DiskChange changed(Kind what, const std::string& id, idempotency::VoterIncarnation start,
+                                 bool whole = false) {
+  VotingMember::DiskChange made;
+  made.kind = what;
   made.id = id;
   made.start = start;
-  made.whole = whole;
+  made.isComplete = whole;
   return made;
 }
-Keeper::Change drop(int id) { return changed(What::drop, "b" + std::to_string(id), {}); }
-Keeper::Change lists(bool isOver) {
-  Keeper::Change made = changed(What::lists, "", {});
-  made.lists.now = kSecond;
-  if (!isOver) made.lists.before.push_back(kFirst);
+VotingMember::DiskChange drop(int id) { return changed(Kind::drop, "b" + std::to_string(id), {}); }
+VotingMember::DiskChange lists(bool isOver) {
+  VotingMember::DiskChange made = changed(Kind::lists, "", {});
+  made.lists.current = kSecond;
+  if (!isOver) made.lists.previous.push_back(kFirst);
   return made;
 }
 
-// What is committed one after the other; grows, drops, starts, and pages that split.
+// Kind is committed one after the other; grows, drops, starts, and pages that split.
 std::vector<Changes> script() {
-  std::vector<Changes> all{{changed(What::start, "", {1, 5})}, {changed(What::start, "k2", {3, 9})}};
+  std::vector<Changes> all{{changed(Kind::start, "", {1, 5})}, {changed(Kind::start, "k2", {3, 9})}};
   int next = 0;
   for (int group = 0; group < 10; ++group) {
     Changes changes;
@@ -68,32 +69,32 @@
     if (group % 4 == 3)
       for (int n = 1; n < 9; ++n) changes.push_back(drop(next - 2 * n));
     if (group % 4 == 2)
-      changes.push_back(changed(What::node, "n" + std::to_string(group), {9, 0}, group == 2));
-    if (group == 3) changes.push_back(changed(What::member, "r4", {7, 70}));
+      changes.push_back(changed(Kind::node, "n" + std::to_string(group), {9, 0}, group == 2));
+    if (group == 3) changes.push_back(changed(Kind::member, "r4", {7, 70}));
     if (group == 6) changes.push_back(lists(false));
-    if (group == 7) changes.push_back(changed(What::member, "r4", {8, 71}));
+    if (group == 7) changes.push_back(changed(Kind::member, "r4", {8, 71}));
     if (group == 8) changes.push_back(lists(true));
-    if (group == 9) changes.push_back(changed(What::node, "n2", {}));
-    if (group == 5) changes.push_back(changed(What::voting, "", {4, 0}));
+    if (group == 9) changes.push_back(changed(Kind::node, "n2", {}));
+    if (group == 5) changes.push_back(changed(Kind::voting, "", {4, 0}));
     all.push_back(changes);
   }
   return all;
 }
 
-const std::vector<idempotency::List> kOne{{1, {"k1"}}};
+const std::vector<idempotency::VoterList> kOne{{1, {"k1"}}};
 
 // All that is known, as one text: equal where the stores are.
-std::string shown(const idempotency::Kept& kept) {
+std::string shown(const idempotency::StoredState& kept) {
   std::map<std::string, std::string> rows;
   for (const auto& e : kept.entries)
     rows[e.id] = e.token.router + "/" + std::to_string(e.token.number) + (e.committed ? "=" + e.value : "");
-  std::string out = (kept.whole ? "whole " : "silent ") + std::to_string(kept.newSince);
+  std::string out = (kept.isComplete ? "whole " : "silent ") + std::to_string(kept.newSince);
   for (const auto& s : kept.own) out += " own" + std::to_string(s.number) + "/" + std::to_string(s.draw);
   for (const auto& [name, s] : kept.starts) out += " " + name + std::to_string(s.number);
   for (const auto& [name, s] : kept.members) out += " " + name + " speaks by " + std::to_string(s.number);
-  for (const auto& name : kept.lists.now.names)
-    out += " list" + std::to_string(kept.lists.now.version) + ":" + name;
-  for (const auto& list : kept.lists.before)
+  for (const auto& name : kept.lists.current.names)
+    out += " list" + std::to_string(kept.lists.current.version) + ":" + name;
+  for (const auto& list : kept.lists.previous)
     for (const auto& name : list.names) out += " before" + std::to_string(list.version) + ":" + name;
   for (const auto& [id, known] : kept.nodes)
     out += " " + id + (known.second ? " leaves by " : " stays by ") + std::to_string(known.first);
@@ -105,7 +106,7 @@
 std::size_t play(const std::vector<Changes>& all) {
   std::size_t done = 0;
   try {
-    Database database(kFile, Database::For::writing);
+    Database database(kFile, Database::OpenMode::writing);
     if (database.isNew()) database.begin("k1", true);
     database.load();
     done = 1;
@@ -123,13 +124,13 @@
   for (std::size_t n = 0; n <= all.size(); ++n) {
     Disk::the().reset();
     play({all.begin(), all.begin() + static_cast<std::ptrdiff_t>(n)});
-    out.push_back(shown(Database(kFile, Database::For::writing).load()));
+    out.push_back(shown(Database(kFile, Database::OpenMode::writing).load()));
   }
   return out;
 }
 
 std::string loaded() {
-  Database database(kFile, Database::For::writing);
+  Database database(kFile, Database::OpenMode::writing);
   return database.isNew() ? "" : shown(database.load());
 }
 
@@ -168,7 +169,7 @@
       try {
         found = loaded();
       } catch (const std::exception& bad) { found = std::string("damaged: ") + bad.what(); }
-      // What was told as durable is there, and at most the commit under way beside it.
+      // Kind was told as durable is there, and at most the commit under way beside it.
       if (found != known[done] && (done + 1 >= known.size() || found != known[done + 1])) {
         out.fault = "operation " + std::to_string(at) + ", time " + std::to_string(time) + ", after commit " +
                     std::to_string(done) + ": " + found.substr(0, 60);
@@ -259,7 +260,7 @@
   for (;;) {
     pollfd ready{store.descriptor(), POLLIN, 0};
     poll(&ready, 1, 10'000);
-    for (const auto& done : store.done())
+    for (const auto& done : store.takeCompleted())
       if (done.ticket == ticket) return done.durable;
   }
 }
@@ -275,7 +276,9 @@
     try {
       call();
       std::cout << what << ": taken\n";
-    } catch (const Unusable& bad) { std::cout << what << ": " << without(bad.what(), folder.path()) << "\n"; }
+    } catch (const UnusableFolder& bad) {
+      std::cout << what << ": " << without(bad.what(), folder.path()) << "\n";
+    }
   };
   tried("no folder", [&] { Store(folder.path() + "/none", "k1", 1, kOne); });
   create(folder.path(), "k1");
@@ -283,7 +286,7 @@
   tried("another's", [&] { Store(folder.path(), "k2", 1, kOne); });
   {
     Store store(folder.path(), "k1", 11, kOne);
-    std::cout << "new, by an operator's word: " << shown(store.kept()) << "\n";
+    std::cout << "new, by an operator's word: " << shown(store.storedState()) << "\n";
     std::cout << "durable: " << written(store, {put(1, 4), put(2, 5)}) << "\n";
     tried("in use", [&] { Store(folder.path(), "k1", 2, kOne); });
     tried("a look while in use", [&] { read(folder.path()); });
@@ -301,7 +304,7 @@
   }
   std::cout << "damaged: " << (read(folder.path()).damage.empty() ? "NOT SEEN" : "seen") << "\n";
   Store store(folder.path(), "k1", 13, kOne);
-  std::cout << "started on it: " << shown(store.kept()) << "; set aside: " << !store.setAside().empty()
+  std::cout << "started on it: " << shown(store.storedState()) << "; set aside: " << !store.setAside().empty()
             << "\n";
 }
 
@@ -318,12 +321,12 @@
   const rlimit none{512, before.rlim_max};
   setrlimit(RLIMIT_FSIZE, &none);
   std::cout << "full: " << written(store, {put(2, 4)}) << ", " << written(store, {put(3, 4)}) << "\n";
-  const Figures figures = store.figures();
+  const StoreStatistics figures = store.statistics();
   std::cout << "queued " << figures.queued << ", a fault is told " << !figures.fault.empty() << "\n";
   setrlimit(RLIMIT_FSIZE, &before);
   bool durable = false;
   for (int n = 0; n < 40 && !durable; ++n) durable = written(store, {put(4, 4)});
-  std::cout << "healed: " << durable << ", queued " << store.figures().queued << "\n";
+  std::cout << "healed: " << durable << ", queued " << store.statistics().queued << "\n";
 }
 
 }  // namespace
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -13,37 +13,37 @@
 
 namespace gulltrestle::trace {
 
-inline Span ms(std::int64_t n) { return Span::millis(n); }
-
-inline Terms usualTerms(std::vector<TxnType> types) {
-  Terms terms;
-  terms.types = std::move(types);
-  terms.roundLength = ms(5);
-  terms.routers = 2;
-  terms.coldShare = 0.2;
-  terms.coldTime = ms(10000);
-  terms.probesAllowed = terms.hedges = terms.cancelAllowed = terms.retryAfterAllowed = true;
-  terms.longestRetryAfter = ms(400);
-  terms.mostAttempts = 4;
-  terms.sessionAgeCarried = true;
+inline Duration ms(std::int64_t n) { return Duration::millis(n); }
+
+inline RoutingConfig usualTerms(std::vector<TransactionClass> types) {
+  RoutingConfig terms;
+  terms.transactionClasses = std::move(types);
+  terms.roundInterval = ms(5);
+  terms.routerCount = 2;
+  terms.slowStartFraction = 0.2;
+  terms.slowStartWindow = ms(10000);
+  terms.healthChecksAllowed = terms.hedgingAllowed = terms.cancelAllowed = terms.retryAfterAllowed = true;
+  terms.maxRetryAfter = ms(400);
+  terms.maxAttempts = 4;
+  terms.sessionAgeProvided = true;
   return terms;
 }
 
-inline TxnType type(ReadLevel level, Effect effect = Effect::repeatable) {
-  TxnType made;
+inline TransactionClass type(ReadLevel level, Effect effect = Effect::idempotent) {
+  TransactionClass made;
   made.level = level;
   made.effect = effect;
-  made.bound = ms(1000);
+  made.maxStaleness = ms(1000);
   made.latencyTarget = ms(400);
   made.deadline = ms(2000);
-  made.lateShare = level == ReadLevel::write ? 0.5 : 0;
-  made.referenceWindow = ms(1000);
+  made.lateValueFraction = level == ReadLevel::write ? 0.5 : 0;
+  made.deduplicationWindow = ms(1000);
   return made;
 }
 
-class Bench final : private Feed, private Writer {
+class Bench final : private EventSource, private DecisionSink {
  public:
-  explicit Bench(Terms terms, std::uint64_t seed = 7) : router_(std::move(terms), seed) {}
+  explicit Bench(RoutingConfig terms, std::uint64_t seed = 7) : router_(std::move(terms), seed) {}
 
   void say(const std::string& text) { std::cout << "-- " << text << "\n"; }
   bool quietProbes = false;  // leave periodic probes out of the trace
@@ -65,26 +65,26 @@
   NodeId nodeOf(TxnId txn) const { return nodes_.contains(txn) ? nodes_.at(txn) : NodeId("none"); }
   Instant instant(std::int64_t at) const { return Instant() + ms(1000000 + at); }
 
-  ListEntry entry(const std::string& node, bool primary = false, Health health = Health::live) const {
-    ListEntry made;
+  EndpointEntry entry(const std::string& node, bool primary = false, Health health = Health::live) const {
+    EndpointEntry made;
     made.node = node;
     made.group = 1;
     made.health = health;
     made.primary = primary;
     return made;
   }
-  Standing standing(Role role, std::int64_t position) const { return {role, instant(position)}; }
+  LoadReport standing(Role role, std::int64_t position) const { return {role, instant(position)}; }
 
-  Txn txn(TxnId id, std::size_t type = 0, std::int64_t patience = 2000) const {
-    Txn made;
+  Transaction txn(TxnId id, std::size_t type = 0, std::int64_t patience = 2000) const {
+    Transaction made;
     made.id = id;
     made.type = type;
     made.group = 1;
-    made.patience = ms(patience);
+    made.remainingTime = ms(patience);
     return made;
   }
-  Txn sessionRead(TxnId id, std::size_t type, std::int64_t age, SessionId session = 9) const {
-    Txn made = txn(id, type);
+  Transaction sessionRead(TxnId id, std::size_t type, std::int64_t age, SessionId session = 9) const {
+    Transaction made = txn(id, type);
     made.session = session;
     made.writeAge = ms(age);
     return made;
@@ -96,32 +96,32 @@
     wakes_.erase(wakes_.begin(), wakes_.upper_bound(now_));
     calls_ = std::move(calls);
     out_.str("");
-    router_.round(now_, *this, *this);
+    router_.runRound(now_, *this, *this);
     if (!out_.str().empty())
       std::cout << (now_ - instant(0)).inMicros() / 1000 << " ms:" << out_.str() << "\n";
   }
 
   void deliver(Router& router) override { calls_(router); }
-  void submit(TxnId txn, const NodeId& node, Instant sendBy, Instant cutAt) override {
+  void sendAttempt(TxnId txn, const NodeId& node, Instant sendBy, Instant cutAt) override {
     nodes_[txn] = node;
     out_ << " submit " << txn << " to " << node << " until " << (cutAt - instant(0)).inMicros() / 1000;
     if (sendBy < cutAt) out_ << ", sent by " << (sendBy - instant(0)).inMicros() / 1000;
     out_ << ";";
   }
   void cancel(TxnId txn, unsigned attempt) override { out_ << " cancel " << txn << "/" << attempt << ";"; }
-  void refuse(TxnId txn, Span after) override {
+  void reject(TxnId txn, Duration after) override {
     out_ << " refuse " << txn << ", retry after " << after.inMicros() / 1000 << ";";
   }
   void rollBack(TxnId txn) override { out_ << " roll back " << txn << ";"; }
-  void probe(const NodeId& node) override {
+  void sendHealthCheck(const NodeId& node) override {
     if (!quietProbes) out_ << " probe " << node << ";";
   }
-  void wakeAfter(Span after) override {
+  void wakeAfter(Duration after) override {
     wakes_.insert(now_ + after);
     if (after >= ms(1000)) out_ << " wake after " << after.inMicros() / 1000 << ";";
   }
-  void followList() override { out_ << " follow the list;"; }
-  void forget(const NodeId& node) override { out_ << " forget " << node << ";"; }
+  void followEndpointList() override { out_ << " follow the list;"; }
+  void forgetNode(const NodeId& node) override { out_ << " forget " << node << ";"; }
 
   Router router_;
   Instant now_;
--- a/tests/verdicts.cpp
+++ b/tests/verdicts.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-Instant at(std::int64_t millis) { return Instant() + Span::millis(1'000'000 + millis); }
+Instant at(std::int64_t millis) { return Instant() + Duration::millis(1'000'000 + millis); }
 
 // One type each: repeatable, referenced with a window of 400 ms, once only.
-std::vector<TxnType> types() {
-  std::vector<TxnType> made(3);
-  made[1].effect = Effect::referenced;
-  made[1].referenceWindow = Span::millis(400);
-  made[2].effect = Effect::onceOnly;
+std::vector<TransactionClass> types() {
+  std::vector<TransactionClass> made(3);
+  made[1].effect = Effect::deduplicated;
+  made[1].deduplicationWindow = Duration::millis(400);
+  made[2].effect = Effect::atMostOnce;
   return made;
 }
 
@@ -24,7 +24,7 @@
 class Kept {
  public:
   explicit Kept(std::string title, std::size_t type = 0)
-      : title_(std::move(title)), books_(types(), Span::millis(500), Span::millis(150)) {
+      : title_(std::move(title)), books_(types(), Duration::millis(500), Duration::millis(150)) {
     books_.turnEnded(at(0));
     Request request;
     request.type = type;
@@ -46,7 +46,7 @@
     return books_;
   }
   void ran(std::int64_t millis, std::int64_t told = 500, Instant drained = {}) {
-    at_(millis).seen(at(millis), {"a", "s-1", 0, Span::millis(told), true, drained});
+    at_(millis).seen(at(millis), {"a", "s-1", 0, Duration::millis(told), true, drained});
   }
   void answered(std::int64_t millis) { at_(millis).answered(at(millis), "a"); }
 
--- a/tests/work.cpp
+++ b/tests/work.cpp
@@ -27,22 +27,22 @@
 
 namespace {
 
-Span ms(std::int64_t n) { return Span::millis(n); }
+Duration ms(std::int64_t n) { return Duration::millis(n); }
 const Instant kBegin = Instant::atMicros(1'000'000'000);
 
-// What is settled, seen from outside: each round's value once more than half of the keepers hold it, durable.
+// Kind is settled, seen from outside: each round's value once more than half of the keepers hold it, durable.
 class Monitor {
  public:
   explicit Monitor(std::size_t keepers) : keepers_(keepers) {}
   // True: this round's value has just come to be settled.
-  bool holds(KeeperNumber keeper, const Held& held) {
+  bool holds(VoterIndex keeper, const AcceptedValue& held) {
     auto& by = by_[held.ballot];
     return by.insert(keeper).second && by.size() == majorityOf(keepers_);
   }
 
  private:
   std::size_t keepers_;
-  std::map<Ballot, std::set<KeeperNumber>> by_;
+  std::map<Ballot, std::set<VoterIndex>> by_;
 };
 
 enum class Bug { none, forgets, noLease, saysClear, aheadOfDisk, tellsLate };
@@ -90,8 +90,8 @@
 
  private:
   static constexpr std::size_t kRouters = 5, kKeepers = 3, kMachines = 2;
-  static constexpr Span kWhole = Span::millis(300'000), kTroubled = Span::millis(90'000);
-  static constexpr Span kExpiry = Span::millis(1000), kRetention = Span::millis(12'000);
+  static constexpr Duration kWhole = Duration::millis(300'000), kTroubled = Duration::millis(90'000);
+  static constexpr Duration kExpiry = Duration::millis(1000), kRetention = Duration::millis(12'000);
 
   static Bounds boundsOf() {
     Bounds bounds;
@@ -112,7 +112,7 @@
       return std::pair(other.at, other.number) < std::pair(at, number);
     }
   };
-  void at(Span after, std::function<void()> what) {
+  void at(Duration after, std::function<void()> what) {
     events_.push({now_ + after, ++number_, std::move(what)});
   }
   double part() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
@@ -129,13 +129,13 @@
     bool up = false, stopped = false;
     std::uint64_t life = 0, draw = 0, number = 0;
     Instant silentUntil;  // of a keeper that forgot
-    std::optional<Known> known;
+    std::optional<PlanView> known;
     std::optional<Lease> lease;
     std::optional<Acceptor> acceptor;
-    std::optional<Round> round;
-    std::optional<membership::Roll> roll;
-    std::optional<membership::View> view;
-    std::optional<Foreman> foreman;
+    std::optional<ProposalRound> round;
+    std::optional<membership::FailureDetector> roll;
+    std::optional<membership::MembershipView> view;
+    std::optional<MaintenanceLeader> foreman;
     std::vector<std::function<void()>> queued;  // while it stands still
     std::uint64_t clear = 0, beat = 0;
     Instant beatAt, wantsAt;
@@ -157,16 +157,17 @@
     for (std::size_t i = 0; i < kRouters; ++i) {
       Process& p = routers_[i];
       std::cerr << name(i) << ": " << (p.up ? "up" : "down") << (p.stopped ? ", stopped" : "") << ", start "
-                << p.number << ", knows " << p.known->settled().version << ", clear " << p.clear;
+                << p.number << ", knows " << p.known->chosen().version << ", clear " << p.clear;
       if (p.acceptor)
-        std::cerr << ", votes " << votes(i) << ", whole " << p.acceptor->isWhole() << ", holds "
-                  << p.acceptor->held().stamp.version << ", round " << static_cast<int>(p.round->state());
+        std::cerr << ", votes " << votes(i) << ", whole " << p.acceptor->isComplete() << ", holds "
+                  << p.acceptor->accepted().version.version << ", round "
+                  << static_cast<int>(p.round->state());
       std::cerr << "\n";
       if (!p.acceptor) continue;
-      const Facts facts = factsOf(i);
-      for (const auto& m : p.known->settled().machines)
+      const FleetState facts = factsOf(i);
+      for (const auto& m : p.known->chosen().machines)
         std::cerr << "  " << m.name << " " << nameOf(m.phase) << " since " << m.since << ": "
-                  << p.foreman->awaits(clock(i), p.known->settled(), m, facts) << "\n";
+                  << p.foreman->waitingFor(clock(i), p.known->chosen(), m, facts) << "\n";
     }
   }
 
@@ -196,10 +197,10 @@
       std::cerr << (now_ - kBegin).inMicros() / 1000 << " " << name(i) << " starts, " << routers_[i].number
                 << "\n";
     if (i >= kKeepers) return;
-    // What became durable in the moment of its end counts as much as what was answered.
-    const Held held = routers_[i].acceptor->held();
+    // Kind became durable in the moment of its end counts as much as what was answered.
+    const AcceptedValue held = routers_[i].acceptor->accepted();
     holds(i, i, held);
-    if (held.stamp.version > 0) settled(i, held);
+    if (held.version.version > 0) settled(i, held);
   }
   void kill(std::size_t i) {
     if (std::getenv("WORK_TRACE"))
@@ -243,61 +244,62 @@
   void turnOnce(std::size_t i) {
     Process& p = routers_[i];
     const Instant now = clock(i);
-    if (p.clear < p.known->settled().version &&
-        (bug_ == Bug::saysClear ||
-         std::none_of(p.out.begin(), p.out.end(), [&](auto& node) { return p.known->out().contains(node); })))
-      p.clear = p.known->settled().version;
-    const membership::Progress progress{0, p.known->settled().version, p.clear};
-    if (now - p.beatAt >= membership::Beats::kPause) {
+    if (p.clear < p.known->chosen().version &&
+        (bug_ == Bug::saysClear || std::none_of(p.out.begin(), p.out.end(), [&](auto& node) {
+           return p.known->excludedNodes().contains(node);
+         })))
+      p.clear = p.known->chosen().version;
+    const membership::MemberProgress progress{0, p.known->chosen().version, p.clear};
+    if (now - p.beatAt >= membership::HeartbeatTimer::kInterval) {
       p.beatAt = now;
       ++p.beat;
       for (std::size_t k = 0; k < kKeepers; ++k) {
         if (k == i) continue;
-        p.lease->said(now, k, p.beat);
+        p.lease->onHeartbeatSent(now, k, p.beat);
         say(i, k, [this, i, k, progress, draw = p.draw, number = p.number, beat = p.beat, life = p.life] {
           hears(k, i, progress, draw, number, beat, life);
         });
       }
     }
     if (!p.acceptor) return;
-    p.roll->enters(now, name(i), {p.number, p.draw});
-    p.roll->heard(now, name(i), p.draw, progress);
-    p.roll->turn(now);
-    p.view->told(i, p.roll->since(p.told[i], 100));
-    if (p.acceptor->isWhole() && votes(i)) {
-      p.lease->said(now, i, ++p.beat);
-      p.lease->answered(i, p.beat);
+    p.roll->onJoinRequest(now, name(i), {p.number, p.draw});
+    p.roll->onHeartbeat(now, name(i), p.draw, progress);
+    p.roll->checkTimeouts(now);
+    p.view->onReports(i, p.roll->reportsSince(p.told[i], 100));
+    if (p.acceptor->isComplete() && votes(i)) {
+      p.lease->onHeartbeatSent(now, i, ++p.beat);
+      p.lease->onHeartbeatReply(i, p.beat);
     }
     carryOn(i);
   }
-  void hears(std::size_t k, std::size_t i, const membership::Progress& progress, std::uint64_t draw,
+  void hears(std::size_t k, std::size_t i, const membership::MemberProgress& progress, std::uint64_t draw,
              std::uint64_t number, std::uint64_t beat, std::uint64_t life) {
     Process& p = routers_[k];
-    if (p.roll->newest(name(i)).number < number) p.told.erase(i), p.held.erase(i);
-    p.roll->enters(clock(k), name(i), {number, draw});
-    if (!p.roll->speaks(name(i), draw)) return;
-    p.roll->heard(clock(k), name(i), draw, progress);
-    // What it holds goes ahead of the answer to any word.
-    const Held held = p.acceptor->held();
+    if (p.roll->newestIncarnation(name(i)).number < number) p.told.erase(i), p.held.erase(i);
+    p.roll->onJoinRequest(clock(k), name(i), {number, draw});
+    if (!p.roll->isCurrent(name(i), draw)) return;
+    p.roll->onHeartbeat(clock(k), name(i), draw, progress);
+    // Kind it holds goes ahead of the answer to any word.
+    const AcceptedValue held = p.acceptor->accepted();
     if (p.held[i] != held.ballot && !(bug_ == Bug::tellsLate && pick(2) == 0)) {
       p.held[i] = held.ballot;
       say(k, i, [this, k, i, held] { holds(i, k, held); });
     }
-    const auto reports = p.roll->since(p.told[i], 100);
-    const bool counts = p.acceptor->isWhole() && votes(k);
+    const auto reports = p.roll->reportsSince(p.told[i], 100);
+    const bool counts = p.acceptor->isComplete() && votes(k);
     say(k, i, [this, k, i, reports, beat, counts, life] {
       if (routers_[i].life != life) return;
-      routers_[i].view->told(k, reports);
-      if (counts) routers_[i].lease->answered(k, beat);
+      routers_[i].view->onReports(k, reports);
+      if (counts) routers_[i].lease->onHeartbeatReply(k, beat);
     });
   }
-  void holds(std::size_t i, std::size_t k, const Held& held) {
-    if (held.stamp.version > 0) routers_[i].known->told(k, held);
+  void holds(std::size_t i, std::size_t k, const AcceptedValue& held) {
+    if (held.version.version > 0) routers_[i].known->onAccepted(k, held);
   }
 
   // --- Rounds
-  Facts factsOf(std::size_t i) {
-    Facts facts;
+  FleetState factsOf(std::size_t i) {
+    FleetState facts;
     for (const auto& id : nodes_) {
       auto& node = facts.nodes[id];
       node.group = id[1] == '1' ? 1 : 2;
@@ -305,44 +307,46 @@
       node.primary = id[0] == 'p';
     }
     for (const auto& router : routers_[i].view->routers()) {
-      const auto member = routers_[i].view->of(router);
+      const auto member = routers_[i].view->memberState(router);
       auto& fact = facts.routers[router];
-      fact.lives = member.state == membership::View::State::lives;
-      fact.silent = member.silent.size() >= majorityOf(kKeepers);
+      fact.isAlive = member.state == membership::MembershipView::State::alive;
+      fact.isSilent = member.silent.size() >= majorityOf(kKeepers);
       fact.start = member.incarnation;
-      fact.known = member.progress.known;
-      fact.clear = member.progress.clear;
-      fact.keeper = router < name(kKeepers);
+      fact.planVersion = member.progress.planVersion;
+      fact.drainedVersion = member.progress.drainedVersion;
+      fact.isVoter = router < name(kKeepers);
     }
     return facts;
   }
   void carryOn(std::size_t i) {
     Process& p = routers_[i];
     const Instant now = clock(i);
-    const Facts facts = factsOf(i);
-    p.foreman->see(now, p.known->settled(), facts);
-    p.round->due(now);
-    if (const auto read = p.round->takeRead()) {
+    const FleetState facts = factsOf(i);
+    p.foreman->observe(now, p.known->chosen(), facts);
+    p.round->runTimers(now);
+    if (const auto read = p.round->takePrepared()) {
       Plan plan = readPlan(read->held.value);
-      plan.version = read->held.stamp.version + 1;
-      bool changed = read->isSettled && !p.foreman->advance(now, plan, facts).empty();
+      plan.version = read->held.version.version + 1;
+      bool changed = read->isChosen && !p.foreman->advance(now, plan, facts).empty();
       for (const auto& [request, ask] : asks_) {
-        if (!read->isSettled) break;
-        const bool was = std::find(plan.taken.begin(), plan.taken.end(), request) != plan.taken.end();
-        changed = (carryOut(plan, request, ask, facts, bounds_).empty() && !was) || changed;
+        if (!read->isChosen) break;
+        const bool was = std::find(plan.appliedRequests.begin(), plan.appliedRequests.end(), request) !=
+                         plan.appliedRequests.end();
+        changed = (applyRequest(plan, request, ask, facts, bounds_).empty() && !was) || changed;
       }
-      const Held held = p.round->write(changed ? Stamp{plan.version, p.draw} : read->held.stamp,
-                                       changed ? encoded(plan) : read->held.value);
+      const AcceptedValue held =
+          p.round->propose(changed ? ValueVersion{plan.version, p.draw} : read->held.version,
+                           changed ? encoded(plan) : read->held.value);
       for (std::size_t k = 0; k < kKeepers; ++k) say(i, k, [this, i, k, held] { writes(k, i, held); });
     }
-    p.round->takeSettled();
+    p.round->takeChosen();
     // Whoever sees something to do tries: the foreman's rank is a matter of speed, not of safety.
     const bool asks = std::any_of(asks_.begin(), asks_.end(), [&](const auto& one) {
-      const auto& taken = p.known->settled().taken;
+      const auto& taken = p.known->chosen().appliedRequests;
       return std::find(taken.begin(), taken.end(), one.first) == taken.end();
     });
-    const bool learns = votes(i) && !p.acceptor->isWhole();
-    if ((p.foreman->isDue(now, p.known->settled(), facts) || asks || learns) && pick(1 + 3 * i) == 0 &&
+    const bool learns = votes(i) && !p.acceptor->isComplete();
+    if ((p.foreman->isDue(now, p.known->chosen(), facts) || asks || learns) && pick(1 + 3 * i) == 0 &&
         p.round->begin(now)) {
       const Ballot ballot = p.round->ballot();
       for (std::size_t k = 0; k < kKeepers; ++k) say(i, k, [this, i, k, ballot] { reads(k, i, ballot); });
@@ -350,17 +354,18 @@
   }
   void reads(std::size_t k, std::size_t by, const Ballot& ballot) {
     if (!votes(k)) return;
-    std::optional<Acceptor::Answer> refused;
-    const bool disk = routers_[k].acceptor->read(ballot, refused);
+    std::optional<Acceptor::AcceptorReply> refused;
+    const bool disk = routers_[k].acceptor->prepare(ballot, refused);
     answer(k, by, disk, refused);
   }
-  void writes(std::size_t k, std::size_t by, const Held& held) {
+  void writes(std::size_t k, std::size_t by, const AcceptedValue& held) {
     if (!votes(k)) return;
-    std::optional<Acceptor::Answer> refused;
-    const bool disk = routers_[k].acceptor->write(held, refused);
+    std::optional<Acceptor::AcceptorReply> refused;
+    const bool disk = routers_[k].acceptor->accept(held, refused);
     answer(k, by, disk, refused);
   }
-  void answer(std::size_t k, std::size_t by, bool disk, const std::optional<Acceptor::Answer>& refused) {
+  void answer(std::size_t k, std::size_t by, bool disk,
+              const std::optional<Acceptor::AcceptorReply>& refused) {
     if (refused) say(k, by, [this, k, by, said = *refused] { said_(by, k, said); });
     if (!disk) return;
     const std::string text = routers_[k].acceptor->text();
@@ -375,11 +380,11 @@
     // A commit goes on while its process stands still; its answer waits.
     if (onDisk || pick(4) > 0) disks_[k].durable = text;
     run(k, routers_[k].life, [this, k, by] {
-      const auto answer = routers_[k].acceptor->wrote(true);
+      const auto answer = routers_[k].acceptor->onWritten(true);
       if (!answer) return;
-      disks_[k].whole = disks_[k].whole || routers_[k].acceptor->isWhole();
-      const Held held = routers_[k].acceptor->held();
-      if (answer->what == Acceptor::Answer::What::accepted) settled(k, held);
+      disks_[k].whole = disks_[k].whole || routers_[k].acceptor->isComplete();
+      const AcceptedValue held = routers_[k].acceptor->accepted();
+      if (answer->kind == Acceptor::AcceptorReply::Kind::accepted) settled(k, held);
       holds(k, k, held);
       for (auto& [router, told] : routers_[k].held)
         if (router != k && told != held.ballot && !(bug_ == Bug::tellsLate && pick(2) == 0)) {
@@ -389,28 +394,28 @@
       say(k, by, [this, k, by, said = *answer] { said_(by, k, said); });
     });
   }
-  void said_(std::size_t i, std::size_t k, const Acceptor::Answer& said) {
-    using What = Acceptor::Answer::What;
-    Round& round = *routers_[i].round;
+  void said_(std::size_t i, std::size_t k, const Acceptor::AcceptorReply& said) {
+    using Kind = Acceptor::AcceptorReply::Kind;
+    ProposalRound& round = *routers_[i].round;
     const Instant now = clock(i);
-    if (said.what == What::promised) round.promised(now, k, said.ballot, said.held);
-    if (said.what == What::accepted) round.accepted(now, k, said.ballot);
-    if (said.what == What::refused) round.refused(now, said.ballot, said.promised);
+    if (said.kind == Kind::promised) round.onPromise(now, k, said.ballot, said.held);
+    if (said.kind == Kind::accepted) round.onAccepted(now, k, said.ballot);
+    if (said.kind == Kind::rejected) round.onRejected(now, said.ballot, said.promised);
   }
 
   // --- The properties
-  void settled(std::size_t k, const Held& held) {
+  void settled(std::size_t k, const AcceptedValue& held) {
     if (!monitor_.holds(k, held)) return;
     ++sum_.settled;
     // In the order of rounds each goes on from the one before.
     const auto after = chain_.lower_bound(held.ballot);
-    if (after != chain_.begin() && std::prev(after)->second > held.stamp)
+    if (after != chain_.begin() && std::prev(after)->second > held.version)
       return broken("what was settled is lost");
-    if (after != chain_.end() && held.stamp > after->second) return broken("what was settled is lost");
-    if (after != chain_.begin() && std::prev(after)->second.version == held.stamp.version &&
-        std::prev(after)->second != held.stamp)
+    if (after != chain_.end() && held.version > after->second) return broken("what was settled is lost");
+    if (after != chain_.begin() && std::prev(after)->second.version == held.version.version &&
+        std::prev(after)->second != held.version)
       return broken("two plans of one version");
-    chain_[held.ballot] = held.stamp;
+    chain_[held.ballot] = held.version;
     if (held.ballot < newest_) return;
     newest_ = held.ballot;
     plan_ = readPlan(held.value);
@@ -425,19 +430,19 @@
     std::set<std::string> off;
     ended_ = 0;
     for (const auto& m : plan_.machines) {
-      ended_ += m.phase == Phase::over;
-      const bool isOff = m.phase == Phase::free;
+      ended_ += m.phase == Phase::finished;
+      const bool isOff = m.phase == Phase::released;
       for (const auto& node : m.nodes) {
-        if (m.phase != Phase::waits && m.phase != Phase::over) ++away[node[1]];
+        if (m.phase != Phase::waiting && m.phase != Phase::finished) ++away[node[1]];
         if (isOff) off.insert(node);
         if (isOff && node[0] == 'p') broken("a primary was told free");
       }
       if (isOff && doing_.insert(m.name + std::to_string(m.since)).second) {
         ++sum_.frees;
         at(ms(200 + static_cast<std::int64_t>(pick(3000))), [this, machine = m.name] {
-          Ask ask;
-          ask.what = Ask::What::done;
-          ask.by = "kim";
+          OperatorRequest ask;
+          ask.kind = OperatorRequest::Kind::done;
+          ask.requestedBy = "kim";
           ask.machine = machine;
           asks_["done " + machine + std::to_string(++number_)] = ask;
         });
@@ -451,14 +456,14 @@
     off_ = std::move(off);
   }
   void order() {
-    Ask ask;
-    ask.by = "kim";
+    OperatorRequest ask;
+    ask.requestedBy = "kim";
     for (const char* name : {"a", "b"}) {
       Machine m;
       m.name = std::string("m") + name;
       m.zone = "z";
       m.nodes = {name + std::string("1"), name + std::string("2")};
-      m.takes = ms(1000);
+      m.expectedDuration = ms(1000);
       ask.machines.push_back(m);
     }
     asks_["order"] = ask;
@@ -474,16 +479,17 @@
   }
   void send(std::size_t i, const std::string& node) {
     Process& p = routers_[i];
-    if (p.known->out().contains(node)) return;
+    if (p.known->excludedNodes().contains(node)) return;
     const bool leased = p.lease->until() != Instant() && clock(i) < p.lease->until();
-    if (p.known->next().contains(node) && !leased && bug_ != Bug::noLease) return;
+    if (p.known->leaseRequiredNodes().contains(node) && !leased && bug_ != Bug::noLease) return;
     // A start that has reached no keeper goes by its list, which discovery was told to change.
-    if (p.known->settled().version == 0 && !leased && plan_.version > 0) return;
+    if (p.known->chosen().version == 0 && !leased && plan_.version > 0) return;
     ++sum_.sends;
     if (off_.contains(node)) {
       if (std::getenv("WORK_TRACE")) {
         std::cerr << name(i) << " sends to " << node << " at " << (now_ - kBegin).inMicros() / 1000
-                  << ", leased " << leased << ", next " << p.known->next().contains(node) << "\n";
+                  << ", leased " << leased << ", next " << p.known->leaseRequiredNodes().contains(node)
+                  << "\n";
         trace();
       }
       return broken("a txn came to a node that was told free");
@@ -510,7 +516,7 @@
       return;
     }
     const std::size_t i = pick(kRouters), k = pick(kKeepers);
-    const Span soon = ms(static_cast<std::int64_t>(pick(pick(3) == 0 ? 15'000 : 3000)));
+    const Duration soon = ms(static_cast<std::int64_t>(pick(pick(3) == 0 ? 15'000 : 3000)));
     switch (pick(7)) {
       case 0:
         ++sum_.kills;
@@ -580,8 +586,8 @@
   std::set<std::pair<std::size_t, std::size_t>> cut_;
   std::map<std::pair<std::size_t, std::size_t>, Instant> links_;
   std::map<std::size_t, Instant> diskAt_;
-  std::map<std::string, Ask> asks_;
-  std::map<Ballot, Stamp> chain_;
+  std::map<std::string, OperatorRequest> asks_;
+  std::map<Ballot, ValueVersion> chain_;
   Ballot newest_;
   Plan plan_;
   std::set<std::string> off_, doing_;
@@ -591,16 +597,16 @@
 
 // Who begins rounds where steps are due and nothing happens.
 void takeover() {
-  Foreman first{Bounds()}, third{Bounds()};
+  MaintenanceLeader first{Bounds()}, third{Bounds()};
   for (const int second : {0, 4, 6, 11}) {
     const Instant now = kBegin + ms(second * 1000);
-    std::cout << second << " s: the first " << first.carriesOn(now, true, 0) << ", the third "
-              << third.carriesOn(now, true, 2) << "\n";
+    std::cout << second << " s: the first " << first.shouldLead(now, true, 0) << ", the third "
+              << third.shouldLead(now, true, 2) << "\n";
   }
-  third.settled();
-  std::cout << "settled: the third " << third.carriesOn(kBegin + ms(12'000), true, 2)
-            << ", once both before it are silent " << third.carriesOn(kBegin + ms(12'000), true, 0)
-            << ", nothing due " << third.carriesOn(kBegin + ms(30'000), false, 2) << "\n";
+  third.onChosen();
+  std::cout << "settled: the third " << third.shouldLead(kBegin + ms(12'000), true, 2)
+            << ", once both before it are silent " << third.shouldLead(kBegin + ms(12'000), true, 0)
+            << ", nothing due " << third.shouldLead(kBegin + ms(30'000), false, 2) << "\n";
 }
 
 void worlds(std::uint64_t seeds, std::uint64_t from) {
@@ -649,9 +655,9 @@
 struct Word {
   std::size_t keeper = 0, changer = 0;
   bool writes = false;
-  Held held;                // its ballot is the round's
-  Acceptor::Answer answer;  // to a changer
-  static Word to(std::size_t keeper, std::size_t changer, bool writes, const Held& held) {
+  AcceptedValue held;              // its ballot is the round's
+  Acceptor::AcceptorReply answer;  // to a changer
+  static Word to(std::size_t keeper, std::size_t changer, bool writes, const AcceptedValue& held) {
     Word word;
     word.keeper = keeper;
     word.changer = changer;
@@ -659,7 +665,7 @@
     word.held = held;
     return word;
   }
-  static Word back(std::size_t keeper, std::size_t changer, const Acceptor::Answer& answer) {
+  static Word back(std::size_t keeper, std::size_t changer, const Acceptor::AcceptorReply& answer) {
     Word word;
     word.keeper = keeper;
     word.changer = changer;
@@ -681,7 +687,7 @@
   // The property that broke; empty: none, in any order.
   std::string search() {
     State first;
-    for (std::size_t p = 0; p < 2; ++p) first.rounds.emplace_back(3, 10 + p, Span::millis(3'600'000));
+    for (std::size_t p = 0; p < 2; ++p) first.rounds.emplace_back(3, 10 + p, Duration::millis(3'600'000));
     for (std::size_t k = 0; k < 3; ++k) {
       first.keepers.emplace_back("", true);
       first.disks.emplace_back();
@@ -703,7 +709,7 @@
   static constexpr std::size_t kMost = 20'000'000;
 
   struct State {
-    std::vector<Round> rounds;
+    std::vector<ProposalRound> rounds;
     std::vector<Acceptor> keepers;
     std::vector<std::string> disks;
     std::vector<std::size_t> begun;
@@ -722,7 +728,7 @@
     std::string key;
     // All that a keeper has is on its disk between two words.
     for (const auto& disk : state.disks) key += disk + "|";
-    for (const auto& keeper : state.keepers) key += std::to_string(keeper.isWhole());
+    for (const auto& keeper : state.keepers) key += std::to_string(keeper.isComplete());
     for (std::size_t p = 0; p < 2; ++p) {
       key += std::to_string(state.begun[p]) + std::to_string(static_cast<int>(state.rounds[p].state())) +
              std::to_string(state.rounds[p].ballot().number);
@@ -740,7 +746,7 @@
 
   void next(const State& now, std::vector<State>& open) {
     for (std::size_t p = 0; p < 2; ++p) {
-      if (now.rounds[p].state() == Round::State::rests) {
+      if (now.rounds[p].state() == ProposalRound::State::idle) {
         if (now.begun[p] >= rounds_[p]) continue;
         State state = now;
         ++state.begun[p];
@@ -787,28 +793,28 @@
     }
   }
   void giveUp(State& state, std::size_t p) {
-    Round& round = state.rounds[p];
-    if (round.state() != Round::State::rests)
-      round.refused(timeOf(state.begun[p]), round.ballot(), round.ballot());
+    ProposalRound& round = state.rounds[p];
+    if (round.state() != ProposalRound::State::idle)
+      round.onRejected(timeOf(state.begun[p]), round.ballot(), round.ballot());
   }
   void hear(State& state, const Word& word, bool isDurable, bool isLost) {
     const std::size_t k = word.keeper;
-    const auto answerOf = [&](const Acceptor::Answer& answer) {
+    const auto answerOf = [&](const Acceptor::AcceptorReply& answer) {
       if (!isLost) answered(state, Word::back(k, word.changer, answer));
     };
-    std::optional<Acceptor::Answer> refused;
-    const bool toDisk = word.writes ? state.keepers[k].write(word.held, refused)
-                                    : state.keepers[k].read(word.held.ballot, refused);
+    std::optional<Acceptor::AcceptorReply> refused;
+    const bool toDisk = word.writes ? state.keepers[k].accept(word.held, refused)
+                                    : state.keepers[k].prepare(word.held.ballot, refused);
     if (toDisk && isDurable) state.disks[k] = state.keepers[k].text();
     const bool tells = toDisk && (isDurable || fault_ == Fault::ahead);
     const auto said = tells ? told(state, k) : refused;
     if (!isDurable) state.keepers[k] = Acceptor(state.disks[k], true);
     if (said) answerOf(*said);
   }
-  std::optional<Acceptor::Answer> told(State& state, std::size_t k) {
-    const auto answer = state.keepers[k].wrote(true);
-    if (!answer || answer->what != Acceptor::Answer::What::accepted) return answer;
-    const Held& held = state.keepers[k].held();
+  std::optional<Acceptor::AcceptorReply> told(State& state, std::size_t k) {
+    const auto answer = state.keepers[k].onWritten(true);
+    if (!answer || answer->kind != Acceptor::AcceptorReply::Kind::accepted) return answer;
+    const AcceptedValue& held = state.keepers[k].accepted();
     auto& holders = state.holders[held.ballot];
     if (!holders.insert(k).second || holders.size() != 2) return answer;
     state.settled[held.ballot] = held.value;
@@ -820,26 +826,26 @@
     return answer;
   }
   void answered(State& state, const Word& word) {
-    using What = Acceptor::Answer::What;
+    using Kind = Acceptor::AcceptorReply::Kind;
     const std::size_t p = word.changer;
-    Round& round = state.rounds[p];
+    ProposalRound& round = state.rounds[p];
     const Instant now = timeOf(state.begun[p]);
     const auto& said = word.answer;
-    if (said.what == What::refused) round.refused(now, said.ballot, said.promised);
-    if (said.what == What::accepted) {
-      round.accepted(now, word.keeper, said.ballot);
+    if (said.kind == Kind::rejected) round.onRejected(now, said.ballot, said.promised);
+    if (said.kind == Kind::accepted) {
+      round.onAccepted(now, word.keeper, said.ballot);
       if (said.ballot == round.ballot()) state.wrote[p].insert(word.keeper);
     }
-    if (said.what != What::promised) return;
-    round.promised(now, word.keeper, said.ballot, said.held);
+    if (said.kind != Kind::promised) return;
+    round.onPromise(now, word.keeper, said.ballot, said.held);
     if (said.ballot == round.ballot()) state.reads[p].insert(word.keeper);
-    const auto read = round.takeRead();
+    const auto read = round.takePrepared();
     if (!read) return;
     // A built-in fault: what it read is passed over.
     const std::string before = fault_ == Fault::changesUnread ? "" : read->held.value;
     const std::string made =
-        read->isSettled ? before + static_cast<char>('a' + 2 * p + state.begun[p] - 1) : before;
-    const Held held = round.write({made.size(), 1}, made);
+        read->isChosen ? before + static_cast<char>('a' + 2 * p + state.begun[p] - 1) : before;
+    const AcceptedValue held = round.propose({made.size(), 1}, made);
     for (std::size_t k = 0; k < 3; ++k) state.words.push_back(Word::to(k, p, true, held));
   }
 
