--- a/src/main.cpp
+++ b/src/main.cpp
@@ -29,123 +29,178 @@
 constexpr const char *kLevels = "GULLTRESTLE_LEVELS", *kLogging = "GULLTRESTLE_LOGGING",
                      *kProcessor = "GULLTRESTLE_EXT_PROC", *kFleet = "GULLTRESTLE_FLEET";
 
-std::string named(const char* variable) {
+// The path that an environment variable names; empty where it is unset.
+std::string pathFrom(const char* variable) {
   const char* path = std::getenv(variable);
   return path ? path : "";
 }
 
-// What is wrong with the files of the optional parts, all of it at once: an operator mends it in one go.
-class Faults {
+// Reads the configuration files of the optional parts and collects what is wrong with all of them, so that an
+// operator can fix every fault in one go.
+class OptionalConfigFiles {
  public:
-  // What the part's file says; none where none is named, or it can't be used.
+  // The parsed file; none where the variable is unset or the file can't be used.
   template <typename Read>
   auto read(const char* variable, Read readFile) -> std::optional<decltype(readFile())> {
-    if (named(variable).empty()) return std::nullopt;
+    if (pathFrom(variable).empty()) return std::nullopt;
     try {
       return readFile();
-    } catch (const config::ConfigError& bad) {
-      add(variable, bad.what());
+    } catch (const config::ConfigError& error) {
+      addFault(variable, error.what());
       return std::nullopt;
     }
   }
-  void needs(const char* variable, bool isBuiltIn, const std::string& part) {
-    if (!named(variable).empty() && !isBuiltIn) add(variable, "is set, and " + part + " is not built in");
+  void requireBuiltIn(const char* variable, bool isBuiltIn, const std::string& part) {
+    if (!pathFrom(variable).empty() && !isBuiltIn)
+      addFault(variable, "is set, and " + part + " is not built in");
   }
-  void raise() const {
-    if (!all_.empty()) throw std::runtime_error(all_);
+  // Throws std::runtime_error with all faults; returns where there are none.
+  void throwIfFaulty() const {
+    if (!faults_.empty()) throw std::runtime_error(faults_);
   }
 
  private:
-  void add(const std::string& variable, const std::string& what) {
-    all_ += (all_.empty() ? "" : "; ") + variable + ": " + what;
+  void addFault(const std::string& variable, const std::string& fault) {
+    faults_ += (faults_.empty() ? "" : "; ") + variable + ": " + fault;
   }
-  std::string all_;
+  std::string faults_;
 };
 
 void logLine(const std::string& line) { spdlog::info("{}", line); }
 
-void tellStart(const config::RouterConfig& start) {
-  std::string on;
+void logStart(const config::RouterConfig& config) {
+  std::string enabledParts;
   for (const char* variable : {kLevels, kLogging, kProcessor, kFleet})
-    if (!named(variable).empty()) on += (on.empty() ? "" : ",") + std::string(variable);
+    if (!pathFrom(variable).empty())
+      enabledParts += (enabledParts.empty() ? "" : ",") + std::string(variable);
   spdlog::info("event=start version={} built_in={} on={} name={} types={} routers={}", build_info::version(),
-               build_info::partsBuiltIn(), on.empty() ? "none" : on, start.name,
-               start.deployment.typeNames.size(), start.deployment.routing.routerCount);
+               build_info::partsBuiltIn(), enabledParts.empty() ? "none" : enabledParts, config.name,
+               config.deployment.typeNames.size(), config.deployment.routing.routerCount);
 }
 
 #ifdef GULLTRESTLE_FLEET
-Duration longestOnceOnly(const RoutingConfig& terms) {
+Duration longestAtMostOnceDeadline(const RoutingConfig& routing) {
   Duration longest;
-  for (const auto& type : terms.transactionClasses)
-    if (type.effect == Effect::atMostOnce) longest = std::max(longest, type.deadline);
+  for (const auto& transactionClass : routing.transactionClasses)
+    if (transactionClass.effect == Effect::atMostOnce) longest = std::max(longest, transactionClass.deadline);
   return longest;
 }
 #endif
 
-void serve() {
-  const config::RouterConfig start = config::readRouterConfig();
-  const auto& told = start.deployment;
-  const auto readLevels = [&told] {
-    return degradation_service::readDegradationConfigFile(named(kLevels), told.routing.transactionClasses,
-                                                          told.typeNames);
-  };
-  const auto readLogging = [] { return logging::readLoggingConfigFile(named(kLogging)); };
-  Faults faults;
-  faults.needs(kProcessor, build_info::hasExternalProcessor(), "the external processor");
-  faults.needs(kFleet, build_info::hasFleet(), "what several routers settle among themselves");
-  const auto levels = faults.read(kLevels, readLevels);
-  const auto logs = faults.read(kLogging, readLogging);
-  server::ReservedResources beside;
-  beside.reducedByLevel = levels.has_value();
+// The configuration of the router and of each optional part that the environment names.
+class Configuration {
+ public:
+  // Throws config::ConfigError or std::runtime_error, which name the key, or every faulty file.
+  Configuration() : router_(config::readRouterConfig()) {
+    OptionalConfigFiles files;
+    files.requireBuiltIn(kProcessor, build_info::hasExternalProcessor(), "the external processor");
+    files.requireBuiltIn(kFleet, build_info::hasFleet(), "what several routers settle among themselves");
+    degradation_ = files.read(kLevels, [this] { return readDegradation(); });
+    logging_ = files.read(kLogging, readLogging);
 #ifdef GULLTRESTLE_EXT_PROC
-  const auto processing =
-      faults.read(kProcessor, [] { return ext_proc_server::readExtProcConfigFile(named(kProcessor)); });
-  if (processing) {
-    beside.descriptors += processing->mostConnections + ext_proc_server::kMostProbes;
-    beside.openTxns = processing->streams.mostStreams;
+    extProc_ =
+        files.read(kProcessor, [] { return ext_proc_server::readExtProcConfigFile(pathFrom(kProcessor)); });
+#endif
+#ifdef GULLTRESTLE_FLEET
+    cluster_ = files.read(kFleet, [this] { return readCluster(); });
+#endif
+    files.throwIfFaulty();
+  }
+
+  const config::RouterConfig& router() const { return router_; }
+  const auto& degradation() const { return degradation_; }
+  const auto& logging() const { return logging_; }
+
+  // Read again at each SIGHUP; each throws config::ConfigError.
+  degradation_service::DegradationConfig readDegradation() const {
+    return degradation_service::readDegradationConfigFile(
+        pathFrom(kLevels), router_.deployment.routing.transactionClasses, router_.deployment.typeNames);
   }
+  static logging::LoggingConfig readLogging() { return logging::readLoggingConfigFile(pathFrom(kLogging)); }
+
+  // What the optional parts take of the process's limits.
+  server::ReservedResources reservedResources() const {
+    server::ReservedResources reserved;
+    reserved.reducedByLevel = degradation_.has_value();
+#ifdef GULLTRESTLE_EXT_PROC
+    if (extProc_) {
+      reserved.descriptors += extProc_->mostConnections + ext_proc_server::kMostProbes;
+      reserved.openTxns = extProc_->streams.mostStreams;
+    }
 #endif
 #ifdef GULLTRESTLE_FLEET
-  const auto readFleet = [&] {
-    return cluster::readClusterConfigFile(named(kFleet), start.name, longestOnceOnly(told.routing));
-  };
-  const auto fleet = faults.read(kFleet, readFleet);
-  if (fleet) beside.descriptors += cluster::ClusterServer::descriptors(*fleet);
+    if (cluster_) reserved.descriptors += cluster::ClusterServer::descriptors(*cluster_);
 #endif
-  faults.raise();
-  tellStart(start);
-
-  server::Server server(start, beside);
-  std::optional<logging::TransactionLogging> logging;
-  if (logs) server.add(logging.emplace(server.ledger().trace(), *logs, readLogging, logLine));
-  std::optional<degradation_service::DegradationService> service;
-  if (levels)
-    server.add(service.emplace(server.ledger(), *levels, told.typeNames, start.seed, readLevels, logLine));
+    return reserved;
+  }
+
+#ifdef GULLTRESTLE_EXT_PROC
+  const auto& extProc() const { return extProc_; }
+#endif
+#ifdef GULLTRESTLE_FLEET
+  const auto& cluster() const { return cluster_; }
+  cluster::ClusterConfig readCluster() const {
+    return cluster::readClusterConfigFile(pathFrom(kFleet), router_.name,
+                                          longestAtMostOnceDeadline(router_.deployment.routing));
+  }
+#endif
+
+ private:
+  config::RouterConfig router_;
+  std::optional<degradation_service::DegradationConfig> degradation_;
+  std::optional<logging::LoggingConfig> logging_;
+#ifdef GULLTRESTLE_EXT_PROC
+  std::optional<ext_proc_server::ExtProcConfig> extProc_;
+#endif
+#ifdef GULLTRESTLE_FLEET
+  std::optional<cluster::ClusterConfig> cluster_;
+#endif
+};
+
+// Assembles the server and its optional parts, and serves until it is told to end.
+void serve() {
+  const Configuration configuration;
+  const config::RouterConfig& router = configuration.router();
+  logStart(router);
+
+  server::Server server(router, configuration.reservedResources());
+  std::optional<logging::TransactionLogging> transactionLogging;
+  if (configuration.logging())
+    server.add(transactionLogging.emplace(server.ledger().trace(), *configuration.logging(),
+                                          Configuration::readLogging, logLine));
+  std::optional<degradation_service::DegradationService> degradationService;
+  if (configuration.degradation())
+    server.add(degradationService.emplace(
+        server.ledger(), *configuration.degradation(), router.deployment.typeNames, router.seed,
+        [&configuration] { return configuration.readDegradation(); }, logLine));
 #ifdef GULLTRESTLE_EXT_PROC
-  std::optional<ext_proc_server::ExtProcServer> part;
-  if (processing) {
-    // Names this start in the tokens of its grants: the time in microseconds tells two starts apart.
-    const std::string name = start.name + "." + std::to_string(server.loop().now().inMicros());
-    server.add(part.emplace(server.loop(), server.ledger(), told, *processing, name));
+  std::optional<ext_proc_server::ExtProcServer> extProcServer;
+  if (configuration.extProc()) {
+    // Names this start in the tokens of its leases: the time in microseconds tells two starts apart.
+    const std::string startName = router.name + "." + std::to_string(server.loop().now().inMicros());
+    server.add(extProcServer.emplace(server.loop(), server.ledger(), router.deployment,
+                                     *configuration.extProc(), startName));
   }
 #endif
 #ifdef GULLTRESTLE_FLEET
-  std::optional<cluster::ClusterServer> others;
-  if (fleet)
-    server.add(others.emplace(server.loop(), server.ledger(), told.routing, *fleet, start.name, readFleet));
+  std::optional<cluster::ClusterServer> clusterServer;
+  if (configuration.cluster())
+    server.add(clusterServer.emplace(server.loop(), server.ledger(), router.deployment.routing,
+                                     *configuration.cluster(), router.name,
+                                     [&configuration] { return configuration.readCluster(); }));
 #endif
   server.run();
 }
 
-// The words of the command line; none: it serves.
-int command(int count, char** words) {
-  if (std::string(words[1]) == "--version") {
+// Runs a sub-command. Returns its exit code: 2 where the arguments are wrong.
+int runCommand(int count, char** arguments) {
+  if (std::string(arguments[1]) == "--version") {
     std::cout << "gulltrestle " << build_info::version() << ", built in: " << build_info::partsBuiltIn()
               << "\n";
     return 0;
   }
 #ifdef GULLTRESTLE_FLEET
-  return cli::run(count, words, std::cout, std::cerr);
+  return cli::run(count, arguments, std::cout, std::cerr);
 #else
   std::cerr << "gulltrestle: " << count - 1 << " words on the command line, and no commands are built in\n";
   return 2;
@@ -154,16 +209,16 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   try {
-    if (count > 1) return command(count, words);
+    if (count > 1) return runCommand(count, arguments);
     event_loop::blockSignals();
     spdlog::set_pattern("%H:%M:%S.%e %L %v");
     spdlog::flush_on(spdlog::level::info);
     serve();
     return 0;
-  } catch (const std::exception& bad) {
-    std::cerr << "gulltrestle: " << bad.what() << std::endl;
+  } catch (const std::exception& error) {
+    std::cerr << "gulltrestle: " << error.what() << std::endl;
     return 1;
   }
 }
