--- a/src/tools/simulator_adapter/adapter.cpp
+++ b/src/tools/simulator_adapter/adapter.cpp
@@ -81,7 +81,7 @@
     Transaction txn;
     txn.id = line.whole("rid");
     const auto type = types_.find(line.text("grade"));
-    if (type == types_.end()) throw InvalidField("grade", "'" + type_name(line) + "' is not in the settings");
+    if (type == types_.end()) throw InvalidField("grade", "'" + classNameOf(line) + "' is not in the settings");
     txn.type = type->second;
     txn.group = deployment::toGroup("cluster", line.text("cluster"));
     if (line.find("session")) txn.session = line.whole("session");
@@ -91,7 +91,7 @@
     if (line.find("work")) txn.expectedWork = micros(line.whole("work"));
     return txn;
   }
-  static std::string type_name(const MessageLine& line) { return std::string(line.text("grade")); }
+  static std::string classNameOf(const MessageLine& line) { return std::string(line.text("grade")); }
 
   LoadReport stand(const MessageLine& line) const {
     LoadReport said;
