--- a/src/config/config_section.h
+++ b/src/config/config_section.h
@@ -9,16 +9,16 @@
 
 namespace gulltrestle::config {
 
-// The whole of a file. Throws BadKey.
+// The whole of a file. Throws ConfigError.
 json::Value readFile(const std::string& path);
 json::Value readText(std::string_view text);
 
 class ConfigSection {
  public:
-  // `path`: by which its keys are named in faults. Throws BadKey where the value is no object.
+  // `path`: by which its keys are named in faults. Throws ConfigError where the value is no object.
   ConfigSection(const json::Value& value, std::string path);
 
-  // Each throws BadKey where what is there can't be taken, and gives `otherwise` where nothing is.
+  // Each throws ConfigError where what is there can't be taken, and gives `otherwise` where nothing is.
   std::string text(const std::string& key, const std::string& otherwise);
   bool flag(const std::string& key, bool otherwise);
   std::size_t whole(const std::string& key, std::size_t otherwise, std::size_t least, std::size_t most);
--- a/src/config/router_config.cpp
+++ b/src/config/router_config.cpp
@@ -20,7 +20,7 @@
 // Nor below this, in MiB, for its code, its buffers and a few long values: it takes one to six in service.
 constexpr double kLeastMemory = 8;
 
-// The settings as deployment::Source words them.
+// The settings as deployment::SettingsSource words them.
 class Flat final : public deployment::SettingsSource {
  public:
   explicit Flat(const Value& settings) { add("", settings); }
@@ -152,7 +152,7 @@
   return listPath() + "?stream=1&index=" + std::to_string(version);
 }
 
-RouterConfig readStart(std::string_view file, ValuePrecedence first) {
+RouterConfig parseRouterConfig(std::string_view file, ValuePrecedence first) {
   json::Parser parser;
   try {
     parser.feed(file);
@@ -191,7 +191,7 @@
   std::ostringstream all;
   if (!file || !(all << file.rdbuf()))
     throw ConfigError("BALANCER_CONFIG", std::string("'") + path + "' can't be read");
-  RouterConfig start = readStart(all.str(), first);
+  RouterConfig start = parseRouterConfig(all.str(), first);
   // The process may be allowed fewer than the configuration says.
   rlimit allowed{};
   if (getrlimit(RLIMIT_NOFILE, &allowed) == 0 && allowed.rlim_cur < start.descriptors)
--- a/src/config/router_config.h
+++ b/src/config/router_config.h
@@ -53,7 +53,7 @@
 RouterConfig readRouterConfig(ValuePrecedence first = ValuePrecedence::environment);
 
 // The same from the text of a file.
-RouterConfig readStart(std::string_view text, ValuePrecedence first = ValuePrecedence::environment);
+RouterConfig parseRouterConfig(std::string_view text, ValuePrecedence first = ValuePrecedence::environment);
 
 // The keys that differ, and that a running router keeps as they were at its start.
 std::vector<std::string> keysNeedingRestart(const RouterConfig& running, const RouterConfig& read);
--- a/src/tools/simulator_adapter/adapter.h
+++ b/src/tools/simulator_adapter/adapter.h
@@ -1,4 +1,4 @@
-// The adapter for the bench's wire: hosts many routers side by side, turns each line straight into calls on
+// The adapter for the operators' simulator: hosts many routers side by side, turns each line into calls on
 // its router and each decision straight into a line. It decides nothing, and the routers share nothing.
 #pragma once
 
--- a/src/tools/simulator_adapter/message_line.h
+++ b/src/tools/simulator_adapter/message_line.h
@@ -1,4 +1,4 @@
-// One line of the wire: a tag and its name=value parts, with the typed access of a deployment::Source.
+// One line of the simulator protocol: a tag and its name=value parts, with the typed access of a deployment::SettingsSource.
 #pragma once
 
 #include <optional>
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -233,7 +233,7 @@
       R"("settings":{"zone":"a","round":5000,"balancers":3,"limits":{"connIdle":30000000,"maxAttempts":6},)"
       R"("lanes":[{"name":"basket","effect":"idempotent","objective":300000,"deadline":750000,"worth":2.5}],)"
       R"("specifics":{"readLevel":["recent"],"lagAllowed":[3000000]}}})";
-  const auto started = config::readStart(good);
+  const auto started = config::parseRouterConfig(good);
   const auto& told = started.deployment;
   std::cout << started.name << " on " << started.listen.host << " port " << started.listen.port << ", "
             << started.memoryBytes << " bytes, " << started.descriptors << " descriptors, seed "
@@ -266,7 +266,7 @@
     auto bad = good;
     bad.replace(bad.find(from), std::string(from).size(), to);
     try {
-      config::readStart(bad);
+      config::parseRouterConfig(bad);
       std::cout << from << " as " << to << ": taken\n";
     } catch (const config::ConfigError& fault) { std::cout << fault.what() << "\n"; }
   }
@@ -274,11 +274,11 @@
   auto other = good;
   for (const auto& [from, to] : {std::pair{"n0", "n1"}, {"6543", "6544"}, {"1024", "512"}, {"5000", "6000"}})
     other.replace(other.find(from), std::string(from).size(), to);
-  for (const auto& key : config::keysNeedingRestart(started, config::readStart(other)))
+  for (const auto& key : config::keysNeedingRestart(started, config::parseRouterConfig(other)))
     std::cout << key << " waits\n";
   setenv("BALANCER_DISCOVERY", "127.0.0.9:1", 1);
   for (const auto first : {config::ValuePrecedence::environment, config::ValuePrecedence::file})
-    std::cout << "discovery at " << config::readStart(good, first).discovery.host << "\n";
+    std::cout << "discovery at " << config::parseRouterConfig(good, first).discovery.host << "\n";
 }
 
 }  // namespace
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -261,7 +261,7 @@
  public:
   Running(const Side& discovery, const std::string& known, int descriptors = 256)
       : port_(held_.number()), thread_([this, file = text(discovery, known, descriptors)] {
-          server::Server server(config::readStart(file));
+          server::Server server(config::parseRouterConfig(file));
           up_ = true;
           up_.notify_all();
           server.run();
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -43,7 +43,7 @@
 
 // From the text of the file to a router that has had some turns, as main() puts them together.
 void startInProcess(const std::string& text, const std::string& levels) {
-  const auto start = config::readStart(text);
+  const auto start = config::parseRouterConfig(text);
   RoutingConfig terms = start.deployment.routing;
   terms.degradationEnabled = terms.connectionPerAttempt = true;
   const auto setup = degradation_service::readDegradationConfig(levels, terms.transactionClasses,
