--- a/src/config/config_section.h
+++ b/src/config/config_section.h
@@ -13,6 +13,8 @@
 json::Value readFile(const std::string& path);
 json::Value readText(std::string_view text);
 
+// Checked access to one JSON object of a configuration file. Every accessor marks its key as known; end()
+// then rejects keys that nobody asked for. Refers to the JSON value, which must outlive it.
 class ConfigSection {
  public:
   // `path`: by which its keys are named in faults. Throws ConfigError where the value is no object.
--- a/src/config/router_config.h
+++ b/src/config/router_config.h
@@ -19,12 +19,14 @@
       : std::runtime_error(std::string(key) + ": " + std::string(what)) {}
 };
 
+// Address and port of a listening socket or server.
 struct Address {  // of IPv4, as there is no name service
   std::string host;
   std::uint16_t port = 0;
   bool operator==(const Address&) const = default;
 };
 
+// An endpoint list as discovery serves it: a snapshot, or the changes after an earlier version.
 struct EndpointList {
   std::uint64_t version = 0;
   bool isSnapshot = false;
@@ -35,6 +37,7 @@
   std::vector<Node> nodes;
 };
 
+// A router's own configuration, checked and with defaults filled in.
 struct RouterConfig {
   std::string name;
   Address listen, discovery;
--- a/src/downstream/ext_proc/header_mapping.h
+++ b/src/downstream/ext_proc/header_mapping.h
@@ -38,6 +38,7 @@
   InvalidHeader(const std::string& name, const std::string& what) : std::runtime_error(name + ": " + what) {}
 };
 
+// Reads transactions and proxies' reports from HTTP headers, by configured names.
 class HeaderMapping {
  public:
   HeaderMapping(HeaderNames names, const RoutingConfig& terms, const std::vector<std::string>& typeNames);
--- a/src/downstream/ext_proc/request_streams.h
+++ b/src/downstream/ext_proc/request_streams.h
@@ -35,6 +35,7 @@
   virtual void log(std::string_view event, const std::string& fields) = 0;
 };
 
+// Limits on streams of proxies.
 struct Bounds {
   std::size_t mostStreams = 1000;
   Duration openLimit = Duration::millis(2000);  // a stream must have asked by then
--- a/src/observability/logging/logging_config.h
+++ b/src/observability/logging/logging_config.h
@@ -6,6 +6,7 @@
 
 namespace gulltrestle::logging {
 
+// What is logged beyond changes and failures.
 struct LoggingConfig {
   bool txns = false;  // each txn from its arrival to its answer, and why connections are closed
 };
--- a/src/observability/logging/transaction_logging.h
+++ b/src/observability/logging/transaction_logging.h
@@ -11,6 +11,7 @@
 
 namespace gulltrestle::logging {
 
+// The component that turns the transaction trace on and off.
 class TransactionLogging final : public gateway::Component {
  public:
   using Log = std::function<void(const std::string& line)>;
--- a/src/protocol/ext_proc/messages.h
+++ b/src/protocol/ext_proc/messages.h
@@ -15,11 +15,13 @@
 // The gRPC method that proxies call.
 constexpr std::string_view kMethod = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
 
+// Bytes that are no message of the interface.
 class Malformed : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// Which part of the HTTP exchange a message is about.
 enum class Phase {
   none,
   requestHeaders,
@@ -37,6 +39,7 @@
 };
 using Headers = std::vector<Header>;
 
+// What a proxy asks.
 struct Request {
   Phase phase = Phase::none;
   Headers headers;             // of the two phases that have any
@@ -61,6 +64,7 @@
 
 // --- The proxy's side, for stand-ins and tests.
 std::string request(const Request& request, bool raw = true);
+// The processor's answer, as the proxy's side reads it.
 struct Response {
   Phase phase = Phase::none;  // of a continue
   Headers set;
--- a/src/protocol/grpc/server_calls.h
+++ b/src/protocol/grpc/server_calls.h
@@ -38,11 +38,13 @@
   virtual void ended(CallId call, bool reset) = 0;
 };
 
+// Limits on one connection and its messages.
 struct Bounds {
   http2::Bounds connection;
   std::size_t longestMessage = 64 * 1024;
 };
 
+// The calls on one connection. Serves the one method it is given; others end as unimplemented.
 class ServerCalls final : private http2::Handler {
  public:
   ServerCalls(std::string method, Bounds bounds, CallHandler& receiver);
--- a/src/protocol/http1/response.h
+++ b/src/protocol/http1/response.h
@@ -10,11 +10,13 @@
 
 namespace gulltrestle::http1 {
 
+// Bytes that are no HTTP/1.1 response.
 class Malformed : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// Incremental parser of one response.
 class Response {
  public:
   using Body = std::function<void(std::string_view)>;
--- a/src/protocol/http2/session.h
+++ b/src/protocol/http2/session.h
@@ -43,6 +43,7 @@
   std::size_t mostUnsent = 256 * 1024;      // bytes that wait for its windows, over all streams
 };
 
+// One side of a connection. Not thread-safe; the handler must outlive it.
 class Session {
  public:
   enum class Side { server, client };
--- a/src/protocol/json/json.h
+++ b/src/protocol/json/json.h
@@ -9,11 +9,13 @@
 
 namespace gulltrestle::json {
 
+// Text that is not JSON.
 class Malformed : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// A parsed value. Numbers keep their text, so that no precision is lost.
 struct Value {
   enum class Kind { null, boolean, number, text, list, object };
   Kind kind = Kind::null;
@@ -24,6 +26,7 @@
   const Value* find(std::string_view name) const;
 };
 
+// Incremental parser of one value.
 class Parser {
  public:
   // Takes a slice and returns how much of it was used: all, or up to the end of the value.
--- a/src/protocol/postgres/answer.h
+++ b/src/protocol/postgres/answer.h
@@ -17,6 +17,7 @@
   error,      // it may have run
 };
 
+// A node's report on itself: log position, role, transactions in flight.
 struct Report {
   std::optional<double> positionSeconds;  // Unix time
   std::optional<bool> primary;
--- a/src/protocol/postgres/messages.h
+++ b/src/protocol/postgres/messages.h
@@ -10,11 +10,13 @@
 
 namespace gulltrestle::postgres {
 
+// Bytes that are no valid message of the protocol.
 class Malformed : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// One message, as views of the bytes it was read from.
 struct Message {
   char type = 0;
   std::string_view body;
@@ -47,6 +49,7 @@
                            kNotSupported = "0A000", kBadValue = "22023", kSyntaxError = "42601",
                            kTooLarge = "54000";
 
+// The fields of an ErrorResponse or NoticeResponse that matter here.
 struct ErrorFields {
   std::string_view severity, code, message, detail;
 };
--- a/src/protocol/postgres/statement.h
+++ b/src/protocol/postgres/statement.h
@@ -21,6 +21,7 @@
   std::string_view code_;  // a constant
 };
 
+// A statement and the fields of its comment.
 struct Statement {
   bool writes = false;        // INSERT, else SELECT
   std::string_view key;       // the first quoted text
--- a/src/runtime/event_loop/descriptor.h
+++ b/src/runtime/event_loop/descriptor.h
@@ -7,6 +7,7 @@
 
 namespace gulltrestle::event_loop {
 
+// Move-only owner of a file descriptor.
 class Descriptor {
  public:
   Descriptor() = default;
--- a/src/runtime/event_loop/event_loop.h
+++ b/src/runtime/event_loop/event_loop.h
@@ -16,6 +16,7 @@
 
 namespace gulltrestle::event_loop {
 
+// Single-threaded. Everything that runs on it refers to it and must end before it.
 class EventLoop {
  public:
   // Throws std::system_error where the system has no epoll for it, also after a while.
--- a/src/runtime/event_loop/sockets.h
+++ b/src/runtime/event_loop/sockets.h
@@ -21,6 +21,7 @@
 
 // noMemory: the system is short of it for a moment, and nothing was read or written.
 enum class Io { some, wouldBlock, ended, failed, noDescriptor, noMemory };
+// Outcome of one system call and the bytes it moved.
 struct IoResult {
   Io how;
   std::size_t size = 0;
--- a/src/runtime/event_loop/stream.h
+++ b/src/runtime/event_loop/stream.h
@@ -17,6 +17,7 @@
 
 class EventLoop;
 
+// Owns the descriptor. At most one task waits on a stream at a time.
 class Stream {
  public:
   Stream(EventLoop& loop, Descriptor descriptor);
--- a/src/runtime/event_loop/task.h
+++ b/src/runtime/event_loop/task.h
@@ -7,6 +7,7 @@
 
 namespace gulltrestle::event_loop {
 
+// Owns the coroutine frame; move-only.
 class Task {
  public:
   struct promise_type {
--- a/src/runtime/ext_proc_server/ext_proc_config.h
+++ b/src/runtime/ext_proc_server/ext_proc_config.h
@@ -10,6 +10,7 @@
 
 namespace gulltrestle::ext_proc_server {
 
+// Configuration of the external processor.
 struct ExtProcConfig {
   config::Address listen;
   endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::attempts;
--- a/src/runtime/grpc_server/grpc_server.h
+++ b/src/runtime/grpc_server/grpc_server.h
@@ -29,11 +29,13 @@
   virtual void ended(CallKey call) = 0;
 };
 
+// Limits on connections and on the calls of each.
 struct Bounds {
   grpc::Bounds calls;
   std::size_t mostConnections = 16;
 };
 
+// Accepts connections and serves one gRPC method on them. Runs on an event loop, which it must not outlive.
 class GrpcServer {
  public:
   // `name` goes before the events that are logged. Throws config::BadKey where the address can't be had.
--- a/src/testing/fake_servers/fake_node.h
+++ b/src/testing/fake_servers/fake_node.h
@@ -24,6 +24,7 @@
   hang,        // runs it, and never answers
 };
 
+// Runs on an event loop, which it must not outlive.
 class FakeNode {
  public:
   FakeNode(event_loop::EventLoop& loop, std::string id, bool primary);
--- a/src/testing/fake_servers/fake_proxy.h
+++ b/src/testing/fake_servers/fake_proxy.h
@@ -17,6 +17,7 @@
 
 namespace gulltrestle::fake_servers {
 
+// How the proxy behaves.
 struct FakeProxyConfig {
   std::string processor;     // address:port
   bool asksForTries = true;  // a filter in the upstream chain: once a try; else once a request
@@ -35,6 +36,7 @@
   std::function<bool()> reportTwice;
 };
 
+// What a client of the proxy got.
 struct Answer {
   std::string txn;
   int status = 0;  // 0: the client had gone
@@ -42,6 +44,7 @@
   std::string from;  // the node whose answer it is; empty: the proxy's or the processor's own
 };
 
+// Runs on an event loop, which it must not outlive.
 class FakeProxy {
  public:
   FakeProxy(event_loop::EventLoop& loop, FakeProxyConfig setup);
--- a/src/tools/simulator_adapter/message_line.h
+++ b/src/tools/simulator_adapter/message_line.h
@@ -1,4 +1,5 @@
-// One line of the simulator protocol: a tag and its name=value parts, with the typed access of a deployment::SettingsSource.
+// One line of the simulator protocol: a tag and its name=value parts, with the typed access of a
+// deployment::SettingsSource.
 #pragma once
 
 #include <optional>
--- a/src/upstream/http/health_checker.h
+++ b/src/upstream/http/health_checker.h
@@ -25,6 +25,7 @@
   virtual void cancelHealthCheck(HealthCheckId probe) = 0;
 };
 
+// Carries health checks only; each ends by an answer, a failure or its time limit.
 class HealthChecker final : public transactions::UpstreamTransport {
  public:
   // `limit`: how long an answer is waited for. `most`: how many may be out at a time.
--- a/tests/claims.cpp
+++ b/tests/claims.cpp
@@ -62,7 +62,7 @@
     }
   }
 
-  // Kind broke; empty: nothing.
+  // What broke; empty: nothing.
   std::string play() {
     constexpr std::int64_t kEnd = 40'000;
     for (std::int64_t at = 0; at < kEnd; at += 20 + static_cast<std::int64_t>(pick(200)))
@@ -250,7 +250,7 @@
     if (!(generation & 1)) return;
     Instant& clear = r.clear[keeper * 2 + (from == owner)];
     clear = std::max(clear, now_ + ms(1 + static_cast<std::int64_t>(pick(20))));
-    // Kind was said on a link that broke since may arrive all the same, late, when it is a claimant's word.
+    // What was said on a link that broke since may arrive all the same, late, when it is a claimant's word.
     const bool strays = from == owner && one(3);
     later(clear - now_, [=, this, life = routers_[to].life, call = std::move(call)] {
       Router& at = routers_[owner];
@@ -413,7 +413,7 @@
     if (repeats) ++seen_.repeats;
     std::size_t id = ids_.size();
     if (repeats) {
-      // Kind is repeated later than that is more than a client may do.
+      // What is repeated later than that is more than a client may do.
       std::size_t first = ids_.size() - 1;
       while (first > 0 && now_ - ids_[first - 1] < kRetention - ms(3000)) --first;
       id = one(2) ? ids_.size() - 1 - pick(std::min<std::size_t>(ids_.size() - first, 6))
--- a/tests/fleet/cases.h
+++ b/tests/fleet/cases.h
@@ -13,7 +13,7 @@
 // Nothing takes so long unless it is wedged.
 constexpr Duration kBound = Duration::millis(60'000);
 
-// Kind plays on a loop of its own, and the first thing that broke in it.
+// What plays on a loop of its own, and the first thing that broke in it.
 class Scene {
  protected:
   void broken(const std::string& what) {
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -269,7 +269,7 @@
       const std::size_t rows = rig_.rows() + 12 + rig_.pick(12);
       const Instant until = loop_.now() + kBound;
       while (!waited(rig_.rows() >= rows, until, "questions")) co_await tick();
-      // Kind had been admitted before may still run.
+      // What had been admitted before may still run.
       for (std::size_t n = idsAtLoss_; trouble_ == FaultKind::oneOfAllLeft && settles_ && n < ids_.size();
            ++n)
         if (rig_.ran(ids_[n].first) > 0) broken("a minority ran a txn");
@@ -379,7 +379,7 @@
                          const char* expected = "ran twice") {
     Sum sum;
     std::string fault;
-    // Kind it is built in for: routers that settle nothing may also run a txn twice before that shows.
+    // What it is built in for: routers that settle nothing may also run a txn twice before that shows.
     for (std::uint64_t seed = from; seed < from + seeds && !fault.starts_with(expected); ++seed)
       fault = played(seed, trouble, shape, sum);
     std::cout << what << ": "
@@ -400,6 +400,24 @@
   return 0;
 }
 
+// Routers and voters of an earlier build beside those of this one, in one fleet: by hand, as CI has no
+// earlier build. Ids are granted once, and nothing runs twice through losses of power.
+int mixed(const char* olderProgram, std::uint64_t seeds) {
+  setenv("RIG_OLDER_PROGRAM", olderProgram, 1);
+  grants();
+  Sum sum;
+  bool ok = true;
+  for (const FaultKind kind : {FaultKind::powerAll, FaultKind::powerAllButOne, FaultKind::powerInAWave})
+    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+      const std::string fault = played(seed, kind, shapeOf(seed), sum);
+      std::cout << kTroubles[static_cast<int>(kind)] << ", seed " << seed << ": "
+                << (fault.empty() ? "holds" : fault) << std::endl;
+      ok = ok && fault.empty();
+    }
+  say(sum);
+  return ok ? 0 : 1;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -416,6 +434,7 @@
     std::cout << kTroubles[kind] << ": " << (fault.empty() ? "holds" : fault) << "\n";
     return fault.empty() ? 0 : 1;
   }
+  if (name == "mixed" && argc > 2) return mixed(argv[2], argument(3, 2));
   if (name == "price") return price();
   if (name == "returns") return returns();
   if (name == "last") return last();
--- a/tests/fleet/grants.cpp
+++ b/tests/fleet/grants.cpp
@@ -107,7 +107,7 @@
   std::uint64_t committed_ = 0, probes_ = 0;
 };
 
-// Kind settling costs: the time of a once-only txn, connection included, alone and at several at a time,
+// What settling costs: the time of a once-only txn, connection included, alone and at several at a time,
 // spread over three routers. A measurement, no test.
 class Price {
  public:
--- a/tests/fleet/members.cpp
+++ b/tests/fleet/members.cpp
@@ -163,7 +163,7 @@
   std::vector<std::size_t> all() const { return {0, 1, 2, 3, 4}; }
   std::string id() { return "m" + std::to_string(++ids_); }
 
-  // Kind is waited for, looked at every few milliseconds; what does not come is a fault.
+  // What is waited for, looked at every few milliseconds; what does not come is a fault.
   struct Wait {
     Members& members;
     std::function<bool()> come;
--- a/tests/fleet/pg_node.h
+++ b/tests/fleet/pg_node.h
@@ -9,12 +9,12 @@
 
 namespace gulltrestle::fleet {
 
-// Kind a disk does with a log: `lies` says that it synced and did not.
+// What a disk does with a log: `lies` says that it synced and did not.
 enum class Syncs { never, always, lies };
 
 class PgNode {
  public:
-  // Kind the log holds already has run; a line that is torn at its end is cut off. FILE.synced tells how far
+  // What the log holds already has run; a line that is torn at its end is cut off. FILE.synced tells how far
   // it was synced, for whoever takes the power. Throws std::system_error.
   PgNode(event_loop::EventLoop& loop, const std::string& host, unsigned short port, const std::string& file,
          Syncs syncs);
--- a/tests/fleet/returns.cpp
+++ b/tests/fleet/returns.cpp
@@ -1,5 +1,5 @@
 // All routers lose power after a change of primary. The list that comes first is older and names the old
-// primary, which still believes in itself; the new one is not there yet. Kind was written to the old one now
+// primary, which still believes in itself; the new one is not there yet. What was written to the old one now
 // would be lost. Judged by the nodes' own counts.
 #include <algorithm>
 #include <iostream>
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -228,6 +228,8 @@
   if (out < 0 || dup2(out, 1) < 0 || dup2(out, 2) < 0) _exit(127);
   const char* other = std::getenv("RIG_PROGRAM");  // another build than the one beside this rig
   const char* program = other ? other : GULLTRESTLE_RIGGED;
+  const char* older = std::getenv("RIG_OLDER_PROGRAM");  // an earlier build, for every second router
+  if (older && i % 2 == 1) program = older;
   execl(program, program, static_cast<char*>(nullptr));
   _exit(127);
 }
--- a/tests/fleet/rig.h
+++ b/tests/fleet/rig.h
@@ -1,6 +1,6 @@
 // A fleet of real processes of the program on loopback: routers, some of them keepers, a relay on every link
 // between them, a stand-in node that logs what ran, discovery, and clients that repeat their ids anywhere.
-// Everything but the routers lives in this process, on one loop. Kind was seen is judged afterwards, by the
+// Everything but the routers lives in this process, on one loop. What was seen is judged afterwards, by the
 // node's log and the clients' books alone.
 #pragma once
 
@@ -94,7 +94,7 @@
   void flowAll(Flow how);
 
   // --- The node and its list
-  // Kind discovery tells from now on, also those that watch; a version that goes back is told to new ones
+  // What discovery tells from now on, also those that watch; a version that goes back is told to new ones
   // alone.
   void list(std::uint64_t version, const std::string& state);
   PgNode& node() { return *inner_; }  // where it is in this process
@@ -110,7 +110,7 @@
   std::size_t open() const { return open_; }
   std::size_t rows() const { return book_.size(); }
 
-  // Kind broke, in a sentence; empty: nothing. Call when no question is open.
+  // What broke, in a sentence; empty: nothing. Call when no question is open.
   std::string judge() const;
   std::string died() const;  // which router ended by itself; empty: none
   std::string path() const { return path_; }
--- a/tests/fleet/streams.h
+++ b/tests/fleet/streams.h
@@ -21,7 +21,7 @@
   }
   return true;
 }
-// False: it can't be written any more. Kind is left stays in `unsent`.
+// False: it can't be written any more. What is left stays in `unsent`.
 inline bool write(event_loop::Stream& to, std::string& unsent) {
   while (!unsent.empty()) {
     const std::string_view all = unsent;
--- a/tests/fleet/work.cpp
+++ b/tests/fleet/work.cpp
@@ -98,7 +98,7 @@
     logs_.resize(rig_.routers());
   }
 
-  // Kind broke; empty: nothing.
+  // What broke; empty: nothing.
   std::string play() {
     loop_.spawn(scene());
     loop_.spawn(clients());
@@ -141,7 +141,7 @@
     return at == machines_.end() ? nullptr : &at->second;
   }
 
-  // --- Kind routers log of the plan: the newest version of each machine's phase
+  // --- What routers log of the plan: the newest version of each machine's phase
   void readLogs() {
     for (std::size_t i = 0; i < logs_.size(); ++i) {
       std::ifstream file(rig_.logFile(i), std::ios::binary);
@@ -299,7 +299,7 @@
           continue;
         }
         if (machine.doneAt == 0) machine.doneAt = asked_ + 100;
-        // Kind is told free stays so while the trouble lasts, and for a hundred questions more.
+        // What is told free stays so while the trouble lasts, and for a hundred questions more.
         if (asked_ < machine.doneAt || troubleOn_ || !machine.doneName.empty()) continue;
         machine.doneName = "asked";
         loop_.spawn(done(name));
--- a/tests/order.cpp
+++ b/tests/order.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Kind a turn costs beside the work: all have to know, nothing to be out, and what comes back to serve warm.
+// What a turn costs beside the work: all have to know, nothing to be out, and what comes back to serve warm.
 constexpr double kTurn = 25;
 
 struct World {
--- a/tests/small.cpp
+++ b/tests/small.cpp
@@ -127,7 +127,7 @@
     ask(state, 0);
     todo_.push_back(std::move(state));
   }
-  // Kind broke; empty: nothing.
+  // What broke; empty: nothing.
   std::string run(std::size_t most) {
     while (!todo_.empty() && fault_.empty() && seen_.size() < most) {
       State state = std::move(todo_.back());
@@ -236,7 +236,7 @@
     }
   }
 
-  // Kind a claimant says and decides goes where it belongs.
+  // What a claimant says and decides goes where it belongs.
   void settle(State& state, std::size_t r) {
     auto& router = state.routers[r];
     for (const auto& word : router.claimant->takeMessages()) {
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -58,7 +58,7 @@
   return made;
 }
 
-// Kind is committed one after the other; grows, drops, starts, and pages that split.
+// What is committed one after the other; grows, drops, starts, and pages that split.
 std::vector<Changes> script() {
   std::vector<Changes> all{{changed(Kind::start, "", {1, 5})}, {changed(Kind::start, "k2", {3, 9})}};
   int next = 0;
@@ -169,7 +169,7 @@
       try {
         found = loaded();
       } catch (const std::exception& bad) { found = std::string("damaged: ") + bad.what(); }
-      // Kind was told as durable is there, and at most the commit under way beside it.
+      // What was told as durable is there, and at most the commit under way beside it.
       if (found != known[done] && (done + 1 >= known.size() || found != known[done + 1])) {
         out.fault = "operation " + std::to_string(at) + ", time " + std::to_string(time) + ", after commit " +
                     std::to_string(done) + ": " + found.substr(0, 60);
--- a/tests/work.cpp
+++ b/tests/work.cpp
@@ -30,7 +30,7 @@
 Duration ms(std::int64_t n) { return Duration::millis(n); }
 const Instant kBegin = Instant::atMicros(1'000'000'000);
 
-// Kind is settled, seen from outside: each round's value once more than half of the keepers hold it, durable.
+// What is settled, seen from outside: each round's value once more than half of the keepers hold it, durable.
 class Monitor {
  public:
   explicit Monitor(std::size_t keepers) : keepers_(keepers) {}
@@ -197,7 +197,7 @@
       std::cerr << (now_ - kBegin).inMicros() / 1000 << " " << name(i) << " starts, " << routers_[i].number
                 << "\n";
     if (i >= kKeepers) return;
-    // Kind became durable in the moment of its end counts as much as what was answered.
+    // What became durable in the moment of its end counts as much as what was answered.
     const AcceptedValue held = routers_[i].acceptor->accepted();
     holds(i, i, held);
     if (held.version.version > 0) settled(i, held);
@@ -279,7 +279,7 @@
     p.roll->onJoinRequest(clock(k), name(i), {number, draw});
     if (!p.roll->isCurrent(name(i), draw)) return;
     p.roll->onHeartbeat(clock(k), name(i), draw, progress);
-    // Kind it holds goes ahead of the answer to any word.
+    // What it holds goes ahead of the answer to any word.
     const AcceptedValue held = p.acceptor->accepted();
     if (p.held[i] != held.ballot && !(bug_ == Bug::tellsLate && pick(2) == 0)) {
       p.held[i] = held.ballot;
