--- a/src/protocol/postgres/statement.cpp
+++ b/src/protocol/postgres/statement.cpp
@@ -46,15 +46,17 @@
 
 bool isBlank(std::string_view text) { return text.find_first_not_of(" \t\r\n;") == std::string_view::npos; }
 
-Statement readStatement(std::string_view text) {
-  Statement read;
+namespace {
+
+// Takes the SELECT or INSERT off the front of `text`, up to the comment.
+void readOperation(std::string_view& text, Statement& statement) {
   if (text.substr(0, kSelect.size()) == kSelect) {
     text.remove_prefix(kSelect.size());
-    read.key = takeQuoted(text);
+    statement.key = takeQuoted(text);
   } else if (text.substr(0, kInsert.size()) == kInsert) {
-    read.writes = true;
+    statement.writes = true;
     text.remove_prefix(kInsert.size());
-    read.key = takeQuoted(text);
+    statement.key = takeQuoted(text);
     skip(text, ", '\\x");
     if (takeQuoted(text).size() > 2 * kLongestValue)
       throw InvalidStatement(kTooLarge, "the value is too long");
@@ -62,42 +64,65 @@
   } else {
     throw InvalidStatement(kSyntaxError, "only reads and writes of one object are taken");
   }
+}
+
+// Takes the comment off the front of `text`, without its delimiters; nothing but blanks may follow it.
+std::string_view takeComment(std::string_view text) {
   skip(text, " /*");
   const auto end = text.find("*/");
   if (end == std::string_view::npos) throw InvalidStatement(kSyntaxError, "the comment has no end");
   if (!isBlank(text.substr(end + 2))) throw InvalidStatement(kSyntaxError, "a query holds one statement");
-  auto comment = text.substr(0, end);
+  return text.substr(0, end);
+}
+
+std::string_view trimSpaces(std::string_view text) {
+  while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
+  while (!text.empty() && text.back() == ' ') text.remove_suffix(1);
+  return text;
+}
+
+// Reads one name=value field of the comment; names that are not known are skipped.
+void readField(std::string_view name, std::string_view value, Statement& statement, bool& hasGroup) {
+  if (name == "id") statement.id = value;
+  if (name == "c") statement.typeName = value;
+  if (name == "d") {
+    statement.waitMs = whole(name, value, kLongestWaitMs);
+    statement.wait = value;
+  }
+  if (name == "cluster") {
+    statement.group = whole(name, value, UINT64_MAX);
+    hasGroup = true;
+  }
+  if (name == "after") statement.afterMs = whole(name, value, kLastMs);
+}
+
+// Reads the comma-separated fields of the comment. Throws where a required one is missing.
+void readComment(std::string_view comment, Statement& statement) {
   bool hasGroup = false;
   while (!comment.empty()) {
     const auto comma = std::min(comment.find(','), comment.size());
-    auto part = comment.substr(0, comma);
+    const auto field = trimSpaces(comment.substr(0, comma));
     comment.remove_prefix(std::min(comma + 1, comment.size()));
-    while (!part.empty() && part.front() == ' ') part.remove_prefix(1);
-    while (!part.empty() && part.back() == ' ') part.remove_suffix(1);
-    const auto equals = part.find('=');
+    const auto equals = field.find('=');
     if (equals == std::string_view::npos)
       throw InvalidStatement(kSyntaxError, "a part of the comment has no value");
-    const auto name = part.substr(0, equals);
-    const auto value = part.substr(equals + 1);
-    if (name == "id") read.id = value;
-    if (name == "c") read.typeName = value;
-    if (name == "d") {
-      read.waitMs = whole(name, value, kLongestWaitMs);
-      read.wait = value;
-    }
-    if (name == "cluster") {
-      read.group = whole(name, value, UINT64_MAX);
-      hasGroup = true;
-    }
-    if (name == "after") read.afterMs = whole(name, value, kLastMs);
+    readField(field.substr(0, equals), field.substr(equals + 1), statement, hasGroup);
   }
-  for (const auto& [name, there] : {std::pair{"id", !read.id.empty()},
-                                    {"c", !read.typeName.empty()},
-                                    {"d", !read.wait.empty()},
-                                    {"cluster", hasGroup}})
-    if (!there)
+  for (const auto& [name, isPresent] : {std::pair{"id", !statement.id.empty()},
+                                        {"c", !statement.typeName.empty()},
+                                        {"d", !statement.wait.empty()},
+                                        {"cluster", hasGroup}})
+    if (!isPresent)
       throw InvalidStatement(kBadValue, std::string("field ") + name + " of the comment is missing");
-  return read;
+}
+
+}  // namespace
+
+Statement readStatement(std::string_view text) {
+  Statement statement;
+  readOperation(text, statement);
+  readComment(takeComment(text), statement);
+  return statement;
 }
 
 }  // namespace gulltrestle::postgres
