--- a/src/downstream/ext_proc/request_streams.cpp
+++ b/src/downstream/ext_proc/request_streams.cpp
@@ -38,15 +38,15 @@
 
 }  // namespace
 
-RequestStreams::RequestStreams(transactions::TransactionTable& ledger, HeaderMapping mapping,
-                               endpoint_leases::LeaseRegistry book, endpoint_leases::DrainRule rule,
+RequestStreams::RequestStreams(transactions::TransactionTable& transactions, HeaderMapping mapping,
+                               endpoint_leases::LeaseRegistry leaseRegistry, endpoint_leases::DrainRule rule,
                                Bounds bounds, Effects& effects)
-    : ledger_(ledger),
+    : transactions_(transactions),
       mapping_(std::move(mapping)),
-      book_(std::move(book)),
+      leaseRegistry_(std::move(leaseRegistry)),
       bounds_(bounds),
       effects_(effects),
-      carrier_(ledger, rule, *this) {}
+      transport_(transactions, rule, *this) {}
 
 // --- Events
 
@@ -59,7 +59,7 @@
     return stopped_ ? effects_.close(key, StreamCloseReason::unavailable, "shutting down")
                     : effects_.close(key, StreamCloseReason::full, "too many streams");
   }
-  setDue(key, stream, ledger_.now() + bounds_.openLimit);
+  setDue(key, stream, transactions_.now() + bounds_.openLimit);
 }
 
 void RequestStreams::message(StreamKey key, std::string_view bytes) {
@@ -69,29 +69,29 @@
   wire::Request request;
   try {
     request = wire::readRequest(bytes);
-  } catch (const wire::Malformed& bad) { return invalid(key, bad.what()); }
+  } catch (const wire::Malformed& error) { return rejectMessage(key, error.what()); }
   if (request.wantsNoAnswer) return;  // the proxy shows what passes, and asks nothing
   switch (request.phase) {
     case wire::Phase::requestHeaders:
-      if (stream.stage != Stage::opened) return invalid(key, "request_headers came twice");
+      if (stream.stage != Stage::opened) return rejectMessage(key, "request_headers came twice");
       try {
         stream.asked = mapping_.read(request.headers);
-      } catch (const InvalidHeader& fault) { return bad(key, stream, fault.what()); }
+      } catch (const InvalidHeader& error) { return rejectRequest(key, stream, error.what()); }
       ++counts_.asked;
       return ask(key, stream);
     case wire::Phase::responseHeaders:
       if (stream.stage == Stage::granted) return report(key, stream, request.headers);
       // Of a grant that counts as ended since another try of its txn came: it passes, and changes nothing.
       if (stream.stage == Stage::answered && stream.grant.within > Duration() &&
-          !std::exchange(stream.endTold, true))
+          !std::exchange(stream.hasReportedEnd, true))
         return effects_.send(key, wire::continued(request.phase));
-      return invalid(key, stream.stage == Stage::answered ? "response_headers came twice"
-                                                          : "response_headers came before a decision");
+      return rejectMessage(key, stream.stage == Stage::answered ? "response_headers came twice"
+                                                                : "response_headers came before a decision");
     case wire::Phase::none:
-      return invalid(key, "the message asks nothing");
+      return rejectMessage(key, "the message asks nothing");
     default:
       if (stream.stage < Stage::granted || stream.stage == Stage::reported)
-        return invalid(key, "a body or trailers came before the answer on the headers");
+        return rejectMessage(key, "a body or trailers came before the answer on the headers");
       return effects_.send(key, wire::continued(request.phase));
   }
 }
@@ -102,7 +102,7 @@
   Stream& stream = at->second;
   stream.halfClosed = true;
   // No end can be told any more. One that waits for a decision may still get it.
-  if (stream.stage == Stage::granted) letGo(key, stream);
+  if (stream.stage == Stage::granted) releaseTransaction(key, stream);
   if (stream.stage == Stage::opened || stream.stage == Stage::answered)
     effects_.close(key, StreamCloseReason::done, "");
 }
@@ -110,61 +110,61 @@
 void RequestStreams::ended(StreamKey key) {
   const auto at = streams_.find(key);
   if (at == streams_.end()) return;
-  letGo(key, at->second);
+  releaseTransaction(key, at->second);
   setDue(key, at->second, {});
   waiting_.erase(key);
   streams_.erase(at);
 }
 
 // The stream is over for its txn: nothing is granted to it any more, and what was granted has no known end.
-void RequestStreams::letGo(StreamKey key, Stream& stream) {
+void RequestStreams::releaseTransaction(StreamKey key, Stream& stream) {
   if (stream.stage == Stage::opened || stream.stage == Stage::answered) return;
   if (stream.stage == Stage::granted) ++counts_.unreported;
   stream.stage = Stage::answered;
-  book_.left(ledger_.now(), stream.asked.ask.id, key);
+  leaseRegistry_.left(transactions_.now(), stream.asked.ask.id, key);
   if (stream.txn == 0) return;
   owners_.erase(stream.txn);
-  carrier_.unreported(stream.txn);
-  ledger_.leave(stream.txn);
+  transport_.unreported(stream.txn);
+  transactions_.leave(stream.txn);
 }
 
 // --- Asking
 
 void RequestStreams::ask(StreamKey key, Stream& stream) {
   if (stream.stage == Stage::opened)
-    stream.hold =
-        endpoint_leases::holdDeadlines(ledger_.now(), stream.asked.txn.remainingTime, bounds_.messageTime);
-  const LeaseDecision verdict = book_.asked(ledger_.now(), key, stream.asked.ask);
-  if (verdict.action == LeaseDecision::Action::wait) {
+    stream.hold = endpoint_leases::holdDeadlines(transactions_.now(), stream.asked.txn.remainingTime,
+                                                 bounds_.messageTime);
+  const LeaseDecision decision = leaseRegistry_.asked(transactions_.now(), key, stream.asked.ask);
+  if (decision.action == LeaseDecision::Action::wait) {
     stream.stage = Stage::waiting;
     waiting_.insert(key);
-    return setDue(key, stream, std::min(verdict.until, stream.hold.answerBy));
+    return setDue(key, stream, std::min(decision.until, stream.hold.answerBy));
   }
   waiting_.erase(key);
   stream.stage = Stage::asking;
-  if (verdict.action == LeaseDecision::Action::answer) {
+  if (decision.action == LeaseDecision::Action::answer) {
     ++counts_.denied;
-    logBounded("ext_proc.denied", "why=" + quoted(verdict.reason) + " id=" + quoted(stream.asked.ask.id));
+    logBounded("ext_proc.denied", "why=" + quoted(decision.reason) + " id=" + quoted(stream.asked.ask.id));
     stream.asked.ask.id.clear();  // the book's entry is another stream's
-    return immediate(key, stream, verdict.outcome, {}, verdict.reason);
+    return sendImmediate(key, stream, decision.outcome, {}, decision.reason);
   }
   // Another stream of the same txn: whoever sent it has given it up.
-  for (const StreamKey other : {verdict.endsUnreported, verdict.supersedes}) {
+  for (const StreamKey other : {decision.endsUnreported, decision.supersedes}) {
     const auto at = streams_.find(other);
     if (other == 0 || at == streams_.end()) continue;
     if (at->second.stage == Stage::granted) {
-      letGo(other, at->second);
+      releaseTransaction(other, at->second);
     } else if (at->second.stage != Stage::answered) {
-      letGo(other, at->second);
+      releaseTransaction(other, at->second);
       at->second.asked.ask.id.clear();
-      immediate(other, at->second, FinalOutcome::rejected, {}, "a later try has come");
+      sendImmediate(other, at->second, FinalOutcome::rejected, {}, "a later try has come");
     }
   }
   Transaction txn = stream.asked.txn;
-  txn.priorAttempts = verdict.earlier;
+  txn.priorAttempts = decision.earlier;
   txn.maxLocalAttempts = 1;
-  txn.maxHold = stream.hold.answerBy - ledger_.now();
-  stream.txn = ledger_.openTransaction(*this, key, carrier_, txn, {}, stream.asked.ask.id);
+  txn.maxHold = stream.hold.answerBy - transactions_.now();
+  stream.txn = transactions_.openTransaction(*this, key, transport_, txn, {}, stream.asked.ask.id);
   owners_[stream.txn] = key;
   setDue(key, stream, stream.hold.askAt != Instant() ? stream.hold.askAt : stream.hold.answerBy);
 }
@@ -175,7 +175,7 @@
   const StreamKey key = owner->second;
   Stream& stream = streams_.at(key);
   if (stream.stage != Stage::asking) return false;
-  const std::string token = book_.granted(ledger_.now(), stream.asked.ask.id, key, grant.node);
+  const std::string token = leaseRegistry_.granted(transactions_.now(), stream.asked.ask.id, key, grant.node);
   if (token.empty()) return false;
   ++counts_.granted;
   stream.stage = Stage::granted;
@@ -187,7 +187,7 @@
                                       {names.token, token},
                                       {names.sendWithin, std::to_string(grant.within.inMicros() / 1000)}}));
   if (stream.halfClosed) {  // it can't tell the end
-    letGo(key, stream);
+    releaseTransaction(key, stream);
     effects_.close(key, StreamCloseReason::done, "");
   }
   return true;
@@ -202,58 +202,62 @@
     logBounded("ext_proc.misused", "told=" + stream.grant.address + " sent_to=" + quoted(*report.sentTo));
   }
   stream.stage = Stage::reported;
-  stream.endTold = true;
+  stream.hasReportedEnd = true;
   setDue(key, stream, {});
-  const AttemptOutcome how = endpoint_leases::outcomeOf(report, stream.grant.address);
-  book_.ended(ledger_.now(), stream.asked.ask.id, key, how);
-  const bool owed = ledger_.isAnswerPending(stream.txn);
-  carrier_.reported(stream.txn, report);
+  const AttemptOutcome attemptOutcome = endpoint_leases::outcomeOf(report, stream.grant.address);
+  leaseRegistry_.ended(transactions_.now(), stream.asked.ask.id, key, attemptOutcome);
+  const bool owed = transactions_.isAnswerPending(stream.txn);
+  transport_.reported(stream.txn, report);
   if (owed) return;  // the module's answer is there by the end of the turn
   // The module gave it up before; nothing was told to anyone yet, and a commit is the truth.
-  decided(key,
-          how == AttemptOutcome::committed ? FinalOutcome::committed
-                                           : stream.given.value_or(FinalOutcome::rolledBack),
-          stream.retryAfter);
+  deliverAnswer(key,
+                attemptOutcome == AttemptOutcome::committed
+                    ? FinalOutcome::committed
+                    : stream.pendingOutcome.value_or(FinalOutcome::rolledBack),
+                stream.retryAfter);
 }
 
 // --- Answers
 
 void RequestStreams::committed(transactions::OwnerId owner, const transactions::ResultValue&) {
-  decided(owner, FinalOutcome::committed, {});
+  deliverAnswer(owner, FinalOutcome::committed, {});
 }
 void RequestStreams::rejected(transactions::OwnerId owner, Duration after, unsigned level) {
   if (const auto at = streams_.find(owner); at != streams_.end()) at->second.level = level;
-  decided(owner, FinalOutcome::rejected, after);
+  deliverAnswer(owner, FinalOutcome::rejected, after);
+}
+void RequestStreams::rolledBack(transactions::OwnerId owner) {
+  deliverAnswer(owner, FinalOutcome::rolledBack, {});
 }
-void RequestStreams::rolledBack(transactions::OwnerId owner) { decided(owner, FinalOutcome::rolledBack, {}); }
 
-void RequestStreams::decided(StreamKey key, FinalOutcome outcome, Duration retryAfter) {
+void RequestStreams::deliverAnswer(StreamKey key, FinalOutcome outcome, Duration retryAfter) {
   const auto at = streams_.find(key);
   if (at == streams_.end()) return;
   Stream& stream = at->second;
   if (stream.stage == Stage::granted) {  // nothing can be told before the proxy asks again
-    stream.given = outcome;
+    stream.pendingOutcome = outcome;
     stream.retryAfter = retryAfter;
     return;
   }
   if (stream.stage == Stage::answered) return;
-  if (outcome != FinalOutcome::committed) return immediate(key, stream, outcome, retryAfter, "");
+  if (outcome != FinalOutcome::committed) return sendImmediate(key, stream, outcome, retryAfter, "");
   ++counts_.committed;
   owners_.erase(stream.txn);
   stream.stage = Stage::answered;
-  book_.answered(ledger_.now(), stream.asked.ask.id, key, outcome);
+  leaseRegistry_.answered(transactions_.now(), stream.asked.ask.id, key, outcome);
   effects_.send(key, wire::continued(wire::Phase::responseHeaders,
                                      {{mapping_.names().outcome, std::string(nameOf(outcome))}}));
   if (stream.halfClosed) effects_.close(key, StreamCloseReason::done, "");
 }
 
-void RequestStreams::immediate(StreamKey key, Stream& stream, FinalOutcome outcome, Duration retryAfter,
-                               std::string_view why) {
+void RequestStreams::sendImmediate(StreamKey key, Stream& stream, FinalOutcome outcome, Duration retryAfter,
+                                   std::string_view reason) {
   ++(outcome == FinalOutcome::rejected ? counts_.refused : counts_.rolledBack);
   owners_.erase(stream.txn);
   stream.stage = Stage::answered;
   setDue(key, stream, {});
-  if (!stream.asked.ask.id.empty()) book_.answered(ledger_.now(), stream.asked.ask.id, key, outcome);
+  if (!stream.asked.ask.id.empty())
+    leaseRegistry_.answered(transactions_.now(), stream.asked.ask.id, key, outcome);
   const auto& names = mapping_.names();
   wire::Immediate answer;
   answer.status = outcome == FinalOutcome::rejected ? 503 : 500;
@@ -266,34 +270,34 @@
   }
   if (stream.level > 0) answer.headers.push_back({"x-txn-level", std::to_string(stream.level)});
   answer.details = "txn_" + std::string(outcome == FinalOutcome::rejected ? "refused" : "rolled_back");
-  answer.body = std::string(nameOf(outcome)) + (why.empty() ? "" : ": " + std::string(why)) + "\n";
+  answer.body = std::string(nameOf(outcome)) + (reason.empty() ? "" : ": " + std::string(reason)) + "\n";
   effects_.send(key, wire::answered(answer));
   effects_.close(key, StreamCloseReason::done, "");
 }
 
 // It asks for something that is no txn: an error, and nothing was taken.
-void RequestStreams::bad(StreamKey key, Stream& stream, std::string_view why) {
+void RequestStreams::rejectRequest(StreamKey key, Stream& stream, std::string_view reason) {
   ++counts_.malformed;
-  logBounded("ext_proc.bad_request", "why=" + quoted(why));
+  logBounded("ext_proc.bad_request", "why=" + quoted(reason));
   stream.stage = Stage::answered;
   setDue(key, stream, {});
   wire::Immediate answer;
   answer.status = 400;
-  answer.body = std::string(why) + "\n";
+  answer.body = std::string(reason) + "\n";
   answer.details = "txn_not_taken";
   effects_.send(key, wire::answered(answer));
   effects_.close(key, StreamCloseReason::done, "");
 }
 
-void RequestStreams::invalid(StreamKey key, std::string_view why) {
+void RequestStreams::rejectMessage(StreamKey key, std::string_view reason) {
   ++counts_.malformed;
-  logBounded("ext_proc.invalid_message", "why=" + quoted(why));
+  logBounded("ext_proc.invalid_message", "why=" + quoted(reason));
   Stream& stream = streams_.at(key);
-  letGo(key, stream);
+  releaseTransaction(key, stream);
   waiting_.erase(key);
   stream.stage = Stage::answered;
   setDue(key, stream, {});
-  effects_.close(key, StreamCloseReason::invalid, why);
+  effects_.close(key, StreamCloseReason::invalid, reason);
 }
 
 // --- Turns
@@ -305,61 +309,68 @@
 }
 
 void RequestStreams::endTurn() {
-  carrier_.endTurn();
-  book_.forget(ledger_.now());
+  transport_.endTurn();
+  leaseRegistry_.forget(transactions_.now());
   // The end that they wait for may have come.
   for (const StreamKey key : std::vector<StreamKey>(waiting_.begin(), waiting_.end()))
     if (const auto at = streams_.find(key); at != streams_.end() && at->second.stage == Stage::waiting)
       ask(key, at->second);
-  while (!due_.empty() && due_.begin()->first <= ledger_.now()) {
-    const StreamKey key = due_.begin()->second;
-    Stream& stream = streams_.at(key);
-    const Instant due = stream.due;
-    setDue(key, stream, {});
-    switch (stream.stage) {
-      case Stage::opened:
-        stream.stage = Stage::answered;
-        effects_.close(key, StreamCloseReason::overdue, "nothing was asked for");
-        break;
-      case Stage::granted:
-        letGo(key, stream);
-        effects_.close(key, StreamCloseReason::overdue, "no answer was told");
-        break;
-      case Stage::waiting:
-      case Stage::asking:
-        if (due == stream.hold.askAt) {
-          effects_.send(key, wire::wait(stream.hold.ask));
-          setDue(key, stream, stream.hold.answerBy);
-          break;
-        }
-        // The module, which was told how long it may hold the txn, has given it up by now; a stream that
-        // waits for another one is not there. Guards the one final answer: the proxy stops waiting a moment
-        // later.
-        if (due < stream.hold.answerBy) break;
-        if (stream.txn != 0) ledger_.leave(stream.txn);
-        waiting_.erase(key);
-        immediate(key, stream, FinalOutcome::rejected, {}, "no node was free in time");
-        break;
-      default:
-        break;
-    }
+  while (!due_.empty() && due_.begin()->first <= transactions_.now()) onDue(due_.begin()->second);
+}
+
+// The time of the earliest stream that is due has come.
+void RequestStreams::onDue(StreamKey key) {
+  Stream& stream = streams_.at(key);
+  const Instant due = stream.due;
+  setDue(key, stream, {});
+  switch (stream.stage) {
+    case Stage::opened:
+      stream.stage = Stage::answered;
+      effects_.close(key, StreamCloseReason::overdue, "nothing was asked for");
+      break;
+    case Stage::granted:
+      releaseTransaction(key, stream);
+      effects_.close(key, StreamCloseReason::overdue, "no answer was told");
+      break;
+    case Stage::waiting:
+    case Stage::asking:
+      onHoldDue(key, stream, due);
+      break;
+    default:
+      break;
+  }
+}
+
+// A stream that waits for its decision asks for more time, or gets its rejection.
+void RequestStreams::onHoldDue(StreamKey key, Stream& stream, Instant due) {
+  if (due == stream.hold.askAt) {
+    effects_.send(key, wire::wait(stream.hold.ask));
+    setDue(key, stream, stream.hold.answerBy);
+    return;
   }
+  // The decision modules know how long the transaction may be held and have given it up by now; a stream that
+  // waits for another one is unknown to them. Guards the one final answer: the proxy stops waiting a moment
+  // later.
+  if (due < stream.hold.answerBy) return;
+  if (stream.txn != 0) transactions_.leave(stream.txn);
+  waiting_.erase(key);
+  sendImmediate(key, stream, FinalOutcome::rejected, {}, "no node was free in time");
 }
 
 Instant RequestStreams::nextDue() const {
-  Instant next = carrier_.nextDue();
+  Instant next = transport_.nextDue();
   if (!due_.empty() && (next == Instant() || due_.begin()->first < next)) next = due_.begin()->first;
   return next;
 }
 
 void RequestStreams::logBounded(std::string_view event, const std::string& fields) {
-  Said& said = said_[std::string(event)];
-  if (said.at != Instant() && ledger_.now() - said.at < kLogPause) {
-    ++said.since;
+  LogLimit& limit = logLimits_[std::string(event)];
+  if (limit.at != Instant() && transactions_.now() - limit.at < kLogPause) {
+    ++limit.since;
     return;
   }
-  effects_.log(event, fields + (said.since > 0 ? " unsaid=" + std::to_string(said.since) : ""));
-  said = {ledger_.now(), 0};
+  effects_.log(event, fields + (limit.since > 0 ? " unsaid=" + std::to_string(limit.since) : ""));
+  limit = {transactions_.now(), 0};
 }
 
 }  // namespace gulltrestle::downstream::ext_proc
--- a/src/downstream/ext_proc/request_streams.h
+++ b/src/downstream/ext_proc/request_streams.h
@@ -30,7 +30,7 @@
   virtual ~Effects() = default;
   virtual void send(StreamKey stream, std::string_view message) = 0;
   // After what was sent.
-  virtual void close(StreamKey stream, StreamCloseReason how, std::string_view why) = 0;
+  virtual void close(StreamKey stream, StreamCloseReason reason, std::string_view message) = 0;
   // An event's stable name, and its fields as key=value.
   virtual void log(std::string_view event, const std::string& fields) = 0;
 };
@@ -45,8 +45,8 @@
 class RequestStreams final : private transactions::DownstreamHandler,
                              private upstream::delegated::LeaseHandler {
  public:
-  RequestStreams(transactions::TransactionTable& ledger, HeaderMapping mapping,
-                 endpoint_leases::LeaseRegistry book, endpoint_leases::DrainRule rule, Bounds bounds,
+  RequestStreams(transactions::TransactionTable& transactions, HeaderMapping mapping,
+                 endpoint_leases::LeaseRegistry leaseRegistry, endpoint_leases::DrainRule rule, Bounds bounds,
                  Effects& effects);
 
   // Events. The ledger has been told when.
@@ -54,13 +54,13 @@
   void message(StreamKey stream, std::string_view bytes);
   void halfClosed(StreamKey stream);
   void ended(StreamKey stream);
-  void listHeard() { carrier_.listHeard(); }
+  void listHeard() { transport_.listHeard(); }
 
   void endTurn();
   Instant nextDue() const;
   void stop() { stopped_ = true; }  // nothing new is taken
   bool empty() const { return streams_.empty(); }
-  transactions::UpstreamTransport& carrier() { return carrier_; }
+  transactions::UpstreamTransport& transport() { return transport_; }
 
   // Since the start, for logs and status.
   struct Counts {
@@ -68,8 +68,8 @@
                   unreported = 0, misused = 0, malformed = 0;
   };
   const Counts& counts() const { return counts_; }
-  std::size_t remembered() const { return book_.size(); }
-  std::size_t grantsOut() const { return carrier_.out(); }
+  std::size_t remembered() const { return leaseRegistry_.size(); }
+  std::size_t grantsOut() const { return transport_.out(); }
 
  private:
   enum class Stage {
@@ -86,10 +86,11 @@
     TxnId txn = 0;
     endpoint_leases::HoldDeadlines hold;
     upstream::delegated::EndpointLease grant;
-    std::optional<endpoint_leases::FinalOutcome> given;  // by the module, while nothing could be told
+    std::optional<endpoint_leases::FinalOutcome>
+        pendingOutcome;  // by the module, while nothing could be told
     Duration retryAfter;
     unsigned level = 0;  // of reduced service, by which it was refused
-    bool halfClosed = false, endTold = false;
+    bool halfClosed = false, hasReportedEnd = false;
     Instant due;  // never: nothing is awaited
   };
 
@@ -103,30 +104,33 @@
 
   void ask(StreamKey key, Stream& stream);
   void report(StreamKey key, Stream& stream, const wire::Headers& headers);
-  void decided(StreamKey key, endpoint_leases::FinalOutcome outcome, Duration retryAfter);
-  void immediate(StreamKey key, Stream& stream, endpoint_leases::FinalOutcome outcome, Duration retryAfter,
-                 std::string_view why);
-  void bad(StreamKey key, Stream& stream, std::string_view why);
-  void invalid(StreamKey key, std::string_view why);
-  void letGo(StreamKey key, Stream& stream);
+  void deliverAnswer(StreamKey key, endpoint_leases::FinalOutcome outcome, Duration retryAfter);
+  void sendImmediate(StreamKey key, Stream& stream, endpoint_leases::FinalOutcome outcome,
+                     Duration retryAfter, std::string_view reason);
+  void rejectRequest(StreamKey key, Stream& stream, std::string_view reason);
+  void rejectMessage(StreamKey key, std::string_view reason);
+  void releaseTransaction(StreamKey key, Stream& stream);
+  void onDue(StreamKey key);
+  void onHoldDue(StreamKey key, Stream& stream, Instant due);
   void setDue(StreamKey key, Stream& stream, Instant due);
   void logBounded(std::string_view event, const std::string& fields);
 
-  transactions::TransactionTable& ledger_;
+  transactions::TransactionTable& transactions_;
   HeaderMapping mapping_;
-  endpoint_leases::LeaseRegistry book_;
+  endpoint_leases::LeaseRegistry leaseRegistry_;
   Bounds bounds_;
   Effects& effects_;
-  upstream::delegated::DelegatedTransport carrier_;
+  upstream::delegated::DelegatedTransport transport_;
   std::map<StreamKey, Stream> streams_;
   std::map<TxnId, StreamKey> owners_;  // of txns that are owed an answer or have a grant out
   std::set<StreamKey> waiting_;
   std::set<std::pair<Instant, StreamKey>> due_;
-  struct Said {
+  struct LogLimit {
     Instant at;
     std::size_t since = 0;
   };
-  std::map<std::string, Said, std::less<>> said_;  // when each event was last logged, and how often since
+  std::map<std::string, LogLimit, std::less<>>
+      logLimits_;  // when each event was last logged, and how often since
   Counts counts_;
   bool stopped_ = false;
 };
--- a/src/runtime/ext_proc_server/ext_proc_server.h
+++ b/src/runtime/ext_proc_server/ext_proc_server.h
@@ -23,20 +23,20 @@
                             private upstream::http::Effects {
  public:
   // Throws where the address to listen on can't be had. `start`: no other start of the program has the same.
-  ExtProcServer(event_loop::EventLoop& loop, transactions::TransactionTable& ledger,
-                const deployment::DeploymentSettings& told, const ExtProcConfig& setup,
+  ExtProcServer(event_loop::EventLoop& loop, transactions::TransactionTable& transactions,
+                const deployment::DeploymentSettings& settings, const ExtProcConfig& config,
                 const std::string& start);
   ~ExtProcServer() override;
 
   void onDiscoveryActivity() override { streams_.listHeard(); }
   void endTurn() override;
-  void flush() override { listener_.flush(); }
+  void flush() override { grpcServer_.flush(); }
   Instant nextDue() const override;
   void stop() override;
-  bool empty() const override { return streams_.empty() && listener_.empty(); }
+  bool empty() const override { return streams_.empty() && grpcServer_.empty(); }
 
  private:
-  void seen(Instant now) override { ledger_.advanceTo(now); }
+  void seen(Instant now) override { transactions_.advanceTo(now); }
   void opened(grpc_server::CallKey call) override { streams_.opened(call); }
   void message(grpc_server::CallKey call, std::string_view bytes) override { streams_.message(call, bytes); }
   void halfClosed(grpc_server::CallKey call) override { streams_.halfClosed(call); }
@@ -53,15 +53,15 @@
   event_loop::Task probe(upstream::http::HealthCheckId id, std::string address);
 
   event_loop::EventLoop& loop_;
-  transactions::TransactionTable& ledger_;
-  ExtProcConfig setup_;
-  grpc_server::GrpcServer listener_;
+  transactions::TransactionTable& transactions_;
+  ExtProcConfig config_;
+  grpc_server::GrpcServer grpcServer_;
   downstream::ext_proc::RequestStreams streams_;
-  upstream::http::HealthChecker probes_;
+  upstream::http::HealthChecker healthChecker_;
   std::map<upstream::http::HealthCheckId, event_loop::Stream*>
-      asking_;  // probes that are out, and their connections
-  Instant saidAt_;
-  downstream::ext_proc::RequestStreams::Counts said_;
+      healthCheckStreams_;  // probes that are out, and their connections
+  Instant countsLoggedAt_;
+  downstream::ext_proc::RequestStreams::Counts loggedCounts_;
 };
 
 }  // namespace gulltrestle::ext_proc_server
--- a/src/upstream/http/health_checker.h
+++ b/src/upstream/http/health_checker.h
@@ -29,8 +29,9 @@
 class HealthChecker final : public transactions::UpstreamTransport {
  public:
   // `limit`: how long an answer is waited for. `most`: how many may be out at a time.
-  HealthChecker(transactions::TransactionTable& ledger, Duration limit, std::size_t most, Effects& effects)
-      : ledger_(ledger), limit_(limit), most_(most), effects_(effects) {}
+  HealthChecker(transactions::TransactionTable& transactions, Duration timeout, std::size_t maxInFlight,
+                Effects& effects)
+      : transactions_(transactions), timeout_(timeout), maxInFlight_(maxInFlight), effects_(effects) {}
 
   void startAttempt(transactions::AttemptId job, const NodeId& node) override;
   void cancelAttempt(transactions::AttemptId, const NodeId&) override {}
@@ -38,28 +39,28 @@
   void forgetNode(const NodeId& node) override;
 
   // Events. `status` of HTTP, with what the headers told.
-  void answered(HealthCheckId probe, int status, const LoadReport& said);
+  void answered(HealthCheckId probe, int status, const LoadReport& report);
   void failed(HealthCheckId probe);
 
   void endTurn();
   Instant nextDue() const { return due_.empty() ? Instant() : due_.begin()->first; }
 
  private:
-  struct Out {
+  struct HealthCheck {
     NodeId node;
     Instant due;
   };
-  void end(HealthCheckId probe, AttemptOutcome how, const LoadReport& said);
+  void end(HealthCheckId probe, AttemptOutcome outcome, const LoadReport& report);
   template <typename Which>
-  void dropIf(Which which);
+  void cancelIf(Which which);
 
-  transactions::TransactionTable& ledger_;
-  Duration limit_;
-  std::size_t most_;
+  transactions::TransactionTable& transactions_;
+  Duration timeout_;
+  std::size_t maxInFlight_;
   Effects& effects_;
-  std::map<HealthCheckId, Out> out_;
+  std::map<HealthCheckId, HealthCheck> inFlight_;
   std::set<std::pair<Instant, HealthCheckId>> due_;
-  HealthCheckId last_ = 0;
+  HealthCheckId lastId_ = 0;
 };
 
 }  // namespace gulltrestle::upstream::http
--- a/tests/ext_proc.cpp
+++ b/tests/ext_proc.cpp
@@ -49,7 +49,7 @@
                  endpoint_leases::LeaseRegistry(terms().transactionClasses, setup.placement,
                                                 {setup.remembered}, setup.start),
                  {ms(1000), setup.toldWithin}, {setup.mostStreams, ms(2000), setup.time}, *this) {
-    ledger_.addTransport(streams_.carrier());
+    ledger_.addTransport(streams_.transport());
     ledger_.advanceTo(now_);
     list({"p", "a", "b"});
     heard();
@@ -602,7 +602,7 @@
                                        "one"),
         {ms(1000), {}}, {1000, ms(2000), {ms(5000), {}}}, effects);
     downstream::postgres::ClientSessions clients(ledger, node, same, kTypes, {ms(250), 0}, effects);
-    ledger.addTransport(throughProxy ? streams.carrier() : node);
+    ledger.addTransport(throughProxy ? streams.transport() : node);
     ledger.advanceTo(now);
     std::vector<transactions::ResolvedEndpoint> all;
     for (const std::string id : {"p", "a", "b"}) {
