--- a/src/testing/fake_servers/fake_proxy.cpp
+++ b/src/testing/fake_servers/fake_proxy.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-constexpr Duration kTick = Duration::millis(1);  // how often what waits looks again
+constexpr Duration kTick = Duration::millis(1);              // how often a waiting step looks again
+constexpr Duration kConnectTimeout = Duration::millis(100);  // for the connection to the processor
 
 using ext_proc::Phase;
 
@@ -135,176 +136,258 @@
   link->session.ended();
 }
 
-event_loop::Task FakeProxy::exchange(ext_proc::Headers headers, bool isWrite, Instant until,
-                                     std::function<void(Answer)> done) {
-  Answer answer;
-  for (const auto& header : headers)
-    if (header.name == "x-txn-id") answer.txn = header.value;
-  std::string token, written = "none";
-  answer.status = 504;
-  for (unsigned attempt = 1; attempt <= setup_.mostTries && loop_.now() < until; ++attempt) {
-    if (attempt > 1) co_await loop_.sleepUntil(loop_.now() + setup_.pauseBetween);
-    // --- The question.
-    const auto link = this->link();
-    for (const Instant by = loop_.now() + Duration::millis(100);
-         !link->up && !link->over && loop_.now() < by;)
-      co_await loop_.sleepUntil(loop_.now() + kTick);
+// One request of a client, over all its attempts: what is known so far, and the steps between two waits. The
+// coroutine exchange() does the waiting.
+struct FakeProxy::Exchange {
+  // What follows after a step.
+  enum class Next { proceed, retry, finish };
+
+  Exchange(FakeProxy& ofProxy, ext_proc::Headers requestHeaders, bool write, Instant deadline)
+      : proxy(ofProxy), headers(std::move(requestHeaders)), isWrite(write), until(deadline) {
+    answer.status = 504;
+    for (const auto& header : headers)
+      if (header.name == "x-txn-id") answer.txn = header.value;
+  }
+
+  Instant now() const { return proxy.loop_.now(); }
+  void count(const std::string& event) { ++proxy.seen[event]; }
+  void resetStream() {
+    link->session.reset(streamId, http2::Code::cancel);
+    link->flush();
+  }
+
+  // --- The question
+
+  // False where the client's time is over.
+  bool askProcessor(unsigned attempt) {
     ext_proc::Request question;
     question.phase = Phase::requestHeaders;
     question.headers = headers;
-    const auto left = (until - loop_.now()).inMicros() / 1000;
-    if (left <= 0) break;
+    const auto left = (until - now()).inMicros() / 1000;
+    if (left <= 0) return false;
     question.headers.push_back({"x-txn-patience-ms", std::to_string(left)});
-    if (setup_.asksForTries) question.headers.push_back({"x-envoy-attempt-count", std::to_string(attempt)});
+    if (proxy.setup_.asksForTries)
+      question.headers.push_back({"x-envoy-attempt-count", std::to_string(attempt)});
     if (attempt > 1) question.headers.push_back({"x-txn-written", written});
     if (!token.empty()) question.headers.push_back({"x-txn-submission", token});
-    http2::StreamId id = 0;
-    const auto call = link->open(id);
-    link->send(id, question);
-    const auto reset = [&] {
-      link->session.reset(id, http2::Code::cancel);
-      link->flush();
-    };
-    if (faults.giveUpBeforeDecision && faults.giveUpBeforeDecision()) {
-      co_await loop_.sleepUntil(loop_.now() + kTick);
-      reset();
-      ++seen["gave up before a decision"];
-      answer.status = 0;
-      break;
-    }
-    Instant by = loop_.now() + setup_.messageTimeout;
-    bool extended = false;
-    const auto decisionCame = [&] {
-      if (!call->answers.empty() && call->answers.front().wait > Duration()) {
-        if (!extended && setup_.mostMessageTimeout > Duration())
-          by = loop_.now() + std::min(call->answers.front().wait, setup_.mostMessageTimeout);
-        extended = true;
-        call->answers.pop_front();
-      }
-      return !call->answers.empty();
-    };
-    while (!decisionCame() && !call->over && loop_.now() < by) co_await loop_.sleepUntil(loop_.now() + kTick);
-    if (call->answers.empty()) {
-      ++seen[call->over ? "stream broke before a decision" : "message timeout"];
-      reset();
-      answer.status = call->over ? 503 : 504;
-      // Nothing was sent by this try, so what is known of the earlier ones holds.
-      if (call->over && setup_.triesAgainAfterProcessorFails) continue;
-      break;
+    call = link->open(streamId);
+    link->send(streamId, question);
+    messageDeadline = now() + proxy.setup_.messageTimeout;
+    wasExtended = false;
+    return true;
+  }
+
+  void clientLeaves() {
+    resetStream();
+    count("gave up before a decision");
+    answer.status = 0;
+  }
+
+  // Takes over a request for more time, which counts once.
+  bool hasDecision() {
+    if (!call->answers.empty() && call->answers.front().wait > Duration()) {
+      if (!wasExtended && proxy.setup_.mostMessageTimeout > Duration())
+        messageDeadline = now() + std::min(call->answers.front().wait, proxy.setup_.mostMessageTimeout);
+      wasExtended = true;
+      call->answers.pop_front();
     }
+    return !call->answers.empty();
+  }
+  bool awaitsDecision() { return !hasDecision() && !call->over && now() < messageDeadline; }
+
+  Next takeDecision() {
+    if (call->answers.empty()) return withoutDecision();
     const ext_proc::Response decision = call->answers.front();
     call->answers.pop_front();
-    if (decision.isImmediate) {
-      answer.status = decision.immediate.status;
-      for (const auto& header : decision.immediate.headers)
-        if (header.name == "x-txn-outcome") answer.outcome = header.value;
-      ++seen["answered " + answer.outcome];
-      break;
+    if (!decision.isImmediate) {
+      takeLease(decision);
+      return Next::proceed;
     }
-    const Instant grantedAt = loop_.now();
-    std::string endpoint;
-    std::int64_t within = 0;
+    answer.status = decision.immediate.status;
+    for (const auto& header : decision.immediate.headers)
+      if (header.name == "x-txn-outcome") answer.outcome = header.value;
+    count("answered " + answer.outcome);
+    return Next::finish;
+  }
+  Next withoutDecision() {
+    count(call->over ? "stream broke before a decision" : "message timeout");
+    resetStream();
+    answer.status = call->over ? 503 : 504;
+    // Nothing was sent by this attempt, so what is known of the earlier ones holds.
+    return call->over && proxy.setup_.triesAgainAfterProcessorFails ? Next::retry : Next::finish;
+  }
+  void takeLease(const ext_proc::Response& decision) {
+    leasedAt = now();
+    endpoint.clear();
+    withinMillis = 0;
     for (const auto& header : decision.set) {
       if (header.name == "x-gateway-destination-endpoint") endpoint = header.value;
       if (header.name == "x-txn-submission") token = header.value;
-      if (header.name == "x-txn-send-within-ms") within = std::stoll(header.value);
+      if (header.name == "x-txn-send-within-ms") withinMillis = std::stoll(header.value);
     }
-    ++seen["granted"];
-    // From here on it may run: what an earlier try was told is no answer to this one.
+    count("granted");
+    // From here on it may run: what an earlier attempt was told is no answer to this one.
     answer.outcome.clear();
-    // --- The node.
-    if (faults.sendLate && faults.sendLate()) {
-      ++seen["too late to send"];
-      co_await loop_.sleepUntil(grantedAt + Duration::millis(within + 1));
+    head.clear();
+    writtenNow = "none";
+    status = 503;
+  }
+
+  // --- The node
+
+  bool isLeaseValid() const { return now() - leasedAt < Duration::millis(withinMillis); }
+
+  void connectToNode() {
+    if (const auto idle = proxy.idle_.find(endpoint); idle != proxy.idle_.end()) {
+      upstream = std::move(idle->second);
+      proxy.idle_.erase(idle);
+      isConnecting = false;
+      return;
     }
-    std::string head;
-    std::string now = "none";  // what this try has written
-    int status = 503;
-    if (loop_.now() - grantedAt < Duration::millis(within)) {
-      std::unique_ptr<Upstream> upstream;
-      if (const auto idle = idle_.find(endpoint); idle != idle_.end()) {
-        upstream = std::move(idle->second);
-        idle_.erase(idle);
-      } else {
-        const auto at = config::readAddress("endpoint", endpoint);
-        upstream = std::make_unique<Upstream>(loop_, event_loop::startConnecting(at.host, at.port));
-        while (!upstream->stream.canWrite()) co_await upstream->stream.changed();
-      }
-      if (event_loop::isConnected(upstream->stream.descriptor()) &&
-          loop_.now() - grantedAt < Duration::millis(within)) {
-        const std::string request =
-            std::string(isWrite ? "POST" : "GET") + " / HTTP/1.1\r\nx-txn-id: " + answer.txn + "\r\n\r\n";
-        const std::string_view all = request;
-        if (upstream->stream.write({&all, 1}).how == event_loop::Io::some) now = "whole";
-      }
-      bool ended = now == "none";
-      for (const Instant last = std::min(until, loop_.now() + patient.value_or(setup_.tryTimeout));
-           !ended && head.find("\r\n\r\n") == std::string::npos && loop_.now() < last;) {
-        char bytes[1024];
-        const auto got = upstream->stream.read(bytes);
-        if (got.how == event_loop::Io::some) head.append(bytes, got.size);
-        if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) ended = true;
-        if (got.how == event_loop::Io::wouldBlock) co_await loop_.sleepUntil(loop_.now() + kTick);
-      }
-      if (head.find("\r\n\r\n") != std::string::npos) {
-        status = std::stoi(head.substr(9, 3));
-        idle_.emplace(endpoint, std::move(upstream));
-      } else if (!ended) {
-        status = 504;
-        head.clear();
-      } else {
-        head.clear();
-      }
+    const auto address = config::readAddress("endpoint", endpoint);
+    upstream =
+        std::make_unique<Upstream>(proxy.loop_, event_loop::startConnecting(address.host, address.port));
+    isConnecting = true;
+  }
+  bool awaitsConnection() const { return isConnecting && !upstream->stream.canWrite(); }
+
+  void writeToNode() {
+    if (event_loop::isConnected(upstream->stream.descriptor()) && isLeaseValid()) {
+      const std::string request =
+          std::string(isWrite ? "POST" : "GET") + " / HTTP/1.1\r\nx-txn-id: " + answer.txn + "\r\n\r\n";
+      const std::string_view all = request;
+      if (upstream->stream.write({&all, 1}).how == event_loop::Io::some) writtenNow = "whole";
     }
-    if (now == "whole") written = "whole";
-    // --- The report.
-    if (faults.neverReport && faults.neverReport()) {
-      ++seen["never reported"];
-      reset();
-      answer.status = 502;
-      break;
+    hasEnded = writtenNow == "none";
+    answerDeadline = std::min(until, now() + proxy.patient.value_or(proxy.setup_.tryTimeout));
+  }
+  bool hasHead() const { return head.find("\r\n\r\n") != std::string::npos; }
+  bool awaitsHead() const { return !hasEnded && !hasHead() && now() < answerDeadline; }
+  // False where there is nothing to read yet.
+  bool readFromNode() {
+    char bytes[1024];
+    const auto result = upstream->stream.read(bytes);
+    if (result.how == event_loop::Io::some) head.append(bytes, result.size);
+    if (result.how == event_loop::Io::ended || result.how == event_loop::Io::failed) hasEnded = true;
+    return result.how != event_loop::Io::wouldBlock;
+  }
+  void takeHead() {
+    if (hasHead()) {
+      status = std::stoi(head.substr(9, 3));
+      proxy.idle_.emplace(endpoint, std::move(upstream));
+      return;
     }
-    ext_proc::Request told;
-    told.phase = Phase::responseHeaders;
-    told.headers = {{":status", std::to_string(status)}, {"x-txn-written", now}};
+    if (!hasEnded) status = 504;
+    head.clear();
+  }
+
+  // --- The report
+
+  void report() {
+    ext_proc::Request message;
+    message.phase = Phase::responseHeaders;
+    message.headers = {{":status", std::to_string(status)}, {"x-txn-written", writtenNow}};
     for (const std::string name : {"x-node-role", "x-node-position", "x-node-outcome"}) {
       const auto at = head.find("\r\n" + name + ": ");
       if (at == std::string::npos) continue;
       const auto from = at + name.size() + 4;
-      told.headers.push_back({name, head.substr(from, head.find("\r\n", from) - from)});
+      message.headers.push_back({name, head.substr(from, head.find("\r\n", from) - from)});
     }
-    link->send(id, told);
-    if (faults.reportTwice && faults.reportTwice()) {
-      ++seen["reported twice"];
-      link->send(id, told);
+    link->send(streamId, message);
+    if (proxy.faults.reportTwice && proxy.faults.reportTwice()) {
+      count("reported twice");
+      link->send(streamId, message);
     }
-    by = loop_.now() + setup_.messageTimeout;
-    while (call->answers.empty() && !call->over && loop_.now() < by)
-      co_await loop_.sleepUntil(loop_.now() + kTick);
+    messageDeadline = now() + proxy.setup_.messageTimeout;
+  }
+  bool awaitsFinalAnswer() const { return call->answers.empty() && !call->over && now() < messageDeadline; }
+
+  Next takeFinalAnswer() {
     if (call->answers.empty()) {
-      ++seen[call->over ? "stream broke after a grant" : "message timeout after a grant"];
-      reset();
+      count(call->over ? "stream broke after a grant" : "message timeout after a grant");
+      resetStream();
       answer.status = 500;
       answer.outcome.clear();
-      // The filter failed, so the try did: as published, another may follow.
-      if (call->over && setup_.triesAgainAfterProcessorFails) continue;
-      break;
+      // The filter failed, so the attempt did: as published, another may follow.
+      return call->over && proxy.setup_.triesAgainAfterProcessorFails ? Next::retry : Next::finish;
     }
     const ext_proc::Response last = call->answers.front();
-    link->session.end(id);
+    link->session.end(streamId);
     link->flush();
-    const auto& set = last.isImmediate ? last.immediate.headers : last.set;
     answer.outcome.clear();
-    for (const auto& header : set)
+    for (const auto& header : last.isImmediate ? last.immediate.headers : last.set)
       if (header.name == "x-txn-outcome") answer.outcome = header.value;
     answer.status = last.isImmediate ? last.immediate.status : status;
     answer.from = last.isImmediate || head.empty() ? "" : endpoint;
-    ++seen["ended " + answer.outcome];
-    if (answer.status == 503 && setup_.asksForTries) continue;
-    break;
+    count("ended " + answer.outcome);
+    return answer.status == 503 && proxy.setup_.asksForTries ? Next::retry : Next::finish;
+  }
+
+  FakeProxy& proxy;
+  ext_proc::Headers headers;
+  bool isWrite;
+  Instant until;
+  Answer answer;
+  std::string token, written = "none";  // of the last lease; by all attempts so far
+  // --- Of the present attempt
+  std::shared_ptr<Link> link;
+  std::shared_ptr<Call> call;
+  http2::StreamId streamId = 0;
+  Instant messageDeadline, answerDeadline, leasedAt;
+  bool wasExtended = false, isConnecting = false, hasEnded = false;
+  std::string endpoint, head, writtenNow = "none";
+  std::int64_t withinMillis = 0;
+  int status = 503;
+  std::unique_ptr<Upstream> upstream;
+};
+
+event_loop::Task FakeProxy::exchange(ext_proc::Headers headers, bool isWrite, Instant until,
+                                     std::function<void(Answer)> done) {
+  using Next = Exchange::Next;
+  Exchange request(*this, std::move(headers), isWrite, until);
+  Next next = Next::retry;
+  for (unsigned attempt = 1; next == Next::retry && attempt <= setup_.mostTries && loop_.now() < until;
+       ++attempt) {
+    if (attempt > 1) co_await loop_.sleepUntil(loop_.now() + setup_.pauseBetween);
+    request.link = link();
+    for (const Instant by = loop_.now() + kConnectTimeout;
+         !request.link->up && !request.link->over && loop_.now() < by;)
+      co_await loop_.sleepUntil(loop_.now() + kTick);
+    if (!request.askProcessor(attempt)) break;
+    if (faults.giveUpBeforeDecision && faults.giveUpBeforeDecision()) {
+      co_await loop_.sleepUntil(loop_.now() + kTick);
+      request.clientLeaves();
+      break;
+    }
+    while (request.awaitsDecision()) co_await loop_.sleepUntil(loop_.now() + kTick);
+    next = request.takeDecision();
+    if (next != Next::proceed) continue;
+    if (faults.sendLate && faults.sendLate()) {
+      ++seen["too late to send"];
+      co_await loop_.sleepUntil(request.leasedAt + Duration::millis(request.withinMillis + 1));
+    }
+    if (request.isLeaseValid()) {
+      request.connectToNode();
+      while (request.awaitsConnection()) co_await request.upstream->stream.changed();
+      request.writeToNode();
+      while (request.awaitsHead())
+        if (!request.readFromNode()) co_await loop_.sleepUntil(loop_.now() + kTick);
+      request.takeHead();
+    }
+    request.upstream.reset();
+    if (request.writtenNow == "whole") request.written = "whole";
+    if (faults.neverReport && faults.neverReport()) {
+      ++seen["never reported"];
+      request.resetStream();
+      request.answer.status = 502;
+      break;
+    }
+    request.report();
+    while (request.awaitsFinalAnswer()) co_await loop_.sleepUntil(loop_.now() + kTick);
+    next = request.takeFinalAnswer();
   }
   --open_;
-  done(answer);
+  done(request.answer);
 }
 
 }  // namespace gulltrestle::fake_servers
--- a/src/testing/fake_servers/fake_proxy.h
+++ b/src/testing/fake_servers/fake_proxy.h
@@ -64,6 +64,7 @@
   struct Link;
   struct Call;
   struct Upstream;
+  struct Exchange;
   event_loop::Task exchange(ext_proc::Headers headers, bool isWrite, Instant until,
                             std::function<void(Answer)> done);
   event_loop::Task runLink(std::shared_ptr<Link> link);
