--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -15,6 +15,7 @@
 #include <sstream>
 
 #include "disk.h"
+#include "maintenance/acceptor.h"
 #include "scratch.h"
 #include "store/database.h"
 
@@ -329,11 +330,185 @@
   std::cout << "healed: " << durable << ", queued " << store.statistics().queued << "\n";
 }
 
+// --- Files that an earlier release wrote: tests/store/stored_0_10/README.md
+
+const std::vector<idempotency::VoterList> kStoredLists{
+    {1, {"k1", "k2", "k3"}}, {2, {"k1", "k2", "k4"}}, {3, {"k1", "k4", "k5"}}};
+
+std::string storedFile(const std::string& name) {
+  return std::string(GULLTRESTLE_STORED_FOLDER) + "/" + name;
+}
+
+// Bytes that are no printable ASCII as \xHH; a text of one repeated byte as its length.
+std::string printable(const std::string& text) {
+  if (text.size() > 100 && text.find_first_not_of(text[0]) == std::string::npos)
+    return std::to_string(text.size()) + " times " + text[0];
+  std::ostringstream out;
+  for (const char c : text) {
+    const auto byte = static_cast<unsigned char>(c);
+    if (byte >= 0x20 && byte < 0x7F)
+      out << c;
+    else
+      out << "\\x" << std::hex << byte / 16 << byte % 16 << std::dec;
+  }
+  return out.str();
+}
+
+std::string joined(const auto& texts) {
+  std::string out;
+  for (const auto& text : texts) out += (out.empty() ? "" : " ") + text;
+  return out;
+}
+
+void printIncarnation(const std::string& what, const idempotency::VoterIncarnation& incarnation) {
+  std::cout << "  " << what << ": start " << incarnation.number << ", draw " << incarnation.draw << "\n";
+}
+
+void printClaims(const idempotency::StoredState& state) {
+  std::map<std::string, const idempotency::ClaimRecord*> byId;
+  for (const auto& claim : state.entries) byId[claim.id] = &claim;
+  for (const auto& [id, claim] : byId)
+    std::cout << "  claim " << printable(id) << ": router " << claim->token.router << ", start "
+              << claim->token.start << ", number " << claim->token.number
+              << (claim->committed ? ", committed with '" + printable(claim->value) + "'" : "") << "\n";
+}
+
+void printPlan(const idempotency::StoredState& state) {
+  if (state.maintenance.empty()) {
+    std::cout << "  maintenance: nothing was written\n";
+    return;
+  }
+  const maintenance::Acceptor acceptor(state.maintenance, state.isComplete);
+  const maintenance::AcceptedValue& accepted = acceptor.accepted();
+  std::cout << "  maintenance: " << (acceptor.isComplete() ? "complete" : "incomplete") << ", ballot "
+            << accepted.ballot.number << " of " << accepted.ballot.draw << ", version "
+            << accepted.version.version << " of " << accepted.version.draw << ", the text is "
+            << (acceptor.text() == state.maintenance ? "what" : "NOT WHAT") << " an acceptor writes\n";
+  const maintenance::Plan plan = maintenance::readPlan(accepted.value);
+  std::cout << "  plan " << plan.version << ", applied: " << joined(plan.appliedRequests) << "\n";
+  for (const auto& machine : plan.machines)
+    std::cout << "  machine " << machine.name << " in " << machine.zone << " is "
+              << maintenance::nameOf(machine.phase) << " since " << machine.since << " ('" << machine.reason
+              << "'), nodes: " << joined(machine.nodes) << ", routers: " << joined(machine.routers)
+              << ", takes " << machine.expectedDuration.inMicros() << " us, wanted within "
+              << machine.wantedWithin.inMicros() << " us, by " << machine.request << " of "
+              << machine.requestedBy << ", attempts " << machine.attempts << "\n";
+}
+
+void printState(const idempotency::StoredState& state) {
+  std::cout << "  " << (state.isComplete ? "complete" : "incomplete") << ", new since " << state.newSince
+            << "\n";
+  for (const auto& own : state.own) printIncarnation("own", own);
+  for (const auto& [voter, incarnation] : state.starts) printIncarnation("voter " + voter, incarnation);
+  for (const auto& [router, incarnation] : state.members) printIncarnation("router " + router, incarnation);
+  std::cout << "  voter list " << state.lists.current.version << ": " << joined(state.lists.current.names)
+            << "\n";
+  for (const auto& list : state.lists.previous)
+    std::cout << "  earlier voter list " << list.version << ": " << joined(list.names) << "\n";
+  for (const auto& [node, drain] : state.nodes)
+    std::cout << "  node " << node << (drain.second ? " drains" : " stays") << " by version " << drain.first
+              << "\n";
+  for (const auto& [group, primary] : state.primaries)
+    std::cout << "  primary of group " << group << ": " << primary.first << " by version " << primary.second
+              << "\n";
+  printClaims(state);
+  printPlan(state);
+}
+
+// What a voting member answers to claims of other routers for ids that were stored.
+void printVotes(const idempotency::StoredState& state) {
+  idempotency::VotingMember voter(Instant::atMicros(1), "k1", {}, state);
+  for (const char* id : {"last", "order-1002", "order-1001"}) {
+    const auto vote = voter.onClaim(Instant::atMicros(2), id, {"r9", 1, 1});
+    std::cout << "  claimed anew, " << id << ": "
+              << (!vote ? "NO VOTE"
+                  : vote->kind != idempotency::Vote::Kind::takenByOther
+                      ? "NOT TAKEN"
+                      : "taken" + (vote->committed ? ", committed with '" + vote->value + "'" : ""))
+              << "\n";
+  }
+}
+
+// One change of each kind.
+Changes furtherChanges(const idempotency::StoredState& state) {
+  Changes changes{put(1, 1, true),
+                  changed(Kind::drop, "order-1001", {}),
+                  changed(Kind::start, "k2", {6, 60}),
+                  changed(Kind::node, "n1", {}),
+                  changed(Kind::node, "n2", {40, 0}, false),
+                  changed(Kind::primary, "n6", {41, 0}),
+                  changed(Kind::member, "r2", {4, 10})};
+  maintenance::Acceptor acceptor(state.maintenance, state.isComplete);
+  maintenance::AcceptedValue next = acceptor.accepted();
+  next.ballot = {99, 7};
+  ++next.version.version;
+  std::optional<maintenance::Acceptor::AcceptorReply> rejected;
+  std::cout << "the plan's next ballot is " << (acceptor.accept(next, rejected) ? "accepted" : "REJECTED")
+            << "\n";
+  changes.push_back(changed(Kind::work, acceptor.text(), {}));
+  return changes;
+}
+
+void copyStoredFile(const Folder& folder) {
+  std::filesystem::copy_file(storedFile("claims.db"), folder.path() + "/" + kFile);
+}
+
+void storedByEarlierRelease() {
+  const Folder folder;
+  copyStoredFile(folder);
+  const Contents contents = read(folder.path());
+  std::cout << "read, voter " << contents.keeper << ", damage '" << contents.damage << "'\n";
+  printState(contents.kept);
+  {
+    Store store(folder.path(), "k1", 14, kStoredLists);
+    std::cout << "opened, set aside '" << store.setAside() << "'\n";
+    printState(store.storedState());
+    printVotes(store.storedState());
+    Changes changes = furtherChanges(store.storedState());
+    std::cout << "written on: durable " << written(store, std::move(changes)) << "\n";
+  }
+  Store store(folder.path(), "k1", 15, kStoredLists);
+  std::cout << "opened again, set aside '" << store.setAside() << "'\n";
+  printState(store.storedState());
+}
+
+void printOpened(const Folder& folder) {
+  Store store(folder.path(), "k1", 14, kStoredLists);
+  std::cout << "opened, set aside " << !store.setAside().empty() << "\n";
+  printState(store.storedState());
+  std::cout << "written on: durable " << written(store, {put(1, 1, true)}) << "\n";
+}
+
+// The last commit of the stored file, cut off: its process ended before the journal was truncated, so it is
+// rolled back; and the file lost its end, so it is set aside.
+void storedAndCutOff() {
+  {
+    const Folder folder;
+    copyStoredFile(folder);
+    std::filesystem::copy_file(storedFile("last_commit.journal"), folder.path() + "/" + kFile + "-journal");
+    std::cout << "a commit that did not end\n";
+    printOpened(folder);
+  }
+  const Folder folder;
+  copyStoredFile(folder);
+  const std::string path = folder.path() + "/" + kFile;
+  std::filesystem::resize_file(path, std::filesystem::file_size(path) - 4096);
+  std::cout << "a file without its last page: damage is "
+            << (read(folder.path()).damage.empty() ? "NOT SEEN" : "seen") << "\n";
+  printOpened(folder);
+  std::cout << "what was set aside is kept: " << std::filesystem::exists(path + ".damaged1") << "\n";
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::map<std::string, std::function<void()>> cases{
-      {"power", power}, {"bytes", bytes}, {"failing", failing}, {"folders", folders}, {"healing", healing}};
+  const std::map<std::string, std::function<void()>> cases{{"power", power},
+                                                           {"bytes", bytes},
+                                                           {"failing", failing},
+                                                           {"folders", folders},
+                                                           {"healing", healing},
+                                                           {"stored", storedByEarlierRelease},
+                                                           {"stored-cut-off", storedAndCutOff}};
   const auto at = cases.find(argc > 1 ? argv[1] : "");
   if (at == cases.end()) return 2;
   at->second();
