--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -1,385 +1,323 @@
 #include "store/database.h"
 
-#include <sqlite3.h>
-#include <xxhash.h>
-
-#include <cstring>
+#include "store/schema.h"
 
 namespace gulltrestle::store {
 
 namespace {
 
-// Raised when a version can't read what an older one wrote.
-constexpr const char* kFormat = "4";
-// Those before knew no primaries (1), neither members nor lists of keepers (1 and 2), and no work (1 to 3); a
-// file of theirs is brought up to date as a keeper starts on it.
-constexpr const char* kPrimaries =
-    "CREATE TABLE primaries (grp INTEGER PRIMARY KEY, node BLOB, version INTEGER)";
-constexpr const char* kMembers =
-    "CREATE TABLE members (router BLOB PRIMARY KEY, number INTEGER, draw INTEGER) WITHOUT ROWID;"
-    "CREATE TABLE lists (place INTEGER, version INTEGER, keeper BLOB, PRIMARY KEY (place, keeper)) WITHOUT "
-    "ROWID";
-
-// Starts of its own that a keeper remembers. One that others know of and that is older than these is taken
-// for another disk's: the keeper is silent once more, which is safe.
-constexpr int kOwnStarts = 64;
-
-// As text with its length, so that no two rows' parts run into each other.
-std::string part(const std::string& text) { return std::to_string(text.size()) + ":" + text + ","; }
-std::uint64_t sumOf(const std::string& text) { return XXH3_64bits(text.data(), text.size()); }
-std::uint64_t sumOf(const idempotency::ClaimRecord& e) {
-  return sumOf("claim " + part(e.id) + part(e.token.router) + part(std::to_string(e.token.start)) +
-               part(std::to_string(e.token.number)) + (e.committed ? "1" : "0") + part(e.value));
-}
-std::uint64_t sumOf(const std::string& keeper, const idempotency::VoterIncarnation& s) {
-  return sumOf("start " + part(keeper) + part(std::to_string(s.number)) + part(std::to_string(s.draw)));
+using idempotency::ClaimRecord;
+using idempotency::StoredState;
+using idempotency::VoterIncarnation;
+
+// Keys of the table `meta`.
+constexpr char kFormatKey[] = "format";
+constexpr char kVoterKey[] = "keeper";
+constexpr char kCompleteKey[] = "whole";
+constexpr char kNewSinceKey[] = "new_since";
+constexpr char kMaintenanceKey[] = "work";
+constexpr char kDigestKey[] = "digest";
+// Those that are in the digest in every format, also while they have no value.
+constexpr const char* kCheckedKeys[] = {kFormatKey, kVoterKey, kCompleteKey, kNewSinceKey};
+
+// Starts of its own that a voting member remembers. One that others know of and that is older than these is
+// taken for another disk's: the member abstains once more, which is safe.
+constexpr std::uint64_t kOwnStarts = 64;
+
+// The number below which starts of that voter are removed: of another voter only the newest counts.
+std::uint64_t oldestKeptStart(const VoterStartRow& newest) {
+  const std::uint64_t number = newest.incarnation.number;
+  if (!newest.voter.empty()) return number;
+  return number > kOwnStarts ? number - kOwnStarts : 0;
 }
-std::uint64_t sumOfNode(const std::string& id, std::uint64_t version, bool leaving) {
-  return sumOf("node " + part(id) + part(std::to_string(version)) + (leaving ? "1" : "0"));
+
+}  // namespace
+
+Database::Database(const std::string& path, OpenMode mode) : connection_(path, mode) {
+  isNew_ = !Statement(connection_, "SELECT 1 FROM sqlite_schema").step();
+  if (isNew_) return;
+  const std::string format = meta(kFormatKey);
+  if (format.empty()) throw CorruptDatabase("it has no format");
+  if (!isReadableFormat(format)) throw DiskError("it has format " + format + ", this program " + kFormat);
+  voter_ = meta(kVoterKey);
 }
-std::uint64_t sumOfPrimary(std::uint64_t group, const std::string& node, std::uint64_t version) {
-  return sumOf("primary " + part(std::to_string(group)) + part(node) + std::to_string(version));
+
+std::string Database::meta(const std::string& key) const {
+  Statement statement(connection_, "SELECT value FROM meta WHERE key = ?");
+  return statement.bind(key).step() ? statement.text(0) : "";
 }
-std::uint64_t sumOfMember(const std::string& router, const idempotency::VoterIncarnation& s) {
-  return sumOf("member " + part(router) + part(std::to_string(s.number)) + part(std::to_string(s.draw)));
+
+void Database::setMeta(const std::string& key, const std::string& value) {
+  if (key != kDigestKey) digest_ ^= checksumOf(MetaRow{key, meta(key)}) ^ checksumOf(MetaRow{key, value});
+  Statement(connection_, "INSERT OR REPLACE INTO meta (key, value) VALUES (?, ?)")
+      .bind(key)
+      .bind(value)
+      .step();
 }
-std::uint64_t sumOfList(std::uint64_t place, std::uint64_t version, const std::string& keeper) {
-  return sumOf("list " + part(std::to_string(place)) + part(std::to_string(version)) + part(keeper));
+
+void Database::begin(const std::string& voter, bool isComplete) {
+  connection_.execute("BEGIN IMMEDIATE");
+  createTables(connection_);
+  digest_ = 0;
+  for (const char* key : kCheckedKeys) digest_ ^= checksumOf(MetaRow{key, ""});
+  setMeta(kFormatKey, kFormat);
+  setMeta(kVoterKey, voter);
+  setMeta(kCompleteKey, isComplete ? "1" : "0");
+  setMeta(kNewSinceKey, "0");
+  setMeta(kDigestKey, std::to_string(digest_));
+  connection_.execute("COMMIT");
+  voter_ = voter;
+  isNew_ = false;
 }
-std::uint64_t sumOf(const char* key, const std::string& value) {
-  return sumOf("meta " + part(key) + part(value));
+
+// --- Reading
+
+StoredState Database::load() {
+  checkStructure();
+  StoredState state;
+  digest_ = 0;
+  loadMeta(state);
+  loadClaims(state);
+  loadVoterStarts(state);
+  loadNodes(state);
+  const std::string format = meta(kFormatKey);
+  if (hasPrimaries(format)) loadPrimaries(state);
+  if (hasMembersAndLists(format)) {
+    loadMembers(state);
+    loadVoterLists(state);
+  }
+  if (meta(kDigestKey) != std::to_string(digest_))
+    throw CorruptDatabase("its rows are not those that were written");
+  state.newSince = std::stoull(meta(kNewSinceKey));
+  if (format != kFormat && !connection_.isReadOnly()) upgrade(format);
+  return state;
 }
 
-std::int64_t whole(std::uint64_t n) { return static_cast<std::int64_t>(n); }
+void Database::checkStructure() const {
+  Statement check(connection_, "PRAGMA quick_check(1)");
+  if (!check.step() || check.text(0) != "ok") throw CorruptDatabase("its structure is not sound");
+}
 
-}  // namespace
+void Database::loadMeta(StoredState& state) {
+  for (const char* key : kCheckedKeys) digest_ ^= checksumOf(MetaRow{key, meta(key)});
+  state.isComplete = meta(kCompleteKey) == "1";
+  state.maintenance = meta(kMaintenanceKey);
+  // Older formats have no such row: an empty one counts for nothing in the digest.
+  digest_ ^=
+      checksumOf(MetaRow{kMaintenanceKey, state.maintenance}) ^ checksumOf(MetaRow{kMaintenanceKey, ""});
+}
 
-class Database::Statement {
- public:
-  Statement(Database& of, const char* text) : of_(of) {
-    if (const int code = sqlite3_prepare_v2(of.handle_, text, -1, &statement_, nullptr)) of.fail(code);
+void Database::loadClaims(StoredState& state) {
+  Statement rows(connection_, "SELECT id, router, start, number, committed, value FROM claims");
+  while (rows.step()) {
+    ClaimRecord claim{
+        rows.text(0), {rows.text(1), rows.number(2), rows.number(3)}, rows.flag(4), rows.text(5)};
+    digest_ ^= checksumOf(claim);
+    state.entries.push_back(std::move(claim));
   }
-  Statement(const Statement&) = delete;
-  Statement& operator=(const Statement&) = delete;
-  ~Statement() { sqlite3_finalize(statement_); }
+}
 
-  Statement& with(const std::string& text) {
-    sqlite3_bind_blob(statement_, ++at_, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT);
-    return *this;
-  }
-  Statement& with(std::uint64_t n) {
-    sqlite3_bind_int64(statement_, ++at_, whole(n));
-    return *this;
+void Database::loadVoterStarts(StoredState& state) {
+  Statement rows(connection_, "SELECT keeper, number, draw FROM starts ORDER BY number");
+  while (rows.step()) {
+    const VoterStartRow row{rows.text(0), {rows.number(1), rows.number(2)}};
+    digest_ ^= checksumOf(row);
+    if (row.voter.empty())
+      state.own.push_back(row.incarnation);
+    else
+      state.starts[row.voter] = row.incarnation;
   }
-  bool step() {
-    const int code = sqlite3_step(statement_);
-    if (code != SQLITE_ROW && code != SQLITE_DONE) of_.fail(code);
-    return code == SQLITE_ROW;
+}
+
+void Database::loadNodes(StoredState& state) {
+  Statement rows(connection_, "SELECT id, version, leaving FROM nodes");
+  while (rows.step()) {
+    const NodeRow row{rows.text(0), rows.number(1), rows.flag(2)};
+    digest_ ^= checksumOf(row);
+    state.nodes[row.node] = {row.listVersion, row.isDraining};
   }
-  std::string text(int column) {
-    const void* bytes = sqlite3_column_blob(statement_, column);
-    const int size = sqlite3_column_bytes(statement_, column);
-    return bytes ? std::string(static_cast<const char*>(bytes), static_cast<std::size_t>(size))
-                 : std::string();
+}
+
+void Database::loadPrimaries(StoredState& state) {
+  Statement rows(connection_, "SELECT grp, node, version FROM primaries");
+  while (rows.step()) {
+    const PrimaryRow row{rows.number(0), rows.text(1), rows.number(2)};
+    digest_ ^= checksumOf(row);
+    state.primaries[row.group] = {row.node, row.listVersion};
   }
-  std::uint64_t number(int column) {
-    return static_cast<std::uint64_t>(sqlite3_column_int64(statement_, column));
+}
+
+void Database::loadMembers(StoredState& state) {
+  Statement rows(connection_, "SELECT router, number, draw FROM members");
+  while (rows.step()) {
+    const RouterStartRow row{rows.text(0), {rows.number(1), rows.number(2)}};
+    digest_ ^= checksumOf(row);
+    state.members[row.router] = row.incarnation;
   }
+}
 
- private:
-  Database& of_;
-  sqlite3_stmt* statement_ = nullptr;
-  int at_ = 0;
-};
-
-void Database::fail(int code) {
-  const std::string what = sqlite3_errmsg(handle_);
-  switch (code & 0xFF) {
-    case SQLITE_CORRUPT:
-    case SQLITE_NOTADB:
-    case SQLITE_ERROR:  // a table or column that isn't there
-    case SQLITE_FORMAT:
-    case SQLITE_MISMATCH:
-    case SQLITE_TOOBIG:
-    case SQLITE_CONSTRAINT:
-      throw CorruptDatabase(what);
-    case SQLITE_BUSY:
-    case SQLITE_LOCKED:
-      throw DiskError("another process has it");
-    default:
-      throw DiskError(what);
+void Database::loadVoterLists(StoredState& state) {
+  Statement rows(connection_, "SELECT place, version, keeper FROM lists ORDER BY place");
+  auto& previous = state.lists.previous;
+  while (rows.step()) {
+    const VoterListRow row{rows.number(0), rows.number(1), rows.text(2)};
+    digest_ ^= checksumOf(row);
+    if (row.place > idempotency::kMaxVoterLists) throw CorruptDatabase("it holds too many lists");
+    if (row.place > previous.size()) previous.resize(row.place);
+    idempotency::VoterList& list = row.place == 0 ? state.lists.current : previous[row.place - 1];
+    list.version = row.version;
+    list.names.insert(row.voter);
   }
 }
 
-void Database::run(const char* text) {
-  if (const int code = sqlite3_exec(handle_, text, nullptr, nullptr, nullptr)) fail(code);
+void Database::upgrade(const std::string& format) {
+  connection_.execute("BEGIN IMMEDIATE");
+  addMissingTables(connection_, format);
+  setMeta(kFormatKey, kFormat);
+  setMeta(kDigestKey, std::to_string(digest_));
+  connection_.execute("COMMIT");
 }
 
-// A rollback journal that is truncated, with full synchronization: once a commit returns, all of it stands in
-// the one file, where the checksums see each byte. A write-ahead log would cost one sync instead of three,
-// but a flipped byte in its middle passes for the torn end of a power loss, and what was committed after is
-// gone without a sign.
-Database::Database(const std::string& path, OpenMode what) : path_(path) {
-  const int flags =
-      what == OpenMode::reading ? SQLITE_OPEN_READONLY : SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
-  const int code = sqlite3_open_v2(path.c_str(), &handle_, flags | SQLITE_OPEN_NOMUTEX, nullptr);
-  try {
-    if (code) fail(code);
-    if (what == OpenMode::writing) {
-      run("PRAGMA locking_mode = EXCLUSIVE");
-      run("PRAGMA journal_mode = TRUNCATE");
-      run("PRAGMA synchronous = EXTRA");
-      run("BEGIN EXCLUSIVE; COMMIT");
-    }
-    isNew_ = !Statement(*this, "SELECT 1 FROM sqlite_schema").step();
-    if (isNew_) return;
-    if (const auto format = meta("format");
-        format != kFormat && format != "1" && format != "2" && format != "3")
-      throw format.empty() ? std::runtime_error("")
-                           : DiskError("it has format " + format + ", this program " + kFormat);
-    keeper_ = meta("keeper");
-  } catch (const DiskError&) {
-    sqlite3_close_v2(handle_);
-    throw;
-  } catch (const std::exception& bad) {
-    const std::string why = bad.what();
-    sqlite3_close_v2(handle_);
-    throw CorruptDatabase(why.empty() ? "it has no format" : why);
-  }
+// --- Writing
+
+void Database::commit(const std::vector<const std::vector<DiskChange>*>& groups) {
+  connection_.execute("BEGIN IMMEDIATE");
+  for (const auto* changes : groups)
+    for (const DiskChange& change : *changes) apply(change);
+  setMeta(kDigestKey, std::to_string(digest_));
+  connection_.execute("COMMIT");
 }
 
-Database::~Database() { sqlite3_close_v2(handle_); }
+void Database::apply(const DiskChange& change) {
+  switch (change.kind) {
+    case DiskChange::Kind::put:
+      return putClaim(change);
+    case DiskChange::Kind::drop:
+      return dropClaim(change.id);
+    case DiskChange::Kind::start:
+      return putVoterStart({change.id, change.start});
+    case DiskChange::Kind::node:
+      return putNode({change.id, change.start.number, change.isComplete});
+    case DiskChange::Kind::primary:
+      return putPrimary({change.group, change.id, change.start.number});
+    case DiskChange::Kind::member:
+      return putMember({change.id, change.start});
+    case DiskChange::Kind::lists:
+      return putVoterLists(change.lists);
+    case DiskChange::Kind::work:
+      return setMeta(kMaintenanceKey, change.id);
+    case DiskChange::Kind::voting:
+      return putVoting(change.isComplete, change.start.number);
+  }
+}
 
-std::string Database::meta(const char* key) {
-  Statement statement(*this, "SELECT value FROM meta WHERE key = ?");
-  return statement.with(std::string(key)).step() ? statement.text(0) : "";
+void Database::forgetClaimChecksum(const std::string& id) {
+  Statement old(connection_, "SELECT router, start, number, committed, value FROM claims WHERE id = ?");
+  if (!old.bind(id).step()) return;
+  digest_ ^=
+      checksumOf(ClaimRecord{id, {old.text(0), old.number(1), old.number(2)}, old.flag(3), old.text(4)});
 }
 
-void Database::setMeta(const char* key, const std::string& value) {
-  if (std::strcmp(key, "digest") != 0) digest_ ^= sumOf(key, meta(key)) ^ sumOf(key, value);
-  Statement(*this, "INSERT OR REPLACE INTO meta (key, value) VALUES (?, ?)")
-      .with(std::string(key))
-      .with(value)
+void Database::putClaim(const DiskChange& change) {
+  forgetClaimChecksum(change.id);
+  const ClaimRecord& claim = change.entry;
+  digest_ ^= checksumOf(claim);
+  Statement(connection_, "INSERT OR REPLACE INTO claims VALUES (?, ?, ?, ?, ?, ?)")
+      .bind(claim.id)
+      .bind(claim.token.router)
+      .bind(claim.token.start)
+      .bind(claim.token.number)
+      .bind(std::uint64_t{claim.committed})
+      .bind(claim.value)
       .step();
 }
 
-void Database::begin(const std::string& keeper, bool isWhole) {
-  run("BEGIN IMMEDIATE");
-  run("CREATE TABLE meta (key BLOB PRIMARY KEY, value BLOB) WITHOUT ROWID;"
-      "CREATE TABLE starts (keeper BLOB, number INTEGER, draw INTEGER, PRIMARY KEY (keeper, number)) WITHOUT "
-      "ROWID;"
-      "CREATE TABLE claims (id BLOB PRIMARY KEY, router BLOB, start INTEGER, number INTEGER, committed "
-      "INTEGER,"
-      " value BLOB) WITHOUT ROWID;"
-      "CREATE TABLE nodes (id BLOB PRIMARY KEY, version INTEGER, leaving INTEGER) WITHOUT ROWID");
-  run(kPrimaries);
-  run(kMembers);
-  digest_ = 0;
-  for (const char* key : {"format", "keeper", "whole", "new_since"}) digest_ ^= sumOf(key, "");
-  setMeta("format", kFormat);
-  setMeta("keeper", keeper);
-  setMeta("whole", isWhole ? "1" : "0");
-  setMeta("new_since", "0");
-  setMeta("digest", std::to_string(digest_));
-  run("COMMIT");
-  keeper_ = keeper;
-  isNew_ = false;
+void Database::dropClaim(const std::string& id) {
+  forgetClaimChecksum(id);
+  Statement(connection_, "DELETE FROM claims WHERE id = ?").bind(id).step();
 }
 
-idempotency::StoredState Database::load() {
-  {
-    Statement check(*this, "PRAGMA quick_check(1)");
-    if (!check.step() || check.text(0) != "ok") throw CorruptDatabase("its structure is not sound");
-  }
-  idempotency::StoredState kept;
-  digest_ = 0;
-  for (const char* key : {"format", "keeper", "whole", "new_since"}) digest_ ^= sumOf(key, meta(key));
-  digest_ ^= sumOf("work", meta("work")) ^ sumOf("work", "");
-  kept.isComplete = meta("whole") == "1";
-  kept.maintenance = meta("work");
-  Statement claims(*this, "SELECT id, router, start, number, committed, value FROM claims");
-  while (claims.step()) {
-    idempotency::ClaimRecord entry{claims.text(0),
-                                   {claims.text(1), claims.number(2), claims.number(3)},
-                                   claims.number(4) != 0,
-                                   claims.text(5)};
-    digest_ ^= sumOf(entry);
-    kept.entries.push_back(std::move(entry));
-  }
-  Statement starts(*this, "SELECT keeper, number, draw FROM starts ORDER BY number");
-  while (starts.step()) {
-    const idempotency::VoterIncarnation start{starts.number(1), starts.number(2)};
-    digest_ ^= sumOf(starts.text(0), start);
-    if (starts.text(0).empty())
-      kept.own.push_back(start);
-    else
-      kept.starts[starts.text(0)] = start;
-  }
-  Statement nodes(*this, "SELECT id, version, leaving FROM nodes");
-  while (nodes.step()) {
-    kept.nodes[nodes.text(0)] = {nodes.number(1), nodes.number(2) != 0};
-    digest_ ^= sumOfNode(nodes.text(0), nodes.number(1), nodes.number(2) != 0);
-  }
-  const std::string format = meta("format");
-  if (format != "1") {
-    Statement primaries(*this, "SELECT grp, node, version FROM primaries");
-    while (primaries.step()) {
-      kept.primaries[primaries.number(0)] = {primaries.text(1), primaries.number(2)};
-      digest_ ^= sumOfPrimary(primaries.number(0), primaries.text(1), primaries.number(2));
-    }
-  }
-  if (format != "1" && format != "2") {
-    Statement members(*this, "SELECT router, number, draw FROM members");
-    while (members.step()) {
-      const idempotency::VoterIncarnation start{members.number(1), members.number(2)};
-      kept.members[members.text(0)] = start;
-      digest_ ^= sumOfMember(members.text(0), start);
-    }
-    // In the first place the list that it serves under.
-    Statement lists(*this, "SELECT place, version, keeper FROM lists ORDER BY place");
-    while (lists.step()) {
-      const std::uint64_t place = lists.number(0);
-      digest_ ^= sumOfList(place, lists.number(1), lists.text(2));
-      if (place > idempotency::kMaxVoterLists) throw CorruptDatabase("it holds too many lists");
-      auto& before = kept.lists.previous;
-      if (place > before.size()) before.resize(place);
-      idempotency::VoterList& list = place == 0 ? kept.lists.current : before[place - 1];
-      list.version = lists.number(1);
-      list.names.insert(lists.text(2));
-    }
-  }
-  if (meta("digest") != std::to_string(digest_))
-    throw CorruptDatabase("its rows are not those that were written");
-  kept.newSince = std::stoull(meta("new_since"));
-  if (format != kFormat && sqlite3_db_readonly(handle_, "main") == 0) {
-    run("BEGIN IMMEDIATE");
-    if (format == "1") run(kPrimaries);
-    if (format != "3") run(kMembers);
-    setMeta("format", kFormat);
-    setMeta("digest", std::to_string(digest_));
-    run("COMMIT");
+void Database::putVoterStart(const VoterStartRow& row) {
+  const std::uint64_t oldest = oldestKeptStart(row);
+  Statement old(connection_,
+                "SELECT number, draw FROM starts WHERE keeper = ? AND (number < ? OR number = ?)");
+  old.bind(row.voter).bind(oldest).bind(row.incarnation.number);
+  while (old.step()) digest_ ^= checksumOf(VoterStartRow{row.voter, {old.number(0), old.number(1)}});
+  Statement(connection_, "DELETE FROM starts WHERE keeper = ? AND (number < ? OR number = ?)")
+      .bind(row.voter)
+      .bind(oldest)
+      .bind(row.incarnation.number)
+      .step();
+  digest_ ^= checksumOf(row);
+  Statement(connection_, "INSERT INTO starts VALUES (?, ?, ?)")
+      .bind(row.voter)
+      .bind(row.incarnation.number)
+      .bind(row.incarnation.draw)
+      .step();
+}
+
+// A list version of 0 removes the row.
+void Database::putNode(const NodeRow& row) {
+  Statement old(connection_, "SELECT version, leaving FROM nodes WHERE id = ?");
+  if (old.bind(row.node).step()) digest_ ^= checksumOf(NodeRow{row.node, old.number(0), old.flag(1)});
+  if (row.listVersion == 0) {
+    Statement(connection_, "DELETE FROM nodes WHERE id = ?").bind(row.node).step();
+    return;
   }
-  return kept;
+  digest_ ^= checksumOf(row);
+  Statement(connection_, "INSERT OR REPLACE INTO nodes VALUES (?, ?, ?)")
+      .bind(row.node)
+      .bind(row.listVersion)
+      .bind(std::uint64_t{row.isDraining})
+      .step();
 }
 
-void Database::apply(const idempotency::VotingMember::DiskChange& change) {
-  using Kind = idempotency::VotingMember::DiskChange::Kind;
-  switch (change.kind) {
-    case Kind::put:
-    case Kind::drop: {
-      Statement old(*this, "SELECT router, start, number, committed, value FROM claims WHERE id = ?");
-      if (old.with(change.id).step())
-        digest_ ^= sumOf(idempotency::ClaimRecord{
-            change.id, {old.text(0), old.number(1), old.number(2)}, old.number(3) != 0, old.text(4)});
-      if (change.kind == Kind::drop) {
-        Statement(*this, "DELETE FROM claims WHERE id = ?").with(change.id).step();
-        return;
-      }
-      const auto& e = change.entry;
-      digest_ ^= sumOf(e);
-      Statement(*this, "INSERT OR REPLACE INTO claims VALUES (?, ?, ?, ?, ?, ?)")
-          .with(e.id)
-          .with(e.token.router)
-          .with(e.token.start)
-          .with(e.token.number)
-          .with(std::uint64_t{e.committed})
-          .with(e.value)
-          .step();
-      return;
-    }
-    case Kind::start: {
-      // Of another keeper only the newest counts; of our own, some.
-      const std::uint64_t before = !change.id.empty()                 ? change.start.number
-                                   : change.start.number > kOwnStarts ? change.start.number - kOwnStarts
-                                                                      : 0;
-      Statement old(*this, "SELECT number, draw FROM starts WHERE keeper = ? AND (number < ? OR number = ?)");
-      old.with(change.id).with(before).with(change.start.number);
-      while (old.step()) digest_ ^= sumOf(change.id, {old.number(0), old.number(1)});
-      Statement(*this, "DELETE FROM starts WHERE keeper = ? AND (number < ? OR number = ?)")
-          .with(change.id)
-          .with(before)
-          .with(change.start.number)
-          .step();
-      digest_ ^= sumOf(change.id, change.start);
-      Statement(*this, "INSERT INTO starts VALUES (?, ?, ?)")
-          .with(change.id)
-          .with(change.start.number)
-          .with(change.start.draw)
-          .step();
-      return;
-    }
-    case Kind::node: {
-      Statement old(*this, "SELECT version, leaving FROM nodes WHERE id = ?");
-      if (old.with(change.id).step()) digest_ ^= sumOfNode(change.id, old.number(0), old.number(1) != 0);
-      if (change.start.number == 0) {
-        Statement(*this, "DELETE FROM nodes WHERE id = ?").with(change.id).step();
-        return;
-      }
-      digest_ ^= sumOfNode(change.id, change.start.number, change.isComplete);
-      Statement(*this, "INSERT OR REPLACE INTO nodes VALUES (?, ?, ?)")
-          .with(change.id)
-          .with(change.start.number)
-          .with(std::uint64_t{change.isComplete})
-          .step();
-      return;
-    }
-    case Kind::primary: {
-      Statement old(*this, "SELECT node, version FROM primaries WHERE grp = ?");
-      if (old.with(change.group).step()) digest_ ^= sumOfPrimary(change.group, old.text(0), old.number(1));
-      digest_ ^= sumOfPrimary(change.group, change.id, change.start.number);
-      Statement(*this, "INSERT OR REPLACE INTO primaries VALUES (?, ?, ?)")
-          .with(change.group)
-          .with(change.id)
-          .with(change.start.number)
-          .step();
-      return;
-    }
-    case Kind::member: {
-      Statement old(*this, "SELECT number, draw FROM members WHERE router = ?");
-      if (old.with(change.id).step()) digest_ ^= sumOfMember(change.id, {old.number(0), old.number(1)});
-      digest_ ^= sumOfMember(change.id, change.start);
-      Statement(*this, "INSERT OR REPLACE INTO members VALUES (?, ?, ?)")
-          .with(change.id)
-          .with(change.start.number)
-          .with(change.start.draw)
-          .step();
-      return;
-    }
-    case Kind::lists: {
-      Statement old(*this, "SELECT place, version, keeper FROM lists");
-      while (old.step()) digest_ ^= sumOfList(old.number(0), old.number(1), old.text(2));
-      run("DELETE FROM lists");
-      std::uint64_t place = 0;
-      const auto put = [&](const idempotency::VoterList& list) {
-        for (const auto& name : list.names) {
-          digest_ ^= sumOfList(place, list.version, name);
-          Statement(*this, "INSERT INTO lists VALUES (?, ?, ?)")
-              .with(place)
-              .with(list.version)
-              .with(name)
-              .step();
-        }
-        ++place;
-      };
-      put(change.lists.current);
-      for (const auto& before : change.lists.previous) put(before);
-      return;
-    }
-    case Kind::work:
-      setMeta("work", change.id);
-      return;
-    case Kind::voting:
-      setMeta("whole", change.isComplete ? "1" : "0");
-      setMeta("new_since", std::to_string(change.start.number));
+void Database::putPrimary(const PrimaryRow& row) {
+  Statement old(connection_, "SELECT node, version FROM primaries WHERE grp = ?");
+  if (old.bind(row.group).step()) digest_ ^= checksumOf(PrimaryRow{row.group, old.text(0), old.number(1)});
+  digest_ ^= checksumOf(row);
+  Statement(connection_, "INSERT OR REPLACE INTO primaries VALUES (?, ?, ?)")
+      .bind(row.group)
+      .bind(row.node)
+      .bind(row.listVersion)
+      .step();
+}
+
+void Database::putMember(const RouterStartRow& row) {
+  Statement old(connection_, "SELECT number, draw FROM members WHERE router = ?");
+  if (old.bind(row.router).step())
+    digest_ ^= checksumOf(RouterStartRow{row.router, {old.number(0), old.number(1)}});
+  digest_ ^= checksumOf(row);
+  Statement(connection_, "INSERT OR REPLACE INTO members VALUES (?, ?, ?)")
+      .bind(row.router)
+      .bind(row.incarnation.number)
+      .bind(row.incarnation.draw)
+      .step();
+}
+
+void Database::putVoterLists(const idempotency::VoterListHistory& lists) {
+  Statement old(connection_, "SELECT place, version, keeper FROM lists");
+  while (old.step()) digest_ ^= checksumOf(VoterListRow{old.number(0), old.number(1), old.text(2)});
+  connection_.execute("DELETE FROM lists");
+  std::uint64_t place = 0;
+  putVoterList(place, lists.current);
+  for (const idempotency::VoterList& previous : lists.previous) putVoterList(++place, previous);
+}
+
+void Database::putVoterList(std::uint64_t place, const idempotency::VoterList& list) {
+  for (const std::string& voter : list.names) {
+    digest_ ^= checksumOf(VoterListRow{place, list.version, voter});
+    Statement(connection_, "INSERT INTO lists VALUES (?, ?, ?)")
+        .bind(place)
+        .bind(list.version)
+        .bind(voter)
+        .step();
   }
 }
 
-void Database::commit(const std::vector<const std::vector<idempotency::VotingMember::DiskChange>*>& groups) {
-  run("BEGIN IMMEDIATE");
-  for (const auto* changes : groups)
-    for (const auto& change : *changes) apply(change);
-  setMeta("digest", std::to_string(digest_));
-  run("COMMIT");
+void Database::putVoting(bool isComplete, std::uint64_t newSince) {
+  setMeta(kCompleteKey, isComplete ? "1" : "0");
+  setMeta(kNewSinceKey, std::to_string(newSince));
 }
 
 }  // namespace gulltrestle::store
--- a/src/store/database.h
+++ b/src/store/database.h
@@ -1,59 +1,76 @@
-// The store's database, one connection to it. Not for several threads at a time.
+// The rows of a store: reads all of them with their checksums, and changes them in transactions. One
+// connection to one file; not for several threads at a time. Used by Store, which owns folder and thread.
+//
+// Each row has a checksum, and the database one digest over all of them (store/row_checksums.h), so that a
+// row that is missing, of an older state or changed by others is noticed.
 #pragma once
 
 #include <cstdint>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
 #include "idempotency/voting_member.h"
-
-struct sqlite3;
-struct sqlite3_stmt;
+#include "store/connection.h"
+#include "store/row_checksums.h"
 
 namespace gulltrestle::store {
 
-// The file is not what was written.
-class CorruptDatabase : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-// The disk or the system does not let us.
-class DiskError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
 class Database {
  public:
-  enum class OpenMode { writing, reading };
-  // Opens the file, or begins one. Throws Damaged, Failed.
-  Database(const std::string& path, OpenMode what);
-  Database(const Database&) = delete;
-  Database& operator=(const Database&) = delete;
-  ~Database();
-
-  bool isNew() const { return isNew_; }
-  // Of a new one: whose it is, and whether its votes count at once.
-  void begin(const std::string& keeper, bool whole);
-  const std::string& keeper() const { return keeper_; }
-  // All of it, checked against its checksums. Throws Damaged.
+  using OpenMode = Connection::OpenMode;
+  using DiskChange = idempotency::VotingMember::DiskChange;
+
+  // Opens the file; when writing, creates one that is missing. Throws CorruptDatabase, and DiskError also for
+  // a format that this version does not know.
+  Database(const std::string& path, OpenMode mode);
+
+  // Whether the file has no tables yet: begin() is to be called before anything else.
+  [[nodiscard]] bool isNew() const { return isNew_; }
+  // Creates the tables. `voter` is the voting member whose store it is; `isComplete`: its votes count at
+  // once, as there never were others. Throws DiskError.
+  void begin(const std::string& voter, bool isComplete);
+  // The voting member whose store it is.
+  [[nodiscard]] const std::string& voter() const { return voter_; }
+  // All rows, checked against the digest; a file of an older format that is open for writing is brought up to
+  // date. Throws CorruptDatabase, DiskError.
   idempotency::StoredState load();
-  // All of these or none. Throws Failed, or Damaged; the connection is of no use after that.
-  void commit(const std::vector<const std::vector<idempotency::VotingMember::DiskChange>*>& groups);
+  // All changes of all groups in one transaction: once it returns they are durable. Throws DiskError or
+  // CorruptDatabase: they may be durable or not, all or none, and the connection is of no further use. After
+  // load() or begin() only.
+  void commit(const std::vector<const std::vector<DiskChange>*>& groups);
 
  private:
-  class Statement;
-  void run(const char* text);
-  std::string meta(const char* key);
-  void setMeta(const char* key, const std::string& value);
-  void apply(const idempotency::VotingMember::DiskChange& change);
-  [[noreturn]] void fail(int code);
-
-  sqlite3* handle_ = nullptr;
-  std::string path_, keeper_;
+  // One row of the table `meta`; empty where there is none.
+  std::string meta(const std::string& key) const;
+  void setMeta(const std::string& key, const std::string& value);
+
+  void checkStructure() const;
+  void loadMeta(idempotency::StoredState& state);
+  void loadClaims(idempotency::StoredState& state);
+  void loadVoterStarts(idempotency::StoredState& state);
+  void loadNodes(idempotency::StoredState& state);
+  void loadPrimaries(idempotency::StoredState& state);
+  void loadMembers(idempotency::StoredState& state);
+  void loadVoterLists(idempotency::StoredState& state);
+  void upgrade(const std::string& format);
+
+  void apply(const DiskChange& change);
+  void putClaim(const DiskChange& change);
+  void dropClaim(const std::string& id);
+  void putVoterStart(const VoterStartRow& row);
+  void putNode(const NodeRow& row);
+  void putPrimary(const PrimaryRow& row);
+  void putMember(const RouterStartRow& row);
+  void putVoterLists(const idempotency::VoterListHistory& lists);
+  void putVoterList(std::uint64_t place, const idempotency::VoterList& list);
+  void putVoting(bool isComplete, std::uint64_t newSince);
+  // Takes the claim of that id out of the digest, if there is one.
+  void forgetClaimChecksum(const std::string& id);
+
+  Connection connection_;
+  std::string voter_;
   bool isNew_ = false;
-  std::uint64_t digest_ = 0;  // over all rows, whatever their order
+  std::uint64_t digest_ = 0;  // exclusive or of the checksums of all rows
 };
 
 }  // namespace gulltrestle::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -59,8 +59,8 @@
         if (n > 0) throw UnusableFolder(path + ": " + bad.what());
         setAside_ = moveAside(path) + " (" + bad.what() + ")";
       }
-    if (database_->keeper() != keeper)
-      throw UnusableFolder(path + " is the store of the keeper '" + database_->keeper() + "'");
+    if (database_->voter() != keeper)
+      throw UnusableFolder(path + " is the store of the keeper '" + database_->voter() + "'");
     const idempotency::VoterIncarnation start{kept_.own.empty() ? 1 : kept_.own.back().number + 1, draw};
     using DiskChange = idempotency::VotingMember::DiskChange;
     std::vector<DiskChange> changes(1);
@@ -199,7 +199,7 @@
   if (!exists(path)) throw UnusableFolder(path + " is not there");
   try {
     Database database(path, Database::OpenMode::reading);
-    contents.keeper = database.keeper();
+    contents.keeper = database.voter();
     contents.kept = database.load();
   } catch (const CorruptDatabase& bad) { contents.damage = bad.what(); } catch (const std::exception& bad) {
     throw UnusableFolder(path + ": " + bad.what());
