--- a/src/idempotency/voting_member.cpp
+++ b/src/idempotency/voting_member.cpp
@@ -9,34 +9,36 @@
   return kNames[static_cast<int>(state)];
 }
 
-VotingMember::VotingMember(Instant now, const std::string& name, VotingMemberLimits bounds, StoredState kept)
-    : bounds_(bounds),
-      whole_(kept.isComplete),
-      name_(name),
-      lists_(std::move(kept.lists)),
-      moved_{name},
-      own_(std::move(kept.own)),
-      newSince_(kept.newSince),
-      others_(lists_.current.names),
-      starts_(std::move(kept.starts)),
-      now_(now) {
-  others_.erase(name);
-  for (ClaimRecord& entry : kept.entries) {
-    oldest_.emplace_back(now + bounds_.retention, std::pair(entry.id, entry.token));
-    const std::string id = entry.id;
-    entries_[id] = {std::move(entry), true};
+VotingMember::VotingMember(Instant now, const std::string& name, VotingMemberLimits limits,
+                           StoredState stored)
+    : limits_(limits),
+      isComplete_(stored.isComplete),
+      lists_(std::move(stored.lists)),
+      onCurrentList_{name},
+      ownStarts_(std::move(stored.own)),
+      newSince_(stored.newSince),
+      otherVoters_(lists_.current.names),
+      otherStarts_(std::move(stored.starts)) {
+  otherVoters_.erase(name);
+  for (ClaimRecord& record : stored.entries) {
+    expiries_.push_back({now + limits_.retention, record.id, record.token});
+    const std::string id = record.id;
+    claims_[id] = {std::move(record), true};
   }
-  settle(false);
-  begin(now);
+  finishListChange(false);
+  finishVerification(now);
 }
 
-// `answered`: by a settled keeper. Lists before that are over stay so: disks don't go back.
-void VotingMember::settle(bool answered) {
+// --- Among voters
+
+// Lists that are superseded stay so: disks don't go back.
+void VotingMember::finishListChange(bool isAnswered) {
   if (state_ != State::changingLists) return;
-  const bool over =
-      answered || std::all_of(lists_.previous.begin(), lists_.previous.end(),
-                              [&](const VoterList& before) { return isSuperseded(before, moved_); });
-  if (!over) return;
+  const bool areSuperseded = isAnswered || std::all_of(lists_.previous.begin(), lists_.previous.end(),
+                                                       [&](const VoterList& previous) {
+                                                         return isSuperseded(previous, onCurrentList_);
+                                                       });
+  if (!areSuperseded) return;
   state_ = State::verifyingDisk;
   if (lists_.previous.empty()) return;
   lists_.previous.clear();
@@ -46,152 +48,177 @@
   changes_.push_back(std::move(change));
 }
 
-// Enough have been heard: from here on it votes, or waits until what it may have forgotten counts no more.
-void VotingMember::begin(Instant now) {
-  if (state_ != State::verifyingDisk || heard_.size() + 1 < majorityOf(others_.size() + 1)) return;
-  if (whole_) {
+void VotingMember::finishVerification(Instant now) {
+  const std::size_t voters = otherVoters_.size() + 1;
+  if (state_ != State::verifyingDisk || confirmedBy_.size() + 1 < majorityOf(voters)) return;
+  if (isComplete_) {
     state_ = State::voting;
     return;
   }
   state_ = State::abstaining;
-  silentUntil_ = now + bounds_.retention;
+  abstainsUntil_ = now + limits_.retention;
 }
 
 std::vector<std::string> VotingMember::unverifiedVoters() const {
   std::vector<std::string> names;
   if (state_ == State::changingLists || state_ == State::verifyingDisk)
-    std::set_difference(others_.begin(), others_.end(), heard_.begin(), heard_.end(),
+    std::set_difference(otherVoters_.begin(), otherVoters_.end(), confirmedBy_.begin(), confirmedBy_.end(),
                         std::back_inserter(names));
   return names;
 }
 
-std::optional<VoterIncarnation> VotingMember::onGreeting(const std::string& keeper,
+std::optional<VoterIncarnation> VotingMember::onGreeting(const std::string& voter,
                                                          const VoterIncarnation& start) {
-  if (!others_.contains(keeper)) return VoterIncarnation();
-  moved_.insert(keeper);
-  settle(false);
+  if (!otherVoters_.contains(voter)) return VoterIncarnation();
+  onCurrentList_.insert(voter);
+  finishListChange(false);
   if (state_ == State::changingLists) return std::nullopt;
-  VoterIncarnation& known = starts_[keeper];
-  const VoterIncarnation knew = known;
-  if (start.number > known.number) {
-    known = start;
-    changes_.push_back({DiskChange::Kind::start, keeper, {}, start, false});
+  VoterIncarnation& newest = otherStarts_[voter];
+  const VoterIncarnation knownBefore = newest;
+  if (start.number > newest.number) {
+    newest = start;
+    writeStart(voter, start);
   }
-  return knew;
+  return knownBefore;
 }
 
-bool VotingMember::onGreetingReply(Instant now, const std::string& keeper, std::uint64_t ours,
-                                   const VoterIncarnation& knew) {
-  now_ = now;
+bool VotingMember::onGreetingReply(Instant now, const std::string& voter, std::uint64_t greetedStart,
+                                   const VoterIncarnation& knownStart) {
   // An answer to an older greeting says nothing of this start.
-  if (!others_.contains(keeper) || ours != start().number) return false;
-  settle(true);
-  const bool isOurs = std::any_of(own_.begin(), own_.end(), [&](auto& s) { return s.draw == knew.draw; });
+  if (!otherVoters_.contains(voter) || greetedStart != start().number) return false;
+  finishListChange(true);
+  const bool isOurs = std::any_of(ownStarts_.begin(), ownStarts_.end(),
+                                  [&](const auto& own) { return own.draw == knownStart.draw; });
   // A start that this disk has not seen: it was another disk's, or this one's later than this copy. Numbers
-  // alone don't tell: starts that nobody heard of count up, too.
-  if (knew.number > 0 && knew.number >= newSince_ && !isOurs) {
-    newSince_ = std::max(knew.number, start().number) + 1;
-    own_.push_back({newSince_, start().draw});
-    changes_.push_back({DiskChange::Kind::start, "", {}, start(), false});
-    changes_.push_back({DiskChange::Kind::voting, "", {}, start(), false});
-    whole_ = false;
-    state_ = State::verifyingDisk;
-    heard_.clear();
+  // alone don't tell: starts that nobody was notified of count up, too.
+  if (knownStart.number > 0 && knownStart.number >= newSince_ && !isOurs) {
+    startAnew(knownStart);
     return true;
   }
-  heard_.insert(keeper);
-  begin(now);
+  confirmedBy_.insert(voter);
+  finishVerification(now);
   return false;
 }
 
-void VotingMember::put(const ClaimRecord& entry) {
-  changes_.push_back({DiskChange::Kind::put, entry.id, entry, {}, false});
+void VotingMember::startAnew(const VoterIncarnation& knownStart) {
+  newSince_ = std::max(knownStart.number, start().number) + 1;
+  ownStarts_.push_back({newSince_, start().draw});
+  writeStart("", start());
+  writeVoting(start(), false);
+  isComplete_ = false;
+  state_ = State::verifyingDisk;
+  confirmedBy_.clear();
 }
 
-void VotingMember::remember(Instant now, const std::string& id) {
-  oldest_.emplace_back(now + bounds_.retention, std::pair(id, entries_.at(id).entry.token));
-}
+// --- Claims
 
-// Its time counts from now, not from the last turn: this process may have stood still in between.
 std::optional<Vote> VotingMember::onClaim(Instant now, const std::string& id, const ClaimToken& token) {
-  now_ = now;
-  if (const auto at = entries_.find(id); at != entries_.end()) {
-    const HeldClaim& held = at->second;
-    if (held.entry.token != token) return taken(held.entry);
-    if (state_ != State::voting) return Vote{};
-    if (held.durable) return Vote{Vote::Kind::granted, false, ""};
-    if (waiting_ >= bounds_.maxPendingWrites) return Vote{};
-    ++waiting_;
-    return std::nullopt;
-  }
-  // Kind was released and claimed anew keeps its place among the oldest, too.
-  if (state_ != State::voting || oldest_.size() >= bounds_.maxClaims || waiting_ >= bounds_.maxPendingWrites)
+  if (const auto found = claims_.find(id); found != claims_.end())
+    return onRepeatedClaim(found->second, token);
+  // A claim that was released and claimed anew has its first place among the expiries still.
+  if (state_ != State::voting || expiries_.size() >= limits_.maxClaims ||
+      pendingWrites_ >= limits_.maxPendingWrites)
     return Vote{};
-  ++waiting_;
-  const ClaimRecord entry{id, token, false, ""};
-  entries_[id] = {entry, false};
-  remember(now, id);
-  put(entry);
+  ++pendingWrites_;
+  const ClaimRecord record{id, token, false, ""};
+  claims_[id] = {record, false};
+  scheduleExpiry(now, id);
+  writeClaim(record);
+  return std::nullopt;
+}
+
+std::optional<Vote> VotingMember::onRepeatedClaim(const HeldClaim& held, const ClaimToken& token) {
+  if (held.record.token != token) return takenBy(held.record);
+  if (state_ != State::voting) return Vote{};
+  if (held.isDurable) return Vote{Vote::Kind::granted, false, ""};
+  if (pendingWrites_ >= limits_.maxPendingWrites) return Vote{};
+  ++pendingWrites_;
   return std::nullopt;
 }
 
-std::optional<Vote> VotingMember::onWritten(const std::string& id, const ClaimToken& token, bool durable) {
-  if (waiting_ > 0) --waiting_;
-  const auto at = entries_.find(id);
-  if (at == entries_.end() || at->second.entry.token != token) return std::nullopt;
-  // Kind could not be written stays held here: nobody else gets the vote, and it is not given either.
-  if (!durable) return Vote{};
-  at->second.durable = true;
+std::optional<Vote> VotingMember::onWritten(const std::string& id, const ClaimToken& token, bool isDurable) {
+  if (pendingWrites_ > 0) --pendingWrites_;
+  const auto found = claims_.find(id);
+  if (found == claims_.end() || found->second.record.token != token) return std::nullopt;
+  // What could not be written stays held here: nobody else gets the vote, and it is not given either.
+  if (!isDurable) return Vote{};
+  found->second.isDurable = true;
   return Vote{state_ == State::voting ? Vote::Kind::granted : Vote::Kind::abstained, false, ""};
 }
 
 void VotingMember::onCommitted(Instant now, const std::string& id, const ClaimToken& token,
                                std::string value) {
-  now_ = now;
-  if (value.size() > bounds_.maxValueBytes) value.clear();
-  const auto at = entries_.find(id);
-  if (at == entries_.end()) {
-    // The claim did not reach this keeper; that it was committed is a fact all the same.
-    if (oldest_.size() >= bounds_.maxClaims) return;
-    entries_[id] = {ClaimRecord{id, token, true, std::move(value)}, false};
-    remember(now, id);
-    return put(entries_.at(id).entry);
+  if (value.size() > limits_.maxValueBytes) value.clear();
+  const auto found = claims_.find(id);
+  if (found == claims_.end()) {
+    // The claim did not reach this voter; that it was committed is a fact all the same.
+    if (expiries_.size() >= limits_.maxClaims) return;
+    claims_[id] = {ClaimRecord{id, token, true, std::move(value)}, false};
+    scheduleExpiry(now, id);
+    return writeClaim(claims_.at(id).record);
   }
-  ClaimRecord& entry = at->second.entry;
-  if (entry.committed && entry.token == token) return;
+  ClaimRecord& record = found->second.record;
+  if (record.committed && record.token == token) return;
   // Another claim's vote here never won: the one that did was committed.
-  const bool anew = entry.token != token;
-  entry = {id, token, true, std::move(value)};
-  put(entry);
-  if (anew) remember(now, id);
+  const bool isOtherClaim = record.token != token;
+  record = {id, token, true, std::move(value)};
+  writeClaim(record);
+  if (isOtherClaim) scheduleExpiry(now, id);
 }
 
 void VotingMember::onReleased(const std::string& id, const ClaimToken& token) {
-  const auto at = entries_.find(id);
-  if (at == entries_.end() || at->second.entry.token != token || at->second.entry.committed) return;
-  entries_.erase(at);
-  changes_.push_back({DiskChange::Kind::drop, id, {}, {}, false});
+  const auto found = claims_.find(id);
+  if (found == claims_.end() || found->second.record.token != token || found->second.record.committed) return;
+  claims_.erase(found);
+  writeDrop(id);
 }
 
+// --- Time
+
 Instant VotingMember::runTimers(Instant now) {
-  now_ = now;
-  if (state_ == State::abstaining && now >= silentUntil_) {
+  if (state_ == State::abstaining && now >= abstainsUntil_) {
     state_ = State::voting;
-    whole_ = true;
-    changes_.push_back({DiskChange::Kind::voting, "", {}, {newSince_, 0}, true});
+    isComplete_ = true;
+    writeVoting({newSince_, 0}, true);
   }
-  while (!oldest_.empty() && oldest_.front().first <= now) {
-    const auto [id, token] = std::move(oldest_.front().second);
-    oldest_.pop_front();
-    const auto at = entries_.find(id);
+  dropExpired(now);
+  const Instant nextExpiry = expiries_.empty() ? Instant() : expiries_.front().when;
+  if (state_ != State::abstaining) return nextExpiry;
+  return nextExpiry == Instant() ? abstainsUntil_ : std::min(nextExpiry, abstainsUntil_);
+}
+
+void VotingMember::scheduleExpiry(Instant now, const std::string& id) {
+  expiries_.push_back({now + limits_.retention, id, claims_.at(id).record.token});
+}
+
+void VotingMember::dropExpired(Instant now) {
+  while (!expiries_.empty() && expiries_.front().when <= now) {
+    const ClaimExpiry expired = std::move(expiries_.front());
+    expiries_.pop_front();
+    const auto found = claims_.find(expired.id);
     // Claimed anew since it was released: that one has its own time.
-    if (at == entries_.end() || at->second.entry.token != token) continue;
-    entries_.erase(at);
-    changes_.push_back({DiskChange::Kind::drop, id, {}, {}, false});
+    if (found == claims_.end() || found->second.record.token != expired.token) continue;
+    claims_.erase(found);
+    writeDrop(expired.id);
   }
-  const Instant next = oldest_.empty() ? Instant() : oldest_.front().first;
-  if (state_ != State::abstaining) return next;
-  return next == Instant() ? silentUntil_ : std::min(next, silentUntil_);
+}
+
+// --- What is to be made durable
+
+void VotingMember::writeClaim(const ClaimRecord& record) {
+  changes_.push_back({DiskChange::Kind::put, record.id, record, {}, false});
+}
+
+void VotingMember::writeDrop(const std::string& id) {
+  changes_.push_back({DiskChange::Kind::drop, id, {}, {}, false});
+}
+
+void VotingMember::writeStart(const std::string& voter, const VoterIncarnation& start) {
+  changes_.push_back({DiskChange::Kind::start, voter, {}, start, false});
+}
+
+void VotingMember::writeVoting(const VoterIncarnation& newSince, bool isComplete) {
+  changes_.push_back({DiskChange::Kind::voting, "", {}, newSince, isComplete});
 }
 
 }  // namespace gulltrestle::idempotency
