--- a/src/idempotency/claim_types.h
+++ b/src/idempotency/claim_types.h
@@ -1,12 +1,13 @@
-// The words of claims: by which routers settle among themselves that a txn that may run only once does.
+// Claims: how routers agree that a txn that may run only once does.
 //
-// A router that was asked for such a txn claims its id at all keepers, which are a few routers with a lasting
-// disk, named in a list that all routers have. A keeper gives its vote for an id to one claim, durable before
-// it is told, and keeps it for the time of retention. Who has the votes of more than half of the keepers may
-// send the txn. Kind became of it is told to the keepers, so that a repeat gets the outcome that is known.
+// A router that was asked for such a txn claims its id at all voters, which are a few routers with a lasting
+// disk, named in a list that all routers have. A voter gives its vote for an id to one claim, durable before
+// it is answered, and stores it for the time of retention. Who has the votes of more than half of the voters
+// may send the txn. The voters are notified of its outcome, so that a repeat gets the outcome that is known.
 #pragma once
 
 #include <compare>
+#include <cstddef>
 #include <cstdint>
 #include <string>
 
@@ -22,7 +23,7 @@
   auto operator<=>(const ClaimToken&) const = default;
 };
 
-// One start of a keeper's program: counted on its disk, and drawn, so that two disks that count alike are
+// One start of a voter's program: counted on its disk, and drawn, so that two disks that count alike are
 // told apart.
 struct VoterIncarnation {
   std::uint64_t number = 0;  // 0: none is known
@@ -30,7 +31,7 @@
   bool operator==(const VoterIncarnation&) const = default;
 };
 
-// Kind a keeper holds of an id.
+// What a voter stores of an id.
 struct ClaimRecord {
   std::string id;
   ClaimToken token;
@@ -39,19 +40,19 @@
   bool operator==(const ClaimRecord&) const = default;
 };
 
-// A keeper's answer to a claim.
+// A voter's answer to a claim.
 struct Vote {
   enum class Kind {
     granted,       // this claim has its vote, durably
     takenByOther,  // another has it
     abstained,     // it gives none now
   } kind = Kind::abstained;
-  bool committed = false;  // taken: that one is known as committed, with this value
+  bool committed = false;  // takenByOther: that one is known as committed, with this value
   std::string value;
   bool operator==(const Vote&) const = default;
 };
 
-// More than half: any two such sets share a keeper.
-constexpr std::size_t majorityOf(std::size_t keepers) { return keepers / 2 + 1; }
+// More than half: any two such sets share a voter.
+constexpr std::size_t majorityOf(std::size_t voters) { return voters / 2 + 1; }
 
 }  // namespace gulltrestle::idempotency
--- a/src/idempotency/voter_lists.cpp
+++ b/src/idempotency/voter_lists.cpp
@@ -6,65 +6,69 @@
 
 namespace {
 
-// How many of those before are keepers still.
-std::size_t stay(const VoterList& before, const VoterList& later) {
-  return static_cast<std::size_t>(
-      std::count_if(before.names.begin(), before.names.end(),
-                    [&](const auto& name) { return later.names.contains(name); }));
+std::size_t countIn(const VoterList& list, const std::set<std::string>& voters) {
+  return static_cast<std::size_t>(std::count_if(list.names.begin(), list.names.end(),
+                                                [&](const auto& name) { return voters.contains(name); }));
 }
 
-std::string named(const VoterList& list) {
+std::string joinedNames(const VoterList& list) {
   std::string names;
   for (const auto& name : list.names) names += (names.empty() ? "" : " ") + name;
   return names;
 }
 
+// Why the list may not follow its predecessor; empty: it may.
+std::string faultOf(const VoterList& list, const VoterList& predecessor, std::size_t number) {
+  const auto place = "list " + std::to_string(number) + " (" + joinedNames(list) + ")";
+  if (list.names.size() < predecessor.names.size())
+    return place +
+           " is shorter than the one before: that takes a stop of all routers, for the time of retention";
+  if (countIn(predecessor, list.names) < majorityOf(predecessor.names.size()))
+    return place + " keeps half or fewer of the one before: change fewer at a time";
+  return "";
+}
+
+// Why this disk's voter may not serve under the last of the lists; empty: it may.
+std::string rejectReasonOf(const VoterList& servedUnder, const std::vector<VoterList>& lists) {
+  const std::uint64_t last = servedUnder.version;
+  if (last > lists.size())
+    return "are list " + std::to_string(lists.back().version) + ", and this keeper served under list " +
+           std::to_string(last) + " already (" + joinedNames(servedUnder) + ")";
+  if (last > 0 && lists[last - 1] != servedUnder)
+    return "have another list " + std::to_string(last) + " than the one that this keeper served under (" +
+           joinedNames(servedUnder) + "); a change adds a list";
+  return "";
+}
+
 }  // namespace
 
 std::string faultIn(const std::vector<VoterList>& lists) {
   if (lists.size() > kMaxVoterLists) return "are too many lists";
-  for (std::size_t i = 1; i < lists.size(); ++i) {
-    const auto place = "list " + std::to_string(i + 1) + " (" + named(lists[i]) + ")";
-    if (lists[i].names.size() < lists[i - 1].names.size())
-      return place +
-             " is shorter than the one before: that takes a stop of all routers, for the time of retention";
-    if (stay(lists[i - 1], lists[i]) < majorityOf(lists[i - 1].names.size()))
-      return place + " keeps half or fewer of the one before: change fewer at a time";
-  }
+  for (std::size_t i = 1; i < lists.size(); ++i)
+    if (std::string fault = faultOf(lists[i], lists[i - 1], i + 1); !fault.empty()) return fault;
   return "";
 }
 
-VoterListTransition transitionTo(const VoterListHistory& kept, const std::vector<VoterList>& lists,
-                                 const std::string& keeper) {
+VoterListTransition transitionTo(const VoterListHistory& stored, const std::vector<VoterList>& lists,
+                                 const std::string& voter) {
   const VoterList& present = lists.back();
-  const std::uint64_t last = kept.current.version;
-  VoterListTransition moved;
-  moved.lists = {present, kept.previous};
-  moved.changed = present != kept.current;
-  if (last > lists.size()) {
-    moved.rejectReason = "are list " + std::to_string(present.version) +
-                         ", and this keeper served under list " + std::to_string(last) + " already (" +
-                         named(kept.current) + ")";
-    return moved;
-  }
-  if (last > 0 && lists[last - 1] != kept.current) {
-    moved.rejectReason = "have another list " + std::to_string(last) +
-                         " than the one that this keeper served under (" + named(kept.current) +
-                         "); a change adds a list";
-    return moved;
-  }
-  if (last == 0) moved.diskCounts = lists.size() == 1;
+  VoterListTransition transition;
+  transition.lists = {present, stored.previous};
+  transition.changed = present != stored.current;
+  transition.rejectReason = rejectReasonOf(stored.current, lists);
+  if (!transition.rejectReason.empty()) return transition;
+  const std::uint64_t last = stored.current.version;
+  if (last == 0) transition.diskCounts = lists.size() == 1;
+  // The one that it served under and those that it missed may not be superseded yet.
   for (std::size_t i = last == 0 ? 0 : last - 1; i + 1 < lists.size(); ++i) {
-    moved.lists.previous.push_back(lists[i]);
-    if (!lists[i].names.contains(keeper)) moved.diskCounts = false;
+    transition.lists.previous.push_back(lists[i]);
+    if (!lists[i].names.contains(voter)) transition.diskCounts = false;
   }
-  return moved;
+  return transition;
 }
 
-bool isSuperseded(const VoterList& list, const std::set<std::string>& onPresent) {
-  const auto moved = static_cast<std::size_t>(std::count_if(
-      list.names.begin(), list.names.end(), [&](const auto& name) { return onPresent.contains(name); }));
-  return moved >= majorityOf(list.names.size());
+bool isSuperseded(const VoterList& list, const std::set<std::string>& onPresentList) {
+  return countIn(list, onPresentList) >= majorityOf(list.names.size());
 }
 
 }  // namespace gulltrestle::idempotency
