--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -2,103 +2,111 @@
 
 namespace gulltrestle::membership {
 
-FailureDetector::FailureDetector(Instant now, const std::set<std::string>& list,
-                                 std::map<std::string, Incarnation> kept)
-    : others_(std::move(kept)), turnedAt_(now) {
-  FailureDetector::setMembers(now, list);
+FailureDetector::FailureDetector(Instant now, const std::set<std::string>& members,
+                                 std::map<std::string, Incarnation> stored)
+    : storedOthers_(std::move(stored)), lastCall_(now) {
+  setMembers(now, members);
 }
 
-void FailureDetector::setMembers(Instant now, const std::set<std::string>& list) {
-  for (const auto& router : list) {
-    if (list_.contains(router)) continue;
-    Member& member = members_[router];
-    if (const auto at = others_.find(router); at != others_.end()) {
-      member.newest = at->second;
-      others_.erase(at);
-    }
-    member.hearing = Liveness::awaited;
-    member.heardAt = now;
-    changed(router, member);
+void FailureDetector::setMembers(Instant now, const std::set<std::string>& members) {
+  for (const auto& router : members)
+    if (!list_.contains(router)) addMember(now, router);
+  for (const auto& router : list_) {
+    if (members.contains(router)) continue;
+    Member& member = members_.at(router);
+    member.liveness = Liveness::removed;
+    markChanged(router, member);
   }
-  for (const auto& router : list_)
-    if (!list.contains(router)) {
-      members_.at(router).hearing = Liveness::removed;
-      changed(router, members_.at(router));
-    }
-  list_ = list;
+  list_ = members;
 }
 
-void FailureDetector::changed(const std::string& router, Member& member) {
+void FailureDetector::addMember(Instant now, const std::string& router) {
+  Member& member = members_[router];
+  if (const auto stored = storedOthers_.find(router); stored != storedOthers_.end()) {
+    member.newest = stored->second;
+    storedOthers_.erase(stored);
+  }
+  member.liveness = Liveness::awaited;
+  member.lastHeard = now;
+  markChanged(router, member);
+}
+
+void FailureDetector::markChanged(const std::string& router, Member& member) {
   byVersion_.erase(member.version);
   member.version = ++version_;
   byVersion_[member.version] = router;
 }
 
 Incarnation FailureDetector::newestIncarnation(const std::string& router) const {
-  const auto at = members_.find(router);
-  return at == members_.end() ? Incarnation() : at->second.newest;
+  const auto member = members_.find(router);
+  return member == members_.end() ? Incarnation() : member->second.newest;
 }
 
-void FailureDetector::onJoinRequest(Instant now, const std::string& router, const Incarnation& start) {
+void FailureDetector::onJoinRequest(Instant now, const std::string& router, const Incarnation& requested) {
   if (!list_.contains(router)) return;
   Member& member = members_.at(router);
   const std::uint64_t known = member.newest.number;
-  if (start.number <= known || start.number > known + kMaxIncarnationStep || start.number >= kMaxIncarnation)
-    return;
-  member.newest = start;
-  member.heardAt = now;
-  member.hearing = Liveness::alive;
-  changes_.emplace_back(router, start);
-  changed(router, member);
+  const bool isPlausible =
+      requested.number <= known + kMaxIncarnationStep && requested.number < kMaxIncarnation;
+  if (requested.number <= known || !isPlausible) return;
+  member.newest = requested;
+  member.lastHeard = now;
+  member.liveness = Liveness::alive;
+  changes_.push_back({router, requested});
+  markChanged(router, member);
 }
 
 bool FailureDetector::isCurrent(const std::string& router, std::uint64_t draw) const {
-  const auto at = members_.find(router);
-  return at != members_.end() && list_.contains(router) && at->second.newest.number > 0 &&
-         at->second.newest.draw == draw;
+  const auto member = members_.find(router);
+  if (member == members_.end() || !list_.contains(router)) return false;
+  const Incarnation& newest = member->second.newest;
+  return newest.number > 0 && newest.draw == draw;
 }
 
 void FailureDetector::onHeartbeat(Instant now, const std::string& router, std::uint64_t draw,
-                                  std::optional<MemberProgress> told) {
+                                  std::optional<MemberProgress> progress) {
   if (!isCurrent(router, draw)) return;
   Member& member = members_.at(router);
-  const MemberProgress progress = told.value_or(member.progress);
-  member.heardAt = now;
-  if (member.hearing == Liveness::alive && member.progress == progress) return;
-  member.hearing = Liveness::alive;
-  member.progress = progress;
-  changed(router, member);
+  const MemberProgress newProgress = progress.value_or(member.progress);
+  member.lastHeard = now;
+  if (member.liveness == Liveness::alive && member.progress == newProgress) return;
+  member.liveness = Liveness::alive;
+  member.progress = newProgress;
+  markChanged(router, member);
 }
 
 void FailureDetector::checkTimeouts(Instant now) {
-  const Duration gap = now - turnedAt_;
-  turnedAt_ = now;
+  const Duration gap = now - lastCall_;
+  lastCall_ = now;
   const bool stoodStill = gap > kCheckInterval * 2;
-  // Not in each of a busy keeper's many turns.
-  if (!stoodStill && now - lookedAt_ < kCheckInterval) return;
-  lookedAt_ = now;
+  // Not in each of a busy voter's many turns.
+  if (!stoodStill && now - lastCheck_ < kCheckInterval) return;
+  lastCheck_ = now;
   for (auto& [router, member] : members_) {
-    if (stoodStill) member.heardAt = member.heardAt + gap;
-    if (member.hearing == Liveness::silent || member.hearing == Liveness::removed) continue;
-    if (now - member.heardAt < kTimeout) continue;
-    member.hearing = Liveness::silent;
-    changed(router, member);
+    if (stoodStill) member.lastHeard = member.lastHeard + gap;
+    if (member.liveness == Liveness::silent || member.liveness == Liveness::removed) continue;
+    if (now - member.lastHeard < kTimeout) continue;
+    member.liveness = Liveness::silent;
+    markChanged(router, member);
   }
 }
 
-std::vector<LivenessReport> FailureDetector::reportsSince(std::uint64_t& version, std::size_t most) const {
-  std::vector<LivenessReport> out;
-  for (auto at = byVersion_.upper_bound(version); at != byVersion_.end() && out.size() < most; ++at) {
-    out.push_back(reportOf(at->second, members_.at(at->second)));
-    version = at->first;
+std::vector<LivenessReport> FailureDetector::reportsSince(std::uint64_t& version,
+                                                          std::size_t maxReports) const {
+  std::vector<LivenessReport> reports;
+  auto change = byVersion_.upper_bound(version);
+  for (; change != byVersion_.end() && reports.size() < maxReports; ++change) {
+    const std::string& router = change->second;
+    reports.push_back(reportOf(router, members_.at(router)));
+    version = change->first;
   }
-  return out;
+  return reports;
 }
 
 std::vector<LivenessReport> FailureDetector::allReports() const {
-  std::vector<LivenessReport> out;
-  for (const auto& [router, member] : members_) out.push_back(reportOf(router, member));
-  return out;
+  std::vector<LivenessReport> reports;
+  for (const auto& [router, member] : members_) reports.push_back(reportOf(router, member));
+  return reports;
 }
 
 }  // namespace gulltrestle::membership
--- a/src/membership/join_protocol.cpp
+++ b/src/membership/join_protocol.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Two processes that start with one name at a time part by chance within a few of these.
-constexpr Duration kRestLeast = Duration::millis(50), kRestMost = Duration::millis(500);
+constexpr Duration kMinPause = Duration::millis(50), kMaxPause = Duration::millis(500);
 
 }  // namespace
 
@@ -16,72 +16,81 @@
   return kNames[static_cast<int>(state)];
 }
 
-JoinProtocol::JoinProtocol(std::size_t keepers, std::uint64_t draw) : keepers_(keepers), chance_(draw) {
+JoinProtocol::JoinProtocol(std::size_t voterCount, std::uint64_t draw)
+    : voterCount_(voterCount), random_(draw) {
   own_.draw = draw;
 }
 
-void JoinProtocol::onNewestKnown(Instant now, VoterIndex keeper, const Incarnation& newest) {
-  newest_[keeper] = newest;
+void JoinProtocol::onNewestKnown(Instant now, VoterIndex voter, const Incarnation& newest) {
+  newestKnown_[voter] = newest;
   if (newest == own_ && own_.number > 0)
-    has_.insert(keeper);
+    joinedAt_.insert(voter);
   else
-    has_.erase(keeper);
+    joinedAt_.erase(voter);
   if (state_ == State::joining || state_ == State::joined) {
-    if (!has_.contains(keeper) && !isHigher(newest)) wishes_.emplace_back(keeper, own_.number);
-    return judge(now);
+    if (!joinedAt_.contains(voter) && !isHigher(newest)) joinRequests_.push_back({voter, own_.number});
+    return updateState(now);
   }
-  if (state_ == State::discovering && newest_.size() >= majorityOf(keepers_)) wish();
+  if (state_ == State::discovering && newestKnown_.size() >= majorityOf(voterCount_)) requestJoin();
 }
 
-void JoinProtocol::onJoinReply(Instant now, VoterIndex keeper, const Incarnation& newest) {
-  newest_[keeper] = newest;
-  if (newest == own_ && own_.number > 0) has_.insert(keeper);
-  judge(now);
+void JoinProtocol::onJoinReply(Instant now, VoterIndex voter, const Incarnation& newest) {
+  newestKnown_[voter] = newest;
+  if (newest == own_ && own_.number > 0) joinedAt_.insert(voter);
+  updateState(now);
 }
 
-void JoinProtocol::onVoterLost(VoterIndex keeper) {
-  newest_.erase(keeper);
-  // What it has on disk it keeps; it is told anew when it is back.
-  has_.erase(keeper);
+// What it has on disk it keeps; it sends that anew when it is back.
+void JoinProtocol::onVoterLost(VoterIndex voter) {
+  newestKnown_.erase(voter);
+  joinedAt_.erase(voter);
 }
 
-// The number after the highest that a keeper told. One that is far above what the middle one knows is passed
-// over: it is false, and the others would refuse to follow.
-void JoinProtocol::wish() {
+// A number that is far above what the middle voter knows is passed over: it is false, and the others would
+// refuse to follow.
+std::uint64_t JoinProtocol::nextNumber() const {
   std::vector<std::uint64_t> numbers;
-  for (const auto& [keeper, newest] : newest_) numbers.push_back(newest.number);
+  for (const auto& [voter, newest] : newestKnown_) numbers.push_back(newest.number);
   std::sort(numbers.begin(), numbers.end());
-  const std::uint64_t most = numbers[(numbers.size() - 1) / 2] + kMaxIncarnationStep / 2;
+  const std::uint64_t median = numbers[(numbers.size() - 1) / 2];
+  const std::uint64_t plausible = median + kMaxIncarnationStep / 2;
   std::uint64_t highest = 0;
   for (const std::uint64_t number : numbers)
-    if (number <= most) highest = std::max(highest, number);
-  own_.number = highest + 1;
+    if (number <= plausible) highest = std::max(highest, number);
+  return highest + 1;
+}
+
+void JoinProtocol::requestJoin() {
+  own_.number = nextNumber();
   state_ = State::joining;
-  has_.clear();
-  for (const auto& [keeper, newest] : newest_) wishes_.emplace_back(keeper, own_.number);
+  joinedAt_.clear();
+  for (const auto& [voter, newest] : newestKnown_) joinRequests_.push_back({voter, own_.number});
 }
 
-void JoinProtocol::judge(Instant now) {
-  const std::size_t wanted = majorityOf(keepers_);
+void JoinProtocol::updateState(Instant now) {
+  const std::size_t majority = majorityOf(voterCount_);
   const auto higher = static_cast<std::size_t>(std::count_if(
-      newest_.begin(), newest_.end(), [&](const auto& known) { return isHigher(known.second); }));
-  if (state_ == State::joining && has_.size() >= wanted) state_ = State::joined;
-  if (state_ == State::joined && higher >= wanted) state_ = State::superseded;
-  if (state_ == State::joining && higher > keepers_ - wanted) {
+      newestKnown_.begin(), newestKnown_.end(), [&](const auto& known) { return isHigher(known.second); }));
+  if (state_ == State::joining && joinedAt_.size() >= majority) state_ = State::joined;
+  if (state_ == State::joined && higher >= majority) state_ = State::superseded;
+  if (state_ == State::joining && higher > voterCount_ - majority) {
     state_ = State::backingOff;
-    restsUntil_ =
-        now + kRestLeast + (kRestMost - kRestLeast) * std::uniform_real_distribution<double>(0, 1)(chance_);
+    backsOffUntil_ = now + drawPause();
   }
 }
 
+Duration JoinProtocol::drawPause() {
+  return kMinPause + (kMaxPause - kMinPause) * std::uniform_real_distribution<double>(0, 1)(random_);
+}
+
 Instant JoinProtocol::runTimers(Instant now) {
   if (state_ != State::backingOff) return Instant();
-  if (now < restsUntil_) return restsUntil_;
-  if (newest_.size() < majorityOf(keepers_)) {
+  if (now < backsOffUntil_) return backsOffUntil_;
+  if (newestKnown_.size() < majorityOf(voterCount_)) {
     state_ = State::discovering;
     return Instant();
   }
-  wish();
+  requestJoin();
   return Instant();
 }
 
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -3,13 +3,15 @@
 #include <algorithm>
 #include <functional>
 #include <map>
+#include <optional>
 
 namespace gulltrestle::membership {
 
 namespace {
 
-// Names that a keeper may tell of: beyond this it tells falsely, or the fleet is not one that was meant.
-constexpr std::size_t kMostRouters = 10'000;
+// Names that voters may report: beyond this one reports falsely, or the fleet is larger than any that is
+// supported.
+constexpr std::size_t kMaxRouters = 10'000;
 
 }  // namespace
 
@@ -18,77 +20,96 @@
   return kNames[static_cast<int>(state)];
 }
 
-MembershipView::Member MembershipView::judged(const Known& known) const {
-  const std::size_t wanted = majorityOf(keepers_);
-  Member member;
-  std::size_t heard = 0, most = 0;
-  std::vector<std::uint64_t> numbers;
-  std::map<std::uint64_t, std::size_t> starts;  // that are heard, by how many
-  for (const auto& [keeper, report] : known.reports) {
-    numbers.push_back(report.incarnation.number);
-    if (report.liveness == Liveness::alive) {
-      const MemberProgress& told = report.progress;
-      MemberProgress& least = member.progress;
-      if (heard++ == 0)
-        least = told;
-      else
-        least = {std::min(least.recoveryStage, told.recoveryStage),
-                 std::min(least.planVersion, told.planVersion),
-                 std::min(least.drainedVersion, told.drainedVersion)};
-      // Guards against a start that died and has not been missed yet at one keeper, beside its next one that
-      // another hears: that is one keeper for each, and nobody that lives.
-      const std::size_t same = ++starts[report.incarnation.number];
-      if (same > most) {
-        most = same;
-        if (same >= wanted) member.incarnation = report.incarnation.number;
-      }
-    } else if (report.liveness != Liveness::awaited) {
-      member.silent.push_back(keeper);
-      member.left += report.liveness == Liveness::removed;
-    }
+// Guards against a start that died and has not been missed yet at one voter, beside its next one that another
+// hears: that is one voter for each, and nobody that is alive.
+MembershipView::Hearing MembershipView::widestHeard(const Router& router) {
+  std::map<std::uint64_t, std::size_t> votersOfIncarnation;
+  Hearing widest;
+  for (const auto& [voter, report] : router.reports) {
+    if (report.liveness != Liveness::alive) continue;
+    const std::size_t voters = ++votersOfIncarnation[report.incarnation.number];
+    if (voters > widest.voters) widest = {voters, report.incarnation.number};
+  }
+  return widest;
+}
+
+MemberProgress MembershipView::leastProgress(const Router& router) {
+  std::optional<MemberProgress> least;
+  for (const auto& [voter, report] : router.reports) {
+    if (report.liveness != Liveness::alive) continue;
+    const MemberProgress& progress = report.progress;
+    if (!least) least = progress;
+    least->recoveryStage = std::min(least->recoveryStage, progress.recoveryStage);
+    least->planVersion = std::min(least->planVersion, progress.planVersion);
+    least->drainedVersion = std::min(least->drainedVersion, progress.drainedVersion);
   }
+  return least.value_or(MemberProgress());
+}
+
+std::uint64_t MembershipView::incarnationReached(const Router& router) const {
+  const std::size_t majority = majorityOf(voterCount_);
+  std::vector<std::uint64_t> numbers;
+  for (const auto& [voter, report] : router.reports) numbers.push_back(report.incarnation.number);
+  if (numbers.size() < majority) return 0;
   std::sort(numbers.begin(), numbers.end(), std::greater<>());
-  if (most < wanted && numbers.size() >= wanted) member.incarnation = numbers[wanted - 1];
-  member.state = most >= wanted                   ? State::alive
-                 : member.silent.size() >= wanted ? State::dead
-                 : !member.silent.empty()         ? State::suspected
-                                                  : State::unknown;
+  return numbers[majority - 1];
+}
+
+MembershipView::Member MembershipView::judged(const Router& router) const {
+  const std::size_t majority = majorityOf(voterCount_);
+  const Hearing heard = widestHeard(router);
+  const bool isAlive = heard.voters >= majority;
+  Member member;
+  member.progress = leastProgress(router);
+  member.incarnation = isAlive ? heard.incarnation : incarnationReached(router);
+  for (const auto& [voter, report] : router.reports) {
+    if (report.liveness == Liveness::alive || report.liveness == Liveness::awaited) continue;
+    member.silent.push_back(voter);
+    if (report.liveness == Liveness::removed) ++member.left;
+  }
+  if (isAlive)
+    member.state = State::alive;
+  else if (member.silent.size() >= majority)
+    member.state = State::dead;
+  else if (!member.silent.empty())
+    member.state = State::suspected;
   return member;
 }
 
-void MembershipView::judge(const std::string& router, Known& known) {
-  const Member member = judged(known);
-  const State before = std::exchange(known.state, member.state);
+void MembershipView::updateState(const std::string& name, Router& router) {
+  const Member member = judged(router);
+  const State before = std::exchange(router.state, member.state);
   if (before == member.state || (member.state != State::dead && member.state != State::alive)) return;
-  const bool isOut = member.state == State::dead;
-  if (std::exchange(known.wasOut, isOut) != isOut)
-    steps_.push_back({router, member.state, member.incarnation, member.silent.size()});
+  const bool isDead = member.state == State::dead;
+  if (std::exchange(router.wasDead, isDead) != isDead)
+    transitions_.push_back({name, member.state, member.incarnation, member.silent.size()});
 }
 
-void MembershipView::onReports(VoterIndex keeper, const std::vector<LivenessReport>& reports) {
-  for (const auto& report : reports) {
-    if (!routers_.contains(report.router) && routers_.size() >= kMostRouters) continue;
-    Known& known = routers_[report.router];
-    known.reports[keeper] = report;
-    judge(report.router, known);
+void MembershipView::onReports(VoterIndex voter, const std::vector<LivenessReport>& reports) {
+  for (const LivenessReport& report : reports) {
+    if (!routers_.contains(report.router) && routers_.size() >= kMaxRouters) continue;
+    Router& router = routers_[report.router];
+    router.reports[voter] = report;
+    updateState(report.router, router);
   }
 }
 
-void MembershipView::onVoterLost(VoterIndex keeper) {
+void MembershipView::onVoterLost(VoterIndex voter) {
   for (auto at = routers_.begin(); at != routers_.end();) {
-    if (at->second.reports.erase(keeper) > 0) judge(at->first, at->second);
-    at = at->second.reports.empty() ? routers_.erase(at) : std::next(at);
+    auto& [name, router] = *at;
+    if (router.reports.erase(voter) > 0) updateState(name, router);
+    at = router.reports.empty() ? routers_.erase(at) : std::next(at);
   }
 }
 
 MembershipView::Member MembershipView::memberState(const std::string& router) const {
-  const auto at = routers_.find(router);
-  return at == routers_.end() ? Member() : judged(at->second);
+  const auto found = routers_.find(router);
+  return found == routers_.end() ? Member() : judged(found->second);
 }
 
 std::vector<std::string> MembershipView::routers() const {
   std::vector<std::string> names;
-  for (const auto& [router, known] : routers_) names.push_back(router);
+  for (const auto& [name, router] : routers_) names.push_back(name);
   return names;
 }
 
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -1,13 +1,13 @@
-// Who lives, by what several keepers say. No I/O, no clock: what a keeper says counts while it can be
-// reached.
+// Which routers are alive, by the reports of several voters. No I/O, no clock: a voter's reports count while
+// it can be reached.
 //
-//   state      what more than half of the keepers say          else
-//   lives      they hear it, and the same start
-//   out        they don't: nothing for the time of silence,    suspected: some do not hear it
-//              or it is off the list                           unknown: too few say anything
+//   state      what more than half of the voters report        else
+//   alive      they hear it, and the same start
+//   dead       they don't: it is silent, or off the list       suspected: some do not hear it
+//                                                              unknown: too few report anything
 //
-// One keeper that hears nobody (cut off one way, slow, or telling falsely) counts nobody out; nor does a
-// router that hears no keeper, to which all are unknown. Who is heard again lives again.
+// One voter that hears nobody (cut off one way, slow, or reporting falsely) makes nobody dead; nor does a
+// router that hears no voter, to which all are unknown. A router that is heard again is alive again.
 #pragma once
 
 #include <cstddef>
@@ -23,50 +23,61 @@
 
 class MembershipView {
  public:
-  explicit MembershipView(std::size_t keepers) : keepers_(keepers) {}
+  explicit MembershipView(std::size_t voterCount) : voterCount_(voterCount) {}
 
   enum class State { unknown, suspected, alive, dead };
   struct Member {
     State state = State::unknown;
-    // The start that lives; else the number that more than half of the keepers know it has reached.
+    // The start that is alive; else the number that more than half of the voters know it has reached.
     std::uint64_t incarnation = 0;
-    MemberProgress progress;  // the least of each that one who hears it was told
-    std::vector<VoterIndex> silent;
-    std::size_t left = 0;  // of those, that have it off the list
+    MemberProgress progress;         // the least of each that a voter which hears it reports
+    std::vector<VoterIndex> silent;  // voters that do not hear it
+    std::size_t left = 0;            // of those, that have it off the list
   };
 
-  void onReports(VoterIndex keeper, const std::vector<LivenessReport>& reports);
-  // It can't be reached: what it said counts no more.
-  void onVoterLost(VoterIndex keeper);
+  void onReports(VoterIndex voter, const std::vector<LivenessReport>& reports);
+  // It can't be reached: its reports count no more.
+  void onVoterLost(VoterIndex voter);
 
   Member memberState(const std::string& router) const;
   std::vector<std::string> routers() const;
   // How many are in this state.
   std::size_t count(State state) const;
 
-  // A router has come to be out, or lives after it was, since it was last asked.
+  // A router has come to be dead, or alive after it was dead.
   struct Transition {
     std::string router;
     State to;
     std::uint64_t incarnation;
     std::size_t silentAt;
   };
-  std::vector<Transition> takeTransitions() { return std::exchange(steps_, {}); }
+  // Since the last call.
+  std::vector<Transition> takeTransitions() { return std::exchange(transitions_, {}); }
 
  private:
-  struct Known {
+  struct Router {
     std::map<VoterIndex, LivenessReport> reports;
     State state = State::unknown;
-    bool wasOut = false;
+    bool wasDead = false;
   };
-  Member judged(const Known& known) const;
-  void judge(const std::string& router, Known& known);
+  // How many voters hear the start that most of them hear.
+  struct Hearing {
+    std::size_t voters = 0;
+    std::uint64_t incarnation = 0;
+  };
+  static Hearing widestHeard(const Router& router);
+  static MemberProgress leastProgress(const Router& router);
+  // The number that more than half of the voters know it has reached; 0 where too few report.
+  std::uint64_t incarnationReached(const Router& router) const;
+  Member judged(const Router& router) const;
+  void updateState(const std::string& name, Router& router);
 
-  std::size_t keepers_;
-  std::map<std::string, Known> routers_;  // bounded by what reachable keepers have on their lists
-  std::vector<Transition> steps_;
+  std::size_t voterCount_;
+  std::map<std::string, Router> routers_;  // bounded by what reachable voters have on their lists
+  std::vector<Transition> transitions_;
 };
 
+// As status documents and logs have it.
 std::string_view nameOf(MembershipView::State state);
 
 }  // namespace gulltrestle::membership
