--- a/src/recovery/admission_ramp.cpp
+++ b/src/recovery/admission_ramp.cpp
@@ -8,98 +8,110 @@
 
 namespace {
 
-// By so many of the last txns it is judged, and by half as many at least.
-constexpr std::size_t kJudged = 16;
-// Part of them in time: below the first the rate doubles no more, below the second it falls.
-constexpr double kWell = 0.75, kIll = 0.5;
+// The rate is judged by so many of the last txns, and by half as many at least.
+constexpr std::size_t kJudgedTxns = 16;
+// Fraction of them in time: below the first the rate doubles no more, below the second it falls.
+constexpr double kGoodFraction = 0.75, kBadFraction = 0.5;
+// What the rate is multiplied by: while opening, while enough are in time, while too few are.
+constexpr double kOpeningFactor = 2, kGrowthFactor = 1.25, kBackoffFactor = 0.67;
 // How often the rate changes. Sooner, by the number of answers, it overshot what cold nodes can do: on the
 // modelled storm (docs/fleet.md) 58 were pushed over, with a second none.
-constexpr Duration kAdjust = Duration::millis(1000);
-// With nobody rejected for so long, it is over.
-constexpr Duration kQuiet = Duration::millis(3000);
+constexpr Duration kAdjustInterval = Duration::millis(1000);
+// With nobody rejected for so long, it is finished.
+constexpr Duration kQuietTime = Duration::millis(3000);
 // Cold nodes are warm long before, and a router must serve in the end.
-constexpr Duration kLongest = Duration::millis(60'000);
-// When to come back, at least.
-constexpr Duration kBackLeast = Duration::millis(100);
+constexpr Duration kMaxDuration = Duration::millis(60'000);
+// After which clients may retry, at least.
+constexpr Duration kMinRetryAfter = Duration::millis(100);
 // How far that is spread about its mean, as a part of it.
-constexpr double kSpread = 0.5;
-constexpr std::size_t kCounted = 64;
+constexpr double kRetrySpread = 0.5;
+// By how many rejections, over at least what time, their rate is measured.
+constexpr std::size_t kCountedRejections = 64;
+constexpr Duration kMinRejectionPeriod = Duration::millis(50);
+// Txns a second that it is taken to admit at least, as a divisor.
+constexpr double kMinDivisorRate = 0.1;
 
 }  // namespace
 
-AdmissionRamp::AdmissionRamp(Instant now, unsigned routers, double first, Duration longestBack,
+AdmissionRamp::AdmissionRamp(Instant now, unsigned routers, double initialRatePerNode, Duration maxRetryAfter,
                              std::uint64_t seed)
     : routers_(std::max(1u, routers)),
-      first_(first),
-      longestBack_(longestBack * (1 / (1 + kSpread))),
-      chance_(seed),
+      initialRatePerNode_(initialRatePerNode),
+      maxMeanRetryAfter_(maxRetryAfter * (1 / (1 + kRetrySpread))),
+      random_(seed),
       startedAt_(now),
       lastRejected_(now),
       adjustedAt_(now),
       filledAt_(now) {}
 
-double AdmissionRamp::least() const {
-  return first_ * static_cast<double>(std::max<std::size_t>(1, nodes_)) / static_cast<double>(routers_);
+double AdmissionRamp::minRate() const {
+  const std::size_t nodes = std::max<std::size_t>(1, nodes_);
+  return initialRatePerNode_ * static_cast<double>(nodes) / static_cast<double>(routers_);
 }
 
 void AdmissionRamp::setNodeCount(std::size_t nodes) {
   nodes_ = nodes;
-  rate_ = std::max(rate_, least());
+  rate_ = std::max(rate_, minRate());
 }
 
-void AdmissionRamp::end() {
+void AdmissionRamp::finish() {
   state_ = State::finished;
-  last_.clear();
-  refused_.clear();
+  recentlyInTime_.clear();
+  recentRejections_.clear();
 }
 
-void AdmissionRamp::adjust(Instant now) {
-  if (now - adjustedAt_ < kAdjust) return;
+void AdmissionRamp::adjustRate(Instant now) {
+  if (now - adjustedAt_ < kAdjustInterval) return;
   adjustedAt_ = now;
-  const double well = last_.size() < kJudged / 2 ? 1 : fractionTrue(last_);
-  if (well < kWell) state_ = State::steady;
-  if (state_ == State::opening)
-    rate_ *= 2;
-  else if (well >= kWell)
-    rate_ *= 1.25;
-  else if (well < kIll)
-    rate_ = std::max(least(), rate_ * 0.67), last_.clear();
+  const double inTime = recentlyInTime_.size() < kJudgedTxns / 2 ? 1 : fractionTrue(recentlyInTime_);
+  if (inTime < kGoodFraction) state_ = State::steady;
+  if (state_ == State::opening) {
+    rate_ *= kOpeningFactor;
+  } else if (inTime >= kGoodFraction) {
+    rate_ *= kGrowthFactor;
+  } else if (inTime < kBadFraction) {
+    rate_ = std::max(minRate(), rate_ * kBackoffFactor);
+    recentlyInTime_.clear();
+  }
 }
 
-// As long as it takes, at the present rate, until all that were rejected lately have come in; spread, so
-// that they don't come back together.
-Duration AdmissionRamp::comeBack() {
-  const Duration over = std::max(lastRejected_ - refused_.front(), Duration::millis(50));
-  const double refusals = static_cast<double>(refused_.size()) / over.inSeconds();
-  const Duration mean =
-      std::min(std::max(Duration::seconds(refusals / std::max(rate_, 0.1)), kBackLeast), longestBack_);
-  return mean * std::uniform_real_distribution<>(1 - kSpread, 1 + kSpread)(chance_);
+// As long as it takes, at the present rate, until all that were rejected lately have been admitted; spread,
+// so that they don't retry together.
+Duration AdmissionRamp::drawRetryAfter() {
+  const Duration period = std::max(lastRejected_ - recentRejections_.front(), kMinRejectionPeriod);
+  const double rejectionRate = static_cast<double>(recentRejections_.size()) / period.inSeconds();
+  const Duration wait = Duration::seconds(rejectionRate / std::max(rate_, kMinDivisorRate));
+  const Duration mean = std::min(std::max(wait, kMinRetryAfter), maxMeanRetryAfter_);
+  return mean * std::uniform_real_distribution<>(1 - kRetrySpread, 1 + kRetrySpread)(random_);
 }
 
-std::optional<Duration> AdmissionRamp::rejectsWithRetryAfter(Instant now) {
-  if (state_ == State::finished) return {};
-  if (now - startedAt_ > kLongest || now - lastRejected_ > kQuiet) {
-    end();
-    return {};
-  }
-  adjust(now);
-  // What was saved up is a second's at most: no burst on nodes that are cold.
+// What was saved up is a second's at most: no burst on nodes that are cold.
+bool AdmissionRamp::takeToken(Instant now) {
   tokens_ = std::min(std::max(1.0, rate_), tokens_ + rate_ * (now - filledAt_).inSeconds());
   filledAt_ = now;
-  if (tokens_ >= 1) {
-    tokens_ -= 1;
+  if (tokens_ < 1) return false;
+  tokens_ -= 1;
+  return true;
+}
+
+std::optional<Duration> AdmissionRamp::rejectsWithRetryAfter(Instant now) {
+  if (state_ == State::finished) return {};
+  if (now - startedAt_ > kMaxDuration || now - lastRejected_ > kQuietTime) {
+    finish();
     return {};
   }
+  adjustRate(now);
+  if (takeToken(now)) return {};
   lastRejected_ = now;
   ++rejected_;
-  pushBounded(refused_, now, kCounted);
-  return comeBack();
+  pushBounded(recentRejections_, now, kCountedRejections);
+  return drawRetryAfter();
 }
 
-void AdmissionRamp::onTransactionEnded(Instant now, bool sent, bool inTime) {
-  if (state_ == State::finished || !sent) return;
-  pushBounded(last_, inTime, kJudged);
-  adjust(now);
+void AdmissionRamp::onTransactionEnded(Instant now, bool isForwarded, bool isInTime) {
+  if (state_ == State::finished || !isForwarded) return;
+  pushBounded(recentlyInTime_, isInTime, kJudgedTxns);
+  adjustRate(now);
 }
 
 std::string_view nameOf(AdmissionRamp::State state) {
--- a/src/recovery/drain_registry.cpp
+++ b/src/recovery/drain_registry.cpp
@@ -5,60 +5,73 @@
 
 namespace gulltrestle::recovery {
 
-// One that stays is remembered with its version, too: news of its leaving that are older mean nothing.
-bool DrainRegistry::set(const NodeId& node, ListVersion version, bool leaving) {
-  const auto at = nodes_.find(node);
-  // Of two lists of one version, the one that lets it leave counts: a txn less is better than one too many.
-  if (at != nodes_.end() &&
-      (version < at->second.version || (version == at->second.version && (at->second.leaving || !leaving))))
-    return false;
-  const bool news = at == nodes_.end() ? leaving : at->second.leaving != leaving;
-  nodes_[node] = {version, leaving};
-  if (nodes_.size() > most_) {
-    const auto oldest = std::min_element(
-        nodes_.begin(), nodes_.end(), [](auto& a, auto& b) { return a.second.version < b.second.version; });
-    forgotten_.push_back(oldest->first);
-    nodes_.erase(oldest);
+// A live node is remembered with its version, too: updates on its draining that are older mean nothing.
+bool DrainRegistry::apply(const DrainUpdate& update) {
+  const auto found = nodes_.find(update.node);
+  bool wasDraining = false;
+  if (found != nodes_.end()) {
+    const Node& known = found->second;
+    wasDraining = known.isDraining;
+    if (update.version < known.version) return false;
+    // Of two lists of one version, the one that lets it drain counts: a txn less is better than one too many.
+    if (update.version == known.version && (known.isDraining || !update.isDraining)) return false;
   }
-  return news;
+  nodes_[update.node] = {update.version, update.isDraining};
+  if (nodes_.size() > maxNodes_) forgetOldest();
+  return wasDraining != update.isDraining;
+}
+
+void DrainRegistry::forgetOldest() {
+  const auto oldest = std::min_element(nodes_.begin(), nodes_.end(), [](const auto& one, const auto& other) {
+    return one.second.version < other.second.version;
+  });
+  forgotten_.push_back(oldest->first);
+  nodes_.erase(oldest);
 }
 
 std::vector<DrainUpdate> DrainRegistry::applyList(EndpointUpdateKind kind, ListVersion version,
                                                   std::vector<EndpointEntry*>& entries) {
-  std::vector<DrainUpdate> out;
-  if (kind == EndpointUpdateKind::restored)
-    return out;  // told before the start, by whoever kept it: it may be any age
+  std::vector<DrainUpdate> updates;
+  // One that was restored was stored before the start: others know of it, and it may be of any age.
+  if (kind == EndpointUpdateKind::restored) return updates;
   newest_ = std::max(newest_, version);
-  std::set<NodeId> named;
   for (EndpointEntry* entry : entries) {
-    named.insert(entry->node);
-    const bool leaves = entry->health != Health::live;
-    if (set(entry->node, version, leaves)) out.push_back({entry->node, version, leaves});
-    if (!leaves && isDraining(entry->node)) entry->health = Health::draining;
+    const DrainUpdate update{entry->node, version, entry->health != Health::live};
+    if (apply(update)) updates.push_back(update);
+    if (!update.isDraining && isDraining(entry->node)) entry->health = Health::draining;
+  }
+  if (kind != EndpointUpdateKind::snapshot) return updates;
+  for (const NodeId& node : leftOut(version, entries)) {
+    const DrainUpdate update{node, version, true};
+    if (apply(update)) updates.push_back(update);
   }
-  if (kind != EndpointUpdateKind::snapshot) return out;
+  return updates;
+}
+
+std::vector<NodeId> DrainRegistry::leftOut(ListVersion version,
+                                           const std::vector<EndpointEntry*>& entries) const {
+  std::set<NodeId> named;
+  for (const EndpointEntry* entry : entries) named.insert(entry->node);
   std::vector<NodeId> gone;
-  for (const auto& [node, known] : nodes_)
-    if (!known.leaving && known.version < version && !named.contains(node)) gone.push_back(node);
-  for (const auto& node : gone)
-    if (set(node, version, true)) out.push_back({node, version, true});
-  return out;
+  for (const auto& [id, node] : nodes_)
+    if (!node.isDraining && node.version < version && !named.contains(id)) gone.push_back(id);
+  return gone;
 }
 
-bool DrainRegistry::learn(const DrainUpdate& news) {
-  newest_ = std::max(newest_, news.version);
-  return set(news.node, news.version, news.isDraining);
+bool DrainRegistry::learn(const DrainUpdate& update) {
+  newest_ = std::max(newest_, update.version);
+  return apply(update);
 }
 
 std::vector<DrainUpdate> DrainRegistry::all() const {
-  std::vector<DrainUpdate> out;
-  for (const auto& [node, known] : nodes_) out.push_back({node, known.version, known.leaving});
-  return out;
+  std::vector<DrainUpdate> updates;
+  for (const auto& [id, node] : nodes_) updates.push_back({id, node.version, node.isDraining});
+  return updates;
 }
 
 bool DrainRegistry::isDraining(const NodeId& node) const {
-  const auto at = nodes_.find(node);
-  return at != nodes_.end() && at->second.leaving;
+  const auto found = nodes_.find(node);
+  return found != nodes_.end() && found->second.isDraining;
 }
 
 }  // namespace gulltrestle::recovery
--- a/src/recovery/drain_registry.h
+++ b/src/recovery/drain_registry.h
@@ -1,16 +1,18 @@
-// Which nodes are leaving, as any router of the fleet was told: a drain binds every router from then on, also
-// one that starts and is shown a list that is older than the drain. No I/O, no clock.
+// Which nodes are draining, as any router of the fleet has learned: a drain binds every router from then on,
+// also one that starts and is shown a list that is older than the drain. No I/O, no clock.
 //
 //   what is known of a node   a list of version v names it as            then
-//   nothing, or live at w     draining, gone, or leaves it out           leaving at v, told to the others
-//   leaving at w              live, v > w                                live at v, told to the others
-//   leaving at w              live, v <= w: that list is the older one   taken as draining
+//   nothing, or live at w     draining, gone, or leaves it out           draining at v, others are notified
+//   draining at w             live, v > w                                live at v, others are notified
+//   draining at w             live, v <= w: that list is the older one   taken as draining
 //
-// News from others carry the version of the list that told them; hearing them twice makes them no fresher. A
-// router that tells falsely, with a version from the future, keeps a node out of use until lists reach that
-// version: it can cost room, and never sends a txn to a node that leaves.
+// Updates from others carry the version of the list that they come from; receiving them twice makes them no
+// fresher. A router that sends a false one, with a version from the future, keeps a node out of use until
+// lists reach that version: it can cost capacity, and never sends a txn to a node that drains.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <utility>
 #include <vector>
@@ -21,41 +23,50 @@
 
 using ListVersion = std::uint64_t;
 
-struct DrainUpdate {  // of one node
+// What one list said of one node.
+struct DrainUpdate {
   NodeId node;
-  ListVersion version = 0;  // of the list that said so
+  ListVersion version = 0;  // of that list
   bool isDraining = false;
   bool operator==(const DrainUpdate&) const = default;
 };
 
 class DrainRegistry {
  public:
-  // Nodes that are remembered, beyond which the oldest go: they are not listed any more.
-  explicit DrainRegistry(std::size_t most = 20'000) : most_(most) {}
+  // Nodes that are remembered, beyond which those of the oldest lists are forgotten: they are not listed any
+  // more.
+  static constexpr std::size_t kMaxNodes = 20'000;
+  explicit DrainRegistry(std::size_t maxNodes = kMaxNodes) : maxNodes_(maxNodes) {}
 
-  // A list came. What it names live and is known to be leaving by a newer one is changed to draining in it.
-  // Returns what others are to be told.
+  // A list came. What it names live and is known to be draining by a newer one is changed to draining in it.
+  // Returns what others are to be notified of.
   std::vector<DrainUpdate> applyList(EndpointUpdateKind kind, ListVersion version,
                                      std::vector<EndpointEntry*>& entries);
-  // Others' news. True: it was news here.
-  bool learn(const DrainUpdate& news);
+  // An update from others, or from the disk. True: it was new here.
+  bool learn(const DrainUpdate& update);
 
+  // All that is known, of draining and of live nodes.
   std::vector<DrainUpdate> all() const;
-  // Nodes that went as there were too many, since it was last asked.
+  // Nodes that were forgotten as there were too many, since the last call.
   std::vector<NodeId> takeForgotten() { return std::exchange(forgotten_, {}); }
-  // Of this node, by its newest news.
+  // By its newest update.
   bool isDraining(const NodeId& node) const;
-  // Whether the newest list that came is older than one that others were told.
+  // The newest version that any list or update had.
   ListVersion newest() const { return newest_; }
 
  private:
-  bool set(const NodeId& node, ListVersion version, bool leaving);
-  struct Known {
+  struct Node {
     ListVersion version = 0;
-    bool leaving = false;
+    bool isDraining = false;
   };
-  std::size_t most_;
-  std::map<NodeId, Known> nodes_;
+  // True: whether the node drains has changed.
+  bool apply(const DrainUpdate& update);
+  // Nodes that a full list of that version leaves out are gone.
+  std::vector<NodeId> leftOut(ListVersion version, const std::vector<EndpointEntry*>& entries) const;
+  void forgetOldest();
+
+  std::size_t maxNodes_;
+  std::map<NodeId, Node> nodes_;
   std::vector<NodeId> forgotten_;
   ListVersion newest_ = 0;
 };
--- a/src/recovery/peer_observations.cpp
+++ b/src/recovery/peer_observations.cpp
@@ -7,103 +7,114 @@
 namespace gulltrestle::recovery {
 
 std::optional<LoadReport> PeerObservations::onListed(const NodeId& id, Instant start) {
-  const auto [at, isNew] = nodes_.try_emplace(id);
-  Node& node = at->second;
+  const auto [found, isNew] = nodes_.try_emplace(id);
+  Node& node = found->second;
   const bool wasListed = std::exchange(node.isListed, true);
   if (wasListed && node.start == start) return {};
-  unlisted_ -= !isNew && !wasListed;
+  if (!isNew && !wasListed) --unlisted_;
   if (node.start == start && node.proven.position) return node.proven;
   if (node.start != start) node = {start, true, {}, {}, {}};
   return {};
 }
 
 void PeerObservations::forget(const NodeId& id) {
-  const auto at = nodes_.find(id);
-  if (at == nodes_.end()) return;
-  unlisted_ -= !at->second.isListed;
-  nodes_.erase(at);
+  const auto found = nodes_.find(id);
+  if (found == nodes_.end()) return;
+  if (!found->second.isListed) --unlisted_;
+  nodes_.erase(found);
 }
 
 void PeerObservations::disconnected(const NodeId& id) {
-  const auto at = nodes_.find(id);
-  if (at == nodes_.end()) return;
-  at->second.own.reset();
-  at->second.others.clear();
-  at->second.proven = {};
+  const auto found = nodes_.find(id);
+  if (found == nodes_.end()) return;
+  Node& node = found->second;
+  node.own.reset();
+  node.byPeer.clear();
+  node.proven = {};
 }
 
-void PeerObservations::observe(Instant now, const NodeId& id, const LoadReport& said) {
-  const auto at = nodes_.find(id);
-  if (at == nodes_.end() || !at->second.isListed || (said.role == Role::unknown && !said.position)) return;
-  auto& own = at->second.own;
+void PeerObservations::observe(Instant now, const NodeId& id, const LoadReport& report) {
+  const auto found = nodes_.find(id);
+  if (found == nodes_.end() || !found->second.isListed) return;
+  if (report.role == Role::unknown && !report.position) return;
+  auto& own = found->second.own;
   if (!own) own = Seen{};
-  own->at = now;
-  if (said.role != Role::unknown) own->role = said.role;
-  if (said.position) own->position = said.position;
+  own->when = now;
+  if (report.role != Role::unknown) own->role = report.role;
+  if (report.position) own->position = report.position;
 }
 
-std::optional<LoadReport> PeerObservations::onObservation(Instant now, const std::string& by,
-                                                          const Observation& sighting) {
-  if (sighting.age < Duration() || sighting.age > kMaxAge) return {};
-  const auto [at, isNew] = nodes_.try_emplace(sighting.node);
-  Node& node = at->second;
-  if (isNew) {
-    if (unlisted_ >= most_) {
-      nodes_.erase(at);
-      return {};
-    }
+std::optional<LoadReport> PeerObservations::onObservation(Instant now, const std::string& peer,
+                                                          const Observation& observation) {
+  if (observation.age < Duration() || observation.age > kMaxAge) return {};
+  Node* node = nodeOf(observation);
+  if (!node) return {};
+  node->byPeer[peer] = {now - observation.age, observation.role, observation.position};
+  std::erase_if(node->byPeer, [&](const auto& seen) { return now - seen.second.when > kMaxAge; });
+  const LoadReport before = std::exchange(node->proven, confirmedBy(node->byPeer));
+  const LoadReport& proven = node->proven;
+  if (!proven.position || !node->isListed) return {};
+  const bool isFurther = !before.position || *proven.position > *before.position;
+  const bool hasRoleChanged = proven.role != before.role;
+  if (!isFurther && !hasRoleChanged) return {};
+  return proven;
+}
+
+PeerObservations::Node* PeerObservations::nodeOf(const Observation& observation) {
+  auto found = nodes_.find(observation.node);
+  if (found == nodes_.end()) {
+    if (unlisted_ >= maxUnlisted_) return nullptr;
     ++unlisted_;
-    node.start = sighting.nodeStart;
+    found = nodes_.try_emplace(observation.node).first;
+    found->second.start = observation.nodeStart;
   }
-  if (node.start != sighting.nodeStart) return {};
-  node.others[by] = {now - sighting.age, sighting.role, sighting.position};
-  // What a second of them confirms: the second highest position, the role that two tell.
+  return found->second.start == observation.nodeStart ? &found->second : nullptr;
+}
+
+LoadReport PeerObservations::confirmedBy(const std::map<std::string, Seen>& peers) {
   std::vector<Instant> positions;
   std::size_t primaries = 0, replicas = 0;
-  std::erase_if(node.others, [&](const auto& other) { return now - other.second.at > kMaxAge; });
-  for (const auto& [router, seen] : node.others) {
+  for (const auto& [peer, seen] : peers) {
     if (seen.position) positions.push_back(*seen.position);
-    primaries += seen.role == Role::primary;
-    replicas += seen.role == Role::replica;
+    if (seen.role == Role::primary) ++primaries;
+    if (seen.role == Role::replica) ++replicas;
   }
   std::sort(positions.begin(), positions.end(), std::greater<>());
-  LoadReport proven;
-  if (positions.size() > 1) proven.position = positions[1];
+  LoadReport confirmed;
+  if (positions.size() > 1) confirmed.position = positions[1];
   // Where they differ on the role nothing is known of it.
-  if (primaries > 1 && replicas == 0) proven.role = Role::primary;
-  if (replicas > 1 && primaries == 0) proven.role = Role::replica;
-  const bool isFurther =
-      proven.position && (!node.proven.position || *proven.position > *node.proven.position);
-  const bool changed = proven.role != node.proven.role;
-  node.proven = proven;
-  if ((!isFurther && !changed) || !proven.position || !node.isListed) return {};
-  return proven;
+  if (primaries > 1 && replicas == 0) confirmed.role = Role::primary;
+  if (replicas > 1 && primaries == 0) confirmed.role = Role::replica;
+  return confirmed;
 }
 
 std::vector<Observation> PeerObservations::firstHand(Instant now) const {
-  std::vector<Observation> all;
-  for (const auto& [id, node] : nodes_)
-    if (node.own && now - node.own->at <= kMaxAge)
-      all.push_back({id, node.start, node.own->role, node.own->position, now - node.own->at});
-  return all;
+  std::vector<Observation> observations;
+  for (const auto& [id, node] : nodes_) {
+    if (!node.own || now - node.own->when > kMaxAge) continue;
+    observations.push_back({id, node.start, node.own->role, node.own->position, now - node.own->when});
+  }
+  return observations;
 }
 
 bool PeerObservations::hasObserved(const NodeId& id) const {
-  const auto at = nodes_.find(id);
-  return at != nodes_.end() && at->second.own.has_value();
+  const auto found = nodes_.find(id);
+  return found != nodes_.end() && found->second.own.has_value();
 }
 
 Role PeerObservations::role(const NodeId& id) const {
-  const auto at = nodes_.find(id);
-  if (at == nodes_.end()) return Role::unknown;
-  if (at->second.own && at->second.own->role != Role::unknown) return at->second.own->role;
-  return at->second.proven.role;
+  const auto found = nodes_.find(id);
+  if (found == nodes_.end()) return Role::unknown;
+  const Node& node = found->second;
+  if (node.own && node.own->role != Role::unknown) return node.own->role;
+  return node.proven.role;
 }
 
 bool PeerObservations::knowsPosition(const NodeId& id) const {
-  const auto at = nodes_.find(id);
-  if (at == nodes_.end()) return false;
-  return (at->second.own && at->second.own->position) || at->second.proven.position;
+  const auto found = nodes_.find(id);
+  if (found == nodes_.end()) return false;
+  const Node& node = found->second;
+  return (node.own && node.own->position) || node.proven.position;
 }
 
 }  // namespace gulltrestle::recovery
