--- a/src/recovery/recovery_stages.cpp
+++ b/src/recovery/recovery_stages.cpp
@@ -7,17 +7,19 @@
 namespace {
 
 // How long a stage waits. A list: discovery answers within a second where it lives at all, and without it
-// what was known before is better than nothing. Positions: a few times what it takes to ask a node.
-// Primaries: discovery names a new one within seconds. Keepers: as long as routers of one room take to start;
-// once-only txns are refused anyway while too few keepers are there.
-constexpr Duration kList = Duration::millis(5000), kPositions = Duration::millis(2000),
-                   kPrimary = Duration::millis(5000), kKeepers = Duration::millis(10'000);
+// what was known before is better than nothing. Positions: a few times what it takes to ask a node. The
+// primary: discovery names a new one within seconds. A quorum of voters: as long as routers of one room take
+// to start; at-most-once txns are rejected anyway while too few voters are there.
+constexpr Duration kMaxListWait = Duration::millis(5000);
+constexpr Duration kMaxPositionsWait = Duration::millis(2000);
+constexpr Duration kMaxPrimaryWait = Duration::millis(5000);
+constexpr Duration kMaxQuorumWait = Duration::millis(10'000);
 // A node is asked so often over all routers, at most: a small part of what even a cold one can do.
-constexpr double kAsksASecond = 100;
+constexpr double kMaxRequestsPerSecond = 100;
 // And by one router no more often than this.
-constexpr Duration kAskAgain = Duration::millis(300);
+constexpr Duration kMinRequestInterval = Duration::millis(300);
 
-bool isRead(const TransactionClass& type) { return type.level < ReadLevel::linearizable; }
+bool isNonLinearizableRead(const TransactionClass& type) { return type.level < ReadLevel::linearizable; }
 
 }  // namespace
 
@@ -26,168 +28,208 @@
   return kNames[static_cast<int>(stage)];
 }
 
-std::string_view nameOf(TransitionReason why) {
+std::string_view nameOf(TransitionReason reason) {
   constexpr std::string_view kNames[] = {"known", "gave_up", "forced"};
-  return kNames[static_cast<int>(why)];
+  return kNames[static_cast<int>(reason)];
 }
 
-RecoveryStages::RecoveryStages(std::vector<TransactionClass> types, unsigned routers, bool mayAsk,
+RecoveryStages::RecoveryStages(std::vector<TransactionClass> classes, unsigned routers, bool mayAsk,
                                std::uint64_t seed)
-    : types_(std::move(types)), routers_(std::max(1u, routers)), mayAsk_(mayAsk), chance_(seed) {}
+    : classes_(std::move(classes)), routers_(std::max(1u, routers)), mayAsk_(mayAsk), random_(seed) {}
 
-Duration RecoveryStages::spacing() const {
-  return std::max(kAskAgain, Duration::seconds(static_cast<double>(routers_) / kAsksASecond));
+Duration RecoveryStages::requestInterval() const {
+  return std::max(kMinRequestInterval,
+                  Duration::seconds(static_cast<double>(routers_) / kMaxRequestsPerSecond));
 }
 
+// --- Evidence
+
 void RecoveryStages::onEndpointList(Instant now, EndpointUpdateKind kind, ListVersion version,
                                     const std::vector<EndpointEntry*>& entries) {
-  const bool isFromBefore =
-      kind == EndpointUpdateKind::restored;  // it may be of any age: its version counts for nothing
-  if (!isFromBefore) version_ = std::max(version_, version);
+  // A restored list may be of any age: its version counts for nothing.
+  const bool isRestored = kind == EndpointUpdateKind::restored;
+  if (!isRestored) version_ = std::max(version_, version);
   if (kind == EndpointUpdateKind::snapshot)
     for (auto& [id, group] : groups_)
-      for (auto& [node, member] : group.members) member.live = false;
-  for (const EndpointEntry* entry : entries) {
-    Group& group = groups_[entry->group];
-    if (group.since == Instant()) group.since = now;
-    group.listed = group.listed || !isFromBefore;
-    const auto [at, isNew] = group.members.try_emplace(entry->node);
-    at->second.live = entry->health == Health::live;
-    at->second.primary = entry->primary;
-    if (isNew) at->second.askAt = now + spacing() * std::uniform_real_distribution<>()(chance_);
-  }
+      for (auto& [node, member] : group.members) member.isLive = false;
+  for (const EndpointEntry* entry : entries) updateMember(now, *entry, isRestored);
+  removeUnlisted();
+  dueBy(now);
+}
+
+void RecoveryStages::updateMember(Instant now, const EndpointEntry& entry, bool isRestored) {
+  Group& group = groups_[entry.group];
+  if (group.since == Instant()) group.since = now;
+  group.isListed = group.isListed || !isRestored;
+  const auto [found, isNew] = group.members.try_emplace(entry.node);
+  Member& member = found->second;
+  member.isLive = entry.health == Health::live;
+  member.isPrimary = entry.primary;
+  if (isNew) member.mayAskAt = now + requestInterval() * std::uniform_real_distribution<>()(random_);
+}
+
+void RecoveryStages::removeUnlisted() {
   for (auto& [id, group] : groups_)
-    std::erase_if(group.members, [&](const auto& member) { return !member.second.live; });
+    std::erase_if(group.members, [](const auto& member) { return !member.second.isLive; });
   std::erase_if(groups_, [](const auto& group) { return group.second.members.empty(); });
-  dueBy(now);
 }
 
 void RecoveryStages::onKnownPrimary(GroupId id, const Primary& primary) {
-  const auto at = groups_.find(id);
-  if (at == groups_.end()) return;
-  auto& known = at->second.known;
+  const auto found = groups_.find(id);
+  if (found == groups_.end()) return;
+  auto& known = found->second.knownPrimary;
   if (!known || primary.version > known->version) known = primary;
 }
 
-// Who is primary, beyond doubt. Sets who claims to be it where that is contested.
-std::optional<NodeId> RecoveryStages::primaryOf(Group& group, const PeerObservations& seen) const {
-  group.claimed.clear();
-  std::vector<NodeId> claim;
+// --- The primary
+
+std::optional<NodeId> RecoveryStages::primaryOf(Group& group, const PeerObservations& observations) const {
+  group.claimants.clear();
+  std::vector<NodeId> claimants;
   for (const auto& [node, member] : group.members)
-    if (seen.role(node) == Role::primary) claim.push_back(node);
-  if (claim.empty()) return {};
-  // One that was known later than the list that names the other has not said that it is no more.
-  const auto& known = group.known;
-  const bool doubted = known && known->version >= version_ && known->node != claim.front() &&
-                       seen.role(known->node) != Role::replica && claim.size() == 1;
-  if (claim.size() == 1 && !doubted) return claim.front();
-  group.claimed = claim;
-  if (doubted) group.claimed.push_back(known->node);
+    if (observations.role(node) == Role::primary) claimants.push_back(node);
+  if (claimants.empty()) return {};
+  const bool isAlone = claimants.size() == 1;
+  const bool isInDoubt = isAlone && isDoubted(claimants.front(), group, observations);
+  if (isAlone && !isInDoubt) return claimants.front();
+  group.claimants = claimants;
+  if (isInDoubt) group.claimants.push_back(group.knownPrimary->node);
   return {};
 }
 
-// Why the group may go on to its next stage; none: not yet.
-std::optional<TransitionReason> RecoveryStages::next(Instant now, Group& group,
-                                                     const PeerObservations& seen) {
-  const auto within = [&](Duration most) -> std::optional<TransitionReason> {
-    if (now - group.since >= most) return TransitionReason::timedOut;
-    dueBy(group.since + most);
-    return {};
-  };
+// One that was known later than the list that names the other has not reported that it is no more.
+bool RecoveryStages::isDoubted(const NodeId& claimant, const Group& group,
+                               const PeerObservations& observations) const {
+  const auto& known = group.knownPrimary;
+  return known && known->version >= version_ && known->node != claimant &&
+         observations.role(known->node) != Role::replica;
+}
+
+void RecoveryStages::confirm(GroupId id, Group& group, const NodeId& primary) {
+  const Primary confirmed{primary, version_};
+  if (!group.knownPrimary || group.knownPrimary->node != primary) confirmed_.push_back({id, confirmed});
+  group.knownPrimary = confirmed;
+}
+
+// A primary that changed since the group was through this stage: its own report and the list agree.
+void RecoveryStages::confirmListed(GroupId id, Group& group, const PeerObservations& observations) {
+  for (const auto& [node, member] : group.members) {
+    const bool isKnown = group.knownPrimary && group.knownPrimary->node == node;
+    if (member.isPrimary && !isKnown && observations.role(node) == Role::primary) confirm(id, group, node);
+  }
+}
+
+// --- Transitions
+
+std::vector<StageTransition> RecoveryStages::decide(Instant now, const PeerObservations& observations) {
+  due_ = Instant();
+  std::vector<StageTransition> transitions;
+  for (auto& [id, group] : groups_) {
+    advance(now, id, group, observations, transitions);
+    if (group.stage == Stage::anyReads || group.stage == Stage::consistentReads)
+      requestReports(now, group, observations);
+    if (group.stage >= Stage::writes) confirmListed(id, group, observations);
+  }
+  return transitions;
+}
+
+void RecoveryStages::advance(Instant now, GroupId id, Group& group, const PeerObservations& observations,
+                             std::vector<StageTransition>& transitions) {
+  while (group.stage != Stage::all) {
+    auto reason = reasonToAdvance(now, group, observations);
+    if (!reason && forced_ && group.stage < *forced_) reason = TransitionReason::forced;
+    if (!reason) return;
+    const Stage to = static_cast<Stage>(static_cast<int>(group.stage) + 1);
+    transitions.push_back({id, group.stage, to, *reason, now - group.since});
+    if (group.stage == Stage::consistentReads && *reason == TransitionReason::evidence)
+      if (const auto primary = primaryOf(group, observations)) confirm(id, group, *primary);
+    group.stage = to;
+    group.since = now;
+  }
+}
+
+std::optional<TransitionReason> RecoveryStages::reasonToAdvance(Instant now, Group& group,
+                                                                const PeerObservations& observations) {
   switch (group.stage) {
     case Stage::closed:
-      if (group.listed) return TransitionReason::evidence;
-      return within(kList);
-    case Stage::anyReads: {
-      std::size_t replicas = 0, known = 0;
-      for (const auto& [node, member] : group.members) {
-        if (seen.role(node) == Role::primary && seen.hasObserved(node)) return TransitionReason::evidence;
-        if (member.primary) continue;
-        ++replicas;
-        known += seen.knowsPosition(node);
-      }
-      if (replicas > 0 && known * 2 >= replicas) return TransitionReason::evidence;
-      return within(kPositions);
-    }
+      if (group.isListed) return TransitionReason::evidence;
+      return timedOutAfter(kMaxListWait, now, group);
+    case Stage::anyReads:
+      if (hasPositions(group, observations)) return TransitionReason::evidence;
+      return timedOutAfter(kMaxPositionsWait, now, group);
     case Stage::consistentReads:
-      if (primaryOf(group, seen)) return TransitionReason::evidence;
-      if (!group.claimed.empty()) return {};
-      return within(kPrimary);
+      if (primaryOf(group, observations)) return TransitionReason::evidence;
+      if (!group.claimants.empty()) return {};
+      return timedOutAfter(kMaxPrimaryWait, now, group);
     case Stage::writes:
-      if (keepers_) return TransitionReason::evidence;
-      return within(kKeepers);
+      if (isQuorumReached_) return TransitionReason::evidence;
+      return timedOutAfter(kMaxQuorumWait, now, group);
     case Stage::all:
       break;
   }
   return {};
 }
 
-std::vector<StageTransition> RecoveryStages::decide(Instant now, const PeerObservations& seen) {
-  due_ = Instant();
-  std::vector<StageTransition> steps;
-  for (auto& [id, group] : groups_) {
-    while (group.stage != Stage::all) {
-      auto why = next(now, group, seen);
-      if (!why && forced_ && group.stage < *forced_) why = TransitionReason::forced;
-      if (!why) break;
-      const Stage to = static_cast<Stage>(static_cast<int>(group.stage) + 1);
-      steps.push_back({id, group.stage, to, *why, now - group.since});
-      if (group.stage == Stage::consistentReads && *why == TransitionReason::evidence)
-        if (const auto primary = primaryOf(group, seen)) confirm(id, group, *primary);
-      group.stage = to;
-      group.since = now;
-    }
-    if (group.stage == Stage::anyReads || group.stage == Stage::consistentReads) ask(now, group, seen);
-    if (group.stage < Stage::writes) continue;
-    for (const auto& [node, member] : group.members)
-      if (member.primary && (!group.known || group.known->node != node) && seen.role(node) == Role::primary)
-        confirm(id, group, node);
+bool RecoveryStages::hasPositions(const Group& group, const PeerObservations& observations) const {
+  std::size_t replicas = 0, known = 0;
+  for (const auto& [node, member] : group.members) {
+    if (observations.role(node) == Role::primary && observations.hasObserved(node)) return true;
+    if (member.isPrimary) continue;
+    ++replicas;
+    if (observations.knowsPosition(node)) ++known;
   }
-  return steps;
+  return replicas > 0 && known * 2 >= replicas;
 }
 
-void RecoveryStages::confirm(GroupId id, Group& group, const NodeId& primary) {
-  const Primary confirmed{primary, version_};
-  if (!group.known || group.known->node != primary) confirmed_.emplace_back(id, confirmed);
-  group.known = confirmed;
+std::optional<TransitionReason> RecoveryStages::timedOutAfter(Duration maxWait, Instant now,
+                                                              const Group& group) {
+  if (now - group.since >= maxWait) return TransitionReason::timedOut;
+  dueBy(group.since + maxWait);
+  return {};
 }
 
-void RecoveryStages::ask(Instant now, Group& group, const PeerObservations& seen) {
+void RecoveryStages::requestReports(Instant now, Group& group, const PeerObservations& observations) {
   if (!mayAsk_) return;
   for (auto& [node, member] : group.members) {
-    // For a primary: whoever the list or others say is it, and whoever claims to be. Nobody is asked twice
-    // for a position.
-    const bool matters = group.stage == Stage::anyReads
-                             ? !seen.knowsPosition(node)
-                             : member.primary || (group.known && group.known->node == node) ||
-                                   seen.role(node) != Role::replica;
-    if (!matters) continue;
-    if (member.askAt <= now) {
-      asks_.push_back(node);
-      member.askAt = now + spacing();
+    if (!isReportWanted(node, member, group, observations)) continue;
+    if (member.mayAskAt <= now) {
+      reportRequests_.push_back(node);
+      member.mayAskAt = now + requestInterval();
     }
-    dueBy(member.askAt);
+    dueBy(member.mayAskAt);
   }
 }
 
-void RecoveryStages::dueBy(Instant at) {
-  if (due_ == Instant() || at < due_) due_ = at;
+// For a primary: whoever the list or others say is it, and whoever claims to be. Nobody is asked twice for a
+// position.
+bool RecoveryStages::isReportWanted(const NodeId& node, const Member& member, const Group& group,
+                                    const PeerObservations& observations) const {
+  if (group.stage == Stage::anyReads) return !observations.knowsPosition(node);
+  const bool isKnownPrimary = group.knownPrimary && group.knownPrimary->node == node;
+  return member.isPrimary || isKnownPrimary || observations.role(node) != Role::replica;
+}
+
+void RecoveryStages::dueBy(Instant when) {
+  if (due_ == Instant() || when < due_) due_ = when;
 }
 
+// --- What the stages mean
+
 bool RecoveryStages::admits(GroupId id, std::size_t row) const {
-  const auto at = groups_.find(id);
-  // Before the first list there is nothing to go by; after it, what no list names is the module's to refuse.
-  if (at == groups_.end()) return !groups_.empty();
-  const TransactionClass& type = types_.at(row);
-  switch (at->second.stage) {
+  const auto found = groups_.find(id);
+  // Before the first list there is nothing to go by; after it, what no list names is the routing module's to
+  // reject.
+  if (found == groups_.end()) return !groups_.empty();
+  const TransactionClass& type = classes_.at(row);
+  switch (found->second.stage) {
     case Stage::closed:
       return false;
     case Stage::anyReads:
       return type.level == ReadLevel::any;
     case Stage::consistentReads:
-      return isRead(type);
+      return isNonLinearizableRead(type);
     case Stage::writes:
-      return isRead(type) || type.effect != Effect::atMostOnce;
+      return isNonLinearizableRead(type) || type.effect != Effect::atMostOnce;
     case Stage::all:
       return true;
   }
@@ -195,22 +237,24 @@
 }
 
 RecoveryStages::GroupStatus RecoveryStages::statusOf(GroupId id) const {
-  const auto at = groups_.find(id);
-  if (at == groups_.end()) return {};
+  const auto found = groups_.find(id);
+  if (found == groups_.end()) return {};
+  const Group& group = found->second;
   constexpr std::string_view kAwaits[] = {"list", "positions", "primary", "keepers", ""};
-  return {at->second.stage, at->second.since, kAwaits[static_cast<int>(at->second.stage)],
-          at->second.stage == Stage::consistentReads ? at->second.claimed : std::vector<NodeId>()};
+  const bool mayBeContested = group.stage == Stage::consistentReads;
+  return {group.stage, group.since, kAwaits[static_cast<int>(group.stage)],
+          mayBeContested ? group.claimants : std::vector<NodeId>()};
 }
 
 std::vector<GroupId> RecoveryStages::groups() const {
-  std::vector<GroupId> all;
-  for (const auto& [id, group] : groups_) all.push_back(id);
-  return all;
+  std::vector<GroupId> ids;
+  for (const auto& [id, group] : groups_) ids.push_back(id);
+  return ids;
 }
 
 bool RecoveryStages::isFinished() const {
-  return !groups_.empty() &&
-         std::all_of(groups_.begin(), groups_.end(), [](auto& g) { return g.second.stage == Stage::all; });
+  return !groups_.empty() && std::all_of(groups_.begin(), groups_.end(),
+                                         [](const auto& group) { return group.second.stage == Stage::all; });
 }
 
 }  // namespace gulltrestle::recovery
