--- a/src/idempotency/claim_coordinator.h
+++ b/src/idempotency/claim_coordinator.h
@@ -33,6 +33,7 @@
 using ClaimNumber = std::uint64_t;
 using VoterIndex = std::size_t;  // row in the list of voters
 
+// From the settings, alike at all routers.
 struct ClaimCoordinatorLimits {
   std::size_t voterCount = 0;
   Duration retention;                             // the voters' own
@@ -41,6 +42,9 @@
   Duration retryAfter = Duration::millis(250);    // what rejected txns are told, give or take half of it
 };
 
+// All claims of one router. Driven by cluster/claim_dispatcher.h: it feeds in votes and txns' ends, calls
+// runTimers() when that is due, and carries out what takeDecisions() and takeMessages() return after each
+// call.
 class ClaimCoordinator {
  public:
   // `seed`: of the spread of retryAfter.
--- a/src/idempotency/voting_member.h
+++ b/src/idempotency/voting_member.h
@@ -45,6 +45,7 @@
 
 namespace gulltrestle::idempotency {
 
+// From the settings.
 struct VotingMemberLimits {
   // How long a vote counts, by the voter's own running clock and anew from each start, as no clock of the
   // day can be trusted over a power loss. Longer than any txn or client's repeat can take.
@@ -75,6 +76,9 @@
   std::string maintenance;  // the text of maintenance/acceptor.h
 };
 
+// The voter that runs in one router. Driven by cluster/claim_dispatcher.h: it feeds in greetings and claims,
+// and hands takeChanges() to store/store.h after each call; answers that wait for the disk are sent once
+// those are durable.
 class VotingMember {
  public:
   enum class State { changingLists, verifyingDisk, abstaining, voting };
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -4,7 +4,7 @@
 
 FailureDetector::FailureDetector(Instant now, const std::set<std::string>& members,
                                  std::map<std::string, Incarnation> stored)
-    : storedOthers_(std::move(stored)), lastCall_(now) {
+    : storedNonMembers_(std::move(stored)), lastCall_(now) {
   setMembers(now, members);
 }
 
@@ -22,9 +22,9 @@
 
 void FailureDetector::addMember(Instant now, const std::string& router) {
   Member& member = members_[router];
-  if (const auto stored = storedOthers_.find(router); stored != storedOthers_.end()) {
+  if (const auto stored = storedNonMembers_.find(router); stored != storedNonMembers_.end()) {
     member.newest = stored->second;
-    storedOthers_.erase(stored);
+    storedNonMembers_.erase(stored);
   }
   member.liveness = Liveness::awaited;
   member.lastHeard = now;
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -24,6 +24,7 @@
 
 namespace gulltrestle::membership {
 
+// The routers as one voter sees them. Used by cluster/membership.h at routers that are voters.
 class FailureDetector {
  public:
   // Routers send a heartbeat each second (membership/heartbeat_timer.h); three that did not come are more
@@ -77,9 +78,9 @@
   void markChanged(const std::string& router, Member& member);
 
   std::set<std::string> list_;
-  std::map<std::string, Member> members_;            // those on the list, and those that left it since
-  std::map<std::string, Incarnation> storedOthers_;  // on disk and not on the list
-  std::map<std::uint64_t, std::string> byVersion_;   // each member once
+  std::map<std::string, Member> members_;                // those on the list, and those that left it since
+  std::map<std::string, Incarnation> storedNonMembers_;  // on disk and not on the list
+  std::map<std::uint64_t, std::string> byVersion_;       // each member once
   std::uint64_t version_ = 0;
   Instant lastCall_, lastCheck_;  // of checkTimeouts(), and the last in which it looked at all members
   std::vector<IncarnationChange> changes_;
--- a/src/membership/heartbeat_timer.h
+++ b/src/membership/heartbeat_timer.h
@@ -10,6 +10,7 @@
 
 namespace gulltrestle::membership {
 
+// One router's. Used by cluster/membership.h.
 class HeartbeatTimer {
  public:
   // FailureDetector::kTimeout is three of these and what a busy machine may add.
--- a/src/membership/join_protocol.h
+++ b/src/membership/join_protocol.h
@@ -36,6 +36,7 @@
   std::uint64_t number = 0;
 };
 
+// One start of one router. Used by cluster/membership.h, which sends its requests and feeds in the answers.
 class JoinProtocol {
  public:
   enum class State { discovering, joining, backingOff, joined, superseded };
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -22,9 +22,9 @@
 
 // Guards against a start that died and has not been missed yet at one voter, beside its next one that another
 // hears: that is one voter for each, and nobody that is alive.
-MembershipView::Hearing MembershipView::widestHeard(const Router& router) {
+MembershipView::VoterSupport MembershipView::widestSupport(const Router& router) {
   std::map<std::uint64_t, std::size_t> votersOfIncarnation;
-  Hearing widest;
+  VoterSupport widest;
   for (const auto& [voter, report] : router.reports) {
     if (report.liveness != Liveness::alive) continue;
     const std::size_t voters = ++votersOfIncarnation[report.incarnation.number];
@@ -57,11 +57,11 @@
 
 MembershipView::Member MembershipView::judged(const Router& router) const {
   const std::size_t majority = majorityOf(voterCount_);
-  const Hearing heard = widestHeard(router);
-  const bool isAlive = heard.voters >= majority;
+  const VoterSupport support = widestSupport(router);
+  const bool isAlive = support.voters >= majority;
   Member member;
   member.progress = leastProgress(router);
-  member.incarnation = isAlive ? heard.incarnation : incarnationReached(router);
+  member.incarnation = isAlive ? support.incarnation : incarnationReached(router);
   for (const auto& [voter, report] : router.reports) {
     if (report.liveness == Liveness::alive || report.liveness == Liveness::awaited) continue;
     member.silent.push_back(voter);
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -21,6 +21,7 @@
 
 namespace gulltrestle::membership {
 
+// The routers as one router sees them. Used by cluster/membership.h.
 class MembershipView {
  public:
   explicit MembershipView(std::size_t voterCount) : voterCount_(voterCount) {}
@@ -61,11 +62,11 @@
     bool wasDead = false;
   };
   // How many voters hear the start that most of them hear.
-  struct Hearing {
+  struct VoterSupport {
     std::size_t voters = 0;
     std::uint64_t incarnation = 0;
   };
-  static Hearing widestHeard(const Router& router);
+  static VoterSupport widestSupport(const Router& router);
   static MemberProgress leastProgress(const Router& router);
   // The number that more than half of the voters know it has reached; 0 where too few report.
   std::uint64_t incarnationReached(const Router& router) const;
--- a/src/recovery/admission_ramp.h
+++ b/src/recovery/admission_ramp.h
@@ -25,6 +25,7 @@
 
 namespace gulltrestle::recovery {
 
+// One router's. Used by cluster/recovery_service.h for txns that the group's stage admits.
 class AdmissionRamp {
  public:
   enum class State { opening, steady, finished };
--- a/src/recovery/drain_registry.h
+++ b/src/recovery/drain_registry.h
@@ -31,6 +31,8 @@
   bool operator==(const DrainUpdate&) const = default;
 };
 
+// What one router knows of drains. Used by cluster/claim_dispatcher.h for lists before anything else sees
+// them.
 class DrainRegistry {
  public:
   // Nodes that are remembered, beyond which those of the oldest lists are forgotten: they are not listed any
--- a/src/recovery/peer_observations.h
+++ b/src/recovery/peer_observations.h
@@ -37,6 +37,7 @@
   Duration age;  // how long ago, when it is sent
 };
 
+// What one router knows of nodes by its own observations and its peers'. Used by cluster/recovery_service.h.
 class PeerObservations {
  public:
   // What is older is neither sent nor believed: roles and starts change within minutes.
--- a/src/recovery/recovery_stages.h
+++ b/src/recovery/recovery_stages.h
@@ -40,6 +40,7 @@
 
 namespace gulltrestle::recovery {
 
+// Each admits what the one before does, and more.
 enum class Stage { closed, anyReads, consistentReads, writes, all };
 // As settings, status documents and logs have it.
 std::string_view nameOf(Stage stage);
@@ -62,6 +63,7 @@
 // As logs have it.
 std::string_view nameOf(TransitionReason reason);
 
+// A group went on to its next stage.
 struct StageTransition {
   GroupId group = 0;
   Stage from = Stage::closed, to = Stage::closed;
@@ -69,6 +71,7 @@
   Duration waited;
 };
 
+// The stages of all groups at one router. Used by cluster/recovery_service.h.
 class RecoveryStages {
  public:
   // `mayAsk`: nodes can be asked for a load report. `seed`: routers that start together ask at other times.
--- a/src/store/connection.h
+++ b/src/store/connection.h
@@ -26,6 +26,7 @@
   using std::runtime_error::runtime_error;
 };
 
+// Closes the file as it ends; what was not committed is rolled back.
 class Connection {
  public:
   // `writing` creates a file that is missing, locks it against other processes, and rolls back a commit that
--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -25,7 +25,7 @@
 constexpr std::uint64_t kOwnStarts = 64;
 
 // The number below which starts of that voter are removed: of another voter only the newest counts.
-std::uint64_t oldestKeptStart(const VoterStartRow& newest) {
+std::uint64_t oldestRememberedStart(const VoterStartRow& newest) {
   const std::uint64_t number = newest.incarnation.number;
   if (!newest.voter.empty()) return number;
   return number > kOwnStarts ? number - kOwnStarts : 0;
@@ -238,7 +238,7 @@
 }
 
 void Database::putVoterStart(const VoterStartRow& row) {
-  const std::uint64_t oldest = oldestKeptStart(row);
+  const std::uint64_t oldest = oldestRememberedStart(row);
   Statement old(connection_,
                 "SELECT number, draw FROM starts WHERE keeper = ? AND (number < ? OR number = ?)");
   old.bind(row.voter).bind(oldest).bind(row.incarnation.number);
--- a/src/store/database.h
+++ b/src/store/database.h
@@ -15,6 +15,7 @@
 
 namespace gulltrestle::store {
 
+// All rows of one file.
 class Database {
  public:
   using OpenMode = Connection::OpenMode;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -129,6 +129,7 @@
 // where there is a store already.
 void create(const std::string& folder, const std::string& voter);
 
+// What a folder holds.
 struct Contents {
   std::string keeper;  // the voting member whose store it is
   idempotency::StoredState kept;
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -1,4 +1,4 @@
-// Membership: a start's entry, a keeper's roll and who lives by several, step by step; and entries in
+// Membership: a start's entry, a voter's roll and who lives by several, step by step; and entries in
 // simulated worlds. Run as `members CASE [SEEDS]`: prints the case's trace.
 #include <functional>
 #include <iostream>
@@ -23,20 +23,20 @@
 
 // --- Step by step
 
-void entry() {
+void joinProtocol() {
   JoinProtocol one(3, 7);
   const auto shown = [&](const char* what) {
     std::cout << what << ": " << nameOf(one.state()) << " " << one.incarnation().number << ";";
-    for (const auto& [keeper, number] : one.takeJoinRequests())
-      std::cout << " wishes " << number << " of " << keeper;
+    for (const auto& [voter, number] : one.takeJoinRequests())
+      std::cout << " wishes " << number << " of " << voter;
     std::cout << "\n";
   };
-  const auto greeted = [&](VoterIndex keeper, Incarnation newest, const char* what) {
-    one.onNewestKnown(kBegin, keeper, newest);
+  const auto greeted = [&](VoterIndex voter, Incarnation newest, const char* what) {
+    one.onNewestKnown(kBegin, voter, newest);
     shown(what);
   };
-  const auto answered = [&](VoterIndex keeper, Incarnation newest, const char* what) {
-    one.onJoinReply(kBegin, keeper, newest);
+  const auto answered = [&](VoterIndex voter, Incarnation newest, const char* what) {
+    one.onJoinReply(kBegin, voter, newest);
     shown(what);
   };
   greeted(0, {4, 1}, "one keeper of three tells start 4");
@@ -66,13 +66,13 @@
 }
 
 void shown(const std::vector<LivenessReport>& reports) {
-  constexpr const char* kHearing[] = {"awaited", "heard", "silent", "left"};
+  constexpr const char* kLiveness[] = {"awaited", "heard", "silent", "left"};
   for (const auto& report : reports)
     std::cout << "  " << report.router << " " << report.incarnation.number << " "
-              << kHearing[static_cast<int>(report.liveness)] << " " << report.progress.recoveryStage << "\n";
+              << kLiveness[static_cast<int>(report.liveness)] << " " << report.progress.recoveryStage << "\n";
 }
 
-void roll() {
+void detector() {
   FailureDetector one(kBegin, {"a", "b"}, {{"b", {4, 40}}, {"old", {9, 90}}});
   std::uint64_t told = 0;
   const auto since = [&](const char* what) {
@@ -115,9 +115,9 @@
 
 void view() {
   MembershipView one(3);
-  const auto told = [&](VoterIndex keeper, std::uint64_t incarnation, Liveness hearing, unsigned progress,
+  const auto told = [&](VoterIndex voter, std::uint64_t incarnation, Liveness liveness, unsigned progress,
                         const char* what) {
-    one.onReports(keeper, {{"r", {incarnation, 1}, hearing, progress}});
+    one.onReports(voter, {{"r", {incarnation, 1}, liveness, progress}});
     const auto member = one.memberState("r");
     std::cout << what << ": " << nameOf(member.state) << " " << member.incarnation << ", progress "
               << member.progress.recoveryStage;
@@ -137,14 +137,14 @@
   told(0, 5, Liveness::alive, 1, "and by two");
   told(0, 5, Liveness::removed, 0, "one has it off the list");
   told(1, 5, Liveness::removed, 0, "two have");
-  for (const VoterIndex keeper : {0, 1}) one.onVoterLost(keeper);
+  for (const VoterIndex voter : {0, 1}) one.onVoterLost(voter);
   std::cout << "the keepers that told so are lost: " << nameOf(one.memberState("r").state) << ", "
             << one.takeTransitions().size() << " steps\n";
   one.onVoterLost(2);
   std::cout << "names left: " << one.routers().size() << "\n";
 }
 
-void beats() {
+void heartbeats() {
   std::map<std::int64_t, int> first;  // of the second, in tenths
   std::size_t said = 0;
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
@@ -162,66 +162,67 @@
   std::cout << "one that slept for half a minute: " << late << " beat at once\n";
 }
 
-// --- Worlds: several processes of a few names start, stop, stand still and come back; keepers lose power,
-// and what they had not made durable; words come late, and in any order. What must hold, whatever fails: who
-// enters does so by a number above all by which its name had entered before it started, and by one that no
-// other has; and all enter in the end.
+// --- Worlds: several processes of a few names start, stop, stand still and come back; voters lose power,
+// and what they had not made durable; messages come late, and in any order. What must hold, whatever fails:
+// who enters does so by a number above all by which its name had entered before it started, and by one that
+// no other has; and all enter in the end.
 
 enum class Bug { none, toldBeforeDurable, halfIsEnough, forgetsOnRestart };
 constexpr const char* kBugs[] = {"none", "told before it is durable", "half of the keepers are enough",
                                  "a keeper's roll is lost with its power"};
 
 struct Seen {
-  std::uint64_t starts = 0, entered = 0, superseded = 0, losses = 0, words = 0;
+  std::uint64_t starts = 0, joined = 0, superseded = 0, losses = 0, messages = 0;
 };
 
 class World {
  public:
-  World(std::uint64_t seed, Bug bug, Seen& seen) : chance_(seed), bug_(bug), seen_(seen) {
-    keepers_.resize(1 + 2 * pick(3));
+  World(std::uint64_t seed, Bug bug, Seen& seen) : random_(seed), bug_(bug), seen_(seen) {
+    voters_.resize(1 + 2 * pick(3));
     for (std::size_t n = 1 + pick(3); n > 0; --n) names_.insert("r" + std::to_string(n));
-    for (std::size_t k = 0; k < keepers_.size(); ++k) boot(k);
+    for (std::size_t k = 0; k < voters_.size(); ++k) startVoter(k);
   }
   std::string play() {
     constexpr std::int64_t kEnd = 20'000;
     for (std::int64_t at = 0; at < kEnd; at += 50 + static_cast<std::int64_t>(pick(1500)))
-      later(ms(at), [this] { trouble(); });
+      later(ms(at), [this] { injectFault(); });
     run(ms(kEnd));
-    calm_ = true;
-    for (auto& keeper : keepers_)
-      if (!keeper.roll) boot(static_cast<std::size_t>(&keeper - keepers_.data()));
+    isCalm_ = true;
+    for (auto& voter : voters_)
+      if (!voter.detector) startVoter(static_cast<std::size_t>(&voter - voters_.data()));
     // One process a name is left; it enters, or has.
     std::map<std::string, std::size_t> last;
     for (std::size_t p = 0; p < processes_.size(); ++p)
-      if (processes_[p].entry) last[processes_[p].name] = p;
+      if (processes_[p].joinProtocol) last[processes_[p].name] = p;
     for (auto& process : processes_)
-      if (process.entry && last[process.name] != static_cast<std::size_t>(&process - processes_.data()))
-        process.entry.reset();
+      if (process.joinProtocol &&
+          last[process.name] != static_cast<std::size_t>(&process - processes_.data()))
+        process.joinProtocol.reset();
     for (const auto& name : names_) start(name);
     run(ms(10'000));
     for (std::size_t p = processes_.size() - names_.size(); p < processes_.size(); ++p)
-      if (fault_.empty() && processes_[p].entry->state() != JoinProtocol::State::joined)
-        fault_ = processes_[p].name +
-                 " does not enter when all is well: " + std::string(nameOf(processes_[p].entry->state()));
+      if (fault_.empty() && processes_[p].joinProtocol->state() != JoinProtocol::State::joined)
+        fault_ = processes_[p].name + " does not enter when all is well: " +
+                 std::string(nameOf(processes_[p].joinProtocol->state()));
     return fault_;
   }
 
  private:
-  struct KeeperAt {
+  struct VoterState {
     std::map<std::string, Incarnation> disk;
-    std::optional<FailureDetector> roll;
-    std::uint64_t life = 0;
+    std::optional<FailureDetector> detector;
+    std::uint64_t startCount = 0;
   };
   struct Process {
     std::string name;
     std::uint64_t draw = 0;
-    std::optional<JoinProtocol> entry;
-    std::uint64_t above = 0;  // the highest that had entered when it started
-    bool stopped = false, counted = false, counted2 = false;
-    std::map<std::size_t, std::uint64_t> link;  // to each keeper: its generation
+    std::optional<JoinProtocol> joinProtocol;
+    std::uint64_t highestJoinedBefore = 0;  // the highest that had entered when it started
+    bool isStandingStill = false, isCountedJoined = false, isCountedSuperseded = false;
+    std::map<std::size_t, std::uint64_t> connections;  // to each voter: its generation
   };
 
-  std::size_t pick(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(chance_); }
+  std::size_t pick(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_); }
   void later(Duration after, std::function<void()> call) {
     events_.push({now_ + after, ++order_, std::move(call)});
   }
@@ -235,105 +236,108 @@
     }
     now_ = end;
   }
-  Duration delay() { return ms(1 + static_cast<std::int64_t>(pick(calm_ || pick(10) ? 20 : 2000))); }
+  Duration delay() { return ms(1 + static_cast<std::int64_t>(pick(isCalm_ || pick(10) ? 20 : 2000))); }
 
-  void boot(std::size_t k) {
-    KeeperAt& keeper = keepers_[k];
-    ++keeper.life;
-    if (bug_ == Bug::forgetsOnRestart) keeper.disk.clear();
-    keeper.roll.emplace(now_, names_, keeper.disk);
+  void startVoter(std::size_t k) {
+    VoterState& voter = voters_[k];
+    ++voter.startCount;
+    if (bug_ == Bug::forgetsOnRestart) voter.disk.clear();
+    voter.detector.emplace(now_, names_, voter.disk);
     for (std::size_t p = 0; p < processes_.size(); ++p) connect(p, k);
   }
   void start(const std::string& name) {
     ++seen_.starts;
     processes_.emplace_back();
     processes_.back().name = name;
-    processes_.back().draw = chance_();
-    if (!numbers_[name].empty()) processes_.back().above = *numbers_[name].rbegin();
+    processes_.back().draw = random_();
+    if (!joinedNumbers_[name].empty()) processes_.back().highestJoinedBefore = *joinedNumbers_[name].rbegin();
     const std::size_t p = processes_.size() - 1;
-    processes_[p].entry.emplace(
-        bug_ == Bug::halfIsEnough && keepers_.size() > 1 ? keepers_.size() - 2 : keepers_.size(),
+    processes_[p].joinProtocol.emplace(
+        bug_ == Bug::halfIsEnough && voters_.size() > 1 ? voters_.size() - 2 : voters_.size(),
         processes_[p].draw);
-    for (std::size_t k = 0; k < keepers_.size(); ++k) connect(p, k);
+    for (std::size_t k = 0; k < voters_.size(); ++k) connect(p, k);
     tick(p);
   }
   void tick(std::size_t p) {
-    if (!processes_[p].entry) return;
-    if (!processes_[p].stopped) {
-      processes_[p].entry->runTimers(now_);
-      settle(p);
+    if (!processes_[p].joinProtocol) return;
+    if (!processes_[p].isStandingStill) {
+      processes_[p].joinProtocol->runTimers(now_);
+      sendRequests(p);
     }
     later(ms(50), [this, p] { tick(p); });
   }
-  bool isUp(std::size_t p, std::size_t k, std::uint64_t link, std::uint64_t life) {
-    return processes_[p].entry && processes_[p].link[k] == link && keepers_[k].roll &&
-           keepers_[k].life == life;
+  bool isUp(std::size_t p, std::size_t k, std::uint64_t generation, std::uint64_t startCount) {
+    return processes_[p].joinProtocol && processes_[p].connections[k] == generation && voters_[k].detector &&
+           voters_[k].startCount == startCount;
   }
-  // A word from the keeper's disk to the process, once all up to now is durable there.
-  void answer(std::size_t p, std::size_t k, std::uint64_t link, std::uint64_t life, bool greets) {
+  // A message from the voter's disk to the process, once all up to now is durable there.
+  void answer(std::size_t p, std::size_t k, std::uint64_t generation, std::uint64_t startCount, bool greets) {
     const std::string name = processes_[p].name;
-    const auto changes = keepers_[k].roll->takeChanges();
-    const auto tell = [=, this] {
-      const Incarnation newest = keepers_[k].roll->newestIncarnation(name);
+    const auto changes = voters_[k].detector->takeChanges();
+    const auto reply = [=, this] {
+      const Incarnation newest = voters_[k].detector->newestIncarnation(name);
       later(delay(), [=, this] {
-        if (isUp(p, k, link, life)) hear(p, k, newest, greets);
+        if (isUp(p, k, generation, startCount)) onReply(p, k, newest, greets);
       });
     };
-    if (bug_ == Bug::toldBeforeDurable) tell();
+    if (bug_ == Bug::toldBeforeDurable) reply();
     later(ms(static_cast<std::int64_t>(pick(30))), [=, this] {
-      if (!keepers_[k].roll || keepers_[k].life != life) return;
+      if (!voters_[k].detector || voters_[k].startCount != startCount) return;
       for (const auto& [router, start] : changes)
-        if (start.number > keepers_[k].disk[router].number) keepers_[k].disk[router] = start;
-      if (bug_ != Bug::toldBeforeDurable) tell();
+        if (start.number > voters_[k].disk[router].number) voters_[k].disk[router] = start;
+      if (bug_ != Bug::toldBeforeDurable) reply();
     });
   }
   void connect(std::size_t p, std::size_t k) {
     Process& process = processes_[p];
-    if (!process.entry) return;
-    process.entry->onVoterLost(k);
-    const std::uint64_t link = ++process.link[k];
-    if (!keepers_[k].roll) return;
-    const std::uint64_t life = keepers_[k].life;
+    if (!process.joinProtocol) return;
+    process.joinProtocol->onVoterLost(k);
+    const std::uint64_t generation = ++process.connections[k];
+    if (!voters_[k].detector) return;
+    const std::uint64_t startCount = voters_[k].startCount;
     later(delay(), [=, this] {
-      if (isUp(p, k, link, life)) answer(p, k, link, life, true);
+      if (isUp(p, k, generation, startCount)) answer(p, k, generation, startCount, true);
     });
   }
-  void hear(std::size_t p, std::size_t k, const Incarnation& newest, bool greets) {
+  void onReply(std::size_t p, std::size_t k, const Incarnation& newest, bool greets) {
     Process& process = processes_[p];
-    if (process.stopped)
+    if (process.isStandingStill)
       return later(ms(200), [=, this] {
-        if (processes_[p].entry) hear(p, k, newest, greets);
+        if (processes_[p].joinProtocol) onReply(p, k, newest, greets);
       });
-    ++seen_.words;
+    ++seen_.messages;
     if (greets)
-      process.entry->onNewestKnown(now_, k, newest);
+      process.joinProtocol->onNewestKnown(now_, k, newest);
     else
-      process.entry->onJoinReply(now_, k, newest);
-    settle(p);
+      process.joinProtocol->onJoinReply(now_, k, newest);
+    sendRequests(p);
   }
-  void settle(std::size_t p) {
+  void sendRequests(std::size_t p) {
     Process& process = processes_[p];
-    for (const auto& [keeper, number] : process.entry->takeJoinRequests()) {
-      const std::size_t k = keeper;
-      const std::uint64_t link = process.link[k], life = keepers_[k].life;
+    for (const auto& [voter, number] : process.joinProtocol->takeJoinRequests()) {
+      const std::size_t k = voter;
+      const std::uint64_t generation = process.connections[k], startCount = voters_[k].startCount;
       later(delay(), [=, this, n = number] {
-        if (!isUp(p, k, link, life)) return;
-        keepers_[k].roll->onJoinRequest(now_, processes_[p].name, {n, processes_[p].draw});
-        answer(p, k, link, life, false);
+        if (!isUp(p, k, generation, startCount)) return;
+        voters_[k].detector->onJoinRequest(now_, processes_[p].name, {n, processes_[p].draw});
+        answer(p, k, generation, startCount, false);
       });
     }
-    if (process.entry->state() == JoinProtocol::State::superseded && !std::exchange(process.counted2, true))
+    if (process.joinProtocol->state() == JoinProtocol::State::superseded &&
+        !std::exchange(process.isCountedSuperseded, true))
       ++seen_.superseded;
-    if (process.entry->state() != JoinProtocol::State::joined || std::exchange(process.counted, true)) return;
-    ++seen_.entered;
-    const std::uint64_t number = process.entry->incarnation().number;
-    if (number <= process.above)
+    if (process.joinProtocol->state() != JoinProtocol::State::joined ||
+        std::exchange(process.isCountedJoined, true))
+      return;
+    ++seen_.joined;
+    const std::uint64_t number = process.joinProtocol->incarnation().number;
+    if (number <= process.highestJoinedBefore)
       fault_ = process.name + " entered by " + std::to_string(number) + ", and " +
-               std::to_string(process.above) + " had entered before it started";
-    if (!numbers_[process.name].insert(number).second)
+               std::to_string(process.highestJoinedBefore) + " had entered before it started";
+    if (!joinedNumbers_[process.name].insert(number).second)
       fault_ = process.name + " entered by " + std::to_string(number) + " twice";
   }
-  void trouble() {
+  void injectFault() {
     switch (pick(5)) {
       case 0:
       case 1: {
@@ -341,27 +345,28 @@
         std::advance(name, pick(names_.size()));
         return start(*name);
       }
-      case 2: {  // a keeper loses its power
-        const std::size_t k = pick(keepers_.size());
-        if (!keepers_[k].roll) return;
+      case 2: {  // a voter loses its power
+        const std::size_t k = pick(voters_.size());
+        if (!voters_[k].detector) return;
         ++seen_.losses;
-        keepers_[k].roll.reset();
+        voters_[k].detector.reset();
         for (std::size_t p = 0; p < processes_.size(); ++p)
-          if (processes_[p].entry) processes_[p].entry->onVoterLost(k);
+          if (processes_[p].joinProtocol) processes_[p].joinProtocol->onVoterLost(k);
         return later(ms(static_cast<std::int64_t>(pick(3000))), [this, k] {
-          if (!keepers_[k].roll) boot(k);
+          if (!voters_[k].detector) startVoter(k);
         });
       }
       case 3: {  // a process ends, or stands still
         if (processes_.empty()) return;
         Process& process = processes_[pick(processes_.size())];
-        if (pick(2)) return process.entry.reset();
-        process.stopped = true;
+        if (pick(2)) return process.joinProtocol.reset();
+        process.isStandingStill = true;
         const auto p = static_cast<std::size_t>(&process - processes_.data());
-        return later(ms(static_cast<std::int64_t>(pick(4000))), [this, p] { processes_[p].stopped = false; });
+        return later(ms(static_cast<std::int64_t>(pick(4000))),
+                     [this, p] { processes_[p].isStandingStill = false; });
       }
       case 4:
-        if (!processes_.empty()) connect(pick(processes_.size()), pick(keepers_.size()));
+        if (!processes_.empty()) connect(pick(processes_.size()), pick(voters_.size()));
     }
   }
 
@@ -373,17 +378,17 @@
       return std::pair(other.at, other.order) < std::pair(at, order);
     }
   };
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   Bug bug_;
   Seen& seen_;
   std::set<std::string> names_;
-  std::vector<KeeperAt> keepers_;
+  std::vector<VoterState> voters_;
   std::vector<Process> processes_;
-  std::map<std::string, std::set<std::uint64_t>> numbers_;  // by which starts of a name have entered
+  std::map<std::string, std::set<std::uint64_t>> joinedNumbers_;  // by which starts of a name have entered
   Instant now_ = kBegin;
   std::uint64_t order_ = 0;
   std::priority_queue<Event> events_;
-  bool calm_ = false;
+  bool isCalm_ = false;
   std::string fault_;
 };
 
@@ -398,8 +403,8 @@
       return;
     }
   std::cout << seeds << " worlds: numbers only grow, all enter in the end\n"
-            << "starts " << seen.starts << ", entered " << seen.entered << ", superseded " << seen.superseded
-            << ", keepers lost power " << seen.losses << ", words " << seen.words << "\n";
+            << "starts " << seen.starts << ", entered " << seen.joined << ", superseded " << seen.superseded
+            << ", keepers lost power " << seen.losses << ", words " << seen.messages << "\n";
 }
 
 void bugs() {
@@ -416,8 +421,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::map<std::string, void (*)()> cases{{"entry", entry}, {"roll", roll},     {"view", view},
-                                                {"beats", beats}, {"worlds", worlds}, {"bugs", bugs}};
+  const std::map<std::string, void (*)()> cases{{"entry", joinProtocol}, {"roll", detector}, {"view", view},
+                                                {"beats", heartbeats},   {"worlds", worlds}, {"bugs", bugs}};
   const auto at = cases.find(argc > 1 ? argv[1] : "");
   if (at == cases.end()) return 2;
   if (argc > 2) seedsAsked = std::stoull(argv[2]);
--- a/tests/returning.cpp
+++ b/tests/returning.cpp
@@ -33,15 +33,15 @@
       entries.back().group = 1;
       entries.back().primary = node == primary;
       entries.back().startedAt = start;
-      seen.onListed(node, start);
+      observations.onListed(node, start);
     }
     std::vector<EndpointEntry*> pointers;
     for (auto& entry : entries) pointers.push_back(&entry);
     stages_.onEndpointList(now, kind, version, pointers);
     decide((kind == EndpointUpdateKind::restored ? "from before " : "list ") + std::to_string(version));
   }
-  void says(const NodeId& node, Role role, std::int64_t position = 0) {
-    seen.observe(now, node, {role, kStart + ms(position), {}});
+  void report(const NodeId& node, Role role, std::int64_t position = 0) {
+    observations.observe(now, node, {role, kStart + ms(position), {}});
     decide(node + (role == Role::primary ? " says primary" : " says replica"));
   }
   // Nothing comes in for so long.
@@ -53,30 +53,30 @@
     }
   }
   void decide(const std::string& after) {
-    if (!after.empty()) std::cout << at() << after << "\n";
-    for (const auto& step : stages_.decide(now, seen))
-      std::cout << at() << "  to " << nameOf(step.to) << " (" << nameOf(step.reason) << ")\n";
-    for (const auto& node : stages_.takeReportRequests()) ++asked[node];
+    if (!after.empty()) std::cout << timestamp() << after << "\n";
+    for (const auto& step : stages_.decide(now, observations))
+      std::cout << timestamp() << "  to " << nameOf(step.to) << " (" << nameOf(step.reason) << ")\n";
+    for (const auto& node : stages_.takeReportRequests()) ++requests[node];
     for (const auto& [group, primary] : stages_.takeConfirmed())
-      std::cout << at() << "  confirmed " << primary.node << " by list " << primary.version << "\n";
+      std::cout << timestamp() << "  confirmed " << primary.node << " by list " << primary.version << "\n";
   }
-  void tell() {
+  void printStatus() {
     const auto group = stages_.statusOf(1);
-    std::cout << at() << "  " << nameOf(group.stage) << (group.awaits.empty() ? "" : ", awaits ")
+    std::cout << timestamp() << "  " << nameOf(group.stage) << (group.awaits.empty() ? "" : ", awaits ")
               << group.awaits;
     for (const auto& node : group.claimed) std::cout << " contested by " << node;
     std::cout << "; lets in";
     for (std::size_t type = 0; type < 4; ++type) std::cout << (stages_.admits(1, type) ? " 1" : " 0");
     std::cout << "; asked";
-    for (const auto& [node, times] : asked) std::cout << " " << node << " " << times;
+    for (const auto& [node, times] : requests) std::cout << " " << node << " " << times;
     std::cout << "\n";
   }
-  std::string at() const { return std::to_string((now - kStart).inMicros() / 1000) + " "; }
+  std::string timestamp() const { return std::to_string((now - kStart).inMicros() / 1000) + " "; }
   RecoveryStages& stages() { return stages_; }
 
   Instant now = kStart;
-  PeerObservations seen;
-  std::map<NodeId, int> asked;
+  PeerObservations observations;
+  std::map<NodeId, int> requests;
 
  private:
   RecoveryStages stages_;
@@ -84,159 +84,162 @@
 
 void stages() {
   {
-    World w("each stage as what it waits for comes");
-    w.tell();
-    w.list(5, "p", {"p", "a", "b"});
-    w.tell();
-    w.wait(100);
-    w.says("a", Role::replica);
-    w.tell();
-    w.says("p", Role::primary);
-    w.tell();
-    w.stages().setQuorumReached(true);
-    w.decide("keepers");
-    w.tell();
+    World world("each stage as what it waits for comes");
+    world.printStatus();
+    world.list(5, "p", {"p", "a", "b"});
+    world.printStatus();
+    world.wait(100);
+    world.report("a", Role::replica);
+    world.printStatus();
+    world.report("p", Role::primary);
+    world.printStatus();
+    world.stages().setQuorumReached(true);
+    world.decide("keepers");
+    world.printStatus();
   }
   {
-    World w("nobody tells anything: each wait ends, and is given up on");
-    w.list(5, "p", {"p", "a", "b"});
-    w.wait(20'000);
-    w.tell();
+    World world("nobody tells anything: each wait ends, and is given up on");
+    world.list(5, "p", {"p", "a", "b"});
+    world.wait(20'000);
+    world.printStatus();
   }
   {
-    World w("the list is older than what the disk knew: the one it names believes in itself");
-    w.list(5, "p", {"p", "a", "b"});
-    w.stages().onKnownPrimary(1, {"a", 7});
-    w.says("p", Role::primary);
-    w.wait(30'000);
-    w.tell();
-    w.says("a", Role::primary);
-    w.tell();
-    w.says("p", Role::replica);
-    w.tell();
+    World world("the list is older than what the disk knew: the one it names believes in itself");
+    world.list(5, "p", {"p", "a", "b"});
+    world.stages().onKnownPrimary(1, {"a", 7});
+    world.report("p", Role::primary);
+    world.wait(30'000);
+    world.printStatus();
+    world.report("a", Role::primary);
+    world.printStatus();
+    world.report("p", Role::replica);
+    world.printStatus();
   }
   {
-    World w("the same; the one that was known never returns, a newer list settles it");
-    w.list(5, "p", {"p", "b"});
-    w.stages().onKnownPrimary(1, {"a", 7});
-    w.says("p", Role::primary);
-    w.wait(30'000);
-    w.tell();
-    w.list(8, "p", {"p", "b"});
+    World world("the same; the one that was known never returns, a newer list settles it");
+    world.list(5, "p", {"p", "b"});
+    world.stages().onKnownPrimary(1, {"a", 7});
+    world.report("p", Role::primary);
+    world.wait(30'000);
+    world.printStatus();
+    world.list(8, "p", {"p", "b"});
   }
   {
-    World w("discovery is away: nodes are known from before, and the primary from a later list");
-    w.list(0, "p", {"p", "a", "b"}, {}, EndpointUpdateKind::restored);
-    w.stages().onKnownPrimary(1, {"a", 7});
-    w.wait(4000);
-    w.tell();
-    w.says("p", Role::primary);
-    w.wait(16'000);
-    w.tell();
-    w.says("a", Role::primary);
-    w.says("p", Role::replica);
-    w.wait(10'000);
-    w.tell();
+    World world("discovery is away: nodes are known from before, and the primary from a later list");
+    world.list(0, "p", {"p", "a", "b"}, {}, EndpointUpdateKind::restored);
+    world.stages().onKnownPrimary(1, {"a", 7});
+    world.wait(4000);
+    world.printStatus();
+    world.report("p", Role::primary);
+    world.wait(16'000);
+    world.printStatus();
+    world.report("a", Role::primary);
+    world.report("p", Role::replica);
+    world.wait(10'000);
+    world.printStatus();
   }
   {
-    World w("two claim to be it: an operator decides");
-    w.list(5, "p", {"p", "a", "b"});
-    w.says("p", Role::primary);
-    w.says("a", Role::primary);
-    w.stages().force(Stage::writes);
-    w.decide("forced");
-    w.tell();
+    World world("two claim to be it: an operator decides");
+    world.list(5, "p", {"p", "a", "b"});
+    world.report("p", Role::primary);
+    world.report("a", Role::primary);
+    world.stages().force(Stage::writes);
+    world.decide("forced");
+    world.printStatus();
   }
   {
-    World w("300 routers: each asks seldom", 300);
-    w.list(5, "p", {"p", "a", "b"});
-    w.wait(1900);
-    w.tell();
+    World world("300 routers: each asks seldom", 300);
+    world.list(5, "p", {"p", "a", "b"});
+    world.wait(1900);
+    world.printStatus();
   }
 }
 
-void sightings() {
-  PeerObservations seen(2);
-  const auto told = [&](const std::string& by, const NodeId& node, Role role, std::int64_t position,
-                        std::int64_t ageMs = 5, Instant start = Instant()) {
-    const auto proven = seen.onObservation(kStart, by, {node, start, role, kStart + ms(position), ms(ageMs)});
+void peerObservations() {
+  PeerObservations observations(2);
+  const auto gossip = [&](const std::string& by, const NodeId& node, Role role, std::int64_t position,
+                          std::int64_t ageMs = 5, Instant start = Instant()) {
+    const auto proven =
+        observations.onObservation(kStart, by, {node, start, role, kStart + ms(position), ms(ageMs)});
     std::cout << by << " tells of " << node << " at " << position << ": ";
     if (!proven) return void(std::cout << "nothing proven\n");
     constexpr const char* kRoles[] = {"of unknown role", "primary", "replica"};
     std::cout << "proven at " << (*proven->position - kStart).inMicros() / 1000 << ", "
               << kRoles[static_cast<int>(proven->role)] << "\n";
   };
-  seen.onListed("a", Instant());
+  observations.onListed("a", Instant());
   std::cout << "-- two witnesses prove the lower of what they tell; one, twice, nothing\n";
-  told("r1", "a", Role::replica, -100);
-  told("r1", "a", Role::replica, -50);
-  told("r2", "a", Role::replica, -80);
-  told("r3", "a", Role::replica, -70);
+  gossip("r1", "a", Role::replica, -100);
+  gossip("r1", "a", Role::replica, -50);
+  gossip("r2", "a", Role::replica, -80);
+  gossip("r3", "a", Role::replica, -70);
   std::cout << "-- one that tells falsely: too far, another role\n";
-  told("r4", "a", Role::primary, 1'000'000);
-  told("r1", "a", Role::replica, -50);
+  gossip("r4", "a", Role::primary, 1'000'000);
+  gossip("r1", "a", Role::replica, -50);
   std::cout << "-- old news, and of an earlier start of the node\n";
-  told("r2", "a", Role::replica, -10, 61'000);
-  told("r2", "a", Role::replica, -10, 5, kStart);
+  gossip("r2", "a", Role::replica, -10, 61'000);
+  gossip("r2", "a", Role::replica, -10, 5, kStart);
   std::cout << "-- it started again: what was known is void\n";
-  seen.observe(kStart, "a", {Role::replica, kStart, {}});
-  std::cout << "position known " << seen.knowsPosition("a") << ", tells " << seen.firstHand(kStart).size();
-  seen.onListed("a", kStart + ms(1));
-  std::cout << "; then " << seen.knowsPosition("a") << ", " << seen.firstHand(kStart).size() << "\n";
+  observations.observe(kStart, "a", {Role::replica, kStart, {}});
+  std::cout << "position known " << observations.knowsPosition("a") << ", tells "
+            << observations.firstHand(kStart).size();
+  observations.onListed("a", kStart + ms(1));
+  std::cout << "; then " << observations.knowsPosition("a") << ", " << observations.firstHand(kStart).size()
+            << "\n";
   std::cout << "-- told ahead of the list: proven when it comes; strangers are bounded\n";
-  told("r1", "b", Role::replica, -5);
-  told("r2", "b", Role::replica, -5);
-  told("r1", "c", Role::replica, -5);
-  told("r1", "d", Role::replica, -5);
-  std::cout << "b proven " << seen.onListed("b", Instant()).has_value() << ", c "
-            << seen.onListed("c", Instant()).has_value() << "\n";
+  gossip("r1", "b", Role::replica, -5);
+  gossip("r2", "b", Role::replica, -5);
+  gossip("r1", "c", Role::replica, -5);
+  gossip("r1", "d", Role::replica, -5);
+  std::cout << "b proven " << observations.onListed("b", Instant()).has_value() << ", c "
+            << observations.onListed("c", Instant()).has_value() << "\n";
 }
 
 void ramp() {
   std::cout << "-- 10 routers, 20 nodes, 100 a second come; all in time: let in a second, state\n";
-  const auto play = [](AdmissionRamp ramp, int seconds, int asked, std::function<bool(int)> inTime) {
+  const auto play = [](AdmissionRamp ramp, int seconds, int requests, std::function<bool(int)> inTime) {
     for (int second = 0; second < seconds; ++second) {
-      int in = 0;
+      int admitted = 0;
       Duration longest;
-      for (int n = 0; n < asked; ++n) {
-        const Instant now = kStart + ms(second * 1000 + n * 1000 / asked);
-        const auto back = ramp.rejectsWithRetryAfter(now);
-        if (back) longest = std::max(longest, *back);
-        if (back) continue;
-        ++in;
+      for (int n = 0; n < requests; ++n) {
+        const Instant now = kStart + ms(second * 1000 + n * 1000 / requests);
+        const auto retryAfter = ramp.rejectsWithRetryAfter(now);
+        if (retryAfter) longest = std::max(longest, *retryAfter);
+        if (retryAfter) continue;
+        ++admitted;
         ramp.onTransactionEnded(now, true, inTime(second));
       }
       constexpr const char* kStates[] = {"opening", "steady", "over"};
-      std::cout << second << ": " << in << " " << kStates[static_cast<int>(ramp.state())]
+      std::cout << second << ": " << admitted << " " << kStates[static_cast<int>(ramp.state())]
                 << (longest > Duration()
                         ? ", back within " + std::to_string(longest.inMicros() / 100'000) + "00 ms"
                         : "")
                 << "\n";
     }
   };
-  const auto made = [](std::size_t nodes) {
+  const auto newRamp = [](std::size_t nodes) {
     AdmissionRamp ramp(kStart, 10, AdmissionRamp::kInitialRatePerNode, ms(400), 7);
     ramp.setNodeCount(nodes);
     return ramp;
   };
-  play(made(20), 8, 100, [](int) { return true; });
+  play(newRamp(20), 8, 100, [](int) { return true; });
   std::cout << "-- most are late from the third second to the eighth, as nodes are overloaded\n";
-  play(made(20), 12, 400, [](int second) { return second < 3 || second > 8; });
+  play(newRamp(20), 12, 400, [](int second) { return second < 3 || second > 8; });
   std::cout << "-- what was never sent on is held against nobody\n";
-  AdmissionRamp unsent = made(20);
-  for (int n = 0; n < 100; ++n) unsent.onTransactionEnded(kStart + ms(n), false, false);
-  play(unsent, 3, 100, [](int) { return true; });
+  AdmissionRamp unforwarded = newRamp(20);
+  for (int n = 0; n < 100; ++n) unforwarded.onTransactionEnded(kStart + ms(n), false, false);
+  play(unforwarded, 3, 100, [](int) { return true; });
   std::cout << "-- those that live serve as usual: all are let in\n";
-  AdmissionRamp alone = made(20);
-  alone.skip();
-  play(alone, 1, 1000, [](int) { return true; });
+  AdmissionRamp skipped = newRamp(20);
+  skipped.skip();
+  play(skipped, 1, 1000, [](int) { return true; });
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   const std::map<std::string, std::function<void()>> cases{
-      {"stages", stages}, {"sightings", sightings}, {"ramp", ramp}};
+      {"stages", stages}, {"sightings", peerObservations}, {"ramp", ramp}};
   const auto found = cases.find(argc > 1 ? argv[1] : "");
   if (found == cases.end()) return 2;
   found->second();
--- a/tests/small.cpp
+++ b/tests/small.cpp
@@ -1,8 +1,8 @@
-// A small world of claims, tried in every order: the real decisions of three keepers and of two routers that
-// are asked for one id, one of which may start again and be asked once more. Words arrive with their
-// connection, writes become durable or not, a keeper loses its power, its disk, or both. Each state is
-// visited once; two orders that give each keeper and claimant the same history lead to the same state. Run as
-// `small CASE`: prints what was visited.
+// A small world of claims, tried in every order: the real decisions of three voters and of two routers that
+// are asked for one id, one of which may start again and be asked once more. Messages arrive with their
+// connection, writes become durable or not, a voter loses its power, its disk, or both. Each state is
+// visited once; two orders that give each voter and coordinator the same history lead to the same state. Run
+// as `small CASE`: prints what was visited.
 #include <algorithm>
 #include <array>
 #include <functional>
@@ -30,11 +30,11 @@
   int powerLosses = 1, disksLost = 1, starts = 1, timeouts = 2;
 };
 
-constexpr std::size_t kKeepers = 3, kRouters = 2;
+constexpr std::size_t kVoters = 3, kRouters = 2;
 const Instant kNow = Instant() + Duration::millis(1'000'000);
 const std::string kId = "b1", kValue = "v";
 
-std::uint64_t mixed(std::uint64_t a, std::uint64_t b) {
+std::uint64_t hashCombine(std::uint64_t a, std::uint64_t b) {
   a ^= b + 0x9E3779B97F4A7C15ULL + (a << 6) + (a >> 2);
   a *= 0xBF58476D1CE4E5B9ULL;
   return a ^ a >> 31;
@@ -43,7 +43,7 @@
 struct Disk {
   std::vector<VoterIncarnation> own;
   std::uint64_t newSince = 0;
-  bool whole = true;
+  bool isComplete = true;
   std::map<std::string, ClaimRecord> entries;
   std::map<std::string, VoterIncarnation> starts;
 };
@@ -55,63 +55,64 @@
   std::size_t router = 0;
 };
 
-struct Word {
-  enum class Kind { claim, release, committed, vote } what = Kind::claim;
-  std::size_t router = 0, keeper = 0;
+struct Message {
+  enum class Kind { claim, release, committed, vote } kind = Kind::claim;
+  std::size_t router = 0, voter = 0;
   std::uint64_t start = 0, number = 0;
   Vote vote;
-  bool isAheadOf(const Word& later) const {
-    return router == later.router && keeper == later.keeper && start == later.start &&
-           (what == Kind::vote) == (later.what == Kind::vote);
+  bool isAheadOf(const Message& later) const {
+    return router == later.router && voter == later.voter && start == later.start &&
+           (kind == Kind::vote) == (later.kind == Kind::vote);
   }
-  // But for the keeper: they are alike.
+  // But for the voter: they are alike.
   std::uint64_t hash() const {
-    std::uint64_t h = mixed(static_cast<std::uint64_t>(what), router);
-    h = mixed(h, start * 64 + number);
-    return mixed(h, static_cast<std::uint64_t>(vote.kind) * 2 + vote.committed);
+    std::uint64_t h = hashCombine(static_cast<std::uint64_t>(kind), router);
+    h = hashCombine(h, start * 64 + number);
+    return hashCombine(h, static_cast<std::uint64_t>(vote.kind) * 2 + vote.committed);
   }
 };
 
 struct State {
-  struct KeeperAt {
-    std::optional<VotingMember> keeper;
+  struct VoterState {
+    std::optional<VotingMember> voter;
     Disk disk;
     std::vector<Write> writes;
     std::uint64_t history = 1;
   };
   struct Router {
-    std::optional<ClaimCoordinator> claimant;
+    std::optional<ClaimCoordinator> coordinator;
     std::uint64_t start = 1, history = 1;
     enum class At { idle, asked, admitted, running, over } at = At::idle;
-    std::array<std::uint64_t, kKeepers> heard{};
+    std::array<std::uint64_t, kVoters> heard{};
   };
-  std::vector<KeeperAt> keepers{kKeepers};
+  std::vector<VoterState> voters{kVoters};
   std::vector<Router> routers{kRouters};
-  std::vector<Word> words;
-  Limits left;
+  std::vector<Message> messages;
+  Limits remainingFaults;
   int ran = 0;
 
-  // Keepers are alike: which is which makes no other state. Nor does the order in which votes came: the sum
-  // of what a router heard from each is part of that keeper's share.
+  // Voters are alike: which is which makes no other state. Nor does the order in which votes came: the sum
+  // of what a router heard from each is part of that voter's share.
   std::uint64_t key() const {
     std::vector<std::uint64_t> shares;
-    for (std::size_t k = 0; k < keepers.size(); ++k) {
+    for (std::size_t k = 0; k < voters.size(); ++k) {
       std::uint64_t sum = 0;
-      for (const auto& word : words)
-        if (word.keeper == k) sum += mixed(3, word.hash());
-      std::uint64_t h = mixed(mixed(keepers[k].history, keepers[k].writes.size()), sum);
-      for (const auto& r : routers) h = mixed(h, r.heard[k]);
+      for (const auto& message : messages)
+        if (message.voter == k) sum += hashCombine(3, message.hash());
+      std::uint64_t h = hashCombine(hashCombine(voters[k].history, voters[k].writes.size()), sum);
+      for (const auto& r : routers) h = hashCombine(h, r.heard[k]);
       shares.push_back(h);
     }
     std::sort(shares.begin(), shares.end());
     std::uint64_t h = 7;
-    for (const std::uint64_t share : shares) h = mixed(h, share);
+    for (const std::uint64_t share : shares) h = hashCombine(h, share);
     for (const auto& r : routers)
-      h = mixed(mixed(h, r.history), static_cast<std::uint64_t>(r.at) * 16 + r.start);
-    return mixed(h, static_cast<std::uint64_t>(left.powerLosses * 1000 + left.disksLost * 100 +
-                                               left.starts * 10 + left.timeouts) *
-                            8 +
-                        static_cast<std::uint64_t>(ran));
+      h = hashCombine(hashCombine(h, r.history), static_cast<std::uint64_t>(r.at) * 16 + r.start);
+    return hashCombine(
+        h, static_cast<std::uint64_t>(remainingFaults.powerLosses * 1000 + remainingFaults.disksLost * 100 +
+                                      remainingFaults.starts * 10 + remainingFaults.timeouts) *
+                   8 +
+               static_cast<std::uint64_t>(ran));
   }
 };
 
@@ -119,35 +120,35 @@
  public:
   Search(Bug bug, Limits limits) : bug_(bug) {
     State state;
-    state.left = limits;
-    for (std::size_t k = 0; k < kKeepers; ++k) {
-      state.keepers[k].disk.own.push_back({1, 100 + k});
+    state.remainingFaults = limits;
+    for (std::size_t k = 0; k < kVoters; ++k) {
+      state.voters[k].disk.own.push_back({1, 100 + k});
       boot(state, k);
     }
-    ask(state, 0);
-    todo_.push_back(std::move(state));
+    startClaim(state, 0);
+    pending_.push_back(std::move(state));
   }
-  // Kind broke; empty: nothing.
+  // What broke; empty: nothing.
   std::string run(std::size_t most) {
-    while (!todo_.empty() && fault_.empty() && seen_.size() < most) {
-      State state = std::move(todo_.back());
-      todo_.pop_back();
+    while (!pending_.empty() && fault_.empty() && seen_.size() < most) {
+      State state = std::move(pending_.back());
+      pending_.pop_back();
       if (!seen_.insert(state.key()).second) continue;
       expand(state);
     }
-    if (fault_.empty() && !todo_.empty()) return "too many states";
+    if (fault_.empty() && !pending_.empty()) return "too many states";
     return fault_;
   }
   // From the beginning to an end by chance, so many times: a fault is not behind all that begins alike.
   std::string walk(std::uint64_t most) {
-    const State first = todo_.front();
-    walking_ = true;
+    const State first = pending_.front();
+    isWalking_ = true;
     for (walks_ = 0; walks_ < most && fault_.empty(); ++walks_) {
-      todo_ = {first};
-      while (!todo_.empty() && fault_.empty()) {
+      pending_ = {first};
+      while (!pending_.empty() && fault_.empty()) {
         const State state =
-            std::move(todo_[std::uniform_int_distribution<std::size_t>(0, todo_.size() - 1)(chance_)]);
-        todo_.clear();
+            std::move(pending_[std::uniform_int_distribution<std::size_t>(0, pending_.size() - 1)(random_)]);
+        pending_.clear();
         expand(state);
       }
     }
@@ -160,74 +161,76 @@
 
  private:
   // On a walk failures are rare, or all would fail before anything was done; else everything is tried.
-  bool failsNow() { return !walking_ || chance_() % 16 == 0; }
+  bool failsNow() { return !isWalking_ || random_() % 16 == 0; }
   static std::string name(std::size_t k) { return "k" + std::to_string(k); }
   // Another state, after `change`.
-  void to(const State& from, const std::function<void(State&)>& change) {
+  void addSuccessor(const State& from, const std::function<void(State&)>& change) {
     ++steps_;
     State next = from;
     change(next);
     if (next.ran > 1) fault_ = "ran twice";
     // Votes that nobody waits for any more change nothing.
-    std::erase_if(next.words, [&](const Word& word) {
-      const auto& router = next.routers[word.router];
-      return word.what == Word::Kind::vote &&
-             (router.start != word.start || router.at != State::Router::At::asked);
+    std::erase_if(next.messages, [&](const Message& message) {
+      const auto& router = next.routers[message.router];
+      return message.kind == Message::Kind::vote &&
+             (router.start != message.start || router.at != State::Router::At::asked);
     });
-    todo_.push_back(std::move(next));
+    pending_.push_back(std::move(next));
   }
 
-  void ask(State& state, std::size_t r) {
-    ClaimCoordinatorLimits bounds;
-    bounds.voterCount = bug_ == Bug::oneIsEnough && r == 0 ? 1 : kKeepers;
-    bounds.retention = Duration::millis(600'000);
+  void startClaim(State& state, std::size_t r) {
+    ClaimCoordinatorLimits limits;
+    limits.voterCount = bug_ == Bug::oneIsEnough && r == 0 ? 1 : kVoters;
+    limits.retention = Duration::millis(600'000);
     auto& router = state.routers[r];
-    router.claimant.emplace(bounds, 1);
-    for (std::size_t k = 0; k < bounds.voterCount; ++k)
-      router.claimant->setReachable(k, state.keepers[k].keeper.has_value());
+    router.coordinator.emplace(limits, 1);
+    for (std::size_t k = 0; k < limits.voterCount; ++k)
+      router.coordinator->setReachable(k, state.voters[k].voter.has_value());
     router.at = State::Router::At::asked;
-    router.claimant->beginClaim(kNow, 1, kId, Duration::millis(2000));
-    settle(state, r);
+    router.coordinator->beginClaim(kNow, 1, kId, Duration::millis(2000));
+    carryOut(state, r);
   }
   // Where it is on disk, after a greeting to all that are up.
   void boot(State& state, std::size_t k) {
-    auto& at = state.keepers[k];
-    StoredState kept;
-    kept.own = at.disk.own;
-    kept.newSince = at.disk.newSince;
-    kept.isComplete = at.disk.whole;
-    kept.starts = at.disk.starts;
-    for (std::size_t n = 0; n < kKeepers; ++n) kept.lists.current.names.insert(name(n));
-    kept.lists.current.version = 1;
-    for (const auto& [id, entry] : at.disk.entries) kept.entries.push_back(entry);
-    at.keeper.emplace(kNow, name(k), VotingMemberLimits(), std::move(kept));
+    auto& at = state.voters[k];
+    StoredState stored;
+    stored.own = at.disk.own;
+    stored.newSince = at.disk.newSince;
+    stored.isComplete = at.disk.isComplete;
+    stored.starts = at.disk.starts;
+    for (std::size_t n = 0; n < kVoters; ++n) stored.lists.current.names.insert(name(n));
+    stored.lists.current.version = 1;
+    for (const auto& [id, entry] : at.disk.entries) stored.entries.push_back(entry);
+    at.voter.emplace(kNow, name(k), VotingMemberLimits(), std::move(stored));
     // Twice: the number of its start may have to grow.
     for (int round = 0; round < 2; ++round)
-      for (std::size_t n = 0; n < kKeepers; ++n) {
-        if (n == k || !state.keepers[n].keeper) continue;
-        auto& other = state.keepers[n];
-        const auto knew = other.keeper->onGreeting(name(k), at.keeper->start());
-        apply(other.disk, other.keeper->takeChanges());
-        const bool deaf = bug_ == Bug::lostTakenForWhole;
-        at.keeper->onGreetingReply(kNow, name(n), at.keeper->start().number,
-                                   deaf ? VoterIncarnation() : knew.value_or(VoterIncarnation()));
-        apply(at.disk, at.keeper->takeChanges());
-        at.keeper->onGreeting(name(n), other.keeper->start());
-        other.keeper->onGreetingReply(
-            kNow, name(k), other.keeper->start().number,
+      for (std::size_t n = 0; n < kVoters; ++n) {
+        if (n == k || !state.voters[n].voter) continue;
+        auto& other = state.voters[n];
+        const auto knownStart = other.voter->onGreeting(name(k), at.voter->start());
+        apply(other.disk, other.voter->takeChanges());
+        const bool ignoresReply = bug_ == Bug::lostTakenForWhole;
+        at.voter->onGreetingReply(
+            kNow, name(n), at.voter->start().number,
+            ignoresReply ? VoterIncarnation() : knownStart.value_or(VoterIncarnation()));
+        apply(at.disk, at.voter->takeChanges());
+        at.voter->onGreeting(name(n), other.voter->start());
+        other.voter->onGreetingReply(
+            kNow, name(k), other.voter->start().number,
             at.disk.starts.contains(name(n)) ? at.disk.starts[name(n)] : VoterIncarnation());
-        apply(at.disk, at.keeper->takeChanges());
-        apply(other.disk, other.keeper->takeChanges());
-        other.history = mixed(other.history, 1000 + at.keeper->start().number * 8 + k);
+        apply(at.disk, at.voter->takeChanges());
+        apply(other.disk, other.voter->takeChanges());
+        other.history = hashCombine(other.history, 1000 + at.voter->start().number * 8 + k);
       }
-    at.history = mixed(at.history, 77);
+    at.history = hashCombine(at.history, 77);
   }
   static void apply(Disk& disk, const std::vector<VotingMember::DiskChange>& changes) {
     for (const auto& change : changes) {
       using Kind = VotingMember::DiskChange::Kind;
       if (change.kind == Kind::put) disk.entries[change.id] = change.entry;
       if (change.kind == Kind::drop) disk.entries.erase(change.id);
-      if (change.kind == Kind::voting) disk.whole = change.isComplete, disk.newSince = change.start.number;
+      if (change.kind == Kind::voting)
+        disk.isComplete = change.isComplete, disk.newSince = change.start.number;
       if (change.kind != Kind::start) continue;
       if (change.id.empty())
         disk.own.push_back(change.start);
@@ -236,126 +239,128 @@
     }
   }
 
-  // Kind a claimant says and decides goes where it belongs.
-  void settle(State& state, std::size_t r) {
+  // What a coordinator says and decides goes where it belongs.
+  void carryOut(State& state, std::size_t r) {
     auto& router = state.routers[r];
-    for (const auto& word : router.claimant->takeMessages()) {
-      Word out;
-      out.what = word.kind == ClaimCoordinator::ClaimMessage::Kind::claim     ? Word::Kind::claim
-                 : word.kind == ClaimCoordinator::ClaimMessage::Kind::release ? Word::Kind::release
-                                                                              : Word::Kind::committed;
+    for (const auto& message : router.coordinator->takeMessages()) {
+      Message out;
+      out.kind = message.kind == ClaimCoordinator::ClaimMessage::Kind::claim     ? Message::Kind::claim
+                 : message.kind == ClaimCoordinator::ClaimMessage::Kind::release ? Message::Kind::release
+                                                                                 : Message::Kind::committed;
       out.router = r;
-      out.keeper = word.voter;
+      out.voter = message.voter;
       out.start = router.start;
-      out.number = word.number;
-      if (state.keepers[word.voter].keeper) state.words.push_back(out);
+      out.number = message.number;
+      if (state.voters[message.voter].voter) state.messages.push_back(out);
     }
-    for (const auto& decision : router.claimant->takeDecisions()) {
+    for (const auto& decision : router.coordinator->takeDecisions()) {
       using Kind = ClaimCoordinator::Decision::Kind;
       if (decision.kind == Kind::committed && state.ran == 0) fault_ = "told as committed and never ran";
       if (decision.kind == Kind::admit) {
         router.at = State::Router::At::admitted;
       } else {
         router.at = State::Router::At::over;
-        router.claimant->onTransactionEnded(decision.txn, ClaimCoordinator::ExecutionOutcome::neverRan);
-        settle(state, r);
+        router.coordinator->onTransactionEnded(decision.txn, ClaimCoordinator::ExecutionOutcome::neverRan);
+        carryOut(state, r);
       }
     }
   }
   void vote(State& state, std::size_t k, std::size_t r, const ClaimToken& token, const Vote& vote) {
-    Word out;
-    out.what = Word::Kind::vote;
+    Message out;
+    out.kind = Message::Kind::vote;
     out.router = r;
-    out.keeper = k;
+    out.voter = k;
     out.start = token.start;
     out.number = token.number;
     out.vote = vote;
-    state.words.push_back(out);
+    state.messages.push_back(out);
   }
   void queue(State& state, std::size_t k, Write write) {
-    write.changes = state.keepers[k].keeper->takeChanges();
-    if (!write.changes.empty() || write.vote) state.keepers[k].writes.push_back(std::move(write));
+    write.changes = state.voters[k].voter->takeChanges();
+    if (!write.changes.empty() || write.vote) state.voters[k].writes.push_back(std::move(write));
     // Where no power is lost any more it makes no difference when: the vote may take as long to arrive.
-    while (state.left.powerLosses == 0 && !state.keepers[k].writes.empty()) this->write(state, k);
+    while (state.remainingFaults.powerLosses == 0 && !state.voters[k].writes.empty()) this->write(state, k);
   }
   void write(State& state, std::size_t k) {
-    auto& keeper = state.keepers[k];
-    const Write write = keeper.writes.front();
-    keeper.writes.erase(keeper.writes.begin());
-    keeper.history = mixed(keeper.history, 55);
-    apply(keeper.disk, write.changes);
+    auto& voter = state.voters[k];
+    const Write write = voter.writes.front();
+    voter.writes.erase(voter.writes.begin());
+    voter.history = hashCombine(voter.history, 55);
+    apply(voter.disk, write.changes);
     if (!write.vote) return;
-    const auto told = keeper.keeper->onWritten(kId, write.token, true);
+    const auto told = voter.voter->onWritten(kId, write.token, true);
     if (told && bug_ != Bug::toldBeforeDurable) vote(state, k, write.router, write.token, *told);
   }
-  void deliver(State& state, const Word& word) {
-    if (word.what == Word::Kind::vote) {
-      auto& router = state.routers[word.router];
-      if (router.start != word.start || router.at != State::Router::At::asked) return;
-      router.heard[word.keeper] += mixed(5, word.hash());
-      router.claimant->onVote(word.keeper, word.number, word.vote);
-      return settle(state, word.router);
+  void deliver(State& state, const Message& message) {
+    if (message.kind == Message::Kind::vote) {
+      auto& router = state.routers[message.router];
+      if (router.start != message.start || router.at != State::Router::At::asked) return;
+      router.heard[message.voter] += hashCombine(5, message.hash());
+      router.coordinator->onVote(message.voter, message.number, message.vote);
+      return carryOut(state, message.router);
     }
-    auto& at = state.keepers[word.keeper];
-    if (!at.keeper) return;
-    at.history = mixed(at.history, word.hash());
-    const ClaimToken token{"r" + std::to_string(word.router), word.start, word.number};
+    auto& at = state.voters[message.voter];
+    if (!at.voter) return;
+    at.history = hashCombine(at.history, message.hash());
+    const ClaimToken token{"r" + std::to_string(message.router), message.start, message.number};
     Write write;
-    if (word.what == Word::Kind::release) at.keeper->onReleased(kId, token);
-    if (word.what == Word::Kind::committed) at.keeper->onCommitted(kNow, kId, token, kValue);
-    if (word.what == Word::Kind::claim) {
-      const auto told = at.keeper->onClaim(kNow, kId, token);
-      if (told) return vote(state, word.keeper, word.router, token, *told);
+    if (message.kind == Message::Kind::release) at.voter->onReleased(kId, token);
+    if (message.kind == Message::Kind::committed) at.voter->onCommitted(kNow, kId, token, kValue);
+    if (message.kind == Message::Kind::claim) {
+      const auto told = at.voter->onClaim(kNow, kId, token);
+      if (told) return vote(state, message.voter, message.router, token, *told);
       if (bug_ == Bug::toldBeforeDurable)
-        vote(state, word.keeper, word.router, token, {Vote::Kind::granted, false, ""});
+        vote(state, message.voter, message.router, token, {Vote::Kind::granted, false, ""});
       write.vote = true;
       write.token = token;
-      write.router = word.router;
+      write.router = message.router;
     }
-    queue(state, word.keeper, std::move(write));
+    queue(state, message.voter, std::move(write));
   }
 
   void expand(const State& state) {
     using At = State::Router::At;
     // Nobody is left who may run it.
-    const bool over = state.left.starts == 0 && std::all_of(state.routers.begin(), state.routers.end(),
-                                                            [](const auto& r) { return r.at == At::over; });
+    const bool over =
+        state.remainingFaults.starts == 0 && std::all_of(state.routers.begin(), state.routers.end(),
+                                                         [](const auto& r) { return r.at == At::over; });
     if (over) {
       ++ends_;
       return;
     }
     bool any = false;
-    for (std::size_t i = 0; i < state.words.size(); ++i) {
+    for (std::size_t i = 0; i < state.messages.size(); ++i) {
       // A stream keeps its order.
       bool first = true;
-      for (std::size_t j = 0; j < i; ++j) first = first && !state.words[j].isAheadOf(state.words[i]);
+      for (std::size_t j = 0; j < i; ++j) first = first && !state.messages[j].isAheadOf(state.messages[i]);
       if (!first) continue;
       any = true;
-      to(state, [&](State& next) {
-        const Word word = next.words[i];
-        next.words.erase(next.words.begin() + static_cast<std::ptrdiff_t>(i));
-        deliver(next, word);
+      addSuccessor(state, [&](State& next) {
+        const Message message = next.messages[i];
+        next.messages.erase(next.messages.begin() + static_cast<std::ptrdiff_t>(i));
+        deliver(next, message);
       });
     }
-    for (std::size_t k = 0; k < kKeepers; ++k) {
-      const auto& at = state.keepers[k];
-      if (at.keeper && !at.writes.empty()) {
+    for (std::size_t k = 0; k < kVoters; ++k) {
+      const auto& at = state.voters[k];
+      if (at.voter && !at.writes.empty()) {
         any = true;
-        to(state, [&](State& next) { write(next, k); });
+        addSuccessor(state, [&](State& next) { write(next, k); });
       }
-      if (at.keeper && state.left.powerLosses > 0 && failsNow()) {
-        to(state, [&](State& next) { losePower(next, k, false); });
-        if (state.left.disksLost > 0) to(state, [&](State& next) { losePower(next, k, true); });
+      if (at.voter && state.remainingFaults.powerLosses > 0 && failsNow()) {
+        addSuccessor(state, [&](State& next) { losePower(next, k, false); });
+        if (state.remainingFaults.disksLost > 0)
+          addSuccessor(state, [&](State& next) { losePower(next, k, true); });
       }
-      if (!at.keeper) {
+      if (!at.voter) {
         any = true;
-        to(state, [&](State& next) {
-          next.keepers[k].disk.own.push_back(
-              {next.keepers[k].disk.own.empty() ? 1 : next.keepers[k].disk.own.back().number + 1, 200 + k});
+        addSuccessor(state, [&](State& next) {
+          next.voters[k].disk.own.push_back(
+              {next.voters[k].disk.own.empty() ? 1 : next.voters[k].disk.own.back().number + 1, 200 + k});
           boot(next, k);
           for (std::size_t r = 0; r < kRouters; ++r) {
-            if (next.routers[r].claimant) next.routers[r].claimant->setReachable(k, true);
-            next.routers[r].heard[k] = mixed(next.routers[r].heard[k], 300);
+            if (next.routers[r].coordinator) next.routers[r].coordinator->setReachable(k, true);
+            next.routers[r].heard[k] = hashCombine(next.routers[r].heard[k], 300);
           }
         });
       }
@@ -364,80 +369,81 @@
       const auto& router = state.routers[r];
       const auto step = [&](At at, const std::function<void(State&, State::Router&)>& change) {
         any = true;
-        to(state, [&](State& next) {
+        addSuccessor(state, [&](State& next) {
           next.routers[r].at = at;
-          next.routers[r].history = mixed(next.routers[r].history, 400 + static_cast<std::uint64_t>(at));
+          next.routers[r].history =
+              hashCombine(next.routers[r].history, 400 + static_cast<std::uint64_t>(at));
           change(next, next.routers[r]);
-          settle(next, r);
+          carryOut(next, r);
         });
       };
       if (router.at == At::idle) {
         any = true;
-        to(state, [&](State& next) {
-          next.routers[r].history = mixed(next.routers[r].history, 900);
-          ask(next, r);
+        addSuccessor(state, [&](State& next) {
+          next.routers[r].history = hashCombine(next.routers[r].history, 900);
+          startClaim(next, r);
         });
       }
-      if (router.at == At::asked && state.left.timeouts > 0 && failsNow())
-        to(state, [&](State& next) {
-          --next.left.timeouts;
-          next.routers[r].history = mixed(next.routers[r].history, 500);
-          next.routers[r].claimant->runTimers(kNow + Duration::millis(900));
-          settle(next, r);
+      if (router.at == At::asked && state.remainingFaults.timeouts > 0 && failsNow())
+        addSuccessor(state, [&](State& next) {
+          --next.remainingFaults.timeouts;
+          next.routers[r].history = hashCombine(next.routers[r].history, 500);
+          next.routers[r].coordinator->runTimers(kNow + Duration::millis(900));
+          carryOut(next, r);
         });
       if (router.at == At::admitted) {
         step(At::over, [](State&, State::Router& one) {
-          one.claimant->onTransactionEnded(1, ClaimCoordinator::ExecutionOutcome::neverRan);
+          one.coordinator->onTransactionEnded(1, ClaimCoordinator::ExecutionOutcome::neverRan);
         });
         step(At::running, [](State& next, State::Router&) { ++next.ran; });
       }
       if (router.at == At::running) {
         step(At::over, [](State&, State::Router& one) {
-          one.claimant->onCommitted(1, kValue);
-          one.claimant->onTransactionEnded(1, ClaimCoordinator::ExecutionOutcome::committed);
+          one.coordinator->onCommitted(1, kValue);
+          one.coordinator->onTransactionEnded(1, ClaimCoordinator::ExecutionOutcome::committed);
         });
         step(At::over, [this](State&, State::Router& one) {
-          one.claimant->onTransactionEnded(1, bug_ == Bug::freesUnknown
-                                                  ? ClaimCoordinator::ExecutionOutcome::neverRan
-                                                  : ClaimCoordinator::ExecutionOutcome::unknown);
+          one.coordinator->onTransactionEnded(1, bug_ == Bug::freesUnknown
+                                                     ? ClaimCoordinator::ExecutionOutcome::neverRan
+                                                     : ClaimCoordinator::ExecutionOutcome::unknown);
         });
       }
       // It starts again and is asked for the id once more; what it said before may still arrive.
-      if (r == 0 && state.left.starts > 0 && failsNow())
-        to(state, [&](State& next) {
-          --next.left.starts;
+      if (r == 0 && state.remainingFaults.starts > 0 && failsNow())
+        addSuccessor(state, [&](State& next) {
+          --next.remainingFaults.starts;
           ++next.routers[r].start;
           next.routers[r].heard = {};
-          next.routers[r].history = mixed(next.routers[r].history, 600);
-          ask(next, r);
+          next.routers[r].history = hashCombine(next.routers[r].history, 600);
+          startClaim(next, r);
         });
     }
     if (!any) ++ends_;
   }
   void losePower(State& state, std::size_t k, bool disk) {
-    --state.left.powerLosses;
-    auto& at = state.keepers[k];
-    at.history = mixed(at.history, disk ? 700 : 701);
-    at.keeper.reset();
+    --state.remainingFaults.powerLosses;
+    auto& at = state.voters[k];
+    at.history = hashCombine(at.history, disk ? 700 : 701);
+    at.voter.reset();
     at.writes.clear();
     if (disk) {
-      --state.left.disksLost;
+      --state.remainingFaults.disksLost;
       at.disk = Disk();
-      at.disk.whole = bug_ == Bug::lostTakenForWhole;
+      at.disk.isComplete = bug_ == Bug::lostTakenForWhole;
     }
-    std::erase_if(state.words, [&](const Word& word) { return word.keeper == k; });
+    std::erase_if(state.messages, [&](const Message& message) { return message.voter == k; });
     for (std::size_t r = 0; r < kRouters; ++r) {
-      state.routers[r].heard[k] = mixed(state.routers[r].heard[k], 800);
-      if (!state.routers[r].claimant) continue;
-      state.routers[r].claimant->setReachable(k, false);
-      settle(state, r);
+      state.routers[r].heard[k] = hashCombine(state.routers[r].heard[k], 800);
+      if (!state.routers[r].coordinator) continue;
+      state.routers[r].coordinator->setReachable(k, false);
+      carryOut(state, r);
     }
   }
 
   Bug bug_;
-  std::mt19937_64 chance_{1};
-  bool walking_ = false;
-  std::vector<State> todo_;
+  std::mt19937_64 random_{1};
+  bool isWalking_ = false;
+  std::vector<State> pending_;
   std::unordered_set<std::uint64_t> seen_;
   std::uint64_t steps_ = 0, ends_ = 0, walks_ = 0;
   std::string fault_;
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -43,23 +43,23 @@
 }
 const idempotency::VoterList kFirst{1, {"k1", "k2"}}, kSecond{2, {"k1", "k4"}};
 VotingMember::DiskChange changed(Kind what, const std::string& id, idempotency::VoterIncarnation start,
-                                 bool whole = false) {
+                                 bool isComplete = false) {
   VotingMember::DiskChange made;
   made.kind = what;
   made.id = id;
   made.start = start;
-  made.isComplete = whole;
+  made.isComplete = isComplete;
   return made;
 }
 VotingMember::DiskChange drop(int id) { return changed(Kind::drop, "b" + std::to_string(id), {}); }
-VotingMember::DiskChange lists(bool isOver) {
+VotingMember::DiskChange lists(bool isSuperseded) {
   VotingMember::DiskChange made = changed(Kind::lists, "", {});
   made.lists.current = kSecond;
-  if (!isOver) made.lists.previous.push_back(kFirst);
+  if (!isSuperseded) made.lists.previous.push_back(kFirst);
   return made;
 }
 
-// Kind is committed one after the other; grows, drops, starts, and pages that split.
+// What is committed one after the other; grows, drops, starts, and pages that split.
 std::vector<Changes> script() {
   std::vector<Changes> all{{changed(Kind::start, "", {1, 5})}, {changed(Kind::start, "k2", {3, 9})}};
   int next = 0;
@@ -85,19 +85,19 @@
 const std::vector<idempotency::VoterList> kOne{{1, {"k1"}}};
 
 // All that is known, as one text: equal where the stores are.
-std::string shown(const idempotency::StoredState& kept) {
+std::string shown(const idempotency::StoredState& state) {
   std::map<std::string, std::string> rows;
-  for (const auto& e : kept.entries)
+  for (const auto& e : state.entries)
     rows[e.id] = e.token.router + "/" + std::to_string(e.token.number) + (e.committed ? "=" + e.value : "");
-  std::string out = (kept.isComplete ? "whole " : "silent ") + std::to_string(kept.newSince);
-  for (const auto& s : kept.own) out += " own" + std::to_string(s.number) + "/" + std::to_string(s.draw);
-  for (const auto& [name, s] : kept.starts) out += " " + name + std::to_string(s.number);
-  for (const auto& [name, s] : kept.members) out += " " + name + " speaks by " + std::to_string(s.number);
-  for (const auto& name : kept.lists.current.names)
-    out += " list" + std::to_string(kept.lists.current.version) + ":" + name;
-  for (const auto& list : kept.lists.previous)
+  std::string out = (state.isComplete ? "whole " : "silent ") + std::to_string(state.newSince);
+  for (const auto& s : state.own) out += " own" + std::to_string(s.number) + "/" + std::to_string(s.draw);
+  for (const auto& [name, s] : state.starts) out += " " + name + std::to_string(s.number);
+  for (const auto& [name, s] : state.members) out += " " + name + " speaks by " + std::to_string(s.number);
+  for (const auto& name : state.lists.current.names)
+    out += " list" + std::to_string(state.lists.current.version) + ":" + name;
+  for (const auto& list : state.lists.previous)
     for (const auto& name : list.names) out += " before" + std::to_string(list.version) + ":" + name;
-  for (const auto& [id, known] : kept.nodes)
+  for (const auto& [id, known] : state.nodes)
     out += " " + id + (known.second ? " leaves by " : " stays by ") + std::to_string(known.first);
   for (const auto& [id, row] : rows) out += " " + id + ":" + row;
   return out;
@@ -170,7 +170,7 @@
       try {
         found = loaded();
       } catch (const std::exception& bad) { found = std::string("damaged: ") + bad.what(); }
-      // Kind was told as durable is there, and at most the commit under way beside it.
+      // What was reported as durable is there, and at most the commit under way beside it.
       if (found != known[done] && (done + 1 >= known.size() || found != known[done + 1])) {
         out.fault = "operation " + std::to_string(at) + ", time " + std::to_string(time) + ", after commit " +
                     std::to_string(done) + ": " + found.substr(0, 60);
@@ -198,7 +198,7 @@
   const auto all = script();
   Disk::the().reset();
   play(all);
-  const std::string whole = Disk::the().files.at(kFile)->now, right = loaded();
+  const std::string intact = Disk::the().files.at(kFile)->now, right = loaded();
   std::uint64_t same = 0, damaged = 0, wrong = 0;
   const auto look = [&](const std::string& file) {
     Disk::the().reset();
@@ -207,16 +207,16 @@
       ++(loaded() == right ? same : wrong);
     } catch (const std::exception&) { ++damaged; }
   };
-  for (std::size_t at = 0; at < whole.size(); ++at) {
-    std::string file = whole;
+  for (std::size_t at = 0; at < intact.size(); ++at) {
+    std::string file = intact;
     file[at] = static_cast<char>(file[at] ^ (1 << at % 8));
     look(file);
   }
-  std::cout << whole.size() << " bytes flipped: as it was or known as damaged " << same + damaged
+  std::cout << intact.size() << " bytes flipped: as it was or known as damaged " << same + damaged
             << ", wrong " << wrong << "; damaged " << (damaged > 1000 ? "many" : "FEW") << "\n";
   same = damaged = wrong = 0;
-  for (std::size_t size = 1; size < whole.size(); ++size) look(whole.substr(0, size));
-  std::cout << "cut at each byte: damaged " << (damaged > whole.size() / 2 ? "most" : "FEW") << ", wrong "
+  for (std::size_t size = 1; size < intact.size(); ++size) look(intact.substr(0, size));
+  std::cout << "cut at each byte: damaged " << (damaged > intact.size() / 2 ? "most" : "FEW") << ", wrong "
             << wrong << "\n";
 }
 
