--- /dev/null
+++ b/src/routing/routing_state.cpp
@@ -0,0 +1,78 @@
+#include "routing/routing_state.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace gulltrestle::routing {
+
+namespace {
+
+constexpr Duration kSampleLifetime = Duration::seconds(2);
+
+// Stands in where no class is a bounded read: sessions read soon after they write.
+constexpr Duration kDefaultStalenessBound = Duration::seconds(2);
+
+// One in flight from each of a dozen routers is twice the least concurrency that a node is meant to have (six
+// over all routers, see concurrency_limit.cpp).
+constexpr unsigned kManyRouters = 12;
+
+// The shortest latency target of the deployments that pauses were tuned with.
+constexpr Duration kTunedLatencyTarget = Duration::millis(200);
+
+}  // namespace
+
+bool isOutdated(const Samples& samples, Instant now) {
+  return samples.empty() || now - samples.back().at > kSampleLifetime;
+}
+
+bool PendingTransaction::wasAttemptedAt(const NodeState& node) const {
+  return std::find(attemptedNodes.begin(), attemptedNodes.end(), &node) != attemptedNodes.end();
+}
+
+RoutingState::RoutingState(RoutingConfig routingConfig, std::uint64_t seed)
+    : config(std::move(routingConfig)), random(seed), shortestStalenessBound(kDefaultStalenessBound) {
+  for (const TransactionClass& type : config.transactionClasses) {
+    shortestLatencyTarget = shortestLatencyTarget == Duration()
+                                ? type.latencyTarget
+                                : std::min(shortestLatencyTarget, type.latencyTarget);
+    if (type.level == ReadLevel::bounded)
+      shortestStalenessBound = std::min(shortestStalenessBound, type.maxStaleness);
+  }
+}
+
+GroupState& RoutingState::groupOf(GroupId id) {
+  const auto found = groups.find(id);
+  return found == groups.end() ? unlistedGroup_ : found->second;
+}
+
+const GroupState& RoutingState::groupOf(GroupId id) const {
+  const auto found = groups.find(id);
+  return found == groups.end() ? unlistedGroup_ : found->second;
+}
+
+const TransactionClass& RoutingState::classOf(const PendingTransaction& transaction) const {
+  return config.transactionClasses[transaction.request.type];
+}
+
+bool RoutingState::isDraining(const NodeState& node) const {
+  return config.onlyDrainingExcludes ? node.wasListedDraining : node.endpoint.health != Health::live;
+}
+
+bool RoutingState::isOneOfManyRouters() const { return config.routerCount > kManyRouters; }
+
+Duration RoutingState::scaledPause(std::int64_t millis) const {
+  return Duration::millis(millis) * std::min(1.0, shortestLatencyTarget / kTunedLatencyTarget);
+}
+
+Duration RoutingState::sharedPause(std::int64_t millis) const {
+  return scaledPause(millis) * std::max(1.0, config.routerCount / static_cast<double>(kManyRouters));
+}
+
+Instant RoutingState::requiredPosition(const PendingTransaction& transaction) const {
+  const TransactionClass& type = classOf(transaction);
+  // One round is left for the way there.
+  return type.level == ReadLevel::bounded ? now - type.maxStaleness + config.roundInterval
+                                          : transaction.requiredPosition;
+}
+
+}  // namespace gulltrestle::routing
