--- a/src/base/samples.h
+++ b/src/base/samples.h
@@ -1,48 +1,61 @@
-// The last few samples of what is measured, and the figures worked out from them when they are needed.
+// Bounded series of recent samples, and the statistics of them, which are worked out when they are needed.
 #pragma once
 
 #include <algorithm>
+#include <cstddef>
 #include <deque>
 #include <numeric>
+#include <utility>
 #include <vector>
 
 #include "base/time.h"
 
 namespace gulltrestle {
 
+// A measured value and when it was measured. The unit is the owner's.
 struct Sample {
   Instant at;
   double value;
 };
 
+// Oldest first.
 using Samples = std::deque<Sample>;
 
+// Appends the sample; beyond `maxSize` samples the oldest one goes.
 template <typename T>
-void pushBounded(std::deque<T>& samples, T sample, std::size_t most) {
+void pushBounded(std::deque<T>& samples, T sample, std::size_t maxSize) {
   samples.push_back(std::move(sample));
-  if (samples.size() > most) samples.pop_front();
+  if (samples.size() > maxSize) samples.pop_front();
 }
 
+// The sum of the values, added up from the oldest on; 0 if there are none.
 inline double sum(const Samples& samples) {
   return std::accumulate(samples.begin(), samples.end(), 0.0,
-                         [](double before, const Sample& sample) { return before + sample.value; });
+                         [](double total, const Sample& sample) { return total + sample.value; });
 }
 
+// The mean of the values. There must be some.
 inline double mean(const Samples& samples) { return sum(samples) / static_cast<double>(samples.size()); }
 
+// The fraction of the samples that are true. There must be some.
 inline double fractionTrue(const std::deque<bool>& samples) {
   return static_cast<double>(std::count(samples.begin(), samples.end(), true)) /
          static_cast<double>(samples.size());
 }
 
-// The figure below which one in `part` of the samples lies: 2 is the median, 4 the lower quarter.
-inline double quantile(const Samples& samples, std::size_t part) {
-  std::vector<double> figures;
-  figures.reserve(samples.size());
-  for (const Sample& sample : samples) figures.push_back(sample.value);
-  const auto at = figures.begin() + static_cast<std::ptrdiff_t>(figures.size() / part);
-  std::nth_element(figures.begin(), at, figures.end());
-  return *at;
+// Denominators for quantile().
+constexpr std::size_t kMedian = 2;
+constexpr std::size_t kLowerQuartile = 4;
+
+// Quantile 1/denominator, without interpolation: the value that comes after the lowest 1/denominator of the
+// values (rounded down) in ascending order. There must be some samples.
+inline double quantile(const Samples& samples, std::size_t denominator) {
+  std::vector<double> values;
+  values.reserve(samples.size());
+  for (const Sample& sample : samples) values.push_back(sample.value);
+  const auto nth = values.begin() + static_cast<std::ptrdiff_t>(values.size() / denominator);
+  std::nth_element(values.begin(), nth, values.end());
+  return *nth;
 }
 
 }  // namespace gulltrestle
--- a/src/routing/concurrency_limit.h
+++ b/src/routing/concurrency_limit.h
@@ -12,6 +12,7 @@
 // classes wait there in one queue.
 constexpr double kNodeTimeFraction = 0.35;
 
+// Limits by measured rates of answers; where many routers share the nodes, by the load that nodes report.
 class ConcurrencyLimit {
  public:
   ConcurrencyLimit(const RoutingState& state, const LatencyStatistics& latencies)
--- /dev/null
+++ b/src/routing/dispatcher.cpp
@@ -0,0 +1,154 @@
+#include "routing/dispatcher.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace gulltrestle::routing {
+
+namespace {
+
+// A round that comes so long after it was asked for shows that the process or its machine was paused.
+constexpr Duration kDelayedRound = Duration::millis(50);
+
+// The last rounds before a deadline: the final answer must be there in time.
+constexpr double kFinalAnswerRounds = 2;
+// A held transaction is looked at again after so many rounds: capacity may come without an event.
+constexpr double kHeldLookRounds = 4;
+// While anything is pending the next round is asked for within so many, as a delay shows by late rounds.
+constexpr double kMostRoundsBetween = 10;
+
+// Of the longest retry-after allowed.
+constexpr double kRetryAfterFraction = 0.5;
+
+}  // namespace
+
+bool Dispatcher::startRound() {
+  const bool isDelayed = requestedWakeAt_ != Instant() && state_.now - requestedWakeAt_ > kDelayedRound;
+  if (state_.now >= requestedWakeAt_) requestedWakeAt_ = Instant();
+  return isDelayed;
+}
+
+void Dispatcher::needRoundBy(Instant time) { nextRoundAt_ = std::min(nextRoundAt_, time); }
+
+void Dispatcher::decide() {
+  policies_.shedding.startRound();
+  nextRoundAt_ = state_.now + state_.config.roundInterval * kMostRoundsBetween;
+  for (const RankedTransaction& ranked : rankPending()) decideOn(*ranked.transaction);
+  for (const TxnId id : policies_.shedding.transactionsToEvict()) abandon(state_.pending.at(id));
+  requestNextRound();
+}
+
+// Most value to be expected for work first: what is shed is the least. As the odds fall with the wait, the
+// newest of a class come first, and an overload makes few answers late. What waits for an answer comes last.
+std::vector<Dispatcher::RankedTransaction> Dispatcher::rankPending() {
+  std::vector<RankedTransaction> ranked;
+  for (auto& [id, transaction] : state_.pending) {
+    if (transaction.isStreaming) continue;
+    const bool needsAttempt =
+        transaction.attemptsInFlight == 0 || state_.now > policies_.retries.hedgeAt(transaction);
+    const double priority = needsAttempt
+                                ? state_.classOf(transaction).priorityWeight *
+                                      policies_.retries.expectedValueFraction(transaction) /
+                                      policies_.latencies.usualLatency(transaction.request.type).inSeconds()
+                                : 0;
+    ranked.push_back({priority, &transaction});
+  }
+  std::stable_sort(ranked.begin(), ranked.end(),
+                   [](const auto& left, const auto& right) { return left.priority > right.priority; });
+  return ranked;
+}
+
+void Dispatcher::decideOn(PendingTransaction& transaction) {
+  const Instant lastAt = lastDecisionAt(transaction);
+  const bool isNew = !std::exchange(transaction.isAdmissionDecided, true);
+  if (state_.now >= lastAt ||
+      (transaction.attemptsInFlight == 0 && policies_.retries.isHopeless(transaction)) ||
+      (isNew && policies_.shedding.isShed(transaction)) || policies_.shedding.isQueueTooLong(transaction)) {
+    abandon(transaction);
+    return;
+  }
+  needRoundBy(lastAt);
+  const bool isHedge = transaction.attemptsInFlight > 0;
+  if (isHedge && !isHedgeDue(transaction)) return;
+  NodeState* node = policies_.selector.select(transaction);
+  if (node && !(isHedge && transaction.wasAttemptedAt(*node))) send(transaction, *node);
+  if (!node && !isHedge) hold(transaction);
+}
+
+Instant Dispatcher::lastDecisionAt(const PendingTransaction& transaction) const {
+  const Transaction& request = transaction.request;
+  const Duration longestHold =
+      request.maxHold && transaction.attemptsInFlight == 0 ? *request.maxHold : request.remainingTime;
+  return std::min(transaction.receivedAt + longestHold, transaction.answerBy) -
+         state_.config.roundInterval * kFinalAnswerRounds;
+}
+
+// A read whose node has been silent for long gets one more attempt elsewhere, once.
+bool Dispatcher::isHedgeDue(const PendingTransaction& transaction) {
+  if (!policies_.retries.mayHedge(transaction)) return false;
+  const Instant hedgeAt = policies_.retries.hedgeAt(transaction);
+  if (state_.now > hedgeAt) return true;
+  needRoundBy(hedgeAt + state_.config.roundInterval);
+  return false;
+}
+
+void Dispatcher::send(PendingTransaction& transaction, NodeState& node) {
+  const Transaction& request = transaction.request;
+  if (!policies_.health.isHealthy(node)) node.lastTrialAt = state_.now;
+  policies_.slowStart.recordSent(node, request.type);
+  node.inFlightAttempts.push_back({request.id, transaction.attempts++, request.type, state_.now,
+                                   state_.requiredPosition(transaction), request.session});
+  ++transaction.attemptsInFlight;
+  transaction.lastSentAt = state_.now;
+  transaction.attemptedNodes.push_back(&node);
+  state_.sink->sendAttempt(request.id, node.endpoint.node, policies_.retries.sendBy(transaction, node),
+                           transaction.answerBy);
+}
+
+// Checks for what the transaction waits for: a replica's position, or the primary.
+void Dispatcher::hold(const PendingTransaction& transaction) {
+  const Duration round = state_.config.roundInterval;
+  needRoundBy(state_.now + round * kHeldLookRounds);
+  needRoundBy(std::max(policies_.consistency.holdEnd(transaction), state_.now + round));
+  const ReadLevel level = state_.classOf(transaction).level;
+  GroupState& group = state_.groupOf(transaction.request.group);
+  const NodeState* primary = policies_.selector.primaryOf(transaction.request.group);
+  if (level == ReadLevel::session || level == ReadLevel::bounded)
+    policies_.health.checkPositions(group, primary);
+  if (primary && policies_.health.isHealthy(*primary)) return;
+  for (NodeState* node : group.nodes)
+    if (policies_.health.isSearchDue(*node)) policies_.health.sendHealthCheck(*node);
+}
+
+// Ends the transaction without a result, and forgets it.
+void Dispatcher::abandon(const PendingTransaction& transaction) {
+  const TxnId id = transaction.request.id;
+  const RoutingConfig& config = state_.config;
+  policies_.retries.recordAbandoned(transaction);
+  if (policies_.retries.isSafeToReject(transaction))
+    state_.sink->reject(id,
+                        config.retryAfterAllowed ? config.maxRetryAfter * kRetryAfterFraction : Duration());
+  else
+    state_.sink->rollBack(id);
+  cancelAttempts(transaction);
+  state_.pending.erase(id);
+}
+
+void Dispatcher::cancelAttempts(const PendingTransaction& transaction) {
+  if (!state_.config.cancelAllowed || state_.classOf(transaction).effect != Effect::idempotent ||
+      transaction.attemptsInFlight == 0)
+    return;
+  for (const NodeState* node : state_.groupOf(transaction.request.group).nodes)
+    for (const InFlightAttempt& attempt : node->inFlightAttempts)
+      if (attempt.transaction == transaction.request.id)
+        state_.sink->cancel(attempt.transaction, attempt.number);
+}
+
+void Dispatcher::requestNextRound() {
+  const bool isRequested = requestedWakeAt_ > state_.now && requestedWakeAt_ <= nextRoundAt_;
+  if (state_.pending.empty() || isRequested) return;
+  requestedWakeAt_ = nextRoundAt_;
+  state_.sink->wakeAfter(nextRoundAt_ - state_.now);
+}
+
+}  // namespace gulltrestle::routing
--- a/src/routing/endpoint_list.h
+++ b/src/routing/endpoint_list.h
@@ -8,6 +8,7 @@
 
 namespace gulltrestle::routing {
 
+// The only writer of RoutingState::nodes and RoutingState::groups as containers.
 class EndpointList {
  public:
   EndpointList(RoutingState& state, LatencyStatistics& latencies) : state_(state), latencies_(latencies) {}
--- a/src/routing/error_attribution.h
+++ b/src/routing/error_attribution.h
@@ -7,6 +7,7 @@
 
 namespace gulltrestle::routing {
 
+// Learns from retries at other nodes whether errors are inherent to transactions.
 class ErrorAttribution {
  public:
   explicit ErrorAttribution(RoutingState& state) : state_(state) {}
--- a/src/routing/health_tracking.cpp
+++ b/src/routing/health_tracking.cpp
@@ -12,17 +12,17 @@
 
 // Over all routers four trials a second with idempotent reads, as the node may just be full; one a second
 // with what is lost by a failure.
-constexpr std::int64_t kReadTrialMillis = 250;
-constexpr std::int64_t kOtherTrialMillis = 1000;
+constexpr Duration kReadTrialPause = Duration::millis(250);
+constexpr Duration kOtherTrialPause = Duration::millis(1000);
 
 // While the primary is looked for each node is asked once in this time.
-constexpr std::int64_t kSearchMillis = 150;
+constexpr Duration kSearchPause = Duration::millis(150);
 
 // Position checks: so many nodes of a group at a time, the next ones after this pause, and each node once in
 // a longer one, which is about how often load reports are renewed.
 constexpr std::size_t kPositionChecksAtATime = 2;
-constexpr std::int64_t kPositionCheckMillis = 25;
-constexpr std::int64_t kSameNodeCheckMillis = 100;
+constexpr Duration kPositionCheckPause = Duration::millis(25);
+constexpr Duration kSameNodeCheckPause = Duration::millis(100);
 // The factor of the first pause while background work is limited.
 constexpr double kLimitedCheckFactor = 2;
 // Positions that are older than this count as equal.
@@ -75,7 +75,7 @@
   const bool mayFail = type.effect == Effect::idempotent && type.level < ReadLevel::linearizable;
   if (isUnresponsive(node) && !mayFail) return false;
   const Instant last = mayFail ? node.lastTrialAt : std::max(node.lastTrialAt, node.lastFailedAt);
-  const Duration pause = state_.scaledPause(mayFail ? kReadTrialMillis : kOtherTrialMillis);
+  const Duration pause = state_.scaledPause(mayFail ? kReadTrialPause : kOtherTrialPause);
   return state_.now - last > pause * state_.config.routerCount;
 }
 
@@ -87,19 +87,19 @@
 }
 
 bool HealthTracker::isSearchDue(const NodeState& node) const {
-  return state_.now - node.lastCheckedAt >= state_.sharedPause(kSearchMillis);
+  return state_.now - node.lastCheckedAt >= state_.sharedPause(kSearchPause);
 }
 
 // The nodes that were furthest come first. Chance decides between equals: else all routers would check, and
 // overload, the same ones.
 void HealthTracker::checkPositions(GroupState& group, const NodeState* primary) {
   const double factor = group.degradation.limitsBackgroundWork ? kLimitedCheckFactor : 1;
-  if (state_.now - group.lastPositionCheckAt < state_.sharedPause(kPositionCheckMillis) * factor) return;
+  if (state_.now - group.lastPositionCheckAt < state_.sharedPause(kPositionCheckPause) * factor) return;
   group.lastPositionCheckAt = state_.now;
   std::vector<NodeState*> candidates = group.nodes;
   std::erase_if(candidates, [&](const NodeState* node) {
     return node == primary || state_.isDraining(*node) || !isHealthy(*node) ||
-           state_.now - node->lastCheckedAt < state_.sharedPause(kSameNodeCheckMillis);
+           state_.now - node->lastCheckedAt < state_.sharedPause(kSameNodeCheckPause);
   });
   state_.random.shuffle(candidates);
   const auto comparablePosition = [&](const NodeState* node) {
--- a/src/routing/health_tracking.h
+++ b/src/routing/health_tracking.h
@@ -12,6 +12,7 @@
 
 namespace gulltrestle::routing {
 
+// Judges nodes by what NodeState holds of their attempts; has no state of its own.
 class HealthTracker {
  public:
   HealthTracker(RoutingState& state, const LatencyStatistics& latencies)
--- a/src/routing/latency_statistics.cpp
+++ b/src/routing/latency_statistics.cpp
@@ -21,7 +21,7 @@
 // Service times spread widely, so that less than six times the usual says nothing.
 constexpr double kSilenceFactor = 6;
 // A few quick answers must not make short delays look like silence.
-constexpr std::int64_t kShortestSilenceMillis = 200;
+constexpr Duration kShortestSilence = Duration::millis(200);
 
 // A node may have next to no answers of its own: so many of its kind are counted in.
 constexpr double kRatiosOfKindCountedIn = 4;
@@ -65,14 +65,14 @@
     return state_.config.transactionClasses[transactionClass].latencyTarget * kUnmeasuredLatencyFraction;
   Duration& usual = usualLatency_[transactionClass];
   if (usual == Duration())
-    usual = std::max(Duration::seconds(quantile(ofClass, isOutdated(ofClass, state_.now) ? 4 : 2)),
-                     kShortestUsualLatency);
+    usual = std::max(
+        Duration::seconds(quantile(ofClass, isOutdated(ofClass, state_.now) ? kLowerQuartile : kMedian)),
+        kShortestUsualLatency);
   return usual;
 }
 
 Duration LatencyStatistics::silenceTimeout(std::size_t transactionClass) const {
-  return std::max(usualLatency(transactionClass) * kSilenceFactor,
-                  state_.scaledPause(kShortestSilenceMillis));
+  return std::max(usualLatency(transactionClass) * kSilenceFactor, state_.scaledPause(kShortestSilence));
 }
 
 double LatencyStatistics::probabilityWithin(std::size_t transactionClass, Duration available) const {
@@ -97,7 +97,7 @@
 double LatencyStatistics::latencyPressure(const Samples& fractions) const {
   const bool isKnown = state_.isOneOfManyRouters() && fractions.size() >= kFewestPressures &&
                        !isOutdated(fractions, state_.now);
-  return isKnown ? quantile(fractions, 2) : 0;
+  return isKnown ? quantile(fractions, kMedian) : 0;
 }
 
 void LatencyStatistics::retainKinds(const std::set<KindId>& kinds) {
--- a/src/routing/latency_statistics.h
+++ b/src/routing/latency_statistics.h
@@ -10,6 +10,8 @@
 
 namespace gulltrestle::routing {
 
+// Figures are worked out when asked for, from the samples of the last attempts; all depend on the round's
+// time.
 class LatencyStatistics {
  public:
   explicit LatencyStatistics(RoutingState& state);
--- a/src/routing/load_shedding.h
+++ b/src/routing/load_shedding.h
@@ -24,6 +24,7 @@
   const ReplicaSelector& selector;
 };
 
+// Decides only whom to give up; the caller ends these transactions.
 class LoadShedding {
  public:
   LoadShedding(RoutingState& state, SheddingInputs inputs) : state_(state), inputs_(inputs) {}
--- a/src/routing/read_consistency.h
+++ b/src/routing/read_consistency.h
@@ -15,6 +15,7 @@
 
 namespace gulltrestle::routing {
 
+// Records replication positions and session commits, and works out what a read requires.
 class ReadConsistency {
  public:
   explicit ReadConsistency(RoutingState& state) : state_(state) {}
--- a/src/routing/replica_selection.cpp
+++ b/src/routing/replica_selection.cpp
@@ -13,9 +13,9 @@
 constexpr double kFallingBehindStretch = 0.5;
 
 // A node that was full rests for a quarter of a second: what it rejects takes work, too.
-constexpr std::int64_t kRestAfterRejectionMillis = 250;
+constexpr Duration kRestAfterRejection = Duration::millis(250);
 // A replica that rejected a read as stale catches up no faster than this.
-constexpr std::int64_t kRestAfterStaleMillis = 500;
+constexpr Duration kRestAfterStale = Duration::millis(500);
 
 // An any read whose latency target is so many times the shortest takes long.
 constexpr double kLongReadFactor = 4;
@@ -33,7 +33,7 @@
 constexpr double kBusyPrimaryPressure = 0.25;
 
 // One of many routers asks a node that it sends any reads to for its load once in this time.
-constexpr std::int64_t kLoadRefreshMillis = 1000;
+constexpr Duration kLoadRefreshPause = Duration::millis(1000);
 
 }  // namespace
 
@@ -57,7 +57,7 @@
       node.replicationLag < bound * kFallingBehindTo)
     stretch *= kFallingBehindStretch;
   if (state_.isDraining(node) || judge_.concurrency.isAtLimit(node, stretch)) return false;
-  return state_.now - node.lastRejectedAt >= state_.scaledPause(kRestAfterRejectionMillis) &&
+  return state_.now - node.lastRejectedAt >= state_.scaledPause(kRestAfterRejection) &&
          !judge_.concurrency.isOverloaded(node) &&
          judge_.slowStart.hasCapacity(node, transaction.request.type);
 }
@@ -88,7 +88,7 @@
   const auto mayHaveData = [&](const NodeState& node) {
     if (node.appliedPosition >= state_.requiredPosition(transaction)) return true;
     return needed == DataKnowledge::possible &&
-           state_.now - node.lastRejectedAsStaleAt >= state_.scaledPause(kRestAfterStaleMillis);
+           state_.now - node.lastRejectedAsStaleAt >= state_.scaledPause(kRestAfterStale);
   };
   Candidates candidates;
   for (const bool mayRepeat : {false, true}) {
@@ -124,7 +124,7 @@
   // Any reads bring no load reports by themselves: without, all routers would feed a queue that is full.
   if (state_.isOneOfManyRouters() && judge_.concurrency.hasLoadReports() &&
       state_.now - std::max(node->loadReportedAt, node->lastCheckedAt) >
-          state_.sharedPause(kLoadRefreshMillis))
+          state_.sharedPause(kLoadRefreshPause))
     judge_.health.sendHealthCheck(*node);
   return node;
 }
--- a/src/routing/replica_selection.h
+++ b/src/routing/replica_selection.h
@@ -22,6 +22,7 @@
   const ReadConsistency& consistency;
 };
 
+// Combines the judgements of all other modules into one choice; sends nothing but health checks.
 class ReplicaSelector {
  public:
   ReplicaSelector(RoutingState& state, NodeJudgement judgement) : state_(state), judge_(judgement) {}
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -13,6 +13,7 @@
 
 namespace gulltrestle::routing {
 
+// Judges one transaction by its effect, its attempts and the time that its client has left.
 class RetryPolicy {
  public:
   RetryPolicy(const RoutingState& state, const LatencyStatistics& latencies)
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,5 +1,5 @@
-// Runs the rounds of a router: takes the events that came in since the last one, then decides in order of
-// value on what waits. What is decided, and by which figures, stands in the other modules of this folder.
+// Takes a router's events into the modules of this folder, in rounds: first the events that came in since the
+// last one, then the decisions (dispatcher.h).
 //
 // The ordinary path (docs/design.md): among the replicas whose known position has reached a read's
 // requirement one is drawn at random, with a weight that falls with smoothed latency x (1 + load). Without
@@ -14,6 +14,7 @@
 #include <vector>
 
 #include "routing/concurrency_limit.h"
+#include "routing/dispatcher.h"
 #include "routing/endpoint_list.h"
 #include "routing/error_attribution.h"
 #include "routing/health_tracking.h"
@@ -27,26 +28,28 @@
 
 namespace gulltrestle {
 
-using namespace routing;
+using routing::ConcurrencyLimit;
+using routing::Dispatcher;
+using routing::EndedAttempt;
+using routing::EndpointList;
+using routing::ErrorAttribution;
+using routing::HealthTracker;
+using routing::InFlightAttempt;
+using routing::LatencyStatistics;
+using routing::LoadShedding;
+using routing::NodeState;
+using routing::PendingTransaction;
+using routing::ReadConsistency;
+using routing::ReplicaSelector;
+using routing::RetryPolicy;
+using routing::RoutingState;
+using routing::SlowStart;
 
 namespace {
 
-// A round that comes so long after it was asked for shows that the process or its machine was paused.
-constexpr Duration kDelayedRound = Duration::millis(50);
-
-// The last rounds before a deadline: the final answer must be there in time.
-constexpr double kFinalAnswerRounds = 2;
-// A held transaction is looked at again after so many rounds: capacity may come without an event.
-constexpr double kHeldLookRounds = 4;
-// While anything is pending the next round is asked for within so many, as a delay shows by late rounds.
-constexpr double kMostRoundsBetween = 10;
-
 // An unanswered attempt counts as late after so many times the usual latency.
 constexpr double kLateFactor = 3;
 
-// Of the longest retry-after allowed.
-constexpr double kRetryAfterFraction = 0.5;
-
 // One service serves the endpoint list to all routers: no storm of polls when one fails.
 constexpr Duration kListPollBackoff = Duration::seconds(1);
 // Longer than any router runs: a list that is followed isn't polled again unless that fails.
@@ -54,12 +57,8 @@
 
 }  // namespace
 
+// The modules, each built over those before it, and what joins their records of one event.
 struct Router::State {
-  struct RankedTransaction {
-    double priority;
-    PendingTransaction* transaction;
-  };
-
   State(RoutingConfig config, std::uint64_t seed)
       : shared(std::move(config), seed),
         latencies(shared),
@@ -71,7 +70,8 @@
         retries(shared, latencies),
         selector(shared, {latencies, concurrency, slowStart, health, consistency}),
         shedding(shared, {latencies, concurrency, health, retries, selector}),
-        endpoints(shared, latencies) {}
+        endpoints(shared, latencies),
+        dispatcher(shared, {latencies, slowStart, health, consistency, retries, selector, shedding}) {}
 
   RoutingState shared;
   LatencyStatistics latencies;
@@ -84,24 +84,9 @@
   ReplicaSelector selector;
   LoadShedding shedding;
   EndpointList endpoints;
-  Instant requestedWakeAt;  // the round last asked for; never: none is
-  Instant nextRoundAt;      // while deciding: the earliest time that any pending transaction needs
+  Dispatcher dispatcher;
   Instant nextListPollAt;
 
-  // Deciding, in the order of the calls.
-  void decide();
-  std::vector<RankedTransaction> rankPending();
-  void decideOn(PendingTransaction& transaction);
-  Instant lastDecisionAt(const PendingTransaction& transaction) const;
-  bool isHedgeDue(const PendingTransaction& transaction);
-  void send(PendingTransaction& transaction, NodeState& node);
-  void hold(const PendingTransaction& transaction);
-  void abandon(const PendingTransaction& transaction);
-  void cancelAttempts(const PendingTransaction& transaction);
-  void needRoundBy(Instant time) { nextRoundAt = std::min(nextRoundAt, time); }
-  void requestNextRound();
-
-  // Events.
   void startRound(Instant now, DecisionSink& sink);
   void receive(const Transaction& request);
   void recordReport(NodeState& node, const LoadReport& report);
@@ -112,132 +97,14 @@
               bool isOver);
 };
 
-void Router::State::decide() {
-  shedding.startRound();
-  nextRoundAt = shared.now + shared.config.roundInterval * kMostRoundsBetween;
-  for (const RankedTransaction& ranked : rankPending()) decideOn(*ranked.transaction);
-  for (const TxnId id : shedding.transactionsToEvict()) abandon(shared.pending.at(id));
-  requestNextRound();
-}
-
-// Most value to be expected for work first: what is shed is the least. As the odds fall with the wait, the
-// newest of a class come first, and an overload makes few answers late. What waits for an answer comes last.
-std::vector<Router::State::RankedTransaction> Router::State::rankPending() {
-  std::vector<RankedTransaction> ranked;
-  for (auto& [id, transaction] : shared.pending) {
-    if (transaction.isStreaming) continue;
-    const bool needsAttempt = transaction.attemptsInFlight == 0 || shared.now > retries.hedgeAt(transaction);
-    const double priority = needsAttempt ? shared.classOf(transaction).priorityWeight *
-                                               retries.expectedValueFraction(transaction) /
-                                               latencies.usualLatency(transaction.request.type).inSeconds()
-                                         : 0;
-    ranked.push_back({priority, &transaction});
-  }
-  std::stable_sort(ranked.begin(), ranked.end(),
-                   [](const auto& left, const auto& right) { return left.priority > right.priority; });
-  return ranked;
-}
-
-void Router::State::decideOn(PendingTransaction& transaction) {
-  const Instant lastAt = lastDecisionAt(transaction);
-  const bool isNew = !std::exchange(transaction.isAdmissionDecided, true);
-  if (shared.now >= lastAt || (transaction.attemptsInFlight == 0 && retries.isHopeless(transaction)) ||
-      (isNew && shedding.isShed(transaction)) || shedding.isQueueTooLong(transaction)) {
-    abandon(transaction);
-    return;
-  }
-  needRoundBy(lastAt);
-  const bool isHedge = transaction.attemptsInFlight > 0;
-  if (isHedge && !isHedgeDue(transaction)) return;
-  NodeState* node = selector.select(transaction);
-  if (node && !(isHedge && transaction.wasAttemptedAt(*node))) send(transaction, *node);
-  if (!node && !isHedge) hold(transaction);
-}
-
-Instant Router::State::lastDecisionAt(const PendingTransaction& transaction) const {
-  const Transaction& request = transaction.request;
-  const Duration longestHold =
-      request.maxHold && transaction.attemptsInFlight == 0 ? *request.maxHold : request.remainingTime;
-  return std::min(transaction.receivedAt + longestHold, transaction.answerBy) -
-         shared.config.roundInterval * kFinalAnswerRounds;
-}
-
-// A read whose node has been silent for long gets one more attempt elsewhere, once.
-bool Router::State::isHedgeDue(const PendingTransaction& transaction) {
-  if (!retries.mayHedge(transaction)) return false;
-  const Instant hedgeAt = retries.hedgeAt(transaction);
-  if (shared.now > hedgeAt) return true;
-  needRoundBy(hedgeAt + shared.config.roundInterval);
-  return false;
-}
-
-void Router::State::send(PendingTransaction& transaction, NodeState& node) {
-  const Transaction& request = transaction.request;
-  if (!health.isHealthy(node)) node.lastTrialAt = shared.now;
-  slowStart.recordSent(node, request.type);
-  node.inFlightAttempts.push_back({request.id, transaction.attempts++, request.type, shared.now,
-                                   shared.requiredPosition(transaction), request.session});
-  ++transaction.attemptsInFlight;
-  transaction.lastSentAt = shared.now;
-  transaction.attemptedNodes.push_back(&node);
-  shared.sink->sendAttempt(request.id, node.endpoint.node, retries.sendBy(transaction, node),
-                           transaction.answerBy);
-}
-
-// Checks for what the transaction waits for: a replica's position, or the primary.
-void Router::State::hold(const PendingTransaction& transaction) {
-  const Duration round = shared.config.roundInterval;
-  needRoundBy(shared.now + round * kHeldLookRounds);
-  needRoundBy(std::max(consistency.holdEnd(transaction), shared.now + round));
-  const ReadLevel level = shared.classOf(transaction).level;
-  GroupState& group = shared.groupOf(transaction.request.group);
-  const NodeState* primary = selector.primaryOf(transaction.request.group);
-  if (level == ReadLevel::session || level == ReadLevel::bounded) health.checkPositions(group, primary);
-  if (primary && health.isHealthy(*primary)) return;
-  for (NodeState* node : group.nodes)
-    if (health.isSearchDue(*node)) health.sendHealthCheck(*node);
-}
-
-// Ends the transaction without a result, and forgets it.
-void Router::State::abandon(const PendingTransaction& transaction) {
-  const TxnId id = transaction.request.id;
-  const RoutingConfig& config = shared.config;
-  retries.recordAbandoned(transaction);
-  if (retries.isSafeToReject(transaction))
-    shared.sink->reject(id,
-                        config.retryAfterAllowed ? config.maxRetryAfter * kRetryAfterFraction : Duration());
-  else
-    shared.sink->rollBack(id);
-  cancelAttempts(transaction);
-  shared.pending.erase(id);
-}
-
-void Router::State::cancelAttempts(const PendingTransaction& transaction) {
-  if (!shared.config.cancelAllowed || shared.classOf(transaction).effect != Effect::idempotent ||
-      transaction.attemptsInFlight == 0)
-    return;
-  for (const NodeState* node : shared.groupOf(transaction.request.group).nodes)
-    for (const InFlightAttempt& attempt : node->inFlightAttempts)
-      if (attempt.transaction == transaction.request.id)
-        shared.sink->cancel(attempt.transaction, attempt.number);
-}
-
-void Router::State::requestNextRound() {
-  const bool isRequested = requestedWakeAt > shared.now && requestedWakeAt <= nextRoundAt;
-  if (shared.pending.empty() || isRequested) return;
-  requestedWakeAt = nextRoundAt;
-  shared.sink->wakeAfter(nextRoundAt - shared.now);
-}
-
 // A delayed round is the router's own fault, and what it measures is its own delay: no node counts as silent.
 void Router::State::startRound(Instant now, DecisionSink& sink) {
   shared.now = now;
   shared.sink = &sink;
   latencies.startRound();
-  shared.isRoundDelayed = requestedWakeAt != Instant() && now - requestedWakeAt > kDelayedRound;
+  shared.isRoundDelayed = dispatcher.startRound();
   if (shared.isRoundDelayed)
     for (auto& [id, node] : shared.nodes) node.lastHeardAt = now;
-  if (now >= requestedWakeAt) requestedWakeAt = Instant();
 }
 
 void Router::State::receive(const Transaction& request) {
@@ -309,7 +176,7 @@
     transaction.mayHaveRunAt = attempt.sent.sentAt;
   if (attempt.isCommitted()) errors.recordCommit(node, transaction);
   if (!isOver && !attempt.isCommitted()) return;
-  cancelAttempts(transaction);
+  dispatcher.cancelAttempts(transaction);
   shared.pending.erase(attempt.sent.transaction);
 }
 
@@ -324,7 +191,7 @@
     state_->nextListPollAt = now + kNoListPoll;
     sink.followEndpointList();
   }
-  state_->decide();
+  state_->dispatcher.decide();
 }
 
 void Router::onEndpointList(EndpointUpdateKind kind, const std::vector<EndpointEntry>& entries) {
@@ -343,7 +210,7 @@
   auto& pending = state_->shared.pending;
   const auto found = pending.find(transaction);
   if (found == pending.end()) return;
-  state_->cancelAttempts(found->second);
+  state_->dispatcher.cancelAttempts(found->second);
   pending.erase(found);
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,6 +1,7 @@
-// The interface of the decision module. A front (today the bench's wire, later a socket service or an
-// external processor) makes one Router for each router process and calls round() whenever something has come
-// in. It holds no decision: those all stand in router.cpp.
+// The interface of the routing decisions. A front end (the simulator's adapter, the gateway or the external
+// processor) makes one Router for each router process and calls runRound() whenever something has come in.
+// All decisions are made in this folder, without I/O and without a clock of their own: the same
+// configuration, seed and events give the same decisions, to the last bit.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +14,23 @@
 
 namespace gulltrestle {
 
-// Ids are kept as the front gives them and mean nothing beyond being equal or not.
+// Ids are stored as the front end gives them. Node ids are ordered as text; else they are only compared for
+// equality.
 using TxnId = std::uint64_t;
 using NodeId = std::string;
 using KindId = std::string;
 using GroupId = std::uint64_t;
 using SessionId = std::uint64_t;
 
+// What may happen if a transaction is executed twice: nothing, nothing within the deduplication window, or
+// damage.
 enum class Effect { idempotent, deduplicated, atMostOnce };
+// How fresh a read's data has to be, in rising order: any age, within the class's bound, including all that
+// the session has committed, including all that anyone has committed. Writes come last, as they need the
+// primary, too.
 enum class ReadLevel { any, bounded, session, linearizable, write };
 
-// What the start settings say of one txn type.
+// The settings of one transaction class.
 struct TransactionClass {
   Effect effect = Effect::idempotent;
   ReadLevel level = ReadLevel::any;
@@ -32,86 +39,92 @@
   double latencyTargetPerWork = 0;  // the latency target grows by this many times the expected work
   Duration deadline;                // the client's whole wait, over all its tries
   double priorityWeight = 1;
-  double lateValueFraction = 0;          // part of the value that is left after the latency target
-  bool deduplicatesAcrossGroups = true;  // referenced: every node drops repeats, or only the txn's own group
-  Duration deduplicationWindow;          // referenced: how long a repeat is known
+  double lateValueFraction = 0;  // fraction of the value that is left after the latency target
+  bool deduplicatesAcrossGroups =
+      true;                      // deduplicated: by every node, else by the transaction's own group only
+  Duration deduplicationWindow;  // deduplicated: for how long repeats are recognised
   bool operator==(const TransactionClass&) const = default;
 };
 
-// What the front says when a router starts: the rules' figures and what is allowed here.
+// The configuration of a router, fixed for its life: the deployment's figures and what is allowed.
 struct RoutingConfig {
   std::vector<TransactionClass> transactionClasses;
   Duration roundInterval;
   unsigned routerCount = 1;
-  double slowStartFraction = 1;  // a node starts at this share of its capacity or above
-  Duration slowStartWindow;      // and is warm after this
+  double slowStartFraction = 1;  // of its capacity that a node has when it starts, at least
+  Duration slowStartWindow;      // after this a node has all of its capacity
   bool onlyDrainingExcludes =
-      false;  // a node that is gone without having been listed as draining may be sent to
+      false;  // a node that is removed without having been listed as draining may still be sent to
   bool healthChecksAllowed = false;
   bool hedgingAllowed = false;
   bool cancelAllowed = false;
   bool retryAfterAllowed = false;
   Duration maxRetryAfter;
   unsigned maxAttempts = 1;
-  bool connectionPerAttempt = false;    // each attempt out has a connection, which may fall silent by itself
-  std::size_t maxOpenTransactions = 0;  // txns that clients can have open here at a time; 0: any number
-  double crossZoneCost = 0;  // what an attempt into another zone costs, as a part of the value of a txn
+  bool connectionPerAttempt = false;    // each attempt in flight has a connection, which may hang by itself
+  std::size_t maxOpenTransactions = 0;  // that clients can have here at a time; 0: unlimited
+  double crossZoneCost = 0;  // of an attempt in another zone, as a fraction of a transaction's value
   bool nodesRejectStaleReads = false;  // a node rejects untouched a read that it is too far behind for
   bool sessionAgeProvided =
-      false;  // reads carry the age of their session's last write; else it is remembered here
+      false;  // reads carry the age of their session's last write; else the router records it
   bool endpointListIsPolled = false;
   bool degradationEnabled =
-      false;  // levels say what is refused in an overload, in place of chance (reduced())
+      false;  // degradation levels say what is rejected in an overload (setDegradation())
   bool operator==(const RoutingConfig&) const = default;
 };
 
-// What is known of tries of a txn that came to another front, or to another stream of it, before this one.
+// What is known of earlier tries of a transaction that came through another front end, or another stream of
+// it.
 struct PriorAttempts {
   unsigned attempts = 0;
-  std::optional<Duration> firstAttemptAge;      // how long ago the first try came; none: not known
+  std::optional<Duration> firstAttemptAge;      // how long ago the first try came; none: unknown
   std::optional<Duration> ambiguousAttemptAge;  // how long ago the first attempt that may have run was sent
   std::vector<NodeId> attemptedNodes;
 };
 
+// A try of a client's transaction, as it comes in.
 struct Transaction {
   TxnId id = 0;
-  std::size_t type = 0;  // row in RoutingConfig::types
+  std::size_t type = 0;  // row in RoutingConfig::transactionClasses
   GroupId group = 0;
   std::optional<SessionId> session;
   std::optional<Duration> writeAge;  // how long ago the session's last write was committed; zero: it has none
-  Duration remainingTime;            // how long until the client gives up this try
-  std::optional<Duration> expectedWork;  // expected, rough
+  Duration remainingTime;            // until the client gives up this try
+  std::optional<Duration> expectedWork;  // a rough estimate of its service time
   PriorAttempts priorAttempts;
-  unsigned maxLocalAttempts = 0;  // attempts that can be carried for this try; 0: as many as the terms allow
-  std::optional<Duration> maxHold;  // how long it may go without an attempt; none: as long as its patience
+  unsigned maxLocalAttempts = 0;    // attempts that the front end can carry; 0: as many as configured
+  std::optional<Duration> maxHold;  // the longest time without an attempt; none: as remainingTime
 };
 
-// Which txns of a type are let in while service is reduced; the further down, the fewer.
-// Ready: reads that some replica with room can answer at once; spare: that one with half of its room free
-// can.
+// Which transactions of a class are admitted under degradation, in falling order. withReadyReplica: reads
+// that some replica with capacity can answer at once; withSpareCapacity: one with half of its capacity free.
 enum class AdmissionPolicy { all, withReadyReplica, withSpareCapacity, none };
 
-// What one level of reduced service asks for, in one group.
+// What one degradation level asks for, in one group.
 struct DegradationRules {
-  std::vector<AdmissionPolicy> admission;  // a row a txn type; empty: all are let in
-  bool limitsBackgroundWork = false;  // no hedges, and replicas are asked for their position half as often
+  std::vector<AdmissionPolicy> admission;  // a row a transaction class; empty: all are admitted
+  bool limitsBackgroundWork = false;       // no hedges, and position checks half as often
 };
 
+// What the endpoint list says of a node.
 enum class Health { live, draining, removed };
 
+// One node of an endpoint list.
 struct EndpointEntry {
   NodeId node;
   GroupId group = 0;
-  KindId kind;  // of machine: members of one kind are alike
+  KindId kind;  // of machine: nodes of one kind are expected to be equally fast
   Health health = Health::live;
   bool primary = false;
-  bool sameZone = true;  // it stands in this router's own zone
+  bool sameZone = true;  // the node is in this router's zone
   Instant startedAt;     // never: long ago
 };
 
+// delta: changed nodes only; snapshot: all nodes; restored: all nodes of a list that was stored, which may be
+// old.
 enum class EndpointUpdateKind { delta, snapshot, restored };
 
-// How an attempt or a probe ended.
+// How an attempt or a health check ended.
 enum class AttemptOutcome {
   committed,
   error,           // may have run
@@ -120,66 +133,81 @@
   noConnection,    // never ran
   connectionLost,  // may have run
   cancelled,       // may have run
-  notSent,         // never ran: it was not sent at all
-  wrongNode,       // never ran: a write at a node that is no primary, or a read where data is too old
+  notSent,         // never ran: it was not sent
+  wrongNode,       // never ran: a write at a replica, or a read where data is too old
 };
 
+// A node's role in its group, by its own word.
 enum class Role { unknown, primary, replica };
 
-// What a node said of itself, in an answer or in a report.
+// What a node reports of itself, in an answer or in a health check.
 struct LoadReport {
   Role role = Role::unknown;
   std::optional<Instant> position;  // all commits up to here are applied; of a write, its commit rounded up
-  std::optional<double> inFlight = {};  // txns that the node holds, of all routers
+  std::optional<double> inFlight = {};  // transactions at the node, of all routers
 };
 
 class Router;
 
-// All that came in since the last round. deliver() makes the calls on the router, in arrival order.
+// The events that came in since the last round. Called once in each round.
 class EventSource {
  public:
   virtual ~EventSource() = default;
+  // Calls the router's event functions, in the order of arrival.
   virtual void deliver(Router& router) = 0;
 };
 
-// Takes the decisions of a round, in order.
+// Takes the decisions of a round, in the order that they were made in. Must not call the router.
 class DecisionSink {
  public:
   virtual ~DecisionSink() = default;
-  // To be written to the node by `sendBy`, else it is not sent; given up at `cutAt`.
-  virtual void sendAttempt(TxnId txn, const NodeId& node, Instant sendBy, Instant cutAt) = 0;
+  // The attempt must be written to the node by `sendBy`, else not at all, and ends at `abandonAt` as a
+  // timeout. Attempts of a transaction are numbered from 0 in the order of these calls.
+  virtual void sendAttempt(TxnId txn, const NodeId& node, Instant sendBy, Instant abandonAt) = 0;
+  // The result of the attempt is of no use any more; its end is still to be reported.
   virtual void cancel(TxnId txn, unsigned attempt) = 0;
+  // Final answer: the client may try again after `retryAfter`; zero: no time is given.
   virtual void reject(TxnId txn, Duration retryAfter) = 0;
+  // Final answer: the transaction may have been executed, and must not be executed again.
   virtual void rollBack(TxnId txn) = 0;
   virtual void sendHealthCheck(const NodeId& node) = 0;
+  // Asks for a round after this time, whether or not an event comes.
   virtual void wakeAfter(Duration after) = 0;
+  // Asks for the endpoint list, and all its changes from then on.
   virtual void followEndpointList() = 0;
-  // The node left long ago and is known no more: nothing goes there unless a list names it again.
+  // The node was removed long ago: nothing is sent there unless a list names it again.
   virtual void forgetNode(const NodeId& node) = 0;
 };
 
+// Decides for one router process which transaction goes to which node and when. Not safe for concurrent use.
 class Router {
  public:
-  Router(RoutingConfig terms, std::uint64_t seed);
+  // `seed` sets all random choices.
+  Router(RoutingConfig config, std::uint64_t seed);
   ~Router();
 
-  // One round: takes what the feed delivers, then decides.
-  void runRound(Instant now, EventSource& feed, DecisionSink& writer);
+  // One round: takes the events, then decides. `now` never falls from round to round.
+  void runRound(Instant now, EventSource& events, DecisionSink& sink);
 
-  // Called by a Feed from within round().
+  // The functions below are events, to be called by an EventSource from within runRound() only.
   void onEndpointList(EndpointUpdateKind kind, const std::vector<EndpointEntry>& entries);
   void onEndpointListFailed();
-  void onTransaction(const Transaction& txn);
+  void onTransaction(const Transaction& transaction);
+  // The client has closed its connection: no final answer is owed.
   void onClientLeft(TxnId txn);
+  // The transaction's answer has begun: no more is decided for it.
   void onStreamStarted(TxnId txn);
-  // Service of the group is reduced so from now on; `trial` of its txns are judged by the level `below`. It
-  // can only refuse what comes: what is let in, and what was, keeps to the rules of its type.
+  // Sets the group's degradation from now on; the fraction `trial` of its transactions is judged by the less
+  // strict level `below`. Applies to transactions that come in: admitted ones keep to the rules of their
+  // class.
   void setDegradation(GroupId group, const DegradationRules& level, const DegradationRules& below,
                       double trial);
-  void onAttemptEnded(TxnId txn, unsigned attempt, const NodeId& node, AttemptOutcome how, bool txnOver,
+  // Must come once for each attempt sent. `isOver`: the transaction has got its final answer. `answer`: what
+  // the node's answer says of the node; `report`: its load report, if one came along.
+  void onAttemptEnded(TxnId txn, unsigned attempt, const NodeId& node, AttemptOutcome outcome, bool isOver,
                       Duration latency, const LoadReport& answer, const LoadReport& report);
-  void onHealthCheckEnded(const NodeId& node, AttemptOutcome how, const LoadReport& report);
-  // The node took no connection, or the last one to it was ended from there.
+  void onHealthCheckEnded(const NodeId& node, AttemptOutcome outcome, const LoadReport& report);
+  // The node refused a connection, or closed the last one.
   void onNodeDisconnected(const NodeId& node);
 
  private:
--- a/src/routing/routing_state.cpp
+++ b/src/routing/routing_state.cpp
@@ -60,12 +60,12 @@
 
 bool RoutingState::isOneOfManyRouters() const { return config.routerCount > kManyRouters; }
 
-Duration RoutingState::scaledPause(std::int64_t millis) const {
-  return Duration::millis(millis) * std::min(1.0, shortestLatencyTarget / kTunedLatencyTarget);
+Duration RoutingState::scaledPause(Duration tuned) const {
+  return tuned * std::min(1.0, shortestLatencyTarget / kTunedLatencyTarget);
 }
 
-Duration RoutingState::sharedPause(std::int64_t millis) const {
-  return scaledPause(millis) * std::max(1.0, config.routerCount / static_cast<double>(kManyRouters));
+Duration RoutingState::sharedPause(Duration tuned) const {
+  return scaledPause(tuned) * std::max(1.0, config.routerCount / static_cast<double>(kManyRouters));
 }
 
 Instant RoutingState::requiredPosition(const PendingTransaction& transaction) const {
--- a/src/routing/routing_state.h
+++ b/src/routing/routing_state.h
@@ -146,10 +146,10 @@
 
   // A pause that was tuned where the shortest latency target is 200 ms or more; shorter in proportion where
   // transactions are quicker.
-  Duration scaledPause(std::int64_t millis) const;
+  Duration scaledPause(Duration tuned) const;
   // The same for what each router asks of nodes on its own account: longer in proportion beyond a dozen
   // routers, so that nodes are not asked more often.
-  Duration sharedPause(std::int64_t millis) const;
+  Duration sharedPause(Duration tuned) const;
 
   // How old the applied data must be at most at this moment. A bounded read's bound moves on while it
   // travels.
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -6,6 +6,7 @@
 
 namespace gulltrestle::routing {
 
+// Paces what each warming node gets by the rate of arrivals at this router.
 class SlowStart {
  public:
   SlowStart(RoutingState& state, const LatencyStatistics& latencies) : state_(state), latencies_(latencies) {}
