--- a/src/deployment/routing_config.cpp
+++ b/src/deployment/routing_config.cpp
@@ -7,61 +7,106 @@
 
 namespace {
 
+// A year: leaves room to add durations up without an overflow.
+constexpr std::uint64_t kLongestMicros = 31'536'000'000'000;
+// Whole numbers up to here are exact in a double.
+constexpr double kLargestGroup = 9e15;
+
+constexpr Duration kDefaultIdleLimit = Duration::seconds(15);
+constexpr Duration kDefaultConnectLimit = Duration::millis(250);
+constexpr Duration kDefaultDrainGrace = Duration::seconds(1);
+
+// In the order of the enumerators of Effect and ReadLevel, as the settings spell them.
+constexpr std::array<std::string_view, 3> kEffects{"idempotent", "deduplicated", "at_most_once"};
+constexpr std::array<std::string_view, 5> kReadLevels{"loose", "recent", "own_writes", "latest", "update"};
+
 template <typename T>
-T parse(std::string_view field, std::string_view text, const char* wanted) {
+T parse(std::string_view field, std::string_view text, const char* expected) {
   T value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size() || text.empty())
-    throw InvalidField(field, std::string("'") + std::string(text) + "' is not " + wanted);
+    throw InvalidField(field, std::string("'") + std::string(text) + "' is not " + expected);
   return value;
 }
 
-constexpr std::array<std::string_view, 3> kEffects{"idempotent", "deduplicated", "at_most_once"};
-constexpr std::array<std::string_view, 5> kLevels{"loose", "recent", "own_writes", "latest", "update"};
-
-// The settings stay below this: a year, which leaves room to add times up.
-Duration micros(std::string_view field, std::uint64_t n) {
-  if (n > 31'536'000'000'000) throw InvalidField(field, "is longer than a year");
-  return Duration::micros(static_cast<std::int64_t>(n));
+Duration toDuration(std::string_view field, std::uint64_t micros) {
+  if (micros > kLongestMicros) throw InvalidField(field, "is longer than a year");
+  return Duration::micros(static_cast<std::int64_t>(micros));
 }
 
-Duration span(const SettingsSource& settings, const std::string& name) {
-  return micros(name, settings.whole(name));
+// Durations are settings in whole microseconds.
+Duration readDuration(const SettingsSource& settings, const std::string& name) {
+  return toDuration(name, settings.whole(name));
 }
-Duration span(const SettingsSource& settings, const std::string& name, std::uint64_t otherwise) {
-  return micros(name, settings.whole(name, otherwise));
+Duration readDuration(const SettingsSource& settings, const std::string& name, Duration fallback) {
+  return toDuration(name, settings.whole(name, static_cast<std::uint64_t>(fallback.inMicros())));
 }
 
-TransactionClass readType(const SettingsSource& settings, std::size_t row,
-                          const std::vector<std::string_view>& levels,
-                          const std::vector<std::string_view>& bounds) {
+// Required of deduplicated classes, so that a router that doesn't know where repeats are dropped never
+// starts. A window of 0 allows no repeats.
+void checkDeduplication(const SettingsSource& settings, const std::string& prefix, std::string_view scope) {
+  if (scope != "all" && scope != "cell")
+    throw InvalidField(prefix + "group", "'" + std::string(scope) + "' is not known");
+  if (!settings.find(prefix + "window"))
+    throw InvalidField(prefix + "window", "is missing for a referenced type");
+}
+
+// `levels` and `stalenessBounds` are lists over all classes; a class without a bound has none.
+TransactionClass readTransactionClass(const SettingsSource& settings, std::size_t row,
+                                      const std::vector<std::string_view>& levels,
+                                      const std::vector<std::string_view>& stalenessBounds) {
   const std::string prefix = "lanes." + std::to_string(row) + ".";
   TransactionClass type;
   type.effect = choice<Effect>(prefix + "effect", settings.text(prefix + "effect"), kEffects);
   if (row >= levels.size()) throw InvalidField("specifics.readLevel", "has too few values");
-  type.level = choice<ReadLevel>("specifics.readLevel", levels[row], kLevels);
-  if (row < bounds.size())
-    type.maxStaleness = micros("specifics.lagAllowed", toWhole("specifics.lagAllowed", bounds[row]));
-  type.latencyTarget = span(settings, prefix + "objective");
+  type.level = choice<ReadLevel>("specifics.readLevel", levels[row], kReadLevels);
+  if (row < stalenessBounds.size())
+    type.maxStaleness =
+        toDuration("specifics.lagAllowed", toWhole("specifics.lagAllowed", stalenessBounds[row]));
+  type.latencyTarget = readDuration(settings, prefix + "objective");
   type.latencyTargetPerWork = settings.number(prefix + "aimStretch", 0);
-  type.deadline = span(settings, prefix + "deadline");
+  type.deadline = readDuration(settings, prefix + "deadline");
   type.priorityWeight = settings.number(prefix + "worth", 1);
   type.lateValueFraction = settings.number(prefix + "lateShare", 0);
-  const auto group = settings.find(prefix + "group").value_or("all");
-  type.deduplicatesAcrossGroups = group == "all";
-  type.deduplicationWindow = span(settings, prefix + "window", 0);
-  // Named before anything is served: a repeat that is nowhere known to be dropped is none. A window of no
-  // time is one that no repeat can be sent in.
-  if (type.effect == Effect::deduplicated) {
-    if (group != "all" && group != "cell")
-      throw InvalidField(prefix + "group", "'" + std::string(group) + "' is not known");
-    if (!settings.find(prefix + "window"))
-      throw InvalidField(prefix + "window", "is missing for a referenced type");
-  }
+  const std::string_view scope = settings.find(prefix + "group").value_or("all");
+  type.deduplicatesAcrossGroups = scope == "all";
+  type.deduplicationWindow = readDuration(settings, prefix + "window", Duration());
+  if (type.effect == Effect::deduplicated) checkDeduplication(settings, prefix, scope);
   if (type.latencyTarget == Duration()) throw InvalidField(prefix + "objective", "is 0");
   return type;
 }
 
+void readTransactionClasses(const SettingsSource& settings, DeploymentSettings& deployment) {
+  const auto levels = split(settings.text("specifics.readLevel"), ',');
+  const auto stalenessBounds = split(settings.find("specifics.lagAllowed").value_or("0"), ',');
+  const std::uint64_t count = settings.whole("lanes.count");
+  if (count == 0) throw InvalidField("lanes.count", "is 0");
+  for (std::size_t row = 0; row < count; ++row) {
+    deployment.routing.transactionClasses.push_back(
+        readTransactionClass(settings, row, levels, stalenessBounds));
+    deployment.typeNames.emplace_back(settings.text("lanes." + std::to_string(row) + ".name"));
+  }
+}
+
+void readRouting(const SettingsSource& settings, RoutingConfig& routing) {
+  routing.roundInterval = readDuration(settings, "round");
+  routing.routerCount = static_cast<unsigned>(settings.whole("balancers", 1));
+  if (routing.routerCount == 0) throw InvalidField("balancers", "is 0");
+  routing.slowStartFraction = settings.number("rules.coldFrom", 1);
+  routing.slowStartWindow = readDuration(settings, "rules.cold", Duration());
+  routing.onlyDrainingExcludes = settings.flag("rules.softRemoval");
+  routing.healthChecksAllowed = settings.flag("limits.probes");
+  routing.hedgingAllowed = settings.flag("limits.secondCopies");
+  routing.cancelAllowed = settings.flag("limits.cancel");
+  routing.retryAfterAllowed = settings.flag("limits.retryAfter");
+  routing.maxRetryAfter = readDuration(settings, "limits.maxRetryAfter", Duration());
+  routing.maxAttempts = static_cast<unsigned>(settings.whole("limits.maxAttempts", 1));
+  routing.crossZoneCost = settings.number("penalties.crossZone", 0);
+  routing.nodesRejectStaleReads = settings.find("specifics.guards").value_or("off") != "off";
+  routing.sessionAgeProvided = settings.find("specifics.sessionMarks").value_or("client") == "client";
+  routing.endpointListIsPolled = settings.find("discovery").value_or("pushed") == "on_request";
+}
+
 }  // namespace
 
 std::uint64_t toWhole(std::string_view field, std::string_view text) {
@@ -81,17 +126,18 @@
 }
 
 GroupId toGroup(std::string_view field, std::string_view text) {
-  const double n = toNumber(field, text);
-  if (n < 0 || n != std::floor(n) || n > 9e15) throw InvalidField(field, "is not a group");
-  return static_cast<GroupId>(n);
+  const double number = toNumber(field, text);
+  if (number < 0 || number != std::floor(number) || number > kLargestGroup)
+    throw InvalidField(field, "is not a group");
+  return static_cast<GroupId>(number);
 }
 
-std::vector<std::string_view> split(std::string_view text, char at) {
+std::vector<std::string_view> split(std::string_view text, char separator) {
   std::vector<std::string_view> parts;
-  for (std::size_t from = 0; from <= text.size();) {
-    const auto to = std::min(text.find(at, from), text.size());
-    parts.push_back(text.substr(from, to - from));
-    from = to + 1;
+  for (std::size_t begin = 0; begin <= text.size();) {
+    const auto end = std::min(text.find(separator, begin), text.size());
+    parts.push_back(text.substr(begin, end - begin));
+    begin = end + 1;
   }
   return parts;
 }
@@ -104,14 +150,14 @@
 
 std::uint64_t SettingsSource::whole(std::string_view name) const { return toWhole(name, text(name)); }
 
-std::uint64_t SettingsSource::whole(std::string_view name, std::uint64_t otherwise) const {
+std::uint64_t SettingsSource::whole(std::string_view name, std::uint64_t fallback) const {
   const auto value = find(name);
-  return value ? toWhole(name, *value) : otherwise;
+  return value ? toWhole(name, *value) : fallback;
 }
 
-double SettingsSource::number(std::string_view name, double otherwise) const {
+double SettingsSource::number(std::string_view name, double fallback) const {
   const auto value = find(name);
-  return value ? toNumber(name, *value) : otherwise;
+  return value ? toNumber(name, *value) : fallback;
 }
 
 bool SettingsSource::flag(std::string_view name) const {
@@ -120,38 +166,15 @@
 }
 
 DeploymentSettings read(const SettingsSource& settings) {
-  DeploymentSettings told;
-  RoutingConfig& terms = told.routing;
-  const auto levels = split(settings.text("specifics.readLevel"), ',');
-  const auto bounds = split(settings.find("specifics.lagAllowed").value_or("0"), ',');
-  const auto count = settings.whole("lanes.count");
-  if (count == 0) throw InvalidField("lanes.count", "is 0");
-  for (std::size_t row = 0; row < count; ++row) {
-    terms.transactionClasses.push_back(readType(settings, row, levels, bounds));
-    told.typeNames.emplace_back(settings.text("lanes." + std::to_string(row) + ".name"));
-  }
-  terms.roundInterval = span(settings, "round");
-  terms.routerCount = static_cast<unsigned>(settings.whole("balancers", 1));
-  if (terms.routerCount == 0) throw InvalidField("balancers", "is 0");
-  terms.slowStartFraction = settings.number("rules.coldFrom", 1);
-  terms.slowStartWindow = span(settings, "rules.cold", 0);
-  terms.onlyDrainingExcludes = settings.flag("rules.softRemoval");
-  terms.healthChecksAllowed = settings.flag("limits.probes");
-  terms.hedgingAllowed = settings.flag("limits.secondCopies");
-  terms.cancelAllowed = settings.flag("limits.cancel");
-  terms.retryAfterAllowed = settings.flag("limits.retryAfter");
-  terms.maxRetryAfter = span(settings, "limits.maxRetryAfter", 0);
-  terms.maxAttempts = static_cast<unsigned>(settings.whole("limits.maxAttempts", 1));
-  terms.crossZoneCost = settings.number("penalties.crossZone", 0);
-  terms.nodesRejectStaleReads = settings.find("specifics.guards").value_or("off") != "off";
-  terms.sessionAgeProvided = settings.find("specifics.sessionMarks").value_or("client") == "client";
-  terms.endpointListIsPolled = settings.find("discovery").value_or("pushed") == "on_request";
-  told.zone = settings.find("zone").value_or("");
-  told.idleLimit = span(settings, "limits.connIdle", 15'000'000);
-  told.connectLimit = span(settings, "limits.connectTimeout", 250'000);
-  told.drainGrace = span(settings, "rules.drainGrace", 1'000'000);
-  told.notifiedWithin = span(settings, "rules.askWithin", 0);
-  return told;
+  DeploymentSettings deployment;
+  readTransactionClasses(settings, deployment);
+  readRouting(settings, deployment.routing);
+  deployment.zone = settings.find("zone").value_or("");
+  deployment.idleLimit = readDuration(settings, "limits.connIdle", kDefaultIdleLimit);
+  deployment.connectLimit = readDuration(settings, "limits.connectTimeout", kDefaultConnectLimit);
+  deployment.drainGrace = readDuration(settings, "rules.drainGrace", kDefaultDrainGrace);
+  deployment.notifiedWithin = readDuration(settings, "rules.askWithin", Duration());
+  return deployment;
 }
 
 }  // namespace gulltrestle::deployment
