--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -33,13 +33,18 @@
 
 }  // namespace
 
-Database::Database(const std::string& path, OpenMode mode) : connection_(path, mode) {
+Database::Database(const std::string& path, OpenMode mode) try : connection_(path, mode) {
   isNew_ = !Statement(connection_, "SELECT 1 FROM sqlite_schema").step();
   if (isNew_) return;
   const std::string format = meta(kFormatKey);
   if (format.empty()) throw CorruptDatabase("it has no format");
   if (!isReadableFormat(format)) throw DiskError("it has format " + format + ", this program " + kFormat);
   voter_ = meta(kVoterKey);
+} catch (const DiskError&) { throw; } catch (const CorruptDatabase&) {
+  throw;
+} catch (const std::exception& error) {
+  // Whatever else goes wrong while a file is opened counts as damage of it.
+  throw CorruptDatabase(error.what());
 }
 
 std::string Database::meta(const std::string& key) const {
