--- a/src/transactions/connection_close.cpp
+++ b/src/transactions/connection_close.cpp
@@ -2,26 +2,26 @@
 
 namespace gulltrestle::transactions {
 
-AttemptOutcome outcomeOf(ConnectionCloseReason how, bool writtenWhole) {
-  switch (how) {
+AttemptOutcome outcomeOf(ConnectionCloseReason reason, bool isFullyWritten) {
+  switch (reason) {
     case ConnectionCloseReason::noDescriptor:
       return AttemptOutcome::notSent;
     case ConnectionCloseReason::cancelled:
-      return writtenWhole ? AttemptOutcome::cancelled : AttemptOutcome::notSent;
+      return isFullyWritten ? AttemptOutcome::cancelled : AttemptOutcome::notSent;
     case ConnectionCloseReason::rejected:
       return AttemptOutcome::rejected;
     case ConnectionCloseReason::unanswered:
-      return writtenWhole ? AttemptOutcome::timeout : AttemptOutcome::noConnection;
+      return isFullyWritten ? AttemptOutcome::timeout : AttemptOutcome::noConnection;
     case ConnectionCloseReason::nodeDrained:
     case ConnectionCloseReason::retired:
-      return writtenWhole ? AttemptOutcome::connectionLost : AttemptOutcome::notSent;
+      return isFullyWritten ? AttemptOutcome::connectionLost : AttemptOutcome::notSent;
     default:
-      return writtenWhole ? AttemptOutcome::connectionLost : AttemptOutcome::noConnection;
+      return isFullyWritten ? AttemptOutcome::connectionLost : AttemptOutcome::noConnection;
   }
 }
 
-bool mayHaveRun(AttemptOutcome how) {
-  switch (how) {
+bool mayHaveRun(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::rejected:
     case AttemptOutcome::noConnection:
     case AttemptOutcome::notSent:
@@ -37,8 +37,8 @@
   return true;
 }
 
-std::string_view nameOf(ConnectionCloseReason how) {
-  switch (how) {
+std::string_view nameOf(ConnectionCloseReason reason) {
+  switch (reason) {
     case ConnectionCloseReason::noDescriptor:
       return "not opened";
     case ConnectionCloseReason::refused:
@@ -69,8 +69,8 @@
   return "unknown";
 }
 
-std::string_view nameOf(AttemptOutcome how) {
-  switch (how) {
+std::string_view nameOf(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::committed:
       return "committed";
     case AttemptOutcome::error:
--- a/src/transactions/connection_close.h
+++ b/src/transactions/connection_close.h
@@ -1,4 +1,4 @@
-// Every way in which a connection can end, and what that says of the attempt it carried.
+// The reasons for which a connection ends, and what each means for the attempt that it carried.
 #pragma once
 
 #include <string_view>
@@ -8,29 +8,30 @@
 namespace gulltrestle::transactions {
 
 enum class ConnectionCloseReason {
-  noDescriptor,    // no descriptor or address was to be had for it
-  refused,         // the other side took no connection
-  connectTimeout,  // it was not up within the time that is allowed for it
-  rejected,        // a node refused the session before it took a query
-  broken,          // reset, or ended by the other side
-  malformed,       // the other side sent what can't be read
-  cancelled,       // nobody waits for its answer any more
-  unanswered,      // no answer came while the attempt was waited for
-  retired,         // closed here after it had been idle for long, or to make room for another
-  nodeDrained,     // closed here as its node drains or is gone
-  clientFinished,  // the client said good-bye, or all it had asked is answered and it sends no more
+  noDescriptor,    // no file descriptor or address was available for it
+  refused,         // the other side accepted no connection
+  connectTimeout,  // it was not established within its time limit
+  rejected,        // a node rejected the session before it took a query
+  broken,          // reset, or closed by the other side
+  malformed,       // the other side sent what can't be parsed
+  cancelled,       // its answer is no longer awaited
+  unanswered,      // no answer came while it was awaited
+  retired,         // closed here after a long idle time, or to make room for another
+  nodeDrained,     // closed here as its node is draining or removed
+  clientFinished,  // the client terminated the session, or has all its answers and sends no more
   clientStalled,   // the client did not read its answer for long
-  shuttingDown,    // this router ends
+  shuttingDown,    // this router shuts down
 };
 
-// The outcome of an attempt whose connection ended so. `writtenWhole`: its last byte had been written, so
-// that the node may have run it.
-AttemptOutcome outcomeOf(ConnectionCloseReason how, bool writtenWhole);
+// The outcome of an attempt whose connection ended for that reason. `isFullyWritten`: its last byte had been
+// written, so that the node may have run it.
+AttemptOutcome outcomeOf(ConnectionCloseReason reason, bool isFullyWritten);
 
-// Whether a node may have run an attempt that ended so.
-bool mayHaveRun(AttemptOutcome how);
+// Whether a node may have run an attempt with that outcome.
+bool mayHaveRun(AttemptOutcome outcome);
 
-std::string_view nameOf(ConnectionCloseReason how);
-std::string_view nameOf(AttemptOutcome how);
+// As in log lines.
+std::string_view nameOf(ConnectionCloseReason reason);
+std::string_view nameOf(AttemptOutcome outcome);
 
 }  // namespace gulltrestle::transactions
--- a/src/transactions/endpoint_registry.cpp
+++ b/src/transactions/endpoint_registry.cpp
@@ -10,16 +10,16 @@
     for (auto& [id, node] : nodes_) node.health = Health::removed;
   std::vector<NodeId> moved;
   for (const auto& [entry, address] : list) {
-    const auto [at, isNew] = nodes_.try_emplace(entry.node);
-    if (!isNew && at->second.address != address) moved.push_back(entry.node);
-    at->second = {address, entry.health};
+    const auto [registered, isNew] = nodes_.try_emplace(entry.node);
+    if (!isNew && registered->second.address != address) moved.push_back(entry.node);
+    registered->second = {address, entry.health};
   }
   return moved;
 }
 
 const EndpointRegistry::Node* EndpointRegistry::find(const NodeId& id) const {
-  const auto at = nodes_.find(id);
-  return at == nodes_.end() ? nullptr : &at->second;
+  const auto found = nodes_.find(id);
+  return found == nodes_.end() ? nullptr : &found->second;
 }
 
 const NodeId* EndpointRegistry::findByAddress(const std::string& address) const {
@@ -30,13 +30,14 @@
 
 bool EndpointRegistry::isDraining(const NodeId& id) const {
   const Node* node = find(id);
-  return !node || node->health == Health::draining || (node->health == Health::removed && goneBinds_);
+  return !node || node->health == Health::draining ||
+         (node->health == Health::removed && excludesRemovedNodes_);
 }
 
 bool EndpointRegistry::forget(const NodeId& id) {
-  const auto at = nodes_.find(id);
-  if (at == nodes_.end() || at->second.health != Health::removed) return false;
-  nodes_.erase(at);
+  const auto found = nodes_.find(id);
+  if (found == nodes_.end() || found->second.health != Health::removed) return false;
+  nodes_.erase(found);
   return true;
 }
 
--- a/src/transactions/endpoint_registry.h
+++ b/src/transactions/endpoint_registry.h
@@ -1,5 +1,6 @@
-// The nodes that lists have named: where each is reached, and what the last list said of it. Carriers read it
-// and keep what is their own beside it. Holds one entry a node until the decision module forgets that node.
+// The nodes that endpoint lists have named: the address of each, and what the last list said of it. Upstream
+// transports read it, and store what concerns only them elsewhere. Has one entry per node until the router
+// forgets that node. No I/O, no clock.
 #pragma once
 
 #include <map>
@@ -10,7 +11,7 @@
 
 namespace gulltrestle::transactions {
 
-// An entry of a list, and where that node is reached, as address:port.
+// An entry of an endpoint list, and where that node is reached, as address:port.
 struct ResolvedEndpoint {
   EndpointEntry entry;
   std::string address;
@@ -23,25 +24,25 @@
     Health health = Health::live;
   };
 
-  // `goneBinds`: nothing new may go to a node that is listed as gone; else only to one listed as draining.
-  explicit EndpointRegistry(bool goneBinds) : goneBinds_(goneBinds) {}
+  // `excludesRemovedNodes`: removed nodes count as draining, too; else only those listed as draining do.
+  explicit EndpointRegistry(bool excludesRemovedNodes) : excludesRemovedNodes_(excludesRemovedNodes) {}
 
-  // Takes a list over. Returns the nodes that have moved to another address (new ones are not among them),
-  // in the list's order.
+  // Applies a list. Returns the nodes whose address has changed (new ones are not among them), in the list's
+  // order.
   std::vector<NodeId> apply(EndpointUpdateKind kind, const std::vector<ResolvedEndpoint>& list);
 
   const Node* find(const NodeId& id) const;
-  // The node that is reached there, other than as gone; null: none is.
+  // The node that has this address and is not removed; null: none has.
   const NodeId* findByAddress(const std::string& address) const;
-  // Nothing new may go to it; true for one that no list named.
+  // Whether nothing new may go to the node; true for one that no list named.
   bool isDraining(const NodeId& id) const;
-  // False, and nothing is forgotten, where a newer list names it.
+  // Drops a removed node's entry. False, without effect, if there is none or a newer list names the node.
   bool forget(const NodeId& id);
 
   const std::map<NodeId, Node>& all() const { return nodes_; }
 
  private:
-  bool goneBinds_;
+  bool excludesRemovedNodes_;
   std::map<NodeId, Node> nodes_;
 };
 
--- a/src/transactions/execution_gate.h
+++ b/src/transactions/execution_gate.h
@@ -1,6 +1,6 @@
-// Whether a txn that may run only once may run at all: asked by the ledger before such a txn comes to the
-// module, told what became of it. For installations where a client's repeat may reach another router, or this
-// one after a crash. Where there is none, nothing is asked.
+// Decides whether an at-most-once transaction may execute at all, for installations where a client's retry
+// may reach another router, or this one after a crash. Called by the transaction table before such a
+// transaction goes to the router, and notified of its outcome. Without an execution gate all may execute.
 #pragma once
 
 #include <array>
@@ -11,23 +11,25 @@
 
 namespace gulltrestle::transactions {
 
-// What a node answered, as its carrier read it, in up to three slices. Valid during the call only.
+// What a node returned, as its upstream transport read it, in up to three slices. Valid during the call only.
 using ResultValue = std::array<std::string_view, 3>;
 
-// What became of a txn here, once nothing of it is out any more.
+// The outcome of a transaction here, once none of its attempts is in flight any more.
 enum class ExecutionOutcome { committed, neverRan, unknown };
 
 class ExecutionGate {
  public:
   virtual ~ExecutionGate() = default;
-  // The client named the txn so, and waits for it for `patience` from now. Answered in a later call, by
-  // TransactionTable::admit() or TransactionTable::refuse(), unless over() comes first; within its patience.
-  virtual void requestExecution(TxnId txn, std::string_view id, Duration patience) = 0;
-  // A node committed it, with this value. Comes ahead of over().
+  // `id`: the client's own name of the transaction. To be answered in a later call, within `remainingTime`,
+  // by TransactionTable::admit() or one of its answer...() functions, unless onTransactionEnded() comes
+  // first.
+  virtual void requestExecution(TxnId txn, std::string_view id, Duration remainingTime) = 0;
+  // A node committed it, with this value. Called ahead of onTransactionEnded().
   virtual void onCommitted(TxnId txn, const ResultValue& value) = 0;
-  // Told once for each that was asked for.
-  virtual void onTransactionEnded(TxnId txn, ExecutionOutcome fate) = 0;
-  // A list came, before anybody has taken it over. Where others know better of a node, its entry is changed.
+  // Called once per transaction that was requested.
+  virtual void onTransactionEnded(TxnId txn, ExecutionOutcome outcome) = 0;
+  // Called with each endpoint list before it is applied: changes the entries of nodes of which other routers
+  // have newer knowledge.
   virtual void amendEndpointList(EndpointUpdateKind kind, std::uint64_t version,
                                  std::vector<ResolvedEndpoint>& list) = 0;
 };
--- a/src/transactions/session_id.h
+++ b/src/transactions/session_id.h
@@ -1,5 +1,5 @@
-// Sessions are told apart by a number; equal names give equal ones (FNV-1a). Two names that share one make a
-// read wait for the other's write at the worst.
+// Sessions are identified by a 64-bit hash of their names (FNV-1a). In the worst case two names with one hash
+// make a read wait for the other session's write.
 #pragma once
 
 #include <string_view>
@@ -9,8 +9,9 @@
 namespace gulltrestle::transactions {
 
 inline SessionId sessionOf(std::string_view name) {
-  SessionId hash = 14695981039346656037U;
-  for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211U;
+  constexpr SessionId kFnvOffsetBasis = 14695981039346656037U, kFnvPrime = 1099511628211U;
+  SessionId hash = kFnvOffsetBasis;
+  for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * kFnvPrime;
   return hash;
 }
 
--- a/src/transactions/trace.h
+++ b/src/transactions/trace.h
@@ -1,27 +1,28 @@
-// What becomes of each txn and connection, line by line, for whoever looks for a cause. Off by default: a
-// line is put together only where somebody takes it.
+// Trace lines on the course of each transaction and connection, for troubleshooting. Off by default: the text
+// of a line is put together only while a sink is set.
 #pragma once
 
 #include <functional>
 #include <string>
+#include <utility>
 
 namespace gulltrestle::transactions {
 
 class Trace {
  public:
   using Sink = std::function<void(const std::string& line)>;
-  // Null: nobody takes them any more.
-  void setSink(Sink take) { take_ = std::move(take); }
-  bool isOn() const { return static_cast<bool>(take_); }
+  // Null: turns the trace off.
+  void setSink(Sink sink) { sink_ = std::move(sink); }
+  bool isOn() const { return static_cast<bool>(sink_); }
 
   // `line`: returns the text of one line, "event=... key=value ...".
   template <typename Line>
   void write(Line line) const {
-    if (take_) take_(line());
+    if (sink_) sink_(line());
   }
 
  private:
-  Sink take_;
+  Sink sink_;
 };
 
 }  // namespace gulltrestle::transactions
--- /dev/null
+++ b/src/transactions/transaction_admission.cpp
@@ -0,0 +1,92 @@
+// The part of the transaction table that asks the admission controller and the execution gate before a
+// transaction goes to the router, and notifies them of its outcome.
+#include <algorithm>
+
+#include "transactions/transaction_table.h"
+
+namespace gulltrestle::transactions {
+
+// `gateId`: the name by which the execution gate knows the transaction.
+void TransactionTable::submit(TxnId txn, OpenTransaction& open, const Transaction& transaction,
+                              std::string_view gateId) {
+  if (admissionController_) {
+    const std::optional<Duration> retryAfter =
+        admissionController_->rejectsWithRetryAfter(transaction.group, transaction.type);
+    if (retryAfter) {
+      // Answered at the end of the turn: the handler is still within its call of openTransaction().
+      admissionRejections_.push_back({txn, *retryAfter});
+      return;
+    }
+    open.isAdmitted = true;
+  }
+  open.usesGate = executionGate_ && transactionClasses_.at(transaction.type).effect == Effect::atMostOnce;
+  if (const auto& age = transaction.priorAttempts.ambiguousAttemptAge)
+    open.ambiguousPriorSentAt = now_ - *age;
+  if (!open.usesGate) return enqueue([transaction](Router& router) { router.onTransaction(transaction); });
+  open.awaitingGate = transaction;
+  executionGate_->requestExecution(txn, gateId, transaction.remainingTime);
+}
+
+void TransactionTable::admit(TxnId txn) {
+  OpenTransaction* open = findAwaitingAnswer(txn);
+  if (!open || !open->awaitingGate) return;
+  Transaction transaction = *std::exchange(open->awaitingGate, std::nullopt);
+  // The time that the gate took is part of the client's.
+  const Duration waited = now_ - open->openedAt;
+  transaction.remainingTime = transaction.remainingTime - waited;
+  if (transaction.maxHold) transaction.maxHold = *transaction.maxHold - waited;
+  enqueue([transaction](Router& router) { router.onTransaction(transaction); });
+}
+
+bool TransactionTable::stopAwaitingGate(TxnId txn) {
+  OpenTransaction* open = findAwaitingAnswer(txn);
+  return open && std::exchange(open->awaitingGate, std::nullopt).has_value();
+}
+
+void TransactionTable::answerCommitted(TxnId txn, const ResultValue& value) {
+  if (!stopAwaitingGate(txn)) return;
+  traceAnswer(txn, "committed before, as the guard knows");
+  const bool isEmpty =
+      std::all_of(value.begin(), value.end(), [](std::string_view slice) { return slice.empty(); });
+  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) {
+    if (isEmpty && handler.requiresValue()) {
+      handler.rolledBack(owner);
+    } else {
+      handler.committed(owner, value);
+    }
+  });
+}
+
+void TransactionTable::answerRejected(TxnId txn, Duration retryAfter) {
+  if (!stopAwaitingGate(txn)) return;
+  traceAnswer(txn, "refused by the guard");
+  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rejected(owner, retryAfter, 0); });
+}
+
+void TransactionTable::answerRolledBack(TxnId txn) {
+  if (!stopAwaitingGate(txn)) return;
+  traceAnswer(txn, "rolled back by the guard");
+  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rolledBack(owner); });
+}
+
+void TransactionTable::answerRejectedByAdmission() {
+  for (const AdmissionRejection& rejection : std::exchange(admissionRejections_, {})) {
+    traceAnswer(rejection.txn, "refused by the ramp of a start");
+    finish(rejection.txn, [&](DownstreamHandler& handler, OwnerId owner) {
+      handler.rejected(owner, rejection.retryAfter, 0);
+    });
+  }
+}
+
+void TransactionTable::notifyAdmissionController(OpenTransaction& open, bool isCommitted) {
+  if (!admissionController_ || !std::exchange(open.isAdmitted, false)) return;
+  admissionController_->onTransactionEnded(
+      open.group, open.transactionClass,
+      {.sent = !open.attempts.empty(), .committed = isCommitted, .share = open.elapsedTargetFraction(now_)});
+}
+
+void TransactionTable::learnLoadReport(const NodeId& node, const LoadReport& report) {
+  enqueue([=](Router& router) { router.onHealthCheckEnded(node, AttemptOutcome::committed, report); });
+}
+
+}  // namespace gulltrestle::transactions
--- /dev/null
+++ b/src/transactions/transaction_rounds.cpp
@@ -0,0 +1,153 @@
+// The part of the transaction table that runs the router's rounds: endpoint lists and other events to it, and
+// its decisions back.
+#include <algorithm>
+
+#include "transactions/transaction_table.h"
+#include "transactions/transaction_trace.h"
+
+namespace gulltrestle::transactions {
+
+namespace {
+
+// A turn that comes later than this after the requested time shows that the process was held up, so that
+// latencies measured meanwhile are its own. Well above the scheduling delay of a machine under load.
+constexpr Duration kStallThreshold = Duration::millis(50);
+
+}  // namespace
+
+// --- Endpoint lists
+
+void TransactionTable::onEndpointList(EndpointUpdateKind kind, std::vector<ResolvedEndpoint> list,
+                                      std::uint64_t version) {
+  if (executionGate_) {
+    executionGate_->amendEndpointList(kind, version, list);
+    exclusions_.applyTo(kind, list);
+  }
+  applyEndpointList(kind, list);
+}
+
+void TransactionTable::onEndpointListFailed() {
+  enqueue([](Router& router) { router.onEndpointListFailed(); });
+}
+
+void TransactionTable::excludeNodes(std::set<NodeId> current, std::set<NodeId> upcoming, Instant startsAt) {
+  applyChangedEndpoints(exclusions_.exclude(std::move(current), std::move(upcoming), startsAt, now_));
+}
+
+void TransactionTable::leave(const std::vector<NodeId>& nodes) {
+  applyChangedEndpoints(exclusions_.markDraining(nodes));
+}
+
+void TransactionTable::applyChangedEndpoints(const std::vector<ResolvedEndpoint>& changed) {
+  if (!changed.empty()) applyEndpointList(EndpointUpdateKind::delta, changed);
+}
+
+void TransactionTable::applyEndpointList(EndpointUpdateKind kind, const std::vector<ResolvedEndpoint>& list) {
+  const std::vector<NodeId> moved = endpoints_.apply(kind, list);
+  for (UpstreamTransport* transport : transports_) transport->onEndpointList(moved);
+  std::vector<EndpointEntry> entries;
+  for (const ResolvedEndpoint& endpoint : list) entries.push_back(endpoint.entry);
+  enqueue([=](Router& router) { router.onEndpointList(kind, entries); });
+}
+
+// --- Turns
+
+Instant TransactionTable::endTurn() {
+  detectProcessStall();
+  answerRejectedByAdmission();
+  if (degradation_.isDecisionDue(now_)) updateDegradation();
+  if (!events_.empty() || isWakeUpDue()) {
+    if (wakeUpAt_ <= now_) wakeUpAt_ = Instant();
+    router_.runRound(now_, *this, *this);
+  }
+  if (!events_.empty()) return now_;
+  const Instant degradationDue = degradation_.nextDue();
+  if (wakeUpAt_ == Instant()) return degradationDue;
+  return degradationDue != Instant() && degradationDue < wakeUpAt_ ? degradationDue : wakeUpAt_;
+}
+
+void TransactionTable::detectProcessStall() {
+  if (wakeUpAt_ != Instant() && now_ - wakeUpAt_ > kStallThreshold) degradation_.onProcessStalled(now_);
+}
+
+double TransactionTable::ownUtilization() const {
+  const auto fraction = [](std::size_t used, std::size_t limit) {
+    return limit > 0 ? static_cast<double>(used) / static_cast<double>(limit) : 0.0;
+  };
+  return std::max(fraction(openTransactions_.size(), maxOpenTransactions_),
+                  fraction(messageBytes_, maxMessageBytes_));
+}
+
+void TransactionTable::updateDegradation() {
+  for (auto& changed : degradation_.decide(now_, ownUtilization()))
+    enqueue([changed = std::move(changed)](Router& router) {
+      router.setDegradation(changed.group, changed.rules, changed.rulesBelow, changed.trialFraction);
+    });
+}
+
+// Attempts that end at once, by what the router decides meanwhile, are events of the next round.
+void TransactionTable::deliver(Router& router) {
+  for (const RouterEvent& event : std::exchange(events_, {})) event(router);
+}
+
+// --- Decisions
+
+void TransactionTable::sendAttempt(TxnId txn, const NodeId& node, Instant sendBy, Instant abandonAt) {
+  OpenTransaction* open = findAwaitingAnswer(txn);
+  if (!open) return;
+  const AttemptId attemptId{txn, static_cast<unsigned>(open->attempts.size())};
+  open->attempts.push_back({node, now_, sendBy, abandonAt});
+  traceAttemptStarted(trace_, *open, now_);
+  // Guards against a decision made before the exclusion reached the router: nothing at all may go to the
+  // node. May hurt a transaction that no other node can take: it is decided anew, and may be rejected.
+  if (exclusions_.isExcluded(node)) return onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
+  open->transport->startAttempt(attemptId, node);
+}
+
+void TransactionTable::cancel(TxnId txn, unsigned number) {
+  const AttemptId attemptId{txn, number};
+  const AttemptRecord* attempt = this->attempt(attemptId);
+  if (!attempt || attempt->hasEnded) return;
+  // A copy of the node's name: the attempt may end, and its record go, during the call.
+  openTransactions_.at(txn).transport->cancelAttempt(attemptId, NodeId(attempt->node));
+}
+
+void TransactionTable::reject(TxnId txn, Duration retryAfter) {
+  unsigned level = 0;
+  if (const OpenTransaction* open = findAwaitingAnswer(txn)) {
+    degradation_.recordAbandoned(now_, *open);
+    const bool isRejectedOnArrival = open->attempts.empty() && open->openedAt == now_;
+    if (isRejectedOnArrival) level = degradation_.levelOf(open->group);
+  }
+  traceAnswer(txn, "refused", level);
+  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rejected(owner, retryAfter, level); });
+  withdrawAttempts(txn);
+}
+
+void TransactionTable::rollBack(TxnId txn) {
+  if (const OpenTransaction* open = findAwaitingAnswer(txn)) degradation_.recordAbandoned(now_, *open);
+  traceAnswer(txn, "rolled back");
+  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rolledBack(owner); });
+  withdrawAttempts(txn);
+}
+
+void TransactionTable::sendHealthCheck(const NodeId& node) {
+  UpstreamTransport* transport = healthCheckTransport_;
+  if (!transport && !transports_.empty()) transport = transports_.front();
+  if (!transport || exclusions_.isExcluded(node)) return onAttemptEnded({}, node, AttemptOutcome::notSent);
+  transport->startAttempt({}, node);
+}
+
+void TransactionTable::wakeAfter(Duration delay) {
+  const Instant requested = now_ + delay;
+  if (wakeUpAt_ == Instant() || wakeUpAt_ <= now_ || requested < wakeUpAt_) wakeUpAt_ = requested;
+}
+
+void TransactionTable::followEndpointList() { pollEndpointList_(); }
+
+void TransactionTable::forgetNode(const NodeId& node) {
+  if (!endpoints_.forget(node)) return;
+  for (UpstreamTransport* transport : transports_) transport->forgetNode(node);
+}
+
+}  // namespace gulltrestle::transactions
