--- a/src/degradation/admission_table.cpp
+++ b/src/degradation/admission_table.cpp
@@ -6,39 +6,66 @@
 
 namespace {
 
-// A long any read: its latency target is four times the shortest, as for the module's placing of them.
-constexpr double kLong = 4;
+// A read counts as long if its latency target is at least this many times the shortest: the same factor by
+// which the router places long reads.
+constexpr double kLongReadFactor = 4;
+// The shortest time that a latency target counts as, lest the weight for it grows without bound.
+constexpr double kMinSeconds = 1e-3;
 
-// What a type pays for the time it may take: the latency target stands for the work, which no setting tells.
-double pay(const TransactionClass& type) {
-  return type.priorityWeight / std::max(type.latencyTarget.inSeconds(), 1e-3);
+// The priority weight of a class for the time that it takes. Its latency target stands for that time, which
+// no setting states.
+double weightPerSecond(const TransactionClass& transactionClass) {
+  return transactionClass.priorityWeight / std::max(transactionClass.latencyTarget.inSeconds(), kMinSeconds);
 }
 
-// Effect and read level are settings of their own: a read may be one that runs only once.
-bool mayBeReduced(const TransactionClass& type) {
-  return type.level < ReadLevel::write && type.effect == Effect::idempotent;
+// Effect and read level are separate settings: a read may be one that may run at most once.
+bool mayBeReduced(const TransactionClass& transactionClass) {
+  return transactionClass.level < ReadLevel::write && transactionClass.effect == Effect::idempotent;
 }
 
-// What the types of a deployment are compared with.
-struct Compared {
-  Duration shortest;      // latency target of all types
-  double half = 0, best;  // of what the types that may be reduced pay: the median, the most
+// The figures of a deployment that each of its classes is compared with.
+struct ClassSummary {
+  Duration shortestLatencyTarget;  // of all classes
+  double medianWeight = 0;         // per second, of the classes that may be reduced
+  double maxWeight = 0;            // likewise
 };
 
-AdmissionPolicy admitOf(const TransactionClass& type, Level level, const Compared& compared) {
-  if (!mayBeReduced(type)) return AdmissionPolicy::all;
-  const bool isLong = type.level == ReadLevel::any && type.latencyTarget >= compared.shortest * kLong;
-  const bool owes = type.level == ReadLevel::session || type.level == ReadLevel::bounded;
+ClassSummary summarize(const std::vector<TransactionClass>& classes) {
+  ClassSummary summary;
+  if (!classes.empty()) summary.shortestLatencyTarget = classes.front().latencyTarget;
+  std::vector<double> weights;
+  for (const TransactionClass& transactionClass : classes) {
+    summary.shortestLatencyTarget = std::min(summary.shortestLatencyTarget, transactionClass.latencyTarget);
+    if (mayBeReduced(transactionClass)) weights.push_back(weightPerSecond(transactionClass));
+  }
+  if (weights.empty()) return summary;
+  std::sort(weights.begin(), weights.end());
+  summary.medianWeight = weights[weights.size() / 2];
+  summary.maxWeight = weights.back();
+  return summary;
+}
+
+AdmissionPolicy defaultPolicy(const TransactionClass& transactionClass, Level level,
+                              const ClassSummary& summary) {
+  if (!mayBeReduced(transactionClass)) return AdmissionPolicy::all;
+  const double weight = weightPerSecond(transactionClass);
   if (level >= 4)
-    return pay(type) < compared.best ? AdmissionPolicy::withSpareCapacity : AdmissionPolicy::withReadyReplica;
-  if (level >= 3 && pay(type) < compared.half) return AdmissionPolicy::withSpareCapacity;
-  return isLong || (owes && level >= 2) ? AdmissionPolicy::withReadyReplica : AdmissionPolicy::all;
+    return weight < summary.maxWeight ? AdmissionPolicy::withSpareCapacity
+                                      : AdmissionPolicy::withReadyReplica;
+  if (level >= 3 && weight < summary.medianWeight) return AdmissionPolicy::withSpareCapacity;
+  const bool isLongAnyRead =
+      transactionClass.level == ReadLevel::any &&
+      transactionClass.latencyTarget >= summary.shortestLatencyTarget * kLongReadFactor;
+  const bool hasTargetPosition =
+      transactionClass.level == ReadLevel::session || transactionClass.level == ReadLevel::bounded;
+  const bool needsReadyReplica = isLongAnyRead || (hasTargetPosition && level >= 2);
+  return needsReadyReplica ? AdmissionPolicy::withReadyReplica : AdmissionPolicy::all;
 }
 
 }  // namespace
 
-std::string_view nameOf(AdmissionPolicy admit) {
-  switch (admit) {
+std::string_view nameOf(AdmissionPolicy policy) {
+  switch (policy) {
     case AdmissionPolicy::all:
       return "all";
     case AdmissionPolicy::withReadyReplica:
@@ -51,36 +78,30 @@
   return "unknown";
 }
 
-AdmissionTable defaultAdmissionTable(const std::vector<TransactionClass>& types) {
-  Duration shortest = types.empty() ? Duration() : types.front().latencyTarget;
-  std::vector<double> pays;
-  for (const auto& type : types) {
-    shortest = std::min(shortest, type.latencyTarget);
-    if (mayBeReduced(type)) pays.push_back(pay(type));
-  }
-  std::sort(pays.begin(), pays.end());
-  const double half = pays.empty() ? 0 : pays[pays.size() / 2], best = pays.empty() ? 0 : pays.back();
-  AdmissionTable table(kMostLevel);
-  for (Level level = 1; level <= kMostLevel; ++level) {
-    DegradationRules& row = table[level - 1];
-    row.limitsBackgroundWork = true;
-    for (const auto& type : types) row.admission.push_back(admitOf(type, level, {shortest, half, best}));
+AdmissionTable defaultAdmissionTable(const std::vector<TransactionClass>& classes) {
+  const ClassSummary summary = summarize(classes);
+  AdmissionTable table(kMaxLevel);
+  for (Level level = 1; level <= kMaxLevel; ++level) {
+    DegradationRules& rules = table[level - 1];
+    rules.limitsBackgroundWork = true;
+    for (const TransactionClass& transactionClass : classes)
+      rules.admission.push_back(defaultPolicy(transactionClass, level, summary));
   }
   return table;
 }
 
-void validate(const AdmissionTable& table, const std::vector<TransactionClass>& types) {
-  for (std::size_t at = 0; at < table.size(); ++at) {
-    const std::string level = "level " + std::to_string(at + 1);
-    if (table[at].admission.size() != types.size())
+void validate(const AdmissionTable& table, const std::vector<TransactionClass>& classes) {
+  for (std::size_t row = 0; row < table.size(); ++row) {
+    const std::string level = "level " + std::to_string(row + 1);
+    if (table[row].admission.size() != classes.size())
       throw InvalidAdmissionTable(level + ": has not a word for each txn type");
-    for (std::size_t type = 0; type < types.size(); ++type) {
-      const AdmissionPolicy admit = table[at].admission[type];
-      const std::string where = level + ", txn type " + std::to_string(type);
-      if (at > 0 && admit < table[at - 1].admission[type])
-        throw InvalidAdmissionTable(where + ": lets in what the level below refuses");
-      if (admit != AdmissionPolicy::all && types[type].effect != Effect::idempotent)
-        throw InvalidAdmissionTable(where + ": refuses what may not run twice");
+    for (std::size_t type = 0; type < classes.size(); ++type) {
+      const AdmissionPolicy policy = table[row].admission[type];
+      const std::string cell = level + ", txn type " + std::to_string(type);
+      if (row > 0 && policy < table[row - 1].admission[type])
+        throw InvalidAdmissionTable(cell + ": lets in what the level below refuses");
+      if (policy != AdmissionPolicy::all && classes[type].effect != Effect::idempotent)
+        throw InvalidAdmissionTable(cell + ": refuses what may not run twice");
     }
   }
 }
--- a/src/degradation/admission_table.h
+++ b/src/degradation/admission_table.h
@@ -1,5 +1,6 @@
-// What each level refuses, by txn type: a table that the settings give by default and a configuration may
-// replace. It can only refuse: whatever is let in keeps the rules of its type. No I/O, no clock.
+// What each degradation level rejects, by transaction class: a table with defaults derived from the settings,
+// which a configuration file may replace. It can only reject: whatever is admitted keeps the rules of its
+// class. No I/O, no clock.
 #pragma once
 
 #include <stdexcept>
@@ -10,27 +11,29 @@
 
 namespace gulltrestle::degradation {
 
-// A row a level above 0, as the module takes it.
+// One row per level above 0, for the router.
 using AdmissionTable = std::vector<DegradationRules>;
 
-// A table that can't be taken; the message names the level and the txn type.
+// The table breaks a rule of validate(); the message names the level and the transaction class.
 class InvalidAdmissionTable : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// From the settings alone: 1 spares copies and probes, and lets long any reads in only where a node has room;
-// 2 the same for session and bounded reads, which are neither held nor sent to the primary then; 3 lets reads
-// that pay less than the better half for their time in only where a node has half of its room free; 4 all
-// reads but those that pay most, and these where one has room. None refuses what a node could do at once, and
-// none restricts a type that is not repeatable, whatever its read level: check() takes the table of any
-// types.
-AdmissionTable defaultAdmissionTable(const std::vector<TransactionClass>& types);
-
-// Throws BadTable where a higher level would let in what a lower one refuses, or where one refuses a write
-// that may not run twice: its client could not tell whether to come again.
-void validate(const AdmissionTable& table, const std::vector<TransactionClass>& types);
-
-std::string_view nameOf(AdmissionPolicy admit);
+// The table derived from the settings alone. Level 1 saves hedges and position checks, and admits long reads
+// of level `any` only where a node has spare capacity; level 2 does the same for session and bounded reads,
+// which are then neither held nor sent to the primary; level 3 admits reads whose priority weight for their
+// time is below the median only where a node has half of its capacity free; level 4 all reads but those of
+// the highest weight, and these where a node has spare capacity. No level rejects what a node could execute
+// at once, and none restricts a class that is not idempotent, whatever its read level: validate() accepts the
+// result for any classes.
+AdmissionTable defaultAdmissionTable(const std::vector<TransactionClass>& classes);
+
+// Throws InvalidAdmissionTable if a level admits what a lower one rejects, or if a level rejects what is not
+// idempotent, as its client could not tell whether a retry is safe.
+void validate(const AdmissionTable& table, const std::vector<TransactionClass>& classes);
+
+// As in configuration files.
+std::string_view nameOf(AdmissionPolicy policy);
 
 }  // namespace gulltrestle::degradation
--- a/src/degradation/degradation_controller.h
+++ b/src/degradation/degradation_controller.h
@@ -1,18 +1,19 @@
-// How far service is reduced: the level of each group, from how long txns of it take. One value out of what
-// is observed; what a level refuses is its table's (degradation/admission_table.h), who is refused is the
-// module's. No I/O, no clock.
+// The degradation level of each group, decided from the latencies of its transactions (a brownout
+// controller). What a level rejects is in its table (degradation/admission_table.h); which transactions are
+// rejected is the router's decision. No I/O, no clock.
 //
-//   state     what it is                                   goes to
-//   steady    the level has held                           raised: the standing wait is over the upper bound
+//   state     meaning                                      next state
+//   steady    the level is held                            raised: the standing wait is over the upper bound
 //                                                          trial: it was under the lower bound for the calm
-//                                                          time
-//   trial     some of what the level refuses and the one   steady, one level down: still calm at its end
-//             below would not is let in                    steady: the wait was over the lower bound again
+//                                                          period
+//   trial     a fraction of what the level rejects and     steady, one level down: still calm at its end
+//             the level below admits is admitted           steady: the wait was over the lower bound again
 //
-// A level holds for its shortest stay after each change, goes one step at a time, and changes so often a
-// minute at most; beyond that it stays where it is if that is the higher one.
+// A level is held for a shortest time after each change, changes by one step at a time, and only so many
+// times per minute; when these are used up the higher level stays.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <optional>
@@ -26,91 +27,110 @@
 namespace gulltrestle::degradation {
 
 using Level = unsigned;  // 0: full service
-constexpr Level kMostLevel = 4;
+constexpr Level kMaxLevel = 4;
 
-// How a level is entered and left. Waits are shares of the txns' latency targets.
+// When a level is entered and left. Waits are fractions of the transactions' latency targets.
 struct Bounds {
-  double up = 0.6, down = 0.3;
-  Duration shortestStay = Duration::millis(5000);
-  Duration calm = Duration::millis(4000);   // under the lower bound for so long before a trial
-  Duration trial = Duration::millis(4000);  // and for so long in it
-  unsigned mostChanges = 6;                 // a minute
-  double trialShare = 0.25;                 // of what is refused, let in during a trial
-  std::optional<Level> pinned;              // by an operator: no other level is taken
-  Level cap = kMostLevel;                   // by an operator: none above it
+  double raiseAbove = 0.6, lowerBelow = 0.3;      // standing waits
+  Duration minHold = Duration::millis(5000);      // a level is held at least this long
+  Duration calmPeriod = Duration::millis(4000);   // under the lower bound for this long before a trial
+  Duration trialPeriod = Duration::millis(4000);  // and for this long during it
+  unsigned maxChangesPerMinute = 6;
+  double trialFraction = 0.25;       // of what is rejected, admitted during a trial
+  std::optional<Level> pinnedLevel;  // set by an operator: no other level is entered
+  Level maxLevel = kMaxLevel;        // set by an operator: no higher level is entered
 };
 
+// Why a group is at its level.
 enum class Cause { none, waits, limits, calm, pinned, capped };
 std::string_view nameOf(Cause cause);
 
+// A change of a group's level.
 struct Change {
   GroupId group = 0;
   Level from = 0, to = 0;
   Cause cause = Cause::none;
   double wait = 0;       // the standing wait that it was decided by
-  std::size_t txns = 0;  // over so many
+  std::size_t txns = 0;  // the number of transactions that were measured
 };
 
+// Decides the levels. Called by the transaction table each turn.
 class DegradationController {
  public:
-  // `seed`: stays differ a little from router to router, so that they don't change together.
+  // `seed`: the time for which levels are held differs a little from router to router, so that they do not
+  // change together.
   DegradationController(Bounds bounds, std::uint64_t seed);
 
-  // --- What is observed
-  // A txn got its answer after this share of its latency target.
-  void recordAnswer(Instant now, GroupId group, std::size_t type, double share);
-  // A txn was given up after it had waited for this share.
-  void recordAbandoned(Instant now, GroupId group, std::size_t type, double share);
-  // The part of this router's own limits (open txns, bytes that are held) that is taken, the fullest of them.
-  void setOwnUtilization(double part) { own_ = part; }
-  // This router stood still: what it measured is its own delay.
+  // --- Observations. `targetFraction`: the time since the transaction was opened over its latency target.
+  void recordAnswer(Instant now, GroupId group, std::size_t type, double targetFraction);
+  // It was rejected or rolled back.
+  void recordAbandoned(Instant now, GroupId group, std::size_t type, double targetFraction);
+  // The used fraction of this router's own limits (open transactions, buffered bytes), the fullest of them.
+  void setOwnUtilization(double utilization) { ownUtilization_ = utilization; }
+  // The process was held up: the current measurements show its own delay, and are dropped.
   void onProcessStalled(Instant now);
-  // New bounds, from a configuration that was read anew.
+  // Replaces the bounds, after a reload of the configuration.
   void setBounds(Bounds bounds) { bounds_ = bounds; }
 
-  // Decides anew; the changes since the last call.
+  // Decides anew, and returns the changes since the last call.
   std::vector<Change> decide(Instant now);
+  // When decide() is due; never: after the next observation.
   Instant nextDue() const { return nextDue_; }
 
-  struct Counts {  // of one txn type, since the start
-    std::uint64_t answered = 0, gaveUp = 0, refused = 0;
+  // Transactions of one class since the start.
+  struct Counts {
+    std::uint64_t answered = 0;
+    std::uint64_t abandoned = 0;  // after they had waited
+    std::uint64_t rejected = 0;   // on arrival
   };
   struct GroupState {
     Level level = 0;
-    double trial = 0;  // this share of txns is judged by the level below
+    double trialFraction = 0;  // this fraction of transactions is judged by the level below
     Cause cause = Cause::none;
     Instant since;
-    double wait = 0;
-    std::vector<Counts> types;  // a row a txn type, as far as any was seen
+    double standingWait = 0;
+    std::vector<Counts> countsByClass;  // as far as any was seen
   };
   // Full service for a group that is not known.
   GroupState stateOf(GroupId group) const;
-  const std::map<GroupId, GroupState>& states() const { return shown_; }
+  const std::map<GroupId, GroupState>& states() const { return states_; }
   void forget(GroupId group);
 
  private:
   struct Group {
     Level level = 0;
-    bool trial = false;
+    bool isInTrial = false;
     Cause cause = Cause::none;
-    Instant since, calmSince, trialSince, beganAt;
-    Samples shares;               // of the interval that is going on
-    std::size_t gaveUp = 0;       // in it
-    double wait = 0;              // the last interval's
+    Instant since, calmSince, trialSince;
+    // The interval that is being measured.
+    Instant intervalStartedAt;    // never: no sample yet
+    Samples waits;                // as fractions of the latency target
+    std::size_t abandoned = 0;    // of the samples
+    double standingWait = 0;      // of the last interval
     std::deque<Instant> changes;  // of the last minute
-    double stretch = 1;           // of the shortest stay
-    std::vector<Counts> types;
+    double holdFactor = 1;        // on the time for which a level is held
+    std::vector<Counts> countsByClass;
+
+    void startNewInterval();
+    void addSample(Instant now, double wait);
+    void leaveTrial();
   };
   static Counts& countsOf(Group& group, std::size_t type);
-  Group& groupOf(GroupId id);
-  bool decideOne(Instant now, GroupId id, Group& group, Change& change);
-  void change(Instant now, GroupId id, Group& group, Level to, Cause cause, Change& out);
+  Group& findOrAddGroup(GroupId id);
+  // Each returns the change of the group's level, if any.
+  std::optional<Change> decideGroup(Instant now, GroupId id, Group& group) const;
+  std::optional<Change> applyOperatorLimits(Instant now, GroupId id, Group& group) const;
+  std::optional<Change> decideByWait(Instant now, GroupId id, Group& group) const;
+  std::optional<Change> decideLowering(Instant now, GroupId id, Group& group) const;
+  Change changeLevel(Instant now, GroupId id, Group& group, Level to, Cause cause) const;
+  bool wasHeldLongEnough(Instant now, const Group& group) const;
+  bool mayChange(const Group& group) const { return group.changes.size() < bounds_.maxChangesPerMinute; }
 
   Bounds bounds_;
   std::uint64_t seed_;
-  double own_ = 0;
+  double ownUtilization_ = 0;
   std::map<GroupId, Group> groups_;
-  std::map<GroupId, GroupState> shown_;
+  std::map<GroupId, GroupState> states_;  // as of the last decision
   Instant nextDue_;
 };
 
--- a/src/degradation_service/degradation_config.cpp
+++ b/src/degradation_service/degradation_config.cpp
@@ -11,69 +11,96 @@
 using config::ConfigError;
 using config::ConfigSection;
 
-// A level that an operator sets, and who did: a name is wanted, as others will wonder.
-degradation::Level set(ConfigSection& top, const std::string& key, std::string& by) {
+struct OperatorLevel {
+  degradation::Level level = 0;
+  std::string setBy;
+};
+
+// A level that an operator sets. The operator's name is required, for others who see its effect.
+OperatorLevel readOperatorLevel(ConfigSection& top, const std::string& key) {
   ConfigSection section = top.section(key);
-  const auto level = static_cast<degradation::Level>(section.whole("level", 0, 0, degradation::kMostLevel));
+  OperatorLevel read;
+  read.level = static_cast<degradation::Level>(section.whole("level", 0, 0, degradation::kMaxLevel));
   if (!section.has("level")) throw ConfigError(section.path("level"), "is missing");
-  by = section.text("by", "");
-  if (by.empty()) throw ConfigError(section.path("by"), "is missing: who sets it");
+  read.setBy = section.text("by", "");
+  if (read.setBy.empty()) throw ConfigError(section.path("by"), "is missing: who sets it");
   section.end();
-  return level;
+  return read;
+}
+
+AdmissionPolicy readPolicy(ConfigSection& row, const std::string& className, AdmissionPolicy defaultPolicy) {
+  const std::string name = row.text(className, std::string(degradation::nameOf(defaultPolicy)));
+  for (const AdmissionPolicy policy : {AdmissionPolicy::all, AdmissionPolicy::withReadyReplica,
+                                       AdmissionPolicy::withSpareCapacity, AdmissionPolicy::none})
+    if (degradation::nameOf(policy) == name) return policy;
+  throw ConfigError(row.path(className), "'" + name + "' is none of all, ready, spare, none");
 }
 
-AdmissionPolicy admitOf(ConfigSection& row, const std::string& type, AdmissionPolicy otherwise) {
-  const std::string word = row.text(type, std::string(degradation::nameOf(otherwise)));
-  for (const AdmissionPolicy admit : {AdmissionPolicy::all, AdmissionPolicy::withReadyReplica,
-                                      AdmissionPolicy::withSpareCapacity, AdmissionPolicy::none})
-    if (degradation::nameOf(admit) == word) return admit;
-  throw ConfigError(row.path(type), "'" + word + "' is none of all, ready, spare, none");
+degradation::Bounds readBounds(ConfigSection& top) {
+  degradation::Bounds bounds;
+  bounds.raiseAbove = top.number("up", bounds.raiseAbove, 0.05, 10);
+  bounds.lowerBelow = top.number("down", bounds.lowerBelow, 0.01, 10);
+  if (bounds.lowerBelow >= bounds.raiseAbove) throw ConfigError("down", "is not below up");
+  bounds.minHold = top.millis("shortest_stay_ms", bounds.minHold, 500, 3'600'000);
+  bounds.calmPeriod = top.millis("calm_ms", bounds.calmPeriod, 500, 3'600'000);
+  bounds.trialPeriod = top.millis("trial_ms", bounds.trialPeriod, 500, 3'600'000);
+  bounds.maxChangesPerMinute =
+      static_cast<unsigned>(top.whole("most_changes_a_minute", bounds.maxChangesPerMinute, 1, 60));
+  bounds.trialFraction = top.number("trial_share", bounds.trialFraction, 0.01, 1);
+  return bounds;
 }
 
-DegradationConfig read(const json::Value& all, const std::vector<TransactionClass>& types,
-                       const std::vector<std::string>& typeNames) {
-  ConfigSection top(all, "");
-  DegradationConfig setup;
-  auto& bounds = setup.bounds;
-  bounds.up = top.number("up", bounds.up, 0.05, 10);
-  bounds.down = top.number("down", bounds.down, 0.01, 10);
-  if (bounds.down >= bounds.up) throw ConfigError("down", "is not below up");
-  bounds.shortestStay = top.millis("shortest_stay_ms", bounds.shortestStay, 500, 3'600'000);
-  bounds.calm = top.millis("calm_ms", bounds.calm, 500, 3'600'000);
-  bounds.trial = top.millis("trial_ms", bounds.trial, 500, 3'600'000);
-  bounds.mostChanges = static_cast<unsigned>(top.whole("most_changes_a_minute", bounds.mostChanges, 1, 60));
-  bounds.trialShare = top.number("trial_share", bounds.trialShare, 0.01, 1);
-  if (top.has("pin")) bounds.pinned = set(top, "pin", setup.pinnedBy);
-  if (top.has("cap")) bounds.cap = set(top, "cap", setup.cappedBy);
-  setup.statusFile = top.text("status_file", "");
-  setup.statusEvery = top.millis("status_every_ms", setup.statusEvery, 100, 3'600'000);
-  setup.table = degradation::defaultAdmissionTable(types);
-  ConfigSection table = top.section("table");
-  for (std::size_t at = 0; at < setup.table.size(); ++at) {
-    ConfigSection row = table.section(std::to_string(at + 1));
-    for (std::size_t type = 0; type < types.size(); ++type)
-      setup.table[at].admission[type] = admitOf(row, typeNames[type], setup.table[at].admission[type]);
+// Replaces the policies of `table` that the file sets.
+void readTable(ConfigSection& top, const std::vector<std::string>& classNames,
+               degradation::AdmissionTable& table) {
+  ConfigSection section = top.section("table");
+  for (std::size_t i = 0; i < table.size(); ++i) {
+    ConfigSection row = section.section(std::to_string(i + 1));
+    std::vector<AdmissionPolicy>& policies = table[i].admission;
+    for (std::size_t type = 0; type < policies.size(); ++type)
+      policies[type] = readPolicy(row, classNames[type], policies[type]);
     row.end();
   }
-  table.end();
+  section.end();
+}
+
+DegradationConfig readConfig(const json::Value& document, const std::vector<TransactionClass>& classes,
+                             const std::vector<std::string>& classNames) {
+  ConfigSection top(document, "");
+  DegradationConfig config;
+  config.bounds = readBounds(top);
+  if (top.has("pin")) {
+    const OperatorLevel pin = readOperatorLevel(top, "pin");
+    config.bounds.pinnedLevel = pin.level;
+    config.pinnedBy = pin.setBy;
+  }
+  if (top.has("cap")) {
+    const OperatorLevel cap = readOperatorLevel(top, "cap");
+    config.bounds.maxLevel = cap.level;
+    config.cappedBy = cap.setBy;
+  }
+  config.statusFile = top.text("status_file", "");
+  config.statusInterval = top.millis("status_every_ms", config.statusInterval, 100, 3'600'000);
+  config.table = degradation::defaultAdmissionTable(classes);
+  readTable(top, classNames, config.table);
   top.end();
   try {
-    degradation::validate(setup.table, types);
-  } catch (const degradation::InvalidAdmissionTable& bad) { throw ConfigError("table", bad.what()); }
-  return setup;
+    degradation::validate(config.table, classes);
+  } catch (const degradation::InvalidAdmissionTable& invalid) { throw ConfigError("table", invalid.what()); }
+  return config;
 }
 
 }  // namespace
 
-DegradationConfig readDegradationConfig(std::string_view text, const std::vector<TransactionClass>& types,
-                                        const std::vector<std::string>& typeNames) {
-  return read(config::readText(text), types, typeNames);
+DegradationConfig readDegradationConfig(std::string_view text, const std::vector<TransactionClass>& classes,
+                                        const std::vector<std::string>& classNames) {
+  return readConfig(config::readText(text), classes, classNames);
 }
 
 DegradationConfig readDegradationConfigFile(const std::string& path,
-                                            const std::vector<TransactionClass>& types,
-                                            const std::vector<std::string>& typeNames) {
-  return read(config::readFile(path), types, typeNames);
+                                            const std::vector<TransactionClass>& classes,
+                                            const std::vector<std::string>& classNames) {
+  return readConfig(config::readFile(path), classes, classNames);
 }
 
 }  // namespace gulltrestle::degradation_service
--- a/src/degradation_service/degradation_config.h
+++ b/src/degradation_service/degradation_config.h
@@ -1,4 +1,5 @@
-// The configuration file of reduced service: read, checked key by key, and given defaults from the settings.
+// The configuration file of degradation levels: parsed, checked key by key, with defaults derived from the
+// settings.
 #pragma once
 
 #include <string>
@@ -13,16 +14,17 @@
 struct DegradationConfig {
   degradation::Bounds bounds;
   degradation::AdmissionTable table;
-  std::string pinnedBy, cappedBy;  // who did, for those who wonder
-  std::string statusFile;          // empty: none is written
-  Duration statusEvery = Duration::millis(5000);
+  std::string pinnedBy, cappedBy;  // the operators who set the levels; empty: not set
+  std::string statusFile;          // empty: no status document is written
+  Duration statusInterval = Duration::millis(5000);
 };
 
-// Throws config::BadKey, which names the key.
-DegradationConfig readDegradationConfig(std::string_view text, const std::vector<TransactionClass>& types,
-                                        const std::vector<std::string>& typeNames);
+// `classNames`: of the transaction classes, in the same order. Both throw config::ConfigError, which names
+// the key at fault.
+DegradationConfig readDegradationConfig(std::string_view text, const std::vector<TransactionClass>& classes,
+                                        const std::vector<std::string>& classNames);
 DegradationConfig readDegradationConfigFile(const std::string& path,
-                                            const std::vector<TransactionClass>& types,
-                                            const std::vector<std::string>& typeNames);
+                                            const std::vector<TransactionClass>& classes,
+                                            const std::vector<std::string>& classNames);
 
 }  // namespace gulltrestle::degradation_service
--- a/src/degradation_service/degradation_service.cpp
+++ b/src/degradation_service/degradation_service.cpp
@@ -8,132 +8,170 @@
 
 namespace {
 
-// How often the state is logged while service is reduced anywhere.
-constexpr Duration kLogPause = Duration::millis(30'000);
+using degradation::DegradationController;
+
+// How often the state is logged while any group is at a level above 0.
+constexpr Duration kLogInterval = Duration::millis(30'000);
 // Groups in one log line; the status document has them all.
-constexpr std::size_t kMostLogged = 20;
+constexpr std::size_t kMaxLoggedGroups = 20;
 
-// The part of a txn type's txns that was refused as it came, since the start.
-double refusedOf(const degradation::DegradationController::Counts& counts) {
-  const auto asked = counts.answered + counts.gaveUp + counts.refused;
-  return asked > 0 ? static_cast<double>(counts.refused) / static_cast<double>(asked) : 0;
+// The fraction of a class's transactions that were rejected on arrival, since the start.
+double rejectedFraction(const DegradationController::Counts& counts) {
+  const auto total = counts.answered + counts.abandoned + counts.rejected;
+  return total > 0 ? static_cast<double>(counts.rejected) / static_cast<double>(total) : 0;
 }
 
-std::string figure(double value) {
+std::string formatFigure(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.2f", value);
   return text;
 }
 
+double rounded(double value) { return std::stod(formatFigure(value)); }
+
+// How many classes of a group are reported.
+std::size_t reportedClasses(const DegradationController::GroupState& state,
+                            const std::vector<std::string>& classNames) {
+  return std::min(state.countsByClass.size(), classNames.size());
+}
+
+nlohmann::ordered_json groupStatus(GroupId group, const DegradationController::GroupState& state,
+                                   const std::vector<std::string>& classNames, Instant now) {
+  nlohmann::ordered_json status;
+  status["group"] = group;
+  status["level"] = state.level;
+  status["trial"] = state.trialFraction > 0;
+  status["cause"] = nameOf(state.cause);
+  status["for_ms"] = state.since == Instant() ? 0 : (now - state.since).inMicros() / 1000;
+  status["wait"] = rounded(state.standingWait);
+  for (std::size_t type = 0; type < reportedClasses(state, classNames); ++type) {
+    const DegradationController::Counts& counts = state.countsByClass[type];
+    status["types"][classNames[type]] = {{"answered", counts.answered},
+                                         {"given_up", counts.abandoned},
+                                         {"refused", counts.rejected},
+                                         {"share_refused", rounded(rejectedFraction(counts))}};
+  }
+  return status;
+}
+
+void addViolations(nlohmann::ordered_json& status, const invariants::Invariants& invariants) {
+  for (const auto check : {invariants::Check::send, invariants::Check::repeat, invariants::Check::close,
+                           invariants::Check::start})
+    status["violations"][std::string(nameOf(check))] = invariants.count(check);
+  if (invariants.totalCount() == 0) return;
+  const invariants::Violation& last = invariants.lastViolation();
+  status["last_violation"] = {{"check", nameOf(last.check)}, {"rule", last.rule}, {"subject", last.subject}};
+}
+
+// A group's part of the log line on the state.
+std::string groupLogKey(GroupId group, const DegradationController::GroupState& state,
+                        const std::vector<std::string>& classNames) {
+  std::string key = " group" + std::to_string(group) + "=" + std::to_string(state.level) +
+                    (state.trialFraction > 0 ? "t" : "");
+  for (std::size_t type = 0; type < reportedClasses(state, classNames); ++type)
+    if (const double fraction = rejectedFraction(state.countsByClass[type]); fraction > 0)
+      key += "," + classNames[type] + ":" + formatFigure(fraction);
+  return key;
+}
+
 }  // namespace
 
-DegradationService::DegradationService(transactions::TransactionTable& ledger, DegradationConfig setup,
-                                       std::vector<std::string> typeNames, std::uint64_t seed,
-                                       std::function<DegradationConfig()> read, Log log)
-    : ledger_(ledger),
-      setup_(std::move(setup)),
-      typeNames_(std::move(typeNames)),
-      read_(std::move(read)),
+DegradationService::DegradationService(transactions::TransactionTable& transactions, DegradationConfig config,
+                                       std::vector<std::string> classNames, std::uint64_t seed,
+                                       std::function<DegradationConfig()> readConfig, Log log)
+    : transactions_(transactions),
+      config_(std::move(config)),
+      classNames_(std::move(classNames)),
+      readConfig_(std::move(readConfig)),
       log_(std::move(log)),
-      levels_(setup_.bounds, seed) {
-  ledger_.enableDegradation(levels_, setup_.table,
-                            [this](const degradation::Change& change) { changed(change); });
-  log_("event=levels.on up=" + figure(setup_.bounds.up) + " down=" + figure(setup_.bounds.down) + by());
+      controller_(config_.bounds, seed) {
+  enable();
+  log_("event=levels.on up=" + formatFigure(config_.bounds.raiseAbove) +
+       " down=" + formatFigure(config_.bounds.lowerBelow) + operatorKeys());
+}
+
+void DegradationService::enable() {
+  transactions_.enableDegradation(controller_, config_.table,
+                                  [this](const degradation::Change& change) { logChange(change); });
 }
 
-std::string DegradationService::by() const {
-  std::string out;
-  if (setup_.bounds.pinned)
-    out += " pinned=" + std::to_string(*setup_.bounds.pinned) + " pinned_by=\"" + setup_.pinnedBy + "\"";
-  if (!setup_.cappedBy.empty())
-    out += " cap=" + std::to_string(setup_.bounds.cap) + " capped_by=\"" + setup_.cappedBy + "\"";
-  return out;
+// What operators have set, as keys that end a log line.
+std::string DegradationService::operatorKeys() const {
+  std::string keys;
+  if (config_.bounds.pinnedLevel)
+    keys +=
+        " pinned=" + std::to_string(*config_.bounds.pinnedLevel) + " pinned_by=\"" + config_.pinnedBy + "\"";
+  if (!config_.cappedBy.empty())
+    keys += " cap=" + std::to_string(config_.bounds.maxLevel) + " capped_by=\"" + config_.cappedBy + "\"";
+  return keys;
 }
 
-void DegradationService::changed(const degradation::Change& change) {
+void DegradationService::logChange(const degradation::Change& change) {
   log_("event=levels.changed group=" + std::to_string(change.group) + " from=" + std::to_string(change.from) +
        " to=" + std::to_string(change.to) + " cause=" + std::string(nameOf(change.cause)) +
-       " wait=" + figure(change.wait) + " txns=" + std::to_string(change.txns) + by());
+       " wait=" + formatFigure(change.wait) + " txns=" + std::to_string(change.txns) + operatorKeys());
 }
 
 void DegradationService::reloadConfig() {
   try {
-    DegradationConfig anew = read_();
-    setup_ = std::move(anew);
-    levels_.setBounds(setup_.bounds);
-    ledger_.enableDegradation(levels_, setup_.table,
-                              [this](const degradation::Change& change) { changed(change); });
-    log_("event=levels.read_anew" + by());
-  } catch (const std::exception& bad) {
-    log_("event=levels.not_taken why=\"" + std::string(bad.what()) + "\"");
+    config_ = readConfig_();
+    controller_.setBounds(config_.bounds);
+    enable();
+    log_("event=levels.read_anew" + operatorKeys());
+  } catch (const std::exception& error) {
+    log_("event=levels.not_taken why=\"" + std::string(error.what()) + "\"");
   }
 }
 
 std::string DegradationService::status(Instant now) const {
-  nlohmann::ordered_json all;
-  all["time_ms"] = now.inMicros() / 1000;
+  nlohmann::ordered_json document;
+  document["time_ms"] = now.inMicros() / 1000;
   degradation::Level highest = 0;
-  for (const auto& [id, group] : levels_.states()) highest = std::max(highest, group.level);
-  all["level"] = highest;
-  if (setup_.bounds.pinned) all["pinned"] = {{"level", *setup_.bounds.pinned}, {"by", setup_.pinnedBy}};
-  if (!setup_.cappedBy.empty()) all["cap"] = {{"level", setup_.bounds.cap}, {"by", setup_.cappedBy}};
-  const auto& invariants = ledger_.invariants();
-  for (const auto check : {invariants::Check::send, invariants::Check::repeat, invariants::Check::close,
-                           invariants::Check::start})
-    all["violations"][std::string(nameOf(check))] = invariants.count(check);
-  if (invariants.all() > 0)
-    all["last_violation"] = {{"check", nameOf(invariants.last().check)},
-                             {"rule", invariants.last().rule},
-                             {"subject", invariants.last().subject}};
-  all["groups"] = nlohmann::ordered_json::array();
-  for (const auto& [id, group] : levels_.states()) {
-    nlohmann::ordered_json one;
-    one["group"] = id;
-    one["level"] = group.level;
-    one["trial"] = group.trial > 0;
-    one["cause"] = nameOf(group.cause);
-    one["for_ms"] = group.since == Instant() ? 0 : (now - group.since).inMicros() / 1000;
-    one["wait"] = std::stod(figure(group.wait));
-    for (std::size_t type = 0; type < group.types.size() && type < typeNames_.size(); ++type) {
-      const auto& counts = group.types[type];
-      one["types"][typeNames_[type]] = {{"answered", counts.answered},
-                                        {"given_up", counts.gaveUp},
-                                        {"refused", counts.refused},
-                                        {"share_refused", std::stod(figure(refusedOf(counts)))}};
-    }
-    all["groups"].push_back(std::move(one));
-  }
-  return all.dump(2, ' ', false, nlohmann::ordered_json::error_handler_t::replace) + "\n";
+  for (const auto& [group, state] : controller_.states()) highest = std::max(highest, state.level);
+  document["level"] = highest;
+  if (config_.bounds.pinnedLevel)
+    document["pinned"] = {{"level", *config_.bounds.pinnedLevel}, {"by", config_.pinnedBy}};
+  if (!config_.cappedBy.empty())
+    document["cap"] = {{"level", config_.bounds.maxLevel}, {"by", config_.cappedBy}};
+  addViolations(document, transactions_.invariants());
+  document["groups"] = nlohmann::ordered_json::array();
+  for (const auto& [group, state] : controller_.states())
+    document["groups"].push_back(groupStatus(group, state, classNames_, now));
+  return document.dump(2, ' ', false, nlohmann::ordered_json::error_handler_t::replace) + "\n";
 }
 
-// Written beside and renamed, so that whoever reads finds a whole one. Where that fails the log says so once
-// a pause, and service goes on.
 void DegradationService::endTurn() {
-  const Instant now = ledger_.now();
-  if (toldAt_ != Instant() && now - toldAt_ < setup_.statusEvery) return;
-  toldAt_ = now;
-  const bool logs = loggedAt_ == Instant() || now - loggedAt_ >= kLogPause;
-  if (!setup_.statusFile.empty()) {
-    const std::string beside = setup_.statusFile + ".new";
-    std::ofstream file(beside, std::ios::binary | std::ios::trunc);
-    file << status(now);
-    file.close();
-    if ((!file || std::rename(beside.c_str(), setup_.statusFile.c_str()) != 0) && logs)
-      log_("event=levels.status_failed file=\"" + setup_.statusFile + "\"");
-  }
-  if (!logs) return;
-  std::string line;
-  std::size_t reduced = 0;
-  for (const auto& [id, group] : levels_.states()) {
-    if (group.level == 0 || ++reduced > kMostLogged) continue;
-    line += " group" + std::to_string(id) + "=" + std::to_string(group.level) + (group.trial > 0 ? "t" : "");
-    for (std::size_t type = 0; type < group.types.size() && type < typeNames_.size(); ++type)
-      if (const double share = refusedOf(group.types[type]); share > 0)
-        line += "," + typeNames_[type] + ":" + figure(share);
+  const Instant now = transactions_.now();
+  if (statusWrittenAt_ != Instant() && now - statusWrittenAt_ < config_.statusInterval) return;
+  statusWrittenAt_ = now;
+  const bool isLogDue = loggedAt_ == Instant() || now - loggedAt_ >= kLogInterval;
+  const bool isWritten = config_.statusFile.empty() || writeStatusFile(now);
+  if (!isLogDue) return;
+  // Service goes on without the document; the log reports the failure once per interval.
+  if (!isWritten) log_("event=levels.status_failed file=\"" + config_.statusFile + "\"");
+  logReducedGroups(now);
+}
+
+// Writes to another file and renames it, so that readers always find a complete document.
+bool DegradationService::writeStatusFile(Instant now) const {
+  const std::string temporary = config_.statusFile + ".new";
+  std::ofstream file(temporary, std::ios::binary | std::ios::trunc);
+  file << status(now);
+  file.close();
+  return file && std::rename(temporary.c_str(), config_.statusFile.c_str()) == 0;
+}
+
+void DegradationService::logReducedGroups(Instant now) {
+  std::string groupKeys;
+  std::size_t reducedGroups = 0;
+  for (const auto& [group, state] : controller_.states()) {
+    if (state.level == 0) continue;
+    ++reducedGroups;
+    if (reducedGroups <= kMaxLoggedGroups) groupKeys += groupLogKey(group, state, classNames_);
   }
-  if (reduced == 0) return;
+  if (reducedGroups == 0) return;
   loggedAt_ = now;
-  log_("event=levels.now reduced=" + std::to_string(reduced) + line + by());
+  log_("event=levels.now reduced=" + std::to_string(reducedGroups) + groupKeys + operatorKeys());
 }
 
 }  // namespace gulltrestle::degradation_service
--- a/src/downstream/postgres/client_sessions.cpp
+++ b/src/downstream/postgres/client_sessions.cpp
@@ -216,7 +216,7 @@
 // The connection is closed after what was written has gone.
 void ClientSessions::drop(ClientId id, transactions::ConnectionCloseReason why) {
   const auto subject = [id] { return "client " + std::to_string(id); };
-  if (!ledger_.invariants().close(ledger_.now(), isWaiting(id), subject)) return;
+  if (!ledger_.invariants().mayClose(ledger_.now(), isWaiting(id), subject)) return;
   traceClose(id, nameOf(why));
   effects_.closeClient(id);
   ended(id);
--- a/src/invariants/invariants.cpp
+++ b/src/invariants/invariants.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-// A node may be told a little more than its client has left: the protocol's slack for what travels.
+// A node may be given a little more time than its client has left: the protocol's allowance for transit.
 constexpr Duration kDeadlineSlack = Duration::millis(150);
-// A start is to be ready in ten seconds.
-constexpr Duration kLongestStart = Duration::seconds(10);
-// A violation that comes again and again is one line in this time.
-constexpr Duration kLogPause = Duration::seconds(10);
+// The deployment's time limit for a start.
+constexpr Duration kMaxStartDuration = Duration::seconds(10);
+// A repeated violation is logged once in this time.
+constexpr Duration kLogInterval = Duration::seconds(10);
 
 }  // namespace
 
@@ -32,49 +32,52 @@
   return "unknown";
 }
 
-bool Invariants::send(const Send& send, const Subject& subject) {
+bool Invariants::maySend(const Send& send, const Subject& subject) {
   if (!send.isAnswerPending)
-    return broken(send.now, Check::send, "its client has its answer or left", subject);
-  if (send.now >= send.sendBy) return broken(send.now, Check::send, "it is too late to send it", subject);
+    return recordViolation(send.now, Check::send, "its client has its answer or left", subject);
+  if (send.now >= send.sendBy)
+    return recordViolation(send.now, Check::send, "it is too late to send it", subject);
   if (send.now + send.timeoutSent > send.answerBy + kDeadlineSlack)
-    return broken(send.now, Check::send, "the node is told more time than is left", subject);
-  if (send.isNodeDraining) return broken(send.now, Check::send, "the node leaves", subject);
+    return recordViolation(send.now, Check::send, "the node is told more time than is left", subject);
+  if (send.isNodeDraining) return recordViolation(send.now, Check::send, "the node leaves", subject);
   return true;
 }
 
-bool Invariants::repeat(const Repeat& repeat, const Subject& subject) {
-  if (repeat.firstSentAt == Instant() || repeat.effect == Effect::idempotent) return true;
-  if (repeat.effect == Effect::atMostOnce)
-    return broken(repeat.now, Check::repeat, "it may run only once and may have run", subject);
-  if (repeat.now >= repeat.firstSentAt + repeat.window)
-    return broken(repeat.now, Check::repeat, "its window is over", subject);
+bool Invariants::mayRetry(const Retry& retry, const Subject& subject) {
+  if (retry.firstSentAt == Instant() || retry.effect == Effect::idempotent) return true;
+  if (retry.effect == Effect::atMostOnce)
+    return recordViolation(retry.now, Check::repeat, "it may run only once and may have run", subject);
+  if (retry.now >= retry.firstSentAt + retry.window)
+    return recordViolation(retry.now, Check::repeat, "its window is over", subject);
   return true;
 }
 
-bool Invariants::close(Instant now, bool isOwed, const Subject& subject) {
-  return !isOwed || broken(now, Check::close, "the client is owed an answer", subject);
+bool Invariants::mayClose(Instant now, bool isAnswerPending, const Subject& subject) {
+  return !isAnswerPending || recordViolation(now, Check::close, "the client is owed an answer", subject);
 }
 
-bool Invariants::started(Instant now, Duration after, const Subject& subject) {
-  return after <= kLongestStart || broken(now, Check::start, "it took too long", subject);
+bool Invariants::checkStart(Instant now, Duration startDuration, const Subject& subject) {
+  return startDuration <= kMaxStartDuration ||
+         recordViolation(now, Check::start, "it took too long", subject);
 }
 
-std::uint64_t Invariants::all() const {
+std::uint64_t Invariants::totalCount() const {
   return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
-bool Invariants::broken(Instant now, Check check, std::string_view rule, const Subject& subject) {
-  const auto row = static_cast<std::size_t>(check);
-  ++counts_[row];
-  last_ = {check, rule, subject()};
+// Always false, for the checks to return.
+bool Invariants::recordViolation(Instant now, Check check, std::string_view rule, const Subject& subject) {
+  const auto index = static_cast<std::size_t>(check);
+  ++counts_[index];
+  lastViolation_ = {check, rule, subject()};
 #ifdef GULLTRESTLE_ASSERT_INVARIANTS
   std::fprintf(stderr, "invariant broken: %s: %.*s: %s\n", std::string(nameOf(check)).c_str(),
-               static_cast<int>(rule.size()), rule.data(), last_.subject.c_str());
+               static_cast<int>(rule.size()), rule.data(), lastViolation_.subject.c_str());
   std::abort();
 #endif
-  if (toldAt_[row] != Instant() && now - toldAt_[row] < kLogPause) return false;
-  toldAt_[row] = now;
-  if (told_) told_(last_, counts_[row]);
+  if (notifiedAt_[index] != Instant() && now - notifiedAt_[index] < kLogInterval) return false;
+  notifiedAt_[index] = now;
+  if (listener_) listener_(lastViolation_, counts_[index]);
   return false;
 }
 
--- a/src/invariants/invariants.h
+++ b/src/invariants/invariants.h
@@ -1,28 +1,33 @@
-// The rules that every front and carrier keeps, as run-time checks at one place each: what is sent, what is
-// repeated, what is closed, how a start goes. In tests and sanitized builds a violation ends the process; in
-// service it is counted and what would break the rule is not done. No I/O, no clock.
+// The rules that every downstream handler and upstream transport must keep, as run-time checks in one place:
+// what is sent, what is retried, what is closed, how long a start takes. In tests and sanitized builds a
+// violation aborts the process; in service it is counted, and the caller omits what would break the rule.
+// No I/O, no clock.
 //
-//   check    holds where                                            else
-//   send     its client waits, its time is not over, the node is    the attempt ends as not sent
-//            not leaving, and the node is told no more than what
-//            is left
-//   repeat   no earlier attempt may have run, or the type is        the attempt ends as not sent
-//            repeatable, or it is referenced and its window is open
-//   close    the client is owed no answer                           it is answered first
-//   start    it serves within its bound                             counted only
+//   check    holds if                                               else
+//   send     the client awaits its answer, its time is not over,    the attempt ends as not sent
+//            the node is not draining, and the node is given no
+//            more time than is left
+//   repeat   no earlier attempt may have run, or the transaction    the attempt ends as not sent
+//            is idempotent, or it is deduplicated and its
+//            deduplication window is open
+//   close    the client awaits no answer                            it is answered first
+//   start    the process serves within its time limit               counted only
 #pragma once
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <string>
 #include <string_view>
+#include <utility>
 
 #include "base/time.h"
 #include "routing/router.h"
 
 namespace gulltrestle::invariants {
 
+// The kinds of check; their names are those of the table above.
 enum class Check { send, repeat, close, start };
 constexpr std::size_t kCheckCount = 4;
 std::string_view nameOf(Check check);
@@ -30,54 +35,57 @@
 // An attempt that is about to be written to a node.
 struct Send {
   Instant now;
-  Instant sendBy;               // by when it may be written
+  Instant sendBy;               // it must not be written later than this
   Instant answerBy;             // when its client stops waiting
-  Duration timeoutSent;         // how long the node is told to take at most
-  bool isAnswerPending = true;  // its client waits for the answer
+  Duration timeoutSent;         // the time that the node is given
+  bool isAnswerPending = true;  // the client awaits the answer
   bool isNodeDraining = false;
 };
 
-// The same attempt, beside the earlier ones of its txn.
-struct Repeat {
+// The same attempt, with regard to the earlier ones of its transaction.
+struct Retry {
   Instant now;
   Effect effect = Effect::idempotent;
-  Duration window;  // of a referenced type: how long a repeat is known
-  Instant
-      firstSentAt;  // when the first attempt that may have run, or is still out, was sent; never: none was
+  Duration window;      // for how long a deduplicated transaction is recognised
+  Instant firstSentAt;  // of the earlier attempts that may have run or are in flight; never: none is
 };
 
-// What broke a rule.
+// A rule that was broken.
 struct Violation {
   Check check = Check::send;
-  std::string_view rule;  // which part of the check
-  std::string subject;    // what it was about: txn and node, or client
+  std::string_view rule;  // which part of the check, in words; static
+  std::string subject;    // the transaction and node, or the client
 };
 
+// Runs and counts the checks. One per transaction table.
 class Invariants {
  public:
+  // `count`: violations of the same check up to now.
   using Listener = std::function<void(const Violation& violation, std::uint64_t count)>;
-  // `told`: called at each violation that is to be logged: the first of each check, then at most one a pause.
-  void setListener(Listener told) { told_ = std::move(told); }
+  // Called for each violation that is to be logged: the first of each check, then at most one per ten
+  // seconds.
+  void setListener(Listener listener) { listener_ = std::move(listener); }
 
-  // What a check is about, in words; called only where it is broken.
+  // Returns what a check is about, in words; called for violations only.
   using Subject = std::function<std::string()>;
-  // Each returns whether it may be done.
-  bool send(const Send& send, const Subject& subject);
-  bool repeat(const Repeat& repeat, const Subject& subject);
-  bool close(Instant now, bool isOwed, const Subject& subject);
-  bool started(Instant now, Duration after, const Subject& subject);
+
+  // Each returns whether the rule holds, and counts a violation if it does not.
+  [[nodiscard]] bool maySend(const Send& send, const Subject& subject);
+  [[nodiscard]] bool mayRetry(const Retry& retry, const Subject& subject);
+  [[nodiscard]] bool mayClose(Instant now, bool isAnswerPending, const Subject& subject);
+  bool checkStart(Instant now, Duration startDuration, const Subject& subject);
 
   std::uint64_t count(Check check) const { return counts_[static_cast<std::size_t>(check)]; }
-  std::uint64_t all() const;
-  const Violation& last() const { return last_; }
+  std::uint64_t totalCount() const;
+  const Violation& lastViolation() const { return lastViolation_; }
 
  private:
-  bool broken(Instant now, Check check, std::string_view rule, const Subject& subject);
+  bool recordViolation(Instant now, Check check, std::string_view rule, const Subject& subject);
 
-  Listener told_;
+  Listener listener_;
   std::array<std::uint64_t, kCheckCount> counts_{};
-  std::array<Instant, kCheckCount> toldAt_{};
-  Violation last_;
+  std::array<Instant, kCheckCount> notifiedAt_{};
+  Violation lastViolation_;
 };
 
 }  // namespace gulltrestle::invariants
--- a/src/runtime/server/server.cpp
+++ b/src/runtime/server/server.cpp
@@ -155,7 +155,7 @@
   spdlog::info("{} listens on {}:{}, {} nodes known", start_.name, start_.listen.host, start_.listen.port,
                start_.known.nodes.size());
   ledger().advanceTo(loop_.now());
-  ledger().invariants().started(loop_.now(), loop_.now() - begunAt_, [this] { return start_.name; });
+  ledger().invariants().checkStart(loop_.now(), loop_.now() - begunAt_, [this] { return start_.name; });
   listVersion_ = start_.known.version;
   gateway_.onEndpointList(loop_.now(), EndpointUpdateKind::restored, addressed(start_.known));
   const auto& at = start_.discovery;
--- a/src/transactions/admission_controller.h
+++ b/src/transactions/admission_controller.h
@@ -9,6 +9,7 @@
 
 namespace gulltrestle::transactions {
 
+// Implemented by whoever limits new transactions; see above.
 class AdmissionController {
  public:
   virtual ~AdmissionController() = default;
--- a/src/transactions/connection_close.h
+++ b/src/transactions/connection_close.h
@@ -7,6 +7,7 @@
 
 namespace gulltrestle::transactions {
 
+// Why the connection of a client or to a node ended.
 enum class ConnectionCloseReason {
   noDescriptor,    // no file descriptor or address was available for it
   refused,         // the other side accepted no connection
--- a/src/transactions/degradation_updates.cpp
+++ b/src/transactions/degradation_updates.cpp
@@ -38,12 +38,12 @@
   std::erase_if(returned_, [&](const auto& returned) { return !states.contains(returned.first); });
   std::vector<GroupRules> changed;
   for (const auto& [group, state] : states) {
-    const ReturnedState current{state.level, state.trial};
+    const ReturnedState current{state.level, state.trialFraction};
     ReturnedState& returned = returned_[group];
     if (returned == current) continue;
     returned = current;
     const degradation::Level levelBelow = state.level > 0 ? state.level - 1 : 0;
-    changed.push_back({group, rulesOf(state.level), rulesOf(levelBelow), state.trial});
+    changed.push_back({group, rulesOf(state.level), rulesOf(levelBelow), state.trialFraction});
   }
   return changed;
 }
--- a/src/transactions/degradation_updates.h
+++ b/src/transactions/degradation_updates.h
@@ -12,6 +12,7 @@
 
 namespace gulltrestle::transactions {
 
+// One per transaction table, which is its only caller.
 class DegradationUpdates {
  public:
   // Notified of each change of a group's level.
--- a/src/transactions/endpoint_exclusions.h
+++ b/src/transactions/endpoint_exclusions.h
@@ -11,6 +11,7 @@
 
 namespace gulltrestle::transactions {
 
+// One per transaction table, which is its only caller.
 class EndpointExclusions {
  public:
   // Stores a list, and changes the live entries of excluded nodes in it to draining.
--- a/src/transactions/endpoint_registry.h
+++ b/src/transactions/endpoint_registry.h
@@ -17,6 +17,7 @@
   std::string address;
 };
 
+// One per transaction table, which alone changes it.
 class EndpointRegistry {
  public:
   struct Node {
--- a/src/transactions/execution_gate.h
+++ b/src/transactions/execution_gate.h
@@ -17,6 +17,7 @@
 // The outcome of a transaction here, once none of its attempts is in flight any more.
 enum class ExecutionOutcome { committed, neverRan, unknown };
 
+// Implemented by whoever votes on or remembers executions; see above.
 class ExecutionGate {
  public:
   virtual ~ExecutionGate() = default;
--- a/src/transactions/trace.h
+++ b/src/transactions/trace.h
@@ -8,6 +8,7 @@
 
 namespace gulltrestle::transactions {
 
+// Writes trace lines to a sink; copies nothing and owns no file.
 class Trace {
  public:
   using Sink = std::function<void(const std::string& line)>;
--- a/src/transactions/transaction_table.cpp
+++ b/src/transactions/transaction_table.cpp
@@ -127,13 +127,13 @@
                               .timeoutSent = timeoutSent,
                               .isAnswerPending = open.handler != nullptr,
                               .isNodeDraining = endpoints_.isDraining(node)};
-  const invariants::Repeat repeat{.now = now_,
-                                  .effect = transactionClass.effect,
-                                  .window = transactionClass.deduplicationWindow,
-                                  .firstSentAt = open.firstAmbiguousSentAt(attemptId.attempt)};
+  const invariants::Retry retry{.now = now_,
+                                .effect = transactionClass.effect,
+                                .window = transactionClass.deduplicationWindow,
+                                .firstSentAt = open.firstAmbiguousSentAt(attemptId.attempt)};
   // Called for a violation only: this check runs for every attempt, and its text is rarely needed.
   const auto subject = [&] { return "txn " + std::string(open.id()) + " to node " + node; };
-  return invariants_.send(send, subject) && invariants_.repeat(repeat, subject);
+  return invariants_.maySend(send, subject) && invariants_.mayRetry(retry, subject);
 }
 
 void TransactionTable::onAttemptEnded(AttemptId attemptId, const NodeId& node, AttemptOutcome outcome,
--- a/src/transactions/transaction_table.h
+++ b/src/transactions/transaction_table.h
@@ -34,6 +34,7 @@
 
 namespace gulltrestle::transactions {
 
+// See above. Single-threaded; handlers, transports and gates must outlive it.
 class TransactionTable final : private EventSource, private DecisionSink {
  public:
   // `maxMessageBytes`: of the messages of all open transactions. `pollEndpointList`: called when the router
--- a/tests/invariants.cpp
+++ b/tests/invariants.cpp
@@ -22,8 +22,8 @@
                 << count << "\n";
     });
   }
-  void send(const std::string& what, const Send& send) { say(what, checks_.send(send, subject)); }
-  void repeat(const std::string& what, const Repeat& repeat) { say(what, checks_.repeat(repeat, subject)); }
+  void send(const std::string& what, const Send& send) { say(what, checks_.maySend(send, subject)); }
+  void repeat(const std::string& what, const Retry& repeat) { say(what, checks_.mayRetry(repeat, subject)); }
   Invariants& checks() { return checks_; }
   void say(const std::string& what, bool may) {
     std::cout << what << ": " << (may ? "may" : "may not") << "\n";
@@ -54,7 +54,8 @@
   wrong.now = at(20'000);
   wrong.sendBy = wrong.answerBy = at(30'000);
   checked.send("to a node that leaves, when the pause between lines is over", wrong);
-  std::cout << checked.checks().count(Check::send) << " of " << checked.checks().all() << " violations\n";
+  std::cout << checked.checks().count(Check::send) << " of " << checked.checks().totalCount()
+            << " violations\n";
 }
 
 // Finds: a second run of what may run once, and a repeat that the node has forgotten the first of.
@@ -70,10 +71,10 @@
 
 void closing() {
   Checked checked;
-  checked.say("a client that is owed nothing", checked.checks().close(at(0), false, subject));
-  checked.say("a client that is owed an answer", checked.checks().close(at(0), true, subject));
-  checked.say("a start of 10 s", checked.checks().started(at(0), Duration::seconds(10), subject));
-  checked.say("a start of 11 s", checked.checks().started(at(0), Duration::seconds(11), subject));
+  checked.say("a client that is owed nothing", checked.checks().mayClose(at(0), false, subject));
+  checked.say("a client that is owed an answer", checked.checks().mayClose(at(0), true, subject));
+  checked.say("a start of 10 s", checked.checks().checkStart(at(0), Duration::seconds(10), subject));
+  checked.say("a start of 11 s", checked.checks().checkStart(at(0), Duration::seconds(11), subject));
 }
 
 }  // namespace
--- a/tests/levels.cpp
+++ b/tests/levels.cpp
@@ -77,7 +77,7 @@
   trial.run(3000, trial.load(0.9));
   trial.run(40000, [&](Instant at, int) {
     for (int i = 0; i < 4; ++i)
-      trial.levels().recordAnswer(at, 1, 0, trial.levels().stateOf(1).trial > 0 ? 0.5 : 0.1);
+      trial.levels().recordAnswer(at, 1, 0, trial.levels().stateOf(1).trialFraction > 0 ? 0.5 : 0.1);
   });
   std::cout << "level " << trial.levels().stateOf(1).level << "\n";
 }
@@ -151,11 +151,11 @@
   Steps pinned;
   pinned.say("an operator pins, caps, lets go");
   Bounds bounds;
-  bounds.pinned = 2;
+  bounds.pinnedLevel = 2;
   pinned.levels().setBounds(bounds);
   pinned.run(2000, pinned.load(0.1));
-  bounds.pinned.reset();
-  bounds.cap = 1;
+  bounds.pinnedLevel.reset();
+  bounds.maxLevel = 1;
   pinned.levels().setBounds(bounds);
   pinned.run(20'000, pinned.load(2));
   pinned.levels().setBounds({});
@@ -283,10 +283,11 @@
   const auto read = [&](const std::string& text) {
     try {
       const auto setup = degradation_service::readDegradationConfig(text, types, names);
-      std::cout << "up " << setup.bounds.up << " down " << setup.bounds.down << " stay "
-                << setup.bounds.shortestStay.inMicros() / 1000 << " ms";
-      if (setup.bounds.pinned) std::cout << ", pinned " << *setup.bounds.pinned << " by " << setup.pinnedBy;
-      if (!setup.cappedBy.empty()) std::cout << ", cap " << setup.bounds.cap << " by " << setup.cappedBy;
+      std::cout << "up " << setup.bounds.raiseAbove << " down " << setup.bounds.lowerBelow << " stay "
+                << setup.bounds.minHold.inMicros() / 1000 << " ms";
+      if (setup.bounds.pinnedLevel)
+        std::cout << ", pinned " << *setup.bounds.pinnedLevel << " by " << setup.pinnedBy;
+      if (!setup.cappedBy.empty()) std::cout << ", cap " << setup.bounds.maxLevel << " by " << setup.cappedBy;
       std::cout << ", own at 2: " << nameOf(setup.table[1].admission[1]) << "\n";
     } catch (const std::exception& bad) { std::cout << bad.what() << "\n"; }
   };
