--- a/src/endpoint_leases/attempt_outcome.cpp
+++ b/src/endpoint_leases/attempt_outcome.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-bool elsewhere(const ProxyReport& report, const std::string& told) {
-  return report.sentTo && *report.sentTo != told;
+bool wasSentElsewhere(const ProxyReport& report, const std::string& leasedAddress) {
+  return report.sentTo && *report.sentTo != leasedAddress;
 }
 
 }  // namespace
@@ -14,17 +14,18 @@
   return report.said || report.standing.role != Role::unknown || report.standing.position;
 }
 
-// What the node said of the outcome comes first. Else the status, read so that nothing that may have run
-// counts as never run: a 503 or 429 may come from a proxy or node that had begun, unless it says that nothing
-// was written. 421 (misdirected) is a node's word that it is the wrong one, and touched nothing. Guards rule
-// 2 against statuses that promise more than is known; may hurt once-only txns at nodes that reject with a
-// bare 503: they are rolled back where a node that says `turned-away` lets them go elsewhere.
-AttemptOutcome outcomeOf(const ProxyReport& report, const std::string& told) {
+// The outcome that the node reported takes precedence. Else the status decides, read so that nothing that may
+// have run counts as never run: a 503 or 429 may come from a proxy or node that had started, unless the
+// report says that nothing was written. By 421 (misdirected) a node states that it is the wrong one, and did
+// nothing. Guards rule 2 against statuses that promise more than is known; may hurt at-most-once transactions
+// at nodes that reject with a bare 503: they are rolled back, where a node that reports `turned-away` lets
+// them be retried elsewhere.
+AttemptOutcome outcomeOf(const ProxyReport& report, const std::string& leasedAddress) {
   if (report.written == Written::nothing) {
     if (report.said == "turned-away") return AttemptOutcome::rejected;
     return fromNode(report) ? AttemptOutcome::notSent : AttemptOutcome::noConnection;
   }
-  if (elsewhere(report, told)) return AttemptOutcome::cancelled;
+  if (wasSentElsewhere(report, leasedAddress)) return AttemptOutcome::cancelled;
   if (report.said == "committed") return AttemptOutcome::committed;
   if (report.said == "miss") return AttemptOutcome::wrongNode;
   if (report.said == "turned-away") return AttemptOutcome::rejected;
@@ -36,12 +37,13 @@
   return fromNode(report) ? AttemptOutcome::error : AttemptOutcome::connectionLost;
 }
 
-AttemptOutcome outcomeWithoutReport(bool waitedOut) {
-  return waitedOut ? AttemptOutcome::timeout : AttemptOutcome::cancelled;
+AttemptOutcome outcomeWithoutReport(bool hasTimedOut) {
+  return hasTimedOut ? AttemptOutcome::timeout : AttemptOutcome::cancelled;
 }
 
-LoadReport learnt(const ProxyReport& report, const std::string& told) {
-  return elsewhere(report, told) || report.written == Written::nothing ? LoadReport() : report.standing;
+LoadReport learnt(const ProxyReport& report, const std::string& leasedAddress) {
+  return wasSentElsewhere(report, leasedAddress) || report.written == Written::nothing ? LoadReport()
+                                                                                       : report.standing;
 }
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/attempt_outcome.h
+++ b/src/endpoint_leases/attempt_outcome.h
@@ -1,5 +1,5 @@
-// How a granted attempt ended, by what the proxy that sent it tells: the one place where that becomes the
-// module's End. No I/O, no clock.
+// The outcome of an attempt that a proxy executed under a lease, derived from what the proxy reports: the one
+// place where a report becomes an AttemptOutcome. No I/O, no clock.
 #pragma once
 
 #include <optional>
@@ -9,31 +9,31 @@
 
 namespace gulltrestle::endpoint_leases {
 
-// What is known to have been written to a node.
+// How much of a request is known to have been written to a node.
 enum class Written { unknown, nothing, something };
 
-// What a proxy tells of an attempt once its answer's headers are there.
+// What a proxy reports of an attempt once it has the answer's headers.
 struct ProxyReport {
   int status = 0;  // of HTTP
   Written written = Written::unknown;
-  std::optional<std::string> said;    // by the node itself: `committed`, `miss`, `turned-away` or `error`
+  std::optional<std::string> said;    // the node's own outcome: `committed`, `miss`, `turned-away` or `error`
   std::optional<std::string> sentTo;  // where the proxy sent it, as address:port
-  LoadReport standing;                // what the node said of itself
+  LoadReport standing;                // what the node reported of itself
 };
 
-// A node is known to have spoken if it said something of itself or of the outcome; else the answer may be the
-// proxy's own.
+// Whether the node itself answered, which is known if it reported its load or the outcome; else the answer
+// may be the proxy's own.
 bool fromNode(const ProxyReport& report);
 
-// `told`: where the grant sent it. An answer of another node than that is nobody's: it may have run there,
-// and may be from data that is too old.
-AttemptOutcome outcomeOf(const ProxyReport& report, const std::string& told);
+// `leasedAddress`: where the lease sent it. An answer of any other node counts as cancelled: the attempt may
+// have run there, and its data may be too old.
+AttemptOutcome outcomeOf(const ProxyReport& report, const std::string& leasedAddress);
 
-// Without any report: the exchange was broken off by the proxy or its connection, or ended without a word; or
-// (`waitedOut`) nothing came for as long as the attempt may take.
-AttemptOutcome outcomeWithoutReport(bool waitedOut);
+// Without any report: the exchange was cancelled by the proxy or its connection, or ended silently; or
+// (`hasTimedOut`) nothing came for as long as the attempt may take.
+AttemptOutcome outcomeWithoutReport(bool hasTimedOut);
 
-// The Standing that may be learnt of the node that was told: none if another answered.
-LoadReport learnt(const ProxyReport& report, const std::string& told);
+// What the report says of the leased node's load; empty if another node answered.
+LoadReport learnt(const ProxyReport& report, const std::string& leasedAddress);
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/lease_duration.h
+++ b/src/endpoint_leases/lease_duration.h
@@ -1,45 +1,49 @@
-// What a grant is worth: how long whoever got it may still send to the node that it names, and how long a
-// question may be held before its asker's own time is up. No I/O, no clock.
+// How long an endpoint lease is valid, and how long a proxy's request may be held before the proxy's own
+// timeout. No I/O, no clock.
 //
-// A grant can't be taken back: what is decided once it is told is decided for as long as it may be used. So
-// it is short enough that a drain which is told the moment after still finds nothing sent past its grace.
+// A lease can't be revoked: what is decided when it is granted holds for as long as it is valid. So it is
+// short enough that a drain which is announced the moment after still finds nothing sent past its grace
+// period.
 #pragma once
 
 #include "base/time.h"
 
 namespace gulltrestle::endpoint_leases {
 
-// What binds a grant, from the deployment's settings.
+// What limits a lease, from the deployment's settings.
 struct DrainRule {
-  Duration grace =
-      Duration::millis(1000);  // nothing new to a node later than this after its drain was told here
-  // What a list has to say counts as told so long after it was due, whether it came or not; zero: only what
-  // came counts.
+  // Nothing new goes to a node later than this after its drain was announced here.
+  Duration grace = Duration::millis(1000);
+  // An endpoint list counts as received this long after it was due, whether it came or not; zero: only what
+  // was received counts.
   Duration toldWithin;
 };
 
-// How old the word of the list is: `heardAt` is when it last said anything, an empty line included; a list
-// that is followed says something every `pulse`.
+// The age of the endpoint list. `heardAt`: when discovery last sent anything, an empty line included.
+// `pulse`: the interval at which a watch sends something.
 struct ListAge {
   Instant heardAt;
   Duration pulse = Duration::millis(2000);
 };
 
-// How long from `now` the grant may be used; zero or less: it is worth nothing and must not be given.
-// `sendBy`: by when the module wants it sent.
+// How long from `now` a lease is valid; zero or less: it is useless and must not be granted. `sendBy`: by
+// when the router wants the attempt sent.
 Duration sendWithin(Instant now, Instant sendBy, const DrainRule& rule, const ListAge& list);
 
-// A question that is held. A proxy waits `timeout` for an answer, and may be asked, once, to wait `most` from
-// then on (zero: it may not).
+// The time limits of a proxy's request: the proxy waits for `timeout`, which may be extended once, by `most`
+// at the longest (zero: it may not).
 struct MessageTime {
   Duration timeout = Duration::millis(200);
   Duration most;
 };
+
+// What to do while a proxy's request is held.
 struct HoldDeadlines {
-  Instant askAt;     // when more time is asked for, unless it has its answer; never: it is not
-  Duration ask;      // and how much
-  Instant answerBy;  // when it gets an answer in any case
+  Instant askAt;     // when an extension is requested, unless it is answered by then; never: none is
+  Duration ask;      // the extension
+  Instant answerBy;  // when it is answered in any case
 };
-HoldDeadlines holdDeadlines(Instant now, Duration patience, const MessageTime& time);
+// `remainingTime`: how long the client waits from `now`.
+HoldDeadlines holdDeadlines(Instant now, Duration remainingTime, const MessageTime& time);
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/lease_registry.h
+++ b/src/endpoint_leases/lease_registry.h
@@ -1,31 +1,37 @@
-// Which streams are tries of one txn, and what is known of its earlier ones: whether a stream that asks may
-// be put to the module at all, as what, or what it gets instead. Server choice, whether a txn is sent again
-// and what is rejected are the module's, which is told the earlier tries (Earlier). No I/O, no clock.
+// Decides which ext_proc streams are attempts of one transaction, and stores what is known of its earlier
+// ones: whether a stream's request goes to the router at all, with which prior attempts, or what it is
+// answered instead. The choice of a node, retries and rejections are the router's, which is given the prior
+// attempts (PriorAttempts). No I/O, no clock.
 //
-// A txn goes by the id that its client gave it. Its states, and what a further stream with its id gets:
+// A transaction is identified by the id that its client gave it. Its states, and what a further stream with
+// its id gets:
 //
-//   state      what it is                        a later try of it            any other stream
-//   asked      a stream waits, nothing granted   takes the place of the one   denied: refused, or rolled
-//                                                that waits                   back where it may not run twice
-//   granted    a grant is out, no end is told    waits a moment for the end,  denied likewise
-//                                                then goes on as may-have-run
-//   between    its last try ended, and another   goes on, with what is known  denied likewise; a new txn
-//              may come                          of the earlier ones          where nothing was granted
-//   over       it had its final answer           the same answer once more    a new txn if it may run again
-//                                                                             or never ran; else denied
-//   (unknown)  never seen, or by another start   taken as new; with a later try's count or another start's
-//              of this program, or forgotten     grant, as one that may have run unless nothing was written
+//   state      meaning                           a retry of it               any other stream
+//   asked      a stream waits, no lease granted  replaces the one that       denied: rejected, or rolled
+//                                                waits                       back if it is not idempotent
+//   granted    a lease is out, no end reported   waits a moment for the      denied likewise
+//                                                end, then goes on as one
+//                                                that may have run
+//   between    the last attempt ended, and       goes on, with what is       denied likewise; a new
+//              another may come                  known of the earlier ones   transaction if none was granted
+//   over       it had its final answer           the same answer again       a new transaction if it is
+//                                                                            idempotent or never ran; else
+//                                                                            denied
+//   (unknown)  never seen, or by another start   treated as new; with a retry's count or another start's
+//              of this program, or forgotten     lease, as one that may have run unless nothing was written
 //
-// A later try is one whose count is above the last that was seen. What may not run twice is remembered until
-// its client's time is up by its type's deadline; where there is no room for that, no such txn is taken.
+// A retry is a stream whose attempt count is above the last that was seen. What is not idempotent is
+// remembered until its client's time is up by its class's deadline; where there is no capacity for that, no
+// such transaction is admitted.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <unordered_map>
-#include <utility>
+#include <vector>
 
 #include "endpoint_leases/attempt_outcome.h"
 #include "routing/router.h"
@@ -36,89 +42,106 @@
 
 enum class FinalOutcome { committed, rejected, rolledBack };
 
-// How a proxy is placed: it asks once a request, and what ends without effect is over; or once a try, and the
-// next try may go on.
+// How a proxy is placed: it requests once per HTTP request, and what ends without effect is over; or once per
+// attempt, and the next attempt may go on.
 enum class ProxyPlacement { request, attempts };
 
+// What a stream requests.
 struct LeaseRequest {
   std::string id;
-  std::size_t type = 0;                // row of the types
+  std::size_t type = 0;                // row of the transaction classes
   unsigned attempt = 1;                // the proxy's count, from 1
-  Written written = Written::unknown;  // by the earlier tries
-  std::string token;                   // of the last grant that the proxy knows of; empty: none
+  Written written = Written::unknown;  // by the earlier attempts
+  std::string token;                   // of the last lease that the proxy knows of; empty: none
   Duration remainingTime;
 };
 
+// What a stream gets. The comments name the actions that each field belongs to.
 struct LeaseDecision {
   enum class Action {
-    take,   // put it to the module
-    wait,   // ask again at `until`: an earlier try's end is awaited
-    answer  // it gets `outcome` without the module
+    take,   // pass it to the router
+    wait,   // request again at `until`: an earlier attempt's end is awaited
+    answer  // it gets `outcome` without the router
   } action = Action::take;
-  PriorAttempts earlier;  // take
-  Instant until;          // wait
-  FinalOutcome outcome = FinalOutcome::rejected;
-  std::string_view reason;       // answer
-  StreamKey supersedes = 0;      // take: this stream waited for the same txn, and gets refused
-  StreamKey endsUnreported = 0;  // take: this stream's grant counts as ended, and may have run
+  PriorAttempts earlier;                          // take
+  Instant until;                                  // wait
+  FinalOutcome outcome = FinalOutcome::rejected;  // answer
+  std::string_view reason;                        // answer; static
+  StreamKey supersedes = 0;      // take: this stream waited for the same transaction, and is to be rejected
+  StreamKey endsUnreported = 0;  // take: this stream's lease counts as ended, and may have run
 };
 
 struct Bounds {
-  std::size_t most = 65536;  // txns that are remembered, of those that may not run twice, and of all others
+  std::size_t most = 65536;  // remembered transactions, each: those that are idempotent, and all others
 };
 
+// Called by the ext_proc request streams, in the order of their events.
 class LeaseRegistry {
  public:
   // `start`: names this start of the program in tokens; no other start has the same.
-  LeaseRegistry(std::vector<TransactionClass> types, ProxyPlacement placement, Bounds bounds,
+  LeaseRegistry(std::vector<TransactionClass> classes, ProxyPlacement placement, Bounds bounds,
                 std::string start);
 
-  // A stream asks. Called again for one that was told to wait.
-  LeaseDecision asked(Instant now, StreamKey stream, const LeaseRequest& ask);
-  // The stream that asks has been granted an attempt at the node. Returns the grant's token.
+  // A stream requests a lease. Called again for one that was told to wait.
+  LeaseDecision asked(Instant now, StreamKey stream, const LeaseRequest& request);
+  // The requesting stream was granted a lease at the node. Returns the lease's token.
   std::string granted(Instant now, const std::string& id, StreamKey stream, const NodeId& node);
-  // That attempt ended so.
-  void ended(Instant now, const std::string& id, StreamKey stream, AttemptOutcome how);
-  // The stream gets its answer by the module; it is the txn's final one unless another try may come.
+  // That attempt has ended.
+  void ended(Instant now, const std::string& id, StreamKey stream, AttemptOutcome attemptOutcome);
+  // The router answered the stream; that is the transaction's final answer unless another attempt may come.
   void answered(Instant now, const std::string& id, StreamKey stream, FinalOutcome outcome);
-  // The stream is over without one: its proxy gave up, or its connection is gone.
+  // The stream ended without an answer: its proxy cancelled it, or its connection was lost.
   void left(Instant now, const std::string& id, StreamKey stream);
 
-  // Forgets what has had its time. Returns when there will be more to forget; never: nothing is left.
+  // Drops expired transactions. Returns when the next ones expire; never: none is left.
   Instant forget(Instant now);
 
   std::size_t size() const { return entries_.size(); }
 
  private:
   enum class State { asked, granted, between, over };
+  // A retry that waits for the end of the attempt before it, until a point in time.
+  struct WaitingRetry {
+    StreamKey stream = 0;
+    Instant until;
+  };
   struct Entry {
     State state = State::asked;
     std::size_t type = 0;
-    StreamKey stream = 0;  // that asks or has the grant; 0: none
-    unsigned attempt = 1, grants = 0;
-    Instant firstAt;  // when its first try came; never: not known
-    Instant mayHaveRunAt, grantedAt, until;
-    std::vector<NodeId> tried;
-    std::string token;  // of the last grant
+    StreamKey stream = 0;  // that requests or has the lease; 0: none
+    unsigned attempt = 1, leases = 0;
+    Instant firstAt;       // when its first attempt came; never: not known
+    Instant mayHaveRunAt;  // when the first attempt that may have run was granted; never: none was
+    Instant grantedAt, expiresAt;
+    std::vector<NodeId> attemptedNodes;
+    std::string token;  // of the last lease
     FinalOutcome outcome = FinalOutcome::rejected;
-    std::optional<std::pair<StreamKey, Instant>> crossing;  // a try that waits for the end, and until when
+    std::optional<WaitingRetry> waitingRetry;
+  };
+  struct Expiry {
+    Instant at;
+    std::string id;
   };
-  Entry* of(const std::string& id, StreamKey stream);
-  Entry& begin(Instant now, StreamKey stream, const LeaseRequest& ask);
-  LeaseDecision taken(Instant now, const Entry& entry) const;
-  LeaseDecision unknown(Instant now, StreamKey stream, const LeaseRequest& ask);
-  LeaseDecision refused(const Entry& entry, std::string_view why) const;
+  using ExpiryQueue = std::deque<Expiry>;  // oldest first
+
+  Entry* find(const std::string& id, StreamKey stream);
+  Entry& startEntry(Instant now, StreamKey stream, const LeaseRequest& request);
+  LeaseDecision take(Instant now, const Entry& entry) const;
+  LeaseDecision takeUnknown(Instant now, StreamKey stream, const LeaseRequest& request);
+  LeaseDecision takeRetry(Instant now, StreamKey stream, const LeaseRequest& request, Entry& entry);
+  LeaseDecision deny(const Entry& entry, std::string_view reason) const;
+  std::optional<LeaseDecision> denyRetryOfFinished(const Entry& entry) const;
+  std::optional<LeaseDecision> denyReuseOfFinished(const Entry& entry) const;
   void remember(Instant now, const std::string& id, Entry& entry, State state);
-  bool mayRepeat(std::size_t type) const { return types_[type].effect == Effect::idempotent; }
+  bool isIdempotent(std::size_t type) const { return classes_[type].effect == Effect::idempotent; }
 
-  std::vector<TransactionClass> types_;
+  std::vector<TransactionClass> classes_;
   ProxyPlacement placement_;
   Bounds bounds_;
   std::string start_;
   std::unordered_map<std::string, Entry> entries_;
-  // When entries that are between or over may go, oldest first; those that may repeat, and those that may
-  // not.
-  std::deque<std::pair<Instant, std::string>> repeatables_, others_;
+  // When entries in state between or over expire.
+  ExpiryQueue idempotentExpiries_, otherExpiries_;
 };
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/upstream/delegated/delegated_transport.cpp
+++ b/src/upstream/delegated/delegated_transport.cpp
@@ -4,63 +4,65 @@
 
 using transactions::AttemptId;
 
-void DelegatedTransport::startAttempt(AttemptId job, const NodeId& id) {
-  const auto* node = ledger_.endpoints().find(id);
-  const auto* attempt = ledger_.attempt(job);
-  // Probes are another carrier's, and a second attempt beside one that is out can't be told to anyone.
-  if (!attempt || !node || ledger_.endpoints().isDraining(id) || out_.contains(job.txn))
-    return ledger_.onAttemptEnded(job, id, AttemptOutcome::notSent);
-  const Instant now = ledger_.now(), cutAt = attempt->abandonAt;
-  const Duration within = endpoint_leases::sendWithin(now, attempt->sendBy, rule_, list_);
-  if (within == Duration() || !ledger_.maySend(job, id, cutAt - now))
-    return ledger_.onAttemptEnded(job, id, AttemptOutcome::notSent);
-  const Out out{job, id, node->address, cutAt};
-  out_.emplace(job.txn, out);
-  due_.insert({cutAt, job.txn});
-  if (granting_.onLeaseGranted(job.txn, {id, out.address, within, cutAt})) return;
-  take(job.txn);
-  ledger_.onAttemptEnded(job, id, AttemptOutcome::notSent);
+void DelegatedTransport::startAttempt(AttemptId attemptId, const NodeId& node) {
+  const auto* endpoint = transactions_.endpoints().find(node);
+  const auto* attempt = transactions_.attempt(attemptId);
+  // Health checks are another transport's, and a hedge beside an outstanding lease can't be given to anyone.
+  if (!attempt || !endpoint || transactions_.endpoints().isDraining(node) || leases_.contains(attemptId.txn))
+    return transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
+  const Instant now = transactions_.now(), reportBy = attempt->abandonAt;
+  const Duration within = endpoint_leases::sendWithin(now, attempt->sendBy, drainRule_, listAge_);
+  if (within == Duration() || !transactions_.maySend(attemptId, node, reportBy - now))
+    return transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
+  // Stored ahead of the call: the lease may be reported from within it.
+  const std::string address = endpoint->address;
+  leases_.emplace(attemptId.txn, OutstandingLease{attemptId, node, address, reportBy});
+  deadlines_.insert({reportBy, attemptId.txn});
+  if (leaseHandler_.onLeaseGranted(attemptId.txn, {node, address, within, reportBy})) return;
+  remove(attemptId.txn);
+  transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
 }
 
-std::optional<DelegatedTransport::Out> DelegatedTransport::take(TxnId txn) {
-  const auto at = out_.find(txn);
-  if (at == out_.end()) return std::nullopt;
-  const Out out = at->second;
-  due_.erase({out.reportBy, txn});
-  out_.erase(at);
-  return out;
+std::optional<DelegatedTransport::OutstandingLease> DelegatedTransport::remove(TxnId txn) {
+  const auto found = leases_.find(txn);
+  if (found == leases_.end()) return std::nullopt;
+  const OutstandingLease lease = found->second;
+  deadlines_.erase({lease.reportBy, txn});
+  leases_.erase(found);
+  return lease;
 }
 
-// What was granted can't be taken back; its place is free, and what is told of it later counts no more.
-void DelegatedTransport::cancelAttempt(AttemptId job, const NodeId& id) {
-  take(job.txn);
-  ledger_.onAttemptEnded(job, id, AttemptOutcome::cancelled);
+// A lease can't be revoked: it no longer counts as in flight, and a later report of it is ignored.
+void DelegatedTransport::cancelAttempt(AttemptId attemptId, const NodeId& node) {
+  remove(attemptId.txn);
+  transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::cancelled);
 }
 
 std::optional<AttemptOutcome> DelegatedTransport::reported(TxnId txn,
                                                            const endpoint_leases::ProxyReport& report) {
-  const auto out = take(txn);
-  if (!out) return std::nullopt;
-  const AttemptOutcome how = endpoint_leases::outcomeOf(report, out->address);
-  if (how == AttemptOutcome::committed) ledger_.commit(txn, {});
-  // The proxy has the connections, and doesn't tell which was the last.
-  if (how == AttemptOutcome::noConnection || how == AttemptOutcome::connectionLost)
-    ledger_.onNodeDisconnected(out->node);
-  ledger_.onAttemptEnded(out->job, out->node, how, endpoint_leases::learnt(report, out->address));
-  return how;
+  const auto lease = remove(txn);
+  if (!lease) return std::nullopt;
+  const AttemptOutcome outcome = endpoint_leases::outcomeOf(report, lease->address);
+  if (outcome == AttemptOutcome::committed) transactions_.commit(txn, {});
+  // The proxy has the connections, and does not report which was the last.
+  if (outcome == AttemptOutcome::noConnection || outcome == AttemptOutcome::connectionLost)
+    transactions_.onNodeDisconnected(lease->node);
+  transactions_.onAttemptEnded(lease->attemptId, lease->node, outcome,
+                               endpoint_leases::learnt(report, lease->address));
+  return outcome;
 }
 
 void DelegatedTransport::unreported(TxnId txn) {
-  if (const auto out = take(txn))
-    ledger_.onAttemptEnded(out->job, out->node, endpoint_leases::outcomeWithoutReport(false));
+  if (const auto lease = remove(txn))
+    transactions_.onAttemptEnded(lease->attemptId, lease->node, endpoint_leases::outcomeWithoutReport(false));
 }
 
-// Guards the places in flight against proxies that never tell an end. May hurt where an answer is still on
-// its way: its client's time is up by then.
+// Guards the node's capacity against proxies that never report. May hurt where an answer is still in transit:
+// its client's time is up by then.
 void DelegatedTransport::endTurn() {
-  while (!due_.empty() && due_.begin()->first <= ledger_.now()) {
-    const auto out = take(TxnId(due_.begin()->second));
-    ledger_.onAttemptEnded(out->job, out->node, endpoint_leases::outcomeWithoutReport(true));
+  while (!deadlines_.empty() && deadlines_.begin()->reportBy <= transactions_.now()) {
+    const auto lease = remove(TxnId(deadlines_.begin()->txn));
+    transactions_.onAttemptEnded(lease->attemptId, lease->node, endpoint_leases::outcomeWithoutReport(true));
   }
 }
 
--- a/src/upstream/delegated/delegated_transport.h
+++ b/src/upstream/delegated/delegated_transport.h
@@ -1,13 +1,13 @@
-// A carrier that sends nothing itself: it grants an attempt to whoever asked, who sends it to the node and
-// tells how that ended. An attempt of it ends by what is told, by silence until its time is up, or when
-// nobody is there any more who could tell. It reads no socket and no clock.
+// An upstream transport that sends nothing itself: it grants an endpoint lease to whoever requested the
+// transaction, who sends the attempt to the node and reports its outcome. An attempt ends by that report, by
+// silence until its time is up, or when nobody is left who could report. It reads no socket and no clock.
 #pragma once
 
+#include <compare>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
-#include <utility>
 
 #include "endpoint_leases/attempt_outcome.h"
 #include "endpoint_leases/lease_duration.h"
@@ -15,59 +15,69 @@
 
 namespace gulltrestle::upstream::delegated {
 
+// The permission to send one attempt to a node.
 struct EndpointLease {
   NodeId node;
-  std::string address;  // where the node is reached
-  Duration within;      // it may be used for so long
-  Instant reportBy;     // silence until then ends it
+  std::string address;  // of the node, as address:port
+  Duration within;      // how long it is valid
+  Instant reportBy;     // silence until then ends the attempt
 };
 
-// Who hands grants on.
+// Passes leases on to those who requested the transactions.
 class LeaseHandler {
  public:
   virtual ~LeaseHandler() = default;
-  // False: nobody is there to take it, and nothing was told.
-  virtual bool onLeaseGranted(TxnId txn, const EndpointLease& grant) = 0;
+  // False: nobody is left to take the lease, and it was not passed on.
+  virtual bool onLeaseGranted(TxnId txn, const EndpointLease& lease) = 0;
 };
 
+// Grants at most one lease per transaction at a time. Health checks need another transport.
 class DelegatedTransport final : public transactions::UpstreamTransport {
  public:
-  DelegatedTransport(transactions::TransactionTable& ledger, endpoint_leases::DrainRule rule,
-                     LeaseHandler& granting)
-      : ledger_(ledger), rule_(rule), granting_(granting) {}
+  DelegatedTransport(transactions::TransactionTable& transactions, endpoint_leases::DrainRule drainRule,
+                     LeaseHandler& leaseHandler)
+      : transactions_(transactions), drainRule_(drainRule), leaseHandler_(leaseHandler) {}
 
-  void startAttempt(transactions::AttemptId job, const NodeId& node) override;
-  void cancelAttempt(transactions::AttemptId job, const NodeId& node) override;
+  void startAttempt(transactions::AttemptId attemptId, const NodeId& node) override;
+  void cancelAttempt(transactions::AttemptId attemptId, const NodeId& node) override;
   void onEndpointList(const std::vector<NodeId>&) override {}
   void forgetNode(const NodeId&) override {}
 
-  // --- What becomes of a grant. Each ends it; none where the txn has no grant out.
+  // --- Each of the next two ends the transaction's lease; no effect where it has none.
+  // Returns the outcome that the report stands for.
   std::optional<AttemptOutcome> reported(TxnId txn, const endpoint_leases::ProxyReport& report);
+  // Nobody is left who could report.
   void unreported(TxnId txn);
 
-  // The list was heard, be it with nothing new.
-  void listHeard() { list_.heardAt = ledger_.now(); }
-  // Silence that has lasted for too long ends grants.
+  // Discovery sent something, be it nothing new.
+  void listHeard() { listAge_.heardAt = transactions_.now(); }
+  // Ends the leases whose time to report is over.
   void endTurn();
-  Instant nextDue() const { return due_.empty() ? Instant() : due_.begin()->first; }
+  Instant nextDue() const { return deadlines_.empty() ? Instant() : deadlines_.begin()->reportBy; }
 
-  std::size_t out() const { return out_.size(); }
+  // The number of leases out.
+  std::size_t out() const { return leases_.size(); }
 
  private:
-  struct Out {
-    transactions::AttemptId job;
+  struct OutstandingLease {
+    transactions::AttemptId attemptId;
     NodeId node;
     std::string address;
     Instant reportBy;
   };
-  std::optional<Out> take(TxnId txn);
+  struct ReportDeadline {
+    Instant reportBy;
+    TxnId txn = 0;
+    auto operator<=>(const ReportDeadline&) const = default;
+  };
+  std::optional<OutstandingLease> remove(TxnId txn);
 
-  transactions::TransactionTable& ledger_;
-  endpoint_leases::DrainRule rule_;
-  LeaseHandler& granting_;
-  endpoint_leases::ListAge list_;
-  std::map<TxnId, Out> out_;  // one a txn: whoever asks can carry one
-  std::set<std::pair<Instant, TxnId>> due_;
+  transactions::TransactionTable& transactions_;
+  endpoint_leases::DrainRule drainRule_;
+  LeaseHandler& leaseHandler_;
+  endpoint_leases::ListAge listAge_;
+  std::map<TxnId, OutstandingLease> leases_;
+  std::set<ReportDeadline> deadlines_;  // of leases_
 };
 
 }  // namespace gulltrestle::upstream::delegated
