--- /dev/null
+++ b/src/runtime/server/discovery_client.cpp
@@ -0,0 +1,212 @@
+#include "runtime/server/discovery_client.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <stdexcept>
+#include <utility>
+
+#include "protocol/http1/response.h"
+
+namespace gulltrestle::server {
+
+namespace {
+
+// A list of a thousand nodes is a fifth of this.
+constexpr std::size_t kMaxListBytes = 1024 * 1024;
+// A wake-up comes this long after the time it is for, so that the time is over by then.
+constexpr Duration kWakeUpMargin = Duration::millis(1);
+
+bool isWhitespace(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
+
+std::string textOf(const config::Address& address) {
+  return address.host + ":" + std::to_string(address.port);
+}
+
+}  // namespace
+
+std::vector<gateway::ResolvedEndpoint> resolvedEndpoints(config::EndpointList list) {
+  std::vector<gateway::ResolvedEndpoint> endpoints;
+  for (auto& node : list.nodes) endpoints.push_back({std::move(node.entry), std::move(node.address)});
+  return endpoints;
+}
+
+// One HTTP request on a connection of its own, and what has come of it.
+struct DiscoveryClient::Call {
+  Call(event_loop::EventLoop& loop, event_loop::Descriptor descriptor, SharedBuffers& buffers,
+       config::Address calledAddress, bool watches)
+      : connection(loop, std::move(descriptor), buffers),
+        address(std::move(calledAddress)),
+        isWatch(watches),
+        startedAt(loop.now()),
+        heardAt(startedAt) {}
+
+  bool hasConnectionEnded() const { return connection.isBroken || connection.hasEnded; }
+  bool isOver() const { return hasConnectionEnded() || response.done(); }
+
+  Connection connection;
+  config::Address address;
+  bool isWatch;
+  Instant startedAt;
+  Instant heardAt;  // when something was last received; until then when it was sent, or started
+  bool isSent = false;
+  bool hasReceived = false;
+  http1::Response response;
+  json::Parser parser;
+  std::size_t documentBytes = 0;  // of the document that the parser has started
+  CallResult result;
+};
+
+DiscoveryClient::DiscoveryClient(event_loop::EventLoop& loop, gateway::Gateway& gateway,
+                                 SharedBuffers& buffers, const config::RouterConfig& config)
+    : loop_(loop),
+      gateway_(gateway),
+      buffers_(buffers),
+      config_(config),
+      schedule_(config.deployment.routing.endpointListIsPolled, config.deployment.drainGrace, config.seed) {}
+
+void DiscoveryClient::start(std::uint64_t listVersion) {
+  listVersion_ = listVersion;
+  isWatching_ = schedule_.watchesAtOnce() && !config_.known.nodes.empty();
+  loop_.spawn(followEndpointList());
+}
+
+void DiscoveryClient::moveTo(const std::string& address) {
+  address_ = config::readAddress("discovery", address);
+  if (stream_) stream_->wake();
+}
+
+// Where discovery has moved, the whole list there comes next, without a pause: what the old address still
+// sends may be outdated.
+event_loop::Task DiscoveryClient::followEndpointList() {
+  for (;;) {
+    const config::Address address = address_;
+    CallResult result;
+    if (event_loop::Descriptor descriptor = event_loop::startConnecting(address.host, address.port)) {
+      Call call(loop_, std::move(descriptor), buffers_, address, isWatching_);
+      stream_ = &call.connection.stream;
+      // A drain is known before anything of the same turn is sent.
+      call.connection.stream.comesFirst();
+      try {
+        while (!call.isOver() && address == address_) {
+          const Duration maxSilence = schedule_.silence(call.isWatch, call.hasReceived);
+          if (hasTimedOut(call, maxSilence)) break;
+          exchange(call, maxSilence);
+          if (!call.isOver()) co_await call.connection.stream.changed();
+        }
+        finish(call);
+      } catch (const std::runtime_error& error) {
+        call.result = {error.what(), call.response.status() == 200};
+      }
+      stream_ = nullptr;
+      result = call.result;
+    } else {
+      result.failure = "can't be reached: no descriptor is left";
+    }
+    if (address != address_) isWatching_ = false;
+    if (address != address_ || result.failure.empty()) continue;
+    reportFailure(address, result.failure);
+    isWatching_ = isWatching_ && !result.isContentInvalid && schedule_.watchesAtOnce();
+    co_await loop_.sleepUntil(loop_.now() + schedule_.pause());
+  }
+}
+
+// Guards against a router that was held up and abandons what is there by then: the answer to a request for
+// the whole list is looked at first. A watch is not, as what it reads late may have come before it fell
+// silent.
+bool DiscoveryClient::hasTimedOut(Call& call, Duration maxSilence) const {
+  const event_loop::Stream& stream = call.connection.stream;
+  const bool isAnswerThere = !call.isWatch && stream.canRead();
+  const bool isConnecting = !call.isSent && !stream.canWrite();
+  if (loop_.now() - call.heardAt > maxSilence && !isAnswerThere && (call.isSent || isConnecting)) return true;
+  if (!isConnecting || loop_.now() - call.startedAt <= config_.deployment.connectLimit) return false;
+  call.result.failure = "does not come up";
+  return true;
+}
+
+// Sends the request once it can be, reads what is there, and sets the next wake-up.
+void DiscoveryClient::exchange(Call& call, Duration maxSilence) {
+  Connection& connection = call.connection;
+  if (connection.stream.canWrite() && !call.isSent) {
+    call.isSent = true;
+    call.heardAt = loop_.now();
+    const std::string path = call.isWatch ? config::watchPath(listVersion_) : config::listPath();
+    connection.send({http1::get(path, textOf(call.address))});
+  }
+  connection.flush();
+  if (call.isSent && connection.stream.canRead())
+    connection.read([&](std::string_view bytes) { return receive(call, bytes); });
+  if (connection.stream.canRead() && !call.hasConnectionEnded()) connection.stream.wake();
+  const Instant deadline =
+      call.isSent ? call.heardAt + maxSilence : call.startedAt + config_.deployment.connectLimit;
+  connection.stream.wakeAt(deadline + kWakeUpMargin);
+}
+
+std::size_t DiscoveryClient::receive(Call& call, std::string_view bytes) {
+  call.heardAt = loop_.now();
+  call.hasReceived = true;
+  gateway_.onDiscoveryActivity(call.heardAt);
+  const std::size_t used = call.response.feed(bytes, [&](std::string_view body) { receiveBody(call, body); });
+  const int status = call.response.status();
+  if (status != 0 && status != 200) throw http1::Malformed("status " + std::to_string(status));
+  if (status == 200) schedule_.answered();
+  return used;
+}
+
+// Lists may be cut and indented in any way: what ends one is its last bracket. The answer to a request for
+// the whole list is applied once it is over, as one that breaks off may lack more than it shows.
+void DiscoveryClient::receiveBody(Call& call, std::string_view body) {
+  while (!body.empty()) {
+    if (call.parser.done() && !call.isWatch) {
+      if (!std::all_of(body.begin(), body.end(), isWhitespace)) throw http1::Malformed("more than a list");
+      return;
+    }
+    if (call.documentBytes == 0 && isWhitespace(body.front())) {
+      body.remove_prefix(1);
+      continue;
+    }
+    const std::size_t used = call.parser.feed(body);
+    body.remove_prefix(used);
+    call.documentBytes += used;
+    if (call.documentBytes > kMaxListBytes) throw http1::Malformed("the list is too long");
+    if (!call.isWatch || !call.parser.done()) continue;
+    call.documentBytes = 0;
+    applyList(call.parser.take(), true);
+    lastFailure_.clear();
+  }
+}
+
+// The call is over, has timed out, or discovery has moved.
+void DiscoveryClient::finish(Call& call) {
+  if (call.connection.hasEnded) call.response.end();
+  if (call.address == address_ && call.response.done() && !call.isWatch) {
+    call.parser.finish();
+    applyList(call.parser.take(), false);
+    isWatching_ = true;
+    call.result.failure.clear();
+    lastFailure_.clear();
+  } else if (call.isOver()) {
+    call.result.failure = "has ended";
+  }
+}
+
+void DiscoveryClient::applyList(json::Value document, bool isWatchEvent) {
+  config::EndpointList list = config::readList(document, config_.deployment.zone);
+  if (isWatchEvent && !list.isSnapshot && list.version < listVersion_)
+    throw config::ConfigError("version", "goes back");
+  listVersion_ = list.version;
+  const auto kind = list.isSnapshot ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta;
+  if (!list.nodes.empty())
+    spdlog::info("list version {}: {} nodes{}", list.version, list.nodes.size(),
+                 list.isSnapshot ? "" : " changed");
+  gateway_.onEndpointList(loop_.now(), kind, resolvedEndpoints(std::move(list)), listVersion_);
+}
+
+void DiscoveryClient::reportFailure(const config::Address& address, const std::string& failure) {
+  const std::string failedCall = (isWatching_ ? "watch " : "list ") + failure;
+  if (failedCall != lastFailure_) spdlog::warn("discovery at {}: the {}", textOf(address), failedCall);
+  lastFailure_ = failedCall;
+  gateway_.onEndpointListFailed(loop_.now());
+}
+
+}  // namespace gulltrestle::server
