--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -1,9 +1,9 @@
-// Decisions: how discovery is called for the list. What comes first, how long an answer is waited for, and
-// how long until the next call after one that failed. No I/O, no clock.
+// When discovery is called for the endpoint list: what is requested first, how long an answer is awaited, and
+// how long until the next call after a failed one. No I/O, no clock.
 //
-// Where the list is pushed, what answers stands on this machine: calls cost nothing, and a drain counts as
-// told as soon as it is there. Where it is asked for one service answers all routers: those that are refused
-// and call again together keep it refused for good, as a refused call is work, too.
+// Where lists are pushed, discovery runs on this machine: calls are cheap, and a drain counts as announced as
+// soon as it is there. Where they are polled, one service answers all routers: if those that are rejected
+// call again together, they keep it overloaded for good, as a rejected call is work, too.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +13,29 @@
 
 namespace gulltrestle::discovery {
 
+// One per connection to discovery.
 class PollSchedule {
  public:
-  // `drainGrace`: how long after it was told of a drain a router may still send there.
-  PollSchedule(bool mustBeAsked, Duration drainGrace, std::uint64_t seed);
+  // `isPolled`: lists are polled from a service; else they are pushed. `drainGrace`: how long after the
+  // announcement of a drain a router may still send to the node. `seed`: of the backoff's jitter.
+  PollSchedule(bool isPolled, Duration drainGrace, std::uint64_t seed);
 
-  // Whether a watch from the list on that is known comes first, or comes anew after one that failed and had
-  // told nothing wrong; else the whole list does. Changes cost the service less.
-  bool watchesAtOnce() const { return mustBeAsked_; }
-  // How long nothing may be heard of a call, in which something has been heard already or not.
-  Duration silence(bool watch, bool heard) const;
-  // A call has been answered.
-  void answered() { failed_ = 0; }
-  // A call has failed: the next one comes after this.
+  // Whether a watch that starts from the known list comes first, and again after one that failed without
+  // invalid content; else the whole list does. Changes cost the service less.
+  bool watchesAtOnce() const { return isPolled_; }
+  // How long a call may be silent. `hasReceived`: something of its answer has come already.
+  Duration silence(bool isWatch, bool hasReceived) const;
+  // A call was answered: ends the backoff.
+  void answered() { failedCalls_ = 0; }
+  // A call has failed. Returns the time until the next one; where lists are polled it draws one random
+  // number.
   Duration pause();
 
  private:
-  bool mustBeAsked_;
-  double part_;  // of the times that were chosen for a grace of a second
-  std::mt19937_64 chance_;
-  int failed_ = 0;
+  bool isPolled_;
+  double timeFactor_;  // on times that are chosen for a grace period of a second
+  std::mt19937_64 random_;
+  int failedCalls_ = 0;  // since the last that was answered
 };
 
 }  // namespace gulltrestle::discovery
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -7,154 +7,175 @@
 
 namespace {
 
-// For this long after it was told to end a router goes on as before: the front still sends new clients. It
-// does so for 0.4 s at most; the rest is for what is on its way.
-constexpr Duration kGraceAtEnd = Duration::millis(500);
+// For this long after the signal to terminate a router goes on as before: the load balancer ahead of it still
+// sends new clients, for 0.4 s at most; the rest is for what is in transit.
+constexpr Duration kShutDownGrace = Duration::millis(500);
 
 }  // namespace
 
-Gateway::Gateway(const RoutingConfig& terms, const std::vector<std::string>& typeNames, std::uint64_t seed,
+Gateway::Gateway(const RoutingConfig& config, const std::vector<std::string>& classNames, std::uint64_t seed,
                  Bounds bounds, Effects& effects)
     : bounds_(bounds),
       effects_(effects),
-      ledger_(terms, seed, bounds.maxBufferedBytes, [&effects] { effects.requestEndpointList(); }),
-      links_(ledger_, {bounds.idleLimit, bounds.connectLimit, bounds.maxNodeConnections}, effects),
-      clients_(ledger_, links_, terms, typeNames, {bounds.connectLimit, bounds.maxActiveClients}, effects) {
-  ledger_.addTransport(links_);
-  ledger_.invariants().setListener([&effects](const invariants::Violation& broken, std::uint64_t count) {
-    effects.log("event=invariant.broken check=" + std::string(nameOf(broken.check)) + " rule=\"" +
-                std::string(broken.rule) + "\" subject=\"" + broken.subject +
-                "\" count=" + std::to_string(count));
-  });
+      transactions_(config, seed, bounds.maxBufferedBytes, [&effects] { effects.requestEndpointList(); }),
+      connectionPool_(transactions_, {bounds.idleLimit, bounds.connectLimit, bounds.maxNodeConnections},
+                      effects),
+      clientSessions_(transactions_, connectionPool_, config, classNames,
+                      {bounds.connectLimit, bounds.maxActiveClients}, effects) {
+  transactions_.addTransport(connectionPool_);
+  transactions_.invariants().setListener(
+      [&effects](const invariants::Violation& violation, std::uint64_t count) {
+        effects.log("event=invariant.broken check=" + std::string(nameOf(violation.check)) + " rule=\"" +
+                    std::string(violation.rule) + "\" subject=\"" + violation.subject +
+                    "\" count=" + std::to_string(count));
+      });
 }
 
 // --- Events
 
 void Gateway::clientOpened(Instant now, ClientId id) {
-  ledger_.advanceTo(now);
-  clients_.opened(id);
+  transactions_.advanceTo(now);
+  clientSessions_.opened(id);
 }
 
 std::size_t Gateway::clientReceived(Instant now, ClientId id, std::string_view bytes, Instant unreadSince) {
-  ledger_.advanceTo(now);
-  return clients_.sent(id, bytes, unreadSince);
+  transactions_.advanceTo(now);
+  return clientSessions_.sent(id, bytes, unreadSince);
 }
 
 void Gateway::clientHalfClosed(Instant now, ClientId id) {
-  ledger_.advanceTo(now);
-  clients_.sendsNoMore(id);
+  transactions_.advanceTo(now);
+  clientSessions_.sendsNoMore(id);
 }
 
 void Gateway::clientClosed(Instant now, ClientId id, ConnectionCloseReason) {
-  ledger_.advanceTo(now);
-  clients_.ended(id);
+  transactions_.advanceTo(now);
+  clientSessions_.ended(id);
 }
 
 void Gateway::rejectClient(Instant now, ClientId id) {
-  ledger_.advanceTo(now);
-  clients_.refuse(id);
+  transactions_.advanceTo(now);
+  clientSessions_.refuse(id);
 }
 
 void Gateway::nodeConnected(Instant now, NodeConnectionId id) {
-  ledger_.advanceTo(now);
-  links_.onConnected(id);
+  transactions_.advanceTo(now);
+  connectionPool_.onConnected(id);
 }
 
 void Gateway::nodeWritten(Instant now, NodeConnectionId id) {
-  ledger_.advanceTo(now);
-  links_.onWritten(id);
+  transactions_.advanceTo(now);
+  connectionPool_.onWritten(id);
 }
 
 std::size_t Gateway::nodeReceived(Instant now, NodeConnectionId id, std::string_view bytes) {
-  ledger_.advanceTo(now);
-  return links_.onReceived(id, bytes);
+  transactions_.advanceTo(now);
+  return connectionPool_.onReceived(id, bytes);
 }
 
-void Gateway::nodeConnectionClosed(Instant now, NodeConnectionId id, ConnectionCloseReason how) {
-  ledger_.advanceTo(now);
-  links_.onClosed(id, how);
+void Gateway::nodeConnectionClosed(Instant now, NodeConnectionId id, ConnectionCloseReason reason) {
+  transactions_.advanceTo(now);
+  connectionPool_.onClosed(id, reason);
 }
 
 void Gateway::onEndpointList(Instant now, EndpointUpdateKind kind, std::vector<ResolvedEndpoint> list,
                              std::uint64_t version) {
-  ledger_.advanceTo(now);
-  ledger_.onEndpointList(kind, std::move(list), version);
-  if (!ledger_.endpoints().all().empty()) clients_.listKnown();
+  transactions_.advanceTo(now);
+  transactions_.onEndpointList(kind, std::move(list), version);
+  if (!transactions_.endpoints().all().empty()) clientSessions_.listKnown();
 }
 
 void Gateway::onEndpointListFailed(Instant now) {
-  ledger_.advanceTo(now);
-  ledger_.onEndpointListFailed();
+  transactions_.advanceTo(now);
+  transactions_.onEndpointListFailed();
 }
 
 void Gateway::onDiscoveryActivity(Instant now) {
-  ledger_.advanceTo(now);
-  for (Component* part : parts_) part->onDiscoveryActivity();
+  transactions_.advanceTo(now);
+  for (Component* component : components_) component->onDiscoveryActivity();
 }
 
 // --- The configuration
 
 void Gateway::onConfigLoaded(Instant now, const std::string& discovery,
-                             const std::vector<std::string>& kept) {
-  ledger_.advanceTo(now);
-  const bool moved = discovery_ != discovery, anew = !discovery_.empty();
-  for (const auto& key : kept) effects_.log("configuration: " + key + " has changed: after a restart");
-  if (anew) effects_.log("configuration read anew: discovery at " + discovery + (moved ? "" : ", as before"));
-  if (!moved) return;
-  discovery_ = discovery;
+                             const std::vector<std::string>& keysNeedingRestart) {
+  transactions_.advanceTo(now);
+  const bool isMoved = discoveryAddress_ != discovery;
+  const bool isReload = !discoveryAddress_.empty();
+  for (const std::string& key : keysNeedingRestart)
+    effects_.log("configuration: " + key + " has changed: after a restart");
+  if (isReload)
+    effects_.log("configuration read anew: discovery at " + discovery + (isMoved ? "" : ", as before"));
+  if (!isMoved) return;
+  discoveryAddress_ = discovery;
   effects_.followDiscovery(discovery);
 }
 
 void Gateway::onConfigRejected(Instant now, std::string_view fault) {
-  ledger_.advanceTo(now);
+  transactions_.advanceTo(now);
   effects_.log("configuration not taken, all goes on as it was: " + std::string(fault));
 }
 
 void Gateway::reloadConfig(Instant now) {
-  ledger_.advanceTo(now);
-  for (Component* part : parts_) part->reloadConfig();
+  transactions_.advanceTo(now);
+  for (Component* component : components_) component->reloadConfig();
 }
 
 // --- Turns
 
 void Gateway::shutDown(Instant now) {
-  ledger_.advanceTo(now);
-  if (std::exchange(stopping_, true)) return;
-  stopAt_ = ledger_.now() + kGraceAtEnd;
+  transactions_.advanceTo(now);
+  if (std::exchange(isShuttingDown_, true)) return;
+  stopAt_ = transactions_.now() + kShutDownGrace;
   effects_.log("told to end: serving on for a while, then answering what was taken");
 }
 
 bool Gateway::finished() const {
-  return stopped_ && clients_.empty() &&
-         std::all_of(parts_.begin(), parts_.end(), [](const Component* part) { return part->empty(); });
+  return isStopped_ && clientSessions_.empty() &&
+         std::all_of(components_.begin(), components_.end(),
+                     [](const Component* component) { return component->empty(); });
 }
 
+// The order binds: connections and clients that are due end first, then the components have their turn, then
+// the router decides by all of that.
 Instant Gateway::endTurn(Instant now) {
-  ledger_.advanceTo(now);
-  links_.endTurn();
-  clients_.endTurn();
-  for (Component* part : parts_) part->endTurn();
-  // A turn later than its time: what came while this process stood still is seen first.
-  const bool stops = std::exchange(stopDue_, stopping_ && ledger_.now() >= stopAt_);
-  if (stops) {
-    if (!std::exchange(stopped_, true)) {
-      effects_.stopListening();
-      clients_.stop();
-      for (Component* part : parts_) part->stop();
-    }
-    // Once more, for those that had just come and have asked for nothing since.
-    clients_.closeIdleAtEnd();
+  transactions_.advanceTo(now);
+  connectionPool_.endTurn();
+  clientSessions_.endTurn();
+  for (Component* component : components_) component->endTurn();
+  // One turn after it is due: what came while this process was held up is seen first.
+  const bool stopsNow = std::exchange(isStopDue_, isShuttingDown_ && transactions_.now() >= stopAt_);
+  if (stopsNow) stop();
+  const Instant transactionsDue = transactions_.endTurn();
+  for (Component* component : components_) component->flush();
+  return nextDue(transactionsDue);
+}
+
+void Gateway::stop() {
+  if (!std::exchange(isStopped_, true)) {
+    effects_.stopListening();
+    clientSessions_.stop();
+    for (Component* component : components_) component->stop();
   }
-  Instant next = ledger_.endTurn();
-  for (Component* part : parts_) part->flush();
-  const auto sooner = [&](Instant at) {
-    if (at != Instant() && (next == Instant() || at < next)) next = at;
+  // In each turn, for clients that had just come and have sent nothing since.
+  clientSessions_.closeIdleAtEnd();
+}
+
+Instant Gateway::nextDue(Instant transactionsDue) const {
+  Instant next = transactionsDue;
+  const auto include = [&](Instant due) {
+    if (due != Instant() && (next == Instant() || due < next)) next = due;
   };
-  sooner(links_.nextDue());
-  sooner(clients_.nextDue());
-  for (const Component* part : parts_) sooner(part->nextDue());
-  if (stopping_) sooner(stopped_ ? ledger_.now() + bounds_.connectLimit : stopDue_ ? ledger_.now() : stopAt_);
+  include(connectionPool_.nextDue());
+  include(clientSessions_.nextDue());
+  for (const Component* component : components_) include(component->nextDue());
+  if (isShuttingDown_) include(nextShutDownStep());
   return next;
 }
 
+Instant Gateway::nextShutDownStep() const {
+  if (isStopped_) return transactions_.now() + bounds_.connectLimit;
+  return isStopDue_ ? transactions_.now() : stopAt_;
+}
+
 }  // namespace gulltrestle::gateway
