--- a/src/degradation_service/degradation_config.h
+++ b/src/degradation_service/degradation_config.h
@@ -11,6 +11,7 @@
 
 namespace gulltrestle::degradation_service {
 
+// What the file sets, or the defaults.
 struct DegradationConfig {
   degradation::Bounds bounds;
   degradation::AdmissionTable table;
--- a/src/endpoint_leases/lease_registry.h
+++ b/src/endpoint_leases/lease_registry.h
@@ -40,6 +40,7 @@
 
 using StreamKey = std::uint64_t;  // a stream's own number; never 0
 
+// A transaction's final answer.
 enum class FinalOutcome { committed, rejected, rolledBack };
 
 // How a proxy is placed: it requests once per HTTP request, and what ends without effect is over; or once per
@@ -71,6 +72,7 @@
   StreamKey endsUnreported = 0;  // take: this stream's lease counts as ended, and may have run
 };
 
+// Of the registry's memory.
 struct Bounds {
   std::size_t most = 65536;  // remembered transactions, each: those that are idempotent, and all others
 };
--- a/src/runtime/server/client_connection.h
+++ b/src/runtime/server/client_connection.h
@@ -6,6 +6,7 @@
 
 namespace gulltrestle::server {
 
+// Owned by the coroutine that serves the client.
 struct ClientConnections::Client : Connection {
   using Connection::Connection;
 
--- a/src/runtime/server/client_connections.h
+++ b/src/runtime/server/client_connections.h
@@ -14,6 +14,7 @@
 
 namespace gulltrestle::server {
 
+// One per server.
 class ClientConnections {
  public:
   // Listens from now on; connections wait until start(). Throws config::ConfigError where the address can't
--- a/src/runtime/server/discovery_client.h
+++ b/src/runtime/server/discovery_client.h
@@ -19,6 +19,7 @@
 // The entries of a list, as the gateway takes them.
 std::vector<gateway::ResolvedEndpoint> resolvedEndpoints(config::EndpointList list);
 
+// One per server.
 class DiscoveryClient {
  public:
   // The references must outlive this.
--- a/src/runtime/server/node_connections.h
+++ b/src/runtime/server/node_connections.h
@@ -11,6 +11,7 @@
 
 namespace gulltrestle::server {
 
+// One per server.
 class NodeConnections {
  public:
   // The references must outlive this.
--- a/src/upstream/postgres/connection_pool.h
+++ b/src/upstream/postgres/connection_pool.h
@@ -1,7 +1,17 @@
-// Takes attempts and probes to nodes over the PostgreSQL protocol: owns the connections to nodes, what
-// waits for one, and what each carries. It reads no socket and no clock.
+// Carries attempts and health checks to nodes over the PostgreSQL protocol: owns the connections to nodes,
+// the attempts that wait for one, and what each connection carries. It reads no socket and no clock.
+//
+//   stage       meaning                                        next stage
+//   connecting  the connection is being established            starting: it is
+//   starting    the node's greeting is awaited                 idle or busy: the node is ready
+//   idle        it carries nothing                             busy: it gets an attempt
+//   busy        it carries an attempt                          clearing: its answer is complete
+//   clearing    more than the answer may still come            idle or busy: an empty query was answered
+//
+// In every stage it may be closed.
 #pragma once
 
+#include <compare>
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -15,96 +25,126 @@
 
 namespace gulltrestle::upstream::postgres {
 
-using NodeConnectionId = std::uint64_t;  // a connection to a node
+// Identifies a connection to a node; never used again for another.
+using NodeConnectionId = std::uint64_t;
 
-// What it asks for.
+// What the pool requests of whoever has the sockets.
 class Effects {
  public:
   virtual ~Effects() = default;
-  // Opens a connection to a node; up() or ended() tells what became of it.
-  virtual void connect(NodeConnectionId link, const std::string& address) = 0;
-  // The parts are valid during the call only. True: the last byte is written; else written() tells of it.
-  virtual bool writeNode(NodeConnectionId link, transactions::ByteSlices parts) = 0;
-  virtual void closeNode(NodeConnectionId link) = 0;
+  // Opens a connection to a node; onConnected() or onClosed() reports the result.
+  virtual void connect(NodeConnectionId connection, const std::string& address) = 0;
+  // The slices are valid during the call only. True: the last byte is written; else onWritten() reports it.
+  virtual bool writeNode(NodeConnectionId connection, transactions::ByteSlices slices) = 0;
+  virtual void closeNode(NodeConnectionId connection) = 0;
   virtual void log(std::string line) = 0;
 };
 
+// What the settings and the process's limits leave for connections to nodes.
 struct Bounds {
   Duration idleLimit;              // nodes close connections that were idle for this long
-  Duration connectLimit;           // what is not up by then does not come up; a probe waits no longer either
-  std::size_t maxConnections = 0;  // connections that may be open at one time
+  Duration connectLimit;           // for a connection to be established; also for a health check
+  std::size_t maxConnections = 0;  // that may be open at a time
 };
 
+// One per gateway. Added to the table of transactions as an upstream transport.
 class ConnectionPool final : public transactions::UpstreamTransport {
  public:
-  ConnectionPool(transactions::TransactionTable& ledger, Bounds bounds, Effects& effects)
-      : ledger_(ledger), nodes_(ledger.endpoints()), bounds_(bounds), effects_(effects) {}
+  // The references must outlive this.
+  ConnectionPool(transactions::TransactionTable& transactions, Bounds bounds, Effects& effects)
+      : transactions_(transactions),
+        endpoints_(transactions.endpoints()),
+        bounds_(bounds),
+        effects_(effects) {}
 
-  void startAttempt(transactions::AttemptId job, const NodeId& node) override;
-  void cancelAttempt(transactions::AttemptId job, const NodeId& node) override;
-  void withdrawAttempt(transactions::AttemptId job, const NodeId& node) override;
+  void startAttempt(transactions::AttemptId attemptId, const NodeId& node) override;
+  void cancelAttempt(transactions::AttemptId attemptId, const NodeId& node) override;
+  void withdrawAttempt(transactions::AttemptId attemptId, const NodeId& node) override;
   void onEndpointList(const std::vector<NodeId>& moved) override;
   void forgetNode(const NodeId& node) override;
 
-  // Events. The ledger has been told when.
-  void onConnected(NodeConnectionId link);
-  void onWritten(NodeConnectionId link);
-  // Returns how much was taken; the rest is offered again, with more behind it.
-  std::size_t onReceived(NodeConnectionId link, std::string_view bytes);
-  void onClosed(NodeConnectionId link, transactions::ConnectionCloseReason how);
+  // --- Events, after the table of transactions was told the time.
 
-  // What has come due ends.
+  void onConnected(NodeConnectionId id);
+  void onWritten(NodeConnectionId id);
+  // Returns how many bytes were consumed; the rest is offered again, with more behind it.
+  std::size_t onReceived(NodeConnectionId id, std::string_view bytes);
+  void onClosed(NodeConnectionId id, transactions::ConnectionCloseReason reason);
+
+  // Closes the connections whose time is over.
   void endTurn();
-  // When something is due; never: nothing is.
-  Instant nextDue() const { return due_.empty() ? Instant() : due_.begin()->first; }
+  // When endTurn() has something to do; never: nothing is due.
+  Instant nextDue() const { return deadlines_.empty() ? Instant() : deadlines_.begin()->at; }
 
  private:
   using AttemptId = transactions::AttemptId;
-  // Clearing: its answer has come; whether more than that comes is not known yet.
   enum class Stage { connecting, starting, idle, busy, clearing };
   struct NodeConnection {
     NodeId node;
     Stage stage = Stage::connecting;
-    AttemptId job;
-    bool written = false;
-    bool answering = false;  // a part of the answer is there
-    Instant due;             // when its connecting, its job or its idling ends
+    AttemptId attemptId;           // while busy
+    bool isFullyWritten = false;   // the attempt's last byte
+    bool isAnswerPartial = false;  // a part of the answer has come
+    Instant deadline;              // of its connecting, its attempt, its clearing or its idle time
   };
-  struct NodeState {                     // at a node
+  struct NodeState {
     std::vector<NodeConnectionId> idle;  // the last used is taken first
     std::deque<AttemptId> waiting;       // for a connection
-    std::size_t opening = 0;             // connections that are not up yet
-    std::size_t clearing = 0;            // and that have just answered
-    bool reached = true;                 // the last connection that was opened came up
-    Instant spoiltAt;                    // when it was last logged that it sent what can't be read
-    std::size_t spoilt = 0;              // and how often it did so since
+    std::size_t opening = 0;             // connections that are connecting or starting
+    std::size_t clearing = 0;            // connections in that stage
+    bool isReached = true;               // the last connection that was opened was established
+    Instant malformedLoggedAt;           // when it was last logged that it sent malformed bytes
+    std::size_t malformedCount = 0;      // how often it has done so since
+  };
+  struct Deadline {
+    Instant at;
+    NodeConnectionId id = 0;
+    auto operator<=>(const Deadline&) const = default;
+  };
+  struct AttemptOrder {
+    bool operator()(const AttemptId& a, const AttemptId& b) const {
+      return a.txn != b.txn ? a.txn < b.txn : a.attempt < b.attempt;
+    }
   };
 
-  bool wasDown(const NodeConnection& ended, transactions::ConnectionCloseReason how) const;
-  void openFor(const NodeId& id, NodeState& place);
-  void write(NodeConnectionId id, NodeConnection& link, AttemptId job);
-  void release(NodeConnectionId id, NodeConnection& link);
-  void clear(NodeConnectionId id, NodeConnection& link, bool more);
-  void logSpoilt(const NodeId& id, std::string_view what);
-  void endLink(NodeConnectionId id, transactions::ConnectionCloseReason how);
-  void endIdle(NodeState& place);
-  void endWaiting(const NodeId& id, NodeState& place, transactions::ConnectionCloseReason how);
-  void takeAnswer(NodeConnectionId id, NodeConnection& link, const gulltrestle::postgres::Answer& answer,
-                  bool more);
-  void setDue(NodeConnectionId id, NodeConnection& link, Instant due);
-
-  transactions::TransactionTable& ledger_;
-  const transactions::EndpointRegistry& nodes_;
+  // Opening, writing
+  void openConnections(const NodeId& node, NodeState& state);
+  bool closeLongestIdle();
+  void carry(NodeConnectionId id, NodeConnection& connection, AttemptId attemptId);
+  void writeHealthCheck(NodeConnectionId id, NodeConnection& connection);
+  void writeAttempt(NodeConnectionId id, NodeConnection& connection, std::int64_t timeoutMillis);
+  void setDeadline(NodeConnectionId id, NodeConnection& connection, Instant deadline);
+
+  // Reading. Each returns whether more of the bytes may be consumed.
+  bool consume(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
+  bool consumeGreeting(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
+  bool consumeAnswer(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
+  bool consumeAllClear(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
+  void endCarried(NodeConnectionId id, NodeConnection& connection,
+                  const gulltrestle::postgres::Answer& answer, bool hasMoreBytes);
+  void startClearing(NodeConnectionId id, NodeConnection& connection, bool hasMoreBytes);
+  void release(NodeConnectionId id, NodeConnection& connection);
+  void logMalformed(const NodeId& node, std::string_view fault);
+
+  // Closing
+  bool isNodeDown(const NodeConnection& closed, transactions::ConnectionCloseReason reason) const;
+  void close(NodeConnectionId id, transactions::ConnectionCloseReason reason);
+  void onOpeningFailed(const NodeConnection& closed, NodeState& state,
+                       transactions::ConnectionCloseReason reason);
+  void closeIdle(NodeState& state);
+  void endWaiting(const NodeId& node, NodeState& state);
+  transactions::ConnectionCloseReason overdueReason(const NodeConnection& connection) const;
+
+  transactions::TransactionTable& transactions_;
+  const transactions::EndpointRegistry& endpoints_;
   Bounds bounds_;
   Effects& effects_;
-  std::map<NodeConnectionId, NodeConnection> links_;
-  std::map<NodeId, NodeState> places_;
-  std::map<AttemptId, NodeConnectionId, bool (*)(const AttemptId&, const AttemptId&)> carried_{
-      [](const AttemptId& a, const AttemptId& b) {
-        return std::pair(a.txn, a.attempt) < std::pair(b.txn, b.attempt);
-      }};  // the link that has an attempt in hand
-  std::set<std::pair<Instant, NodeConnectionId>> due_;
-  NodeConnectionId lastLink_ = 0;
+  std::map<NodeConnectionId, NodeConnection> connections_;
+  std::map<NodeId, NodeState> nodeStates_;
+  std::map<AttemptId, NodeConnectionId, AttemptOrder>
+      carryingConnections_;       // by the attempt that each carries
+  std::set<Deadline> deadlines_;  // of connections_
+  NodeConnectionId lastConnection_ = 0;
 };
 
 }  // namespace gulltrestle::upstream::postgres
