--- a/src/downstream/postgres/arrival_times.h
+++ b/src/downstream/postgres/arrival_times.h
@@ -1,5 +1,5 @@
-// When bytes came that wait to be taken: a statement that waited behind others of its connection has had that
-// part of its time. Holds points in time, no bytes.
+// When bytes that wait to be consumed arrived: a statement that waited behind others of its connection has
+// used that part of its client's time. Stores points in time, no bytes.
 #pragma once
 
 #include <cstddef>
@@ -9,36 +9,38 @@
 
 namespace gulltrestle::downstream::postgres {
 
+// One per client.
 class ArrivalTimes {
  public:
-  // So many bytes wait now.
+  // `size` bytes wait now, more than before or as many.
   void waiting(std::size_t size, Instant now) {
-    if (!marks_.empty() && size <= marks_.back().end) return;
-    // Bounds what a client that sends byte by byte can make this keep. Beyond that what comes counts as come
-    // with what did before: a little early, so that no more time is told than there is.
-    constexpr std::size_t kMostMarks = 64;
-    if (marks_.size() < kMostMarks)
-      marks_.push_back({size, now});
+    if (!arrivals_.empty() && size <= arrivals_.back().end) return;
+    // Bounds what a client that sends byte by byte can make this store. Beyond that, bytes count as arrived
+    // with those before them: a little early, so that no more time is assumed than there is.
+    constexpr std::size_t kMaxArrivals = 64;
+    if (arrivals_.size() < kMaxArrivals)
+      arrivals_.push_back({size, now});
     else
-      marks_.back().end = size;
+      arrivals_.back().end = size;
   }
-  // When the first `size` bytes were all there.
+  // When the first `size` waiting bytes had all arrived.
   Instant of(std::size_t size) const {
-    for (const Mark& mark : marks_)
-      if (mark.end >= size) return mark.at;
-    return marks_.empty() ? Instant() : marks_.back().at;
+    for (const Arrival& arrival : arrivals_)
+      if (arrival.end >= size) return arrival.at;
+    return arrivals_.empty() ? Instant() : arrivals_.back().at;
   }
+  // The first `size` waiting bytes were consumed.
   void taken(std::size_t size) {
-    std::erase_if(marks_, [&](const Mark& mark) { return mark.end <= size; });
-    for (Mark& mark : marks_) mark.end -= size;
+    std::erase_if(arrivals_, [&](const Arrival& arrival) { return arrival.end <= size; });
+    for (Arrival& arrival : arrivals_) arrival.end -= size;
   }
 
  private:
-  struct Mark {
-    std::size_t end;  // up to this byte
+  struct Arrival {
+    std::size_t end = 0;  // of the waiting bytes that had arrived
     Instant at;
   };
-  std::vector<Mark> marks_;
+  std::vector<Arrival> arrivals_;
 };
 
 }  // namespace gulltrestle::downstream::postgres
--- /dev/null
+++ b/src/downstream/postgres/client_messages.cpp
@@ -0,0 +1,214 @@
+// The part of the client sessions that reads what clients send.
+#include <algorithm>
+#include <utility>
+
+#include "downstream/postgres/client_sessions.h"
+#include "transactions/session_id.h"
+
+namespace gulltrestle::downstream::postgres {
+
+using transactions::ConnectionCloseReason;
+namespace wire = gulltrestle::postgres;
+
+namespace {
+
+// A value of 64 KiB is twice that as hex digits; the rest of a statement is short.
+constexpr std::size_t kMaxQueryBytes = 2 * 64 * 1024 + 4096;
+
+// A client's opening, and any message once it has started, must be complete within this many times the
+// settings' limit for connections: a message takes some round trips where a connection takes one.
+constexpr double kMessageTimeFactor = 8;
+
+// Messages of one client that are handled per turn. Clients that await their answers send one or two.
+constexpr int kMaxMessagesPerTurn = 4;
+
+}  // namespace
+
+void ClientSessions::onOpened(ClientId id) {
+  Client& client = clients_[id];
+  client.idleSince = transactions_.now();
+  startMessageTimer(id, client);
+}
+
+// Guards against clients that send nothing, or half of a message, and keep a descriptor and what they sent.
+// May hurt those whose network takes seconds for a message.
+void ClientSessions::startMessageTimer(ClientId id, Client& client) {
+  setDeadline(id, client, transactions_.now() + bounds_.connectLimit * kMessageTimeFactor);
+}
+
+// Never: none.
+void ClientSessions::setDeadline(ClientId id, Client& client, Instant deadline) {
+  if (client.deadline != Instant()) deadlines_.erase({client.deadline, id});
+  client.deadline = deadline;
+  if (deadline != Instant()) deadlines_.insert({deadline, id});
+}
+
+std::size_t ClientSessions::onReceived(ClientId id, std::string_view bytes, Instant unreadSince) {
+  // What was left unread may have come at any time since: the earliest counts, so that no more time is
+  // assumed than there is.
+  const Instant now = transactions_.now();
+  const Instant arrivedAt = unreadSince == Instant() ? now : std::min(unreadSince, now);
+  if (const auto found = clients_.find(id); found != clients_.end())
+    found->second.arrivals.waiting(bytes.size(), arrivedAt);
+  std::size_t consumed = 0;
+  try {
+    consumed = consumeMessages(id, bytes);
+  } catch (const wire::Malformed& malformed) {
+    closeWithError(id, wire::kProtocolViolation, malformed.what());
+    return bytes.size();
+  }
+  if (const auto found = clients_.find(id); found != clients_.end()) found->second.arrivals.taken(consumed);
+  return consumed;
+}
+
+// Consumes messages up to one that awaits its answer. All bytes of a client that is closed count as consumed.
+std::size_t ClientSessions::consumeMessages(ClientId id, std::string_view bytes) {
+  const std::size_t size = bytes.size();
+  for (int handled = 0;; ++handled) {
+    const auto found = clients_.find(id);
+    if (found == clients_.end()) return size;
+    Client& client = found->second;
+    if (client.isWaiting()) break;
+    client.hasUnreadMessages = handled == kMaxMessagesPerTurn;
+    if (client.hasUnreadMessages) {
+      effects_.readClient(id);
+      break;
+    }
+    client.idleSince = transactions_.now();
+    const bool isConsumed = client.stage == Stage::opening
+                                ? consumeOpening(id, client, bytes)
+                                : consumeMessage(id, client, bytes, size - bytes.size());
+    if (!isConsumed) {
+      if (!bytes.empty() && client.deadline == Instant()) startMessageTimer(id, client);
+      break;
+    }
+    if (!clients_.contains(id) || client.stage == Stage::opening) continue;
+    if (client.deadline != Instant()) setDeadline(id, client, {});
+  }
+  return size - bytes.size();
+}
+
+bool ClientSessions::consumeOpening(ClientId id, Client& client, std::string_view& bytes) {
+  const auto opening = wire::takeOpening(bytes);
+  if (!opening) return false;
+  if (opening->code == wire::kSslRequest || opening->code == wire::kGssRequest) {
+    effects_.writeClient(id, {"N"});
+  } else if (opening->code == wire::kCancelRequest) {
+    close(id, ConnectionCloseReason::clientFinished);
+  } else if (opening->code >> 16 != wire::kMajorVersion) {
+    closeWithError(id, wire::kNotSupported, "only version 3 of the protocol is spoken here");
+  } else {
+    client.stage = Stage::ready;
+    effects_.writeClient(id, {wire::welcome()});
+  }
+  return true;
+}
+
+// `consumedBefore`: how many of the waiting bytes were consumed already.
+bool ClientSessions::consumeMessage(ClientId id, Client& client, std::string_view& bytes,
+                                    std::size_t consumedBefore) {
+  const std::size_t sizeBefore = bytes.size();
+  const auto message = wire::takeMessage(bytes, kMaxQueryBytes);
+  if (!message) return false;
+  const Instant arrivedAt = client.arrivals.of(consumedBefore + sizeBefore - bytes.size());
+  const auto request = wire::requestOf(message->type);
+  if (client.stage == Stage::rejecting && request != wire::Request::goodbye && request != wire::Request::sync)
+    return true;
+  std::string_view body = message->body;
+  switch (request) {
+    case wire::Request::query:
+      handleQuery(id, client, wire::takeText(body), arrivedAt);
+      break;
+    case wire::Request::goodbye:
+      close(id, ConnectionCloseReason::clientFinished);
+      break;
+    case wire::Request::sync:
+      client.stage = Stage::ready;
+      effects_.writeClient(id, {wire::readyForQuery()});
+      break;
+    case wire::Request::extended:
+      client.stage = Stage::rejecting;
+      effects_.writeClient(id, {wire::error("ERROR", wire::kNotSupported, "only simple queries are taken")});
+      break;
+    case wire::Request::functionCall:
+      answerError(id, wire::kNotSupported, "only simple queries are taken");
+      break;
+    case wire::Request::passedOver:
+      break;
+    case wire::Request::unknown:
+      throw wire::Malformed("a message of this type is not known");
+  }
+  return true;
+}
+
+void ClientSessions::handleQuery(ClientId id, Client& client, std::string_view text, Instant arrivedAt) {
+  if (wire::isBlank(text)) {
+    if (isListKnown_) return answerEmptyQuery(id, client);
+    client.awaitsListKnown = true;
+    return;
+  }
+  try {
+    openTransaction(id, client, text, arrivedAt);
+  } catch (const wire::InvalidStatement& invalid) { answerError(id, invalid.code(), invalid.what()); }
+}
+
+// Throws wire::InvalidStatement if the statement is invalid or rejected here.
+void ClientSessions::openTransaction(ClientId id, Client& client, std::string_view text, Instant arrivedAt) {
+  if (stoppedAt_ != Instant() && arrivedAt >= stoppedAt_ && client.isActive)
+    throw wire::InvalidStatement(wire::kRefused, "refused: this router ends");
+  const wire::Statement statement = wire::readStatement(text);
+  const std::size_t type = classOf(statement);
+  if (transactions_.isOpen(statement.id))
+    throw wire::InvalidStatement(wire::kBadValue, "field id of the comment names a txn that is open");
+  // Guards the memory limit against many long statements at a time; may hurt while nodes are slow.
+  if (!transactions_.hasCapacityFor(text.size()))
+    throw wire::InvalidStatement(wire::kRefused, "refused: too much is held here");
+  if (!std::exchange(client.isActive, true)) ++activeClients_;
+  const auto offsetOf = [&](std::string_view slice) {
+    return static_cast<std::size_t>(slice.data() - text.data());
+  };
+  transactions::RequestMessage message;
+  message.bytes = std::string(text);
+  message.timeoutOffset = offsetOf(statement.wait);
+  message.timeoutSize = statement.wait.size();
+  message.idOffset = offsetOf(statement.id);
+  message.idSize = statement.id.size();
+  client.txn = transactions_.openTransaction(*this, id, transport_, transactionOf(statement, type, arrivedAt),
+                                             std::move(message));
+}
+
+// The row of the statement's transaction class.
+std::size_t ClientSessions::classOf(const wire::Statement& statement) const {
+  const auto found = classes_.find(statement.typeName);
+  if (found == classes_.end())
+    throw wire::InvalidStatement(wire::kBadValue,
+                                 "txn type '" + std::string(statement.typeName) + "' is not known");
+  const bool isWriteClass = readLevels_[found->second] == ReadLevel::write;
+  if (statement.writes != isWriteClass)
+    throw wire::InvalidStatement(wire::kBadValue, "the statement is not of its txn type");
+  return found->second;
+}
+
+Transaction ClientSessions::transactionOf(const wire::Statement& statement, std::size_t type,
+                                          Instant arrivedAt) const {
+  const Instant now = transactions_.now();
+  const ReadLevel level = readLevels_[type];
+  Transaction transaction;
+  transaction.type = type;
+  transaction.group = statement.group;
+  if (level >= ReadLevel::write || level == ReadLevel::session)
+    transaction.session = transactions::sessionOf(statement.key);
+  if (level == ReadLevel::session) {
+    transaction.writeAge = Duration();  // the session has no write to see
+    if (statement.afterMs.value_or(0) > 0) {
+      const Instant writtenAt = Instant() + Duration::millis(static_cast<std::int64_t>(*statement.afterMs));
+      transaction.writeAge = std::max(now - writtenAt, Duration::micros(1));
+    }
+  }
+  // Its client counts from when it was sent, also where it waited here behind others.
+  transaction.remainingTime =
+      Duration::millis(static_cast<std::int64_t>(statement.waitMs)) - (now - arrivedAt);
+  return transaction;
+}
+
+}  // namespace gulltrestle::downstream::postgres
--- a/src/downstream/postgres/client_sessions.h
+++ b/src/downstream/postgres/client_sessions.h
@@ -1,7 +1,8 @@
-// Clients that speak the PostgreSQL protocol: their openings, messages and turns, the txns they ask for and
-// the answers they get. It reads no socket and no clock.
+// Sessions of clients that speak the PostgreSQL protocol: their openings and messages, the transactions that
+// they request and the answers that they get. It reads no socket and no clock.
 #pragma once
 
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <set>
@@ -11,106 +12,136 @@
 
 #include "downstream/postgres/arrival_times.h"
 #include "protocol/postgres/messages.h"
+#include "protocol/postgres/statement.h"
 #include "transactions/connection_close.h"
 #include "transactions/transaction_table.h"
 
 namespace gulltrestle::downstream::postgres {
 
+// Identifies a client's connection; never used again for another.
 using ClientId = std::uint64_t;
 
-// What it asks for.
+// What the sessions request of whoever has the sockets.
 class Effects {
  public:
   virtual ~Effects() = default;
-  virtual void writeClient(ClientId client, transactions::ByteSlices parts) = 0;
-  // Hands over what the client has sent meanwhile, and all that follows.
+  // The slices are valid during the call only.
+  virtual void writeClient(ClientId client, transactions::ByteSlices slices) = 0;
+  // Offers what the client has sent meanwhile, and all that follows, in a later call of onReceived().
   virtual void readClient(ClientId client) = 0;
-  // Closes once all is written.
+  // Closes the connection once all is written.
   virtual void closeClient(ClientId client) = 0;
 };
 
+// What the settings and the process's limits leave for clients.
 struct Bounds {
-  Duration connectLimit;             // in which a connection comes up
-  std::size_t maxActiveClients = 0;  // connections that clients keep for txns; 0: any number
+  Duration connectLimit;             // for a connection to be established
+  std::size_t maxActiveClients = 0;  // connections that clients keep for transactions; 0: any number
 };
 
+// One per gateway.
 class ClientSessions final : private transactions::DownstreamHandler {
  public:
-  // `carrier`: takes their txns to nodes.
-  ClientSessions(transactions::TransactionTable& ledger, transactions::UpstreamTransport& carrier,
-                 const RoutingConfig& terms, const std::vector<std::string>& typeNames, Bounds bounds,
+  // `transport`: carries their transactions to nodes. `classNames`: of the transaction classes, in the same
+  // order. The references must outlive this.
+  ClientSessions(transactions::TransactionTable& transactions, transactions::UpstreamTransport& transport,
+                 const RoutingConfig& config, const std::vector<std::string>& classNames, Bounds bounds,
                  Effects& effects);
 
-  // Events. The ledger has been told when.
-  void opened(ClientId client);
-  // Returns how much was taken; the rest is offered again, with more behind it, after readClient().
-  // `unreadSince`: from when on what came last had been left unread; never: it was read as it came.
-  std::size_t sent(ClientId client, std::string_view bytes, Instant unreadSince = {});
-  void sendsNoMore(ClientId client);
-  void ended(ClientId client);
-  void refuse(ClientId client);  // there is no room for what it sends
-  // Some list is known: what waits for one is answered.
-  void listKnown();
-
+  // --- Events, after the table of transactions was told the time.
+
+  void onOpened(ClientId id);
+  // Returns how many bytes were consumed; the rest is offered again, with more behind it, after readClient().
+  // `unreadSince`: since when the latest bytes had been left unread; never: they were read as they came.
+  std::size_t onReceived(ClientId id, std::string_view bytes, Instant unreadSince = {});
+  // The client sends no more.
+  void onHalfClosed(ClientId id);
+  void onClosed(ClientId id);
+  // There is no memory for what the client sends: it gets an error, and is closed.
+  void reject(ClientId id);
+  // Some endpoint list is known: empty queries, which wait for one, are answered.
+  void onEndpointListKnown();
+
+  // Closes the clients whose time for a message is over.
   void endTurn();
-  Instant nextDue() const { return due_.empty() ? Instant() : due_.begin()->first; }
+  // When endTurn() has something to do; never: nothing is due.
+  Instant nextDue() const { return deadlines_.empty() ? Instant() : deadlines_.begin()->at; }
 
-  // Who is owed an answer, or has sent more before, is closed after that; more that comes from those is
-  // refused. One that has just come is served once.
-  void stop() { stoppedAt_ = ledger_.now(); }
-  // Closes those that are idle and did not just come.
-  void closeIdleAtEnd();
-  // Closes the clients that have been idle longest, some at most; false if none is idle.
-  bool closeIdle(std::size_t most, bool onlyAsked = false);
+  // From now on, further statements of clients that had a transaction are rejected. One that has just
+  // connected is served once.
+  void stop() { stoppedAt_ = transactions_.now(); }
+  // Closes the clients that are idle and have not just connected.
+  void closeIdleAtShutDown();
+  // Closes the clients that have been idle longest, `max` at most; false if none is idle.
+  bool closeIdle(std::size_t max) { return closeIdle(max, IdleClients::all); }
 
   bool empty() const { return clients_.empty(); }
-  bool isWaiting(ClientId client) const;  // for an answer
+  // Whether the client awaits an answer.
+  bool isWaiting(ClientId id) const;
 
  private:
-  enum class Stage { opening, ready, refusing };
+  // Rejecting: an exchange of the extended protocol was rejected, and is skipped up to its Sync.
+  enum class Stage { opening, ready, rejecting };
+  enum class IdleClients { all, active };
   struct Client {
     Stage stage = Stage::opening;
-    TxnId txn = 0;              // that it waits for
-    bool waitsForList = false;  // with an empty query
-    bool sendsNoMore = false;
-    bool asked = false;     // had a txn here
-    bool toRead = false;    // what it has sent meanwhile is not looked at yet
-    ArrivalTimes arrivals;  // of what it has sent and is not taken yet
+    TxnId txn = 0;                   // whose answer it awaits; 0: none
+    bool awaitsListKnown = false;    // it has sent an empty query
+    bool hasHalfClosed = false;      // and was sent a notice
+    bool isActive = false;           // it had a transaction here
+    bool hasUnreadMessages = false;  // what it has sent meanwhile is not read yet
+    ArrivalTimes arrivals;           // of what it has sent and is not consumed yet
     Instant idleSince;
-    Instant due;  // when a message that has begun, or its greeting, must be whole; never: nothing is awaited
+    Instant deadline;  // for a message that has started, or its opening; never: none is awaited
+
+    bool isWaiting() const { return txn != 0 || awaitsListKnown; }
+  };
+  struct Deadline {
+    Instant at;
+    ClientId id = 0;
+    auto operator<=>(const Deadline&) const = default;
   };
 
-  // Front.
+  // DownstreamHandler.
   void committed(transactions::OwnerId owner, const transactions::ResultValue& value) override;
   void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override;
   void rolledBack(transactions::OwnerId owner) override;
 
-  bool takeOpening(ClientId id, Client& client, std::string_view& bytes);
-  bool takeMessage(ClientId id, Client& client, std::string_view& bytes, std::size_t before);
-  void takeStatement(ClientId id, Client& client, std::string_view text, Instant cameAt);
-  void answerEmpty(ClientId id, Client& client);
-  void answerError(ClientId id, std::string_view code, std::string_view text, std::string_view detail = {});
-  void fatal(ClientId id, std::string_view code, std::string_view text);
-  void answered(ClientId id);
-  void nextOf(ClientId id);
-  // What it is owed has been answered; `why`: for the trace.
-  void drop(ClientId id, transactions::ConnectionCloseReason why);
-  void traceClose(ClientId id, std::string_view why) const;
-  void makeRoomToAsk();
-  void awaitMessage(ClientId id, Client& client, Instant due);
-  bool isFresh(const Client& client, Duration limit) const;
-
-  transactions::TransactionTable& ledger_;
-  transactions::UpstreamTransport& carrier_;
-  std::map<std::string, std::size_t, std::less<>> types_;
-  std::vector<ReadLevel> levels_;
+  // Reading (client_messages.cpp). Each bool: a message was consumed.
+  std::size_t consumeMessages(ClientId id, std::string_view bytes);
+  bool consumeOpening(ClientId id, Client& client, std::string_view& bytes);
+  bool consumeMessage(ClientId id, Client& client, std::string_view& bytes, std::size_t consumedBefore);
+  void handleQuery(ClientId id, Client& client, std::string_view text, Instant arrivedAt);
+  void openTransaction(ClientId id, Client& client, std::string_view text, Instant arrivedAt);
+  Transaction transactionOf(const gulltrestle::postgres::Statement& statement, std::size_t type,
+                            Instant arrivedAt) const;
+  std::size_t classOf(const gulltrestle::postgres::Statement& statement) const;
+  void startMessageTimer(ClientId id, Client& client);
+  void setDeadline(ClientId id, Client& client, Instant deadline);
+
+  // Answering and closing
+  void answerEmptyQuery(ClientId id, Client& client);
+  void answerError(ClientId id, std::string_view code, std::string_view text);
+  void onAnswered(ClientId id);
+  void resumeReading(ClientId id);
+  void closeWithError(ClientId id, std::string_view code, std::string_view text);
+  void close(ClientId id, transactions::ConnectionCloseReason reason);
+  void traceClose(ClientId id, std::string_view reason) const;
+  bool closeIdle(std::size_t max, IdleClients which);
+  void limitActiveClients();
+  bool hasJustConnected(const Client& client, Duration limit) const;
+
+  transactions::TransactionTable& transactions_;
+  transactions::UpstreamTransport& transport_;
+  std::map<std::string, std::size_t, std::less<>> classes_;  // rows, by name
+  std::vector<ReadLevel> readLevels_;                        // a row per class
   Bounds bounds_;
   Effects& effects_;
-  bool listKnown_ = false;
-  Instant stoppedAt_;  // never: it goes on
+  bool isListKnown_ = false;
+  Instant stoppedAt_;  // never: it is not
   std::map<ClientId, Client> clients_;
-  std::set<std::pair<Instant, ClientId>> due_;
-  std::size_t asking_ = 0;  // clients that had a txn
+  std::set<Deadline> deadlines_;  // of clients_
+  std::size_t activeClients_ = 0;
 };
 
 }  // namespace gulltrestle::downstream::postgres
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -35,27 +35,27 @@
 
 void Gateway::clientOpened(Instant now, ClientId id) {
   transactions_.advanceTo(now);
-  clientSessions_.opened(id);
+  clientSessions_.onOpened(id);
 }
 
 std::size_t Gateway::clientReceived(Instant now, ClientId id, std::string_view bytes, Instant unreadSince) {
   transactions_.advanceTo(now);
-  return clientSessions_.sent(id, bytes, unreadSince);
+  return clientSessions_.onReceived(id, bytes, unreadSince);
 }
 
 void Gateway::clientHalfClosed(Instant now, ClientId id) {
   transactions_.advanceTo(now);
-  clientSessions_.sendsNoMore(id);
+  clientSessions_.onHalfClosed(id);
 }
 
 void Gateway::clientClosed(Instant now, ClientId id, ConnectionCloseReason) {
   transactions_.advanceTo(now);
-  clientSessions_.ended(id);
+  clientSessions_.onClosed(id);
 }
 
 void Gateway::rejectClient(Instant now, ClientId id) {
   transactions_.advanceTo(now);
-  clientSessions_.refuse(id);
+  clientSessions_.reject(id);
 }
 
 void Gateway::nodeConnected(Instant now, NodeConnectionId id) {
@@ -82,7 +82,7 @@
                              std::uint64_t version) {
   transactions_.advanceTo(now);
   transactions_.onEndpointList(kind, std::move(list), version);
-  if (!transactions_.endpoints().all().empty()) clientSessions_.listKnown();
+  if (!transactions_.endpoints().all().empty()) clientSessions_.onEndpointListKnown();
 }
 
 void Gateway::onEndpointListFailed(Instant now) {
@@ -158,7 +158,7 @@
     for (Component* component : components_) component->stop();
   }
   // In each turn, for clients that had just come and have sent nothing since.
-  clientSessions_.closeIdleAtEnd();
+  clientSessions_.closeIdleAtShutDown();
 }
 
 Instant Gateway::nextDue(Instant transactionsDue) const {
--- a/tests/ext_proc.cpp
+++ b/tests/ext_proc.cpp
@@ -613,7 +613,7 @@
       all.push_back({entry, addressOf(id)});
     }
     ledger.onEndpointList(EndpointUpdateKind::snapshot, all);
-    clients.listKnown();
+    clients.onEndpointListKnown();
     std::knuth_b chance(5);
     std::map<std::uint64_t, Instant> open;  // by txn, and when its node answers
     std::map<std::uint64_t, std::size_t> typeOf;
@@ -666,18 +666,18 @@
           if (type == 2) headers.push_back({"x-txn-write-age-ms", age});
           streams.message(txn, wire::request({Phase::requestHeaders, headers, false}));
         } else {
-          clients.opened(txn);
-          clients.sent(txn, postgres::startup("u", "d"));
+          clients.onOpened(txn);
+          clients.onReceived(txn, postgres::startup("u", "d"));
           const std::string key = "k" + std::to_string(txn % 5);
           const std::string note = " /* id=" + id + ",c=" + kTypes[type] + ",d=900,cluster=1";
           const auto after = now.inMicros() / 1000 - std::stoll(age);
-          clients.sent(txn,
-                       postgres::message(
-                           'Q', (type == 3 ? "INSERT INTO objects (oid, body) VALUES ('" + key +
-                                                 "', '\\x9f') RETURNING body" + note
-                                           : "SELECT body FROM objects WHERE oid = '" + key + "'" + note +
-                                                 (type == 2 ? ",after=" + std::to_string(after) : "")) +
-                                    " */" + '\0'));
+          clients.onReceived(
+              txn, postgres::message(
+                       'Q', (type == 3 ? "INSERT INTO objects (oid, body) VALUES ('" + key +
+                                             "', '\\x9f') RETURNING body" + note
+                                       : "SELECT body FROM objects WHERE oid = '" + key + "'" + note +
+                                             (type == 2 ? ",after=" + std::to_string(after) : "")) +
+                                " */" + '\0'));
         }
         open[txn] = now + ms(10 + static_cast<std::int64_t>(chance() % 60));
       }
