--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -47,21 +47,21 @@
   setup.workFolder = work.text("folder", "");
   setup.announceFile = work.text("announce_file", "");
   maintenance::Bounds& bounds = setup.work;
-  bounds.discoveryIsTold = !setup.announceFile.empty();
+  bounds.notifiesDiscovery = !setup.announceFile.empty();
   const auto few = [&](const char* key, unsigned otherwise) {
     return static_cast<unsigned>(work.whole(key, otherwise, 1, 100));
   };
-  bounds.outOfGroup = few("out_of_group", bounds.outOfGroup);
-  bounds.atOnce = few("at_once", bounds.atOnce);
-  bounds.routersOut = few("routers_out", bounds.routersOut);
-  bounds.tries = few("tries", bounds.tries);
+  bounds.maxNodesOutPerGroup = few("out_of_group", bounds.maxNodesOutPerGroup);
+  bounds.maxMachinesInProgress = few("at_once", bounds.maxMachinesInProgress);
+  bounds.maxRoutersOut = few("routers_out", bounds.maxRoutersOut);
+  bounds.maxAttempts = few("tries", bounds.maxAttempts);
   constexpr std::int64_t kLongest = 24 * 3'600'000LL;
-  bounds.announce = work.millis("announce_ms", bounds.announce, 1000, kLongest);
-  bounds.leave = work.millis("leave_ms", bounds.leave, 1000, kLongest);
-  bounds.comeBack = work.millis("come_back_ms", bounds.comeBack, 1000, kLongest);
-  bounds.warm = work.millis("warm_ms", bounds.warm, 0, kLongest);
-  bounds.caughtUp = work.millis("caught_up_ms", bounds.caughtUp, 0, kLongest);
-  bounds.rest = work.millis("rest_ms", bounds.rest, 0, kLongest);
+  bounds.announceTimeout = work.millis("announce_ms", bounds.announceTimeout, 1000, kLongest);
+  bounds.drainTimeout = work.millis("leave_ms", bounds.drainTimeout, 1000, kLongest);
+  bounds.returnTimeout = work.millis("come_back_ms", bounds.returnTimeout, 1000, kLongest);
+  bounds.warmUpDuration = work.millis("warm_ms", bounds.warmUpDuration, 0, kLongest);
+  bounds.maxReplicationLag = work.millis("caught_up_ms", bounds.maxReplicationLag, 0, kLongest);
+  bounds.retryDelay = work.millis("rest_ms", bounds.retryDelay, 0, kLongest);
   work.end();
   // Keepers that forgot rely on rounds that end well before they vote again (maintenance/acceptor.h).
   setup.mostRound = std::min(setup.mostRound, setup.votingMember.retention * 0.25);
--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -108,7 +108,7 @@
   }
   Duration longest;
   for (const auto& type : terms.transactionClasses) longest = std::max(longest, type.deadline);
-  setup_.work.fence = maintenance::fenceOf(longest);
+  setup_.work.fenceDuration = maintenance::fenceDurationFor(longest);
   if (!setup_.workFolder.empty()) requests_.emplace(setup_.workFolder);
   Effects& effects = *this;
   grpc_server::CallHandler& receiver = *this;
--- a/src/cluster/maintenance_service.cpp
+++ b/src/cluster/maintenance_service.cpp
@@ -70,7 +70,7 @@
 }
 
 bool MaintenanceService::takeEnd() {
-  const bool ends = known_.isRouterLeaving(place_.name);
+  const bool ends = known_.isRouterDraining(place_.name);
   return ends && !std::exchange(endTold_, ends);
 }
 
@@ -96,7 +96,7 @@
                               const Acceptor::AcceptorReply& answer) {
   if (!round_) return;
   using Kind = Acceptor::AcceptorReply::Kind;
-  if (answer.kind == Kind::promised) round_->onPromise(now, keeper, answer.ballot, answer.held);
+  if (answer.kind == Kind::promised) round_->onPromise(now, keeper, answer.ballot, answer.accepted);
   if (answer.kind == Kind::accepted) round_->onAccepted(now, keeper, answer.ballot);
   if (answer.kind == Kind::rejected) round_->onRejected(now, answer.ballot, answer.promised);
 }
@@ -112,14 +112,14 @@
 maintenance::FleetState MaintenanceService::factsOf(const MembershipService& membership,
                                                     const RecoveryService& service, bool strained) const {
   maintenance::FleetState facts;
-  facts.isStrained = strained;
+  facts.isDegraded = strained;
   std::map<std::uint64_t, Instant> newest;
   const auto seen = service.firstHand();
   for (const auto& [id, listed] : ledger_.lastEndpointList()) {
     auto& node = facts.nodes[id];
     node.group = listed.entry.group;
-    node.live = listed.entry.health == Health::live;
-    node.primary = listed.entry.primary;
+    node.isLive = listed.entry.health == Health::live;
+    node.isPrimary = listed.entry.primary;
   }
   // Positions as they were when the newest of the group was seen.
   for (const auto& one : seen)
@@ -131,9 +131,10 @@
     const auto at = facts.nodes.find(one.node);
     if (at == facts.nodes.end()) continue;
     maintenance::NodeState& node = at->second;
-    node.serves = node.live && one.age <= maintenance::kServingTimeout;
-    if (one.role != Role::unknown) node.primary = one.role == Role::primary;
-    if (one.position) node.behind = std::max(Duration(), newest[node.group] - (*one.position + one.age));
+    node.isServing = node.isLive && one.age <= maintenance::kServingTimeout;
+    if (one.role != Role::unknown) node.isPrimary = one.role == Role::primary;
+    if (one.position)
+      node.replicationLag = std::max(Duration(), newest[node.group] - (*one.position + one.age));
   }
   const auto& view = membership.view();
   const std::size_t wanted = maintenance::majorityOf(place_.keepers.size());
@@ -143,7 +144,7 @@
     router.isAlive = member.state == MembershipView::State::alive;
     router.wasRemoved = member.left >= wanted;
     router.isSilent = member.silent.size() - member.left >= wanted;
-    router.start = member.incarnation;
+    router.incarnation = member.incarnation;
     router.planVersion = member.progress.planVersion;
     router.drainedVersion = member.progress.drainedVersion;
     router.isVoter = std::find(place_.keepers.begin(), place_.keepers.end(), name) != place_.keepers.end();
@@ -169,7 +170,7 @@
         if (const auto at = facts_.nodes.find(name); at != facts_.nodes.end())
           groups.insert(at->second.group);
   for (const auto& [name, node] : facts_.nodes)
-    if (groups.contains(node.group) && node.live && !known_.excludedNodes().contains(name))
+    if (groups.contains(node.group) && node.isLive && !known_.excludedNodes().contains(name))
       ledger_.requestLoadReport(name);
 }
 
@@ -177,7 +178,7 @@
 void MaintenanceService::change(Instant now, const maintenance::ProposalRound::PreparedValue& found,
                                 std::vector<PeerMessage>& words) {
   proposed_ = {};
-  const maintenance::AcceptedValue& read = found.held;
+  const maintenance::AcceptedValue& read = found.accepted;
   if (!found.isChosen) return words.push_back(AcceptRequest{round_->propose(read.version, read.value)});
   maintenance::Plan plan = maintenance::readPlan(read.value);
   plan.version = read.version.version + 1;
@@ -201,7 +202,7 @@
   foreman_.onChosen();
   lookedAt_ = Instant();  // it is looked at anew by what is settled now
   for (const auto& step : proposed_.steps)
-    log_("work.step", "machine=" + step.machine + " from=" + std::string(maintenance::nameOf(step.from)) +
+    log_("work.step", "machine=" + step.machineName + " from=" + std::string(maintenance::nameOf(step.from)) +
                           " to=" + std::string(maintenance::nameOf(step.to)) +
                           " version=" + std::to_string(proposed_.version) + " why=\"" + step.reason + "\"");
   for (auto& answer : proposed_.answers) {
--- a/src/cluster/maintenance_service.h
+++ b/src/cluster/maintenance_service.h
@@ -58,7 +58,7 @@
   };
   Heard hear(const PeerMessage& word, bool counts);
   std::optional<maintenance::Acceptor::AcceptorReply> wrote(bool durable);
-  std::string text() const { return acceptor_->text(); }
+  std::string text() const { return acceptor_->serialized(); }
   // Kind it has on disk, for whoever beats or greets.
   const maintenance::AcceptedValue& held() const { return acceptor_->accepted(); }
   bool isWhole() const { return acceptor_ && acceptor_->isComplete(); }
--- a/src/cluster/messages.cpp
+++ b/src/cluster/messages.cpp
@@ -66,7 +66,7 @@
   set(*to.mutable_ballot(), answer.ballot);
   set(*to.mutable_promised(), answer.promised);
   if (answer.kind == maintenance::Acceptor::AcceptorReply::Kind::promised)
-    set(*to.mutable_held(), answer.held);
+    set(*to.mutable_held(), answer.accepted);
 }
 maintenance::Acceptor::AcceptorReply read(const wire::AcceptorReply& from) {
   if (from.what() < wire::AcceptorReply::PROMISED || from.what() > wire::AcceptorReply::REFUSED)
--- a/src/maintenance/acceptor.h
+++ b/src/maintenance/acceptor.h
@@ -1,18 +1,20 @@
-// A keeper's part in settling the plan: one register that keepers change together, in rounds. Kind is held by
-// more than half of them is settled; any two such sets share a keeper, so a round that has asked more than
-// half knows what was settled before. No I/O, no clock.
+// A voter's part in agreeing on the maintenance plan: a Paxos acceptor for a single register whose value is
+// replaced by round after round. A value that a majority of the voters has accepted in one round is chosen;
+// any two majorities share a voter, so a round that a majority has promised knows what was chosen before. No
+// I/O, no clock.
 //
-//   state     what it is                                  answers
-//   whole     its disk has all that it ever promised      reads and writes of rounds at or above the highest
-//                                                         that it promised
-//   learning  its disk was lost or is an old copy         writes alone; once one is durable it is whole
+//   state       what it is                               replies to
+//   complete    the disk holds all that it ever          prepare and accept requests with a ballot at or
+//               promised                                 above the highest that it promised
+//   incomplete  the disk was lost or is an old copy      accept requests alone; once one is durable it is
+//                                                        complete
 //
-// An answer comes once what it says is durable. Guards against a keeper that forgot: while it learns it
-// counts in no reading, so what it forgot is read from others; a write brings it what is settled now. That a
-// round which it had promised not to hear comes to it again is ruled out by time: it takes part again only
-// when it votes (idempotency/voting_member.h: after the time of retention), and rounds last a part of that.
-// Hurts where more than half of the disks are lost at once: nothing is settled any more, until operators
-// begin anew.
+// A reply is sent once the state that it reports is durable. Guards against a voter that lost its state:
+// while incomplete it counts in no prepare quorum, so the value that it lost is read from others, and the
+// next accept request brings it the value. That a round which it had promised to reject comes to it again is
+// ruled out by time: it takes part again only once it votes (idempotency/voting_member.h: after the retention
+// time), and rounds last a fraction of that. Limit: where a majority of the disks is lost at once nothing is
+// chosen any more until operators start over.
 #pragma once
 
 #include <deque>
@@ -24,46 +26,50 @@
 
 namespace gulltrestle::maintenance {
 
+// Owned by the maintenance service of a voter, which makes its state durable and delivers its replies.
 class Acceptor {
  public:
-  // `kept`: as text() had it, from the disk; empty: nothing was ever written there. `whole`: whether that is
-  // all that it ever promised.
-  Acceptor(const std::string& kept, bool whole);
+  // `stored`: the last serialized() state on disk; empty: none was ever written. `isComplete`: whether that
+  // includes all that it ever promised.
+  Acceptor(const std::string& stored, bool isComplete);
 
+  // The reply to a prepare or an accept request.
   struct AcceptorReply {
     enum class Kind { promised, accepted, rejected } kind = Kind::rejected;
-    Ballot ballot;       // the round's
-    Ballot promised;     // refused: the highest that was promised here
-    AcceptedValue held;  // promised: what is held here
+    Ballot ballot;           // of the request
+    Ballot promised;         // rejected: the highest ballot that was promised here
+    AcceptedValue accepted;  // promised: the value that was accepted here last
   };
-  // A round reads. `true`: the answer comes by wrote(); false: there is none, or `refused` tells why.
-  bool prepare(const Ballot& ballot, std::optional<AcceptorReply>& refused);
-  // A round writes.
-  bool accept(const AcceptedValue& held, std::optional<AcceptorReply>& refused);
-  // The disk has all up to the oldest change that was not told yet. The answer to what asked for it; none
-  // where it failed: whoever asked begins another round.
+
+  // Phase 1. True: serialized() is to be made durable, and onWritten() returns the reply. False: either
+  // `rejection` is the reply, to be sent at once, or there is none.
+  bool prepare(const Ballot& ballot, std::optional<AcceptorReply>& rejection);
+  // Phase 2; returns as prepare() does.
+  bool accept(const AcceptedValue& proposed, std::optional<AcceptorReply>& rejection);
+  // The oldest write that has not been reported yet is durable, or has failed. Returns the reply to the
+  // request behind it; none where it failed: the proposer begins another round.
   std::optional<AcceptorReply> onWritten(bool durable);
 
-  // Its disk is not what it was taken for.
-  void markIncomplete() { whole_ = durablyWhole_ = false; }
-  // On disk, too: what it tells routers counts.
-  bool isComplete() const { return durablyWhole_; }
-  // Kind is held, durable.
-  const AcceptedValue& accepted() const { return durable_; }
-  // For the disk: all of it, as it is to be from now on.
-  std::string text() const;
+  // The disk turned out not to hold all that this voter ever promised.
+  void markIncomplete() { isComplete_ = isDurablyComplete_ = false; }
+  // Whether it is complete by what is durable: only then heartbeat replies of this voter make a lease.
+  bool isComplete() const { return isDurablyComplete_; }
+  // The accepted value that is durable.
+  const AcceptedValue& accepted() const { return durableValue_; }
+  // The state to be stored, with all requests up to now.
+  std::string serialized() const;
 
  private:
-  struct Waiting {
-    AcceptorReply answer;
-    AcceptedValue held;
+  struct PendingWrite {
+    AcceptorReply reply;
+    AcceptedValue accepted;  // the accepted value with that write
   };
-  void wait(AcceptorReply answer);
+  void replyWhenDurable(AcceptorReply reply);
 
-  bool whole_, durablyWhole_;
+  bool isComplete_, isDurablyComplete_;
   Ballot promised_;
-  AcceptedValue held_, durable_;
-  std::deque<Waiting> waiting_;
+  AcceptedValue accepted_, durableValue_;
+  std::deque<PendingWrite> pendingWrites_;  // in the order of the writes
 };
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/fleet_state.h
+++ b/src/maintenance/fleet_state.h
@@ -1,5 +1,5 @@
-// Kind the keeper that carries the plan on knows of the fleet, as its own reducer gathers it. No I/O, no
-// clock.
+// What the maintenance leader knows of the fleet: the state of each node and router as its own router
+// observes them, and the limits that maintenance has to keep to. Plain values: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,52 +10,62 @@
 
 namespace gulltrestle::maintenance {
 
-// A node that said nothing for so long does not serve; where there is work in its group it is asked that
-// often.
-constexpr Duration kServingTimeout = Duration::millis(5000), kReportInterval = Duration::millis(1000);
+// A node whose last load report is older than this does not count as serving.
+constexpr Duration kServingTimeout = Duration::millis(5000);
+// How often load reports are requested from nodes of groups with maintenance.
+constexpr Duration kReportInterval = Duration::millis(1000);
 
+// One database node.
 struct NodeState {
   std::uint64_t group = 0;
   std::string zone;
-  bool live = false;     // the list says so
-  bool serves = false;   // and it answered within kHeard
-  bool primary = false;  // by its own word, or by the list while it says nothing
-  Duration behind;       // of the newest position that its group is known to have reached
+  bool isLive = false;      // by the endpoint list
+  bool isServing = false;   // live, and it has reported within kServingTimeout
+  bool isPrimary = false;   // by its own load report, or by the endpoint list while it sends none
+  Duration replicationLag;  // behind the newest position that its group is known to have reached
 };
+
+// One router, as the voters' failure detectors see it.
 struct RouterState {
-  bool isAlive = false;     // more than half of the keepers hear it
-  bool isSilent = false;    // more than half do not: it has no lease
-  bool wasRemoved = false;  // an operator took it off the list: its process has ended
+  bool isAlive = false;     // a majority of the voters receives its heartbeats
+  bool isSilent = false;    // a majority does not: it holds no lease
+  bool wasRemoved = false;  // an operator removed it from the member list: its process has ended
   bool isVoter = false;
-  std::uint64_t start = 0;  // by which it speaks
-  // By its own word: the version of the plan that it keeps to; and that by which nothing of it is out at
-  // nodes that leave.
+  std::uint64_t incarnation = 0;  // the one that has joined
+  // By its own heartbeats: the plan version that it obeys, and the version up to which it has no attempt in
+  // flight at excluded nodes.
   std::uint64_t planVersion = 0, drainedVersion = 0;
 };
+
+// All nodes of the endpoint list, and all routers: members, and those that were removed.
 struct FleetState {
   std::map<std::string, NodeState> nodes;
-  std::map<std::string, RouterState> routers;  // all that belong, and those that left
-  bool isStrained = false;                     // service is reduced, or has not returned yet
+  std::map<std::string, RouterState> routers;
+  bool isDegraded = false;  // a degradation level is in force, or recovery has not finished
 };
 
-// From when a router lost its lease until nothing of it can be out: the longest deadline of a txn type, and
-// how old what is heard of it may be. Reports come each second, and a stream that answers no beat ends after
-// three.
-constexpr Duration fenceOf(Duration longestDeadline) { return longestDeadline + Duration::millis(5'000); }
+// How long after a router lost its lease an attempt of it may still be in flight: the longest deadline of a
+// transaction class, and the age of the last heartbeat reply. Replies come once a second, and a stream that
+// answers no heartbeat ends after three.
+constexpr Duration fenceDurationFor(Duration longestDeadline) {
+  return longestDeadline + Duration::millis(5'000);
+}
 
+// Limits and timeouts of maintenance, from the configuration.
 struct Bounds {
-  unsigned outOfGroup = 1;  // nodes of a group that may be away at a time, whatever the reason
-  unsigned atOnce = 2;      // machines in work at a time, all in one zone
-  unsigned routersOut = 1;  // routers that may be away at a time, whatever the reason
-  Duration announce = Duration::millis(60'000);   // next: for each router to know; then another try
-  Duration leave = Duration::millis(120'000);     // leaves: until no router can send there
-  Duration comeBack = Duration::millis(300'000);  // returns: until what stands on it serves
-  Duration warm = Duration::millis(10'000);    // that a node that came back serves before the next one goes
-  Duration caughtUp = Duration::millis(1000);  // behind its group, at most
-  bool discoveryIsTold = false;                // what is out: no machine is free before the list says so, too
-  unsigned tries = 3;                          // that are given up before the whole is
-  Duration rest = Duration::millis(30'000);    // after one that was given up
-  Duration fence = fenceOf(Duration::millis(5'000));
+  unsigned maxNodesOutPerGroup = 1;                     // unavailable at a time, for whatever reason
+  unsigned maxMachinesInProgress = 2;                   // at a time, all in one zone
+  unsigned maxRoutersOut = 1;                           // unavailable at a time, for whatever reason
+  Duration announceTimeout = Duration::millis(60'000);  // Phase::next, before the attempt is abandoned
+  Duration drainTimeout = Duration::millis(120'000);    // Phase::draining, likewise
+  Duration returnTimeout = Duration::millis(300'000);   // Phase::returning, likewise
+  // How long a machine that returned has to serve before it counts as finished.
+  Duration warmUpDuration = Duration::millis(10'000);
+  Duration maxReplicationLag = Duration::millis(1000);  // of a node that counts as having returned
+  bool notifiesDiscovery = false;  // a machine is released only once the endpoint list shows it draining
+  unsigned maxAttempts = 3;        // abandoned ones, after which the machine is finished without success
+  Duration retryDelay = Duration::millis(30'000);  // after an abandoned attempt
+  Duration fenceDuration = fenceDurationFor(Duration::millis(5'000));
 };
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/lease.h
+++ b/src/maintenance/lease.h
@@ -1,11 +1,12 @@
-// Until when a router may send to machines whose turn is next: while more than half of the keepers have
-// answered it lately. No I/O, no clock.
+// A router's lease on nodes whose maintenance is next: it may send to them for as long as a majority of the
+// voters has lately answered its heartbeats. No I/O, no clock.
 //
-// Counted from when the word was said that was answered: whatever was settled before that moment, one of
-// those that answered held it, and told it ahead of its answer. A keeper counts a router as silent after
-// membership::FailureDetector::kSilence, by its own running clock, from when it heard the word: later than it
-// was said, and half a second more than a lease lasts, which is what two running clocks may differ in that
-// time. So once more than half call a router silent it has no lease.
+// The lease counts from when the answered heartbeat was sent: of whatever plan was chosen before that moment,
+// one of the voters that answered had accepted it, and reported it ahead of its answer. A voter takes a
+// router for silent after membership::FailureDetector::kSilence, by its own monotonic clock, from when it
+// received the heartbeat: that is after it was sent, and the timeout is half a second longer than a lease,
+// more than two clocks drift apart in that time. So once a majority takes a router for silent, that router
+// holds no lease.
 #pragma once
 
 #include <algorithm>
@@ -19,44 +20,50 @@
 
 namespace gulltrestle::maintenance {
 
+// Each router has one, fed by the heartbeats that it sends and the replies of voters that count.
 class Lease {
  public:
-  // Below membership::FailureDetector::kSilence, above what two lost words take.
+  // Below membership::FailureDetector::kSilence, above the time that two lost heartbeats take.
   static constexpr Duration kDuration = Duration::millis(3000);
 
-  explicit Lease(std::size_t keepers) : keepers_(keepers) {}
+  explicit Lease(std::size_t voters) : voters_(voters) {}
 
-  // A word of that number went to the keeper, and will be answered by its number.
-  void onHeartbeatSent(Instant now, VoterIndex keeper, std::uint64_t number) {
-    auto& out = out_[keeper];
-    out.emplace_back(number, now);
-    // Those before are not answered any more: a lease that old is over.
-    if (out.size() > kMostOut) out.pop_front();
+  // `number`: identifies the heartbeat; the reply carries it. Numbers grow.
+  void onHeartbeatSent(Instant now, VoterIndex voter, std::uint64_t number) {
+    auto& unanswered = unanswered_[voter];
+    unanswered.push_back({number, now});
+    // An older one is of no use: a lease counted from then has expired.
+    if (unanswered.size() > kMaxUnanswered) unanswered.pop_front();
   }
-  void onHeartbeatReply(VoterIndex keeper, std::uint64_t number) {
-    auto& out = out_[keeper];
-    while (!out.empty() && out.front().first <= number) {
-      if (out.front().first == number) at_[keeper] = out.front().second;
-      out.pop_front();
+  void onHeartbeatReply(VoterIndex voter, std::uint64_t number) {
+    auto& unanswered = unanswered_[voter];
+    while (!unanswered.empty() && unanswered.front().number <= number) {
+      if (unanswered.front().number == number) lastAnswered_[voter] = unanswered.front().sentAt;
+      unanswered.pop_front();
     }
   }
-  // Kind is out on a stream that ended is not answered.
-  void onVoterLost(VoterIndex keeper) { out_.erase(keeper); }
+  // Heartbeats on a stream that ended are not answered any more.
+  void onVoterLost(VoterIndex voter) { unanswered_.erase(voter); }
 
-  // Never: it has had none yet.
+  // When the lease expires or has expired; never: there was none yet.
   Instant until() const {
-    if (at_.size() < majorityOf(keepers_)) return Instant();
-    std::vector<Instant> all;
-    for (const auto& [keeper, at] : at_) all.push_back(at);
-    std::sort(all.begin(), all.end(), std::greater<>());
-    return all[majorityOf(keepers_) - 1] + kDuration;
+    if (lastAnswered_.size() < majorityOf(voters_)) return Instant();
+    std::vector<Instant> newestFirst;
+    for (const auto& [voter, sentAt] : lastAnswered_) newestFirst.push_back(sentAt);
+    std::sort(newestFirst.begin(), newestFirst.end(), std::greater<>());
+    return newestFirst[majorityOf(voters_) - 1] + kDuration;
   }
 
  private:
-  static constexpr std::size_t kMostOut = 8;
-  std::size_t keepers_;
-  std::map<VoterIndex, std::deque<std::pair<std::uint64_t, Instant>>> out_;
-  std::map<VoterIndex, Instant> at_;
+  struct SentHeartbeat {
+    std::uint64_t number = 0;
+    Instant sentAt;
+  };
+  // At one heartbeat a second, more than fit into kDuration.
+  static constexpr std::size_t kMaxUnanswered = 8;
+  std::size_t voters_;
+  std::map<VoterIndex, std::deque<SentHeartbeat>> unanswered_;
+  std::map<VoterIndex, Instant> lastAnswered_;  // when the last heartbeat that was answered was sent
 };
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/maintenance_leader.h
+++ b/src/maintenance/maintenance_leader.h
@@ -1,21 +1,23 @@
-// How the plan goes on, step by step: who has to say what before a machine goes from one phase to the next,
-// and when that is given up. One keeper carries it on at a time, the foreman; each change is settled as a
-// whole (maintenance/proposal_round.h), so two that both believe to be it do no harm. No I/O, no clock.
+// How the maintenance plan advances: what has to hold before a machine goes from one phase to the next, and
+// when that is abandoned. One voter at a time is the leader; each change is chosen as a whole
+// (maintenance/proposal_round.h), so two voters that both believe that they lead do no harm. No I/O, no
+// clock.
 //
-// A machine is told free once each router that belongs, and each that left the list lately, has either
-//   - said, by the start that speaks now, that it keeps to the plan and that nothing of it is out there; a
-//     start that is new since this keeper looked first counts only after the fence, as the one before it may
-//     still have had something out; or
-//   - had no lease for the time of the fence: it knew, as all did before the machine came to `leaves`, that
+// A machine is released once each router that is a member, or was removed lately, has either
+//   - reported, by its current incarnation, that it obeys the plan and has no attempt in flight there. An
+//     incarnation that this voter has seen begin counts only after the fence duration, since the one before
+//     it may still have had attempts in flight; or
+//   - had no lease for the fence duration: it knew, as all routers did before the machine was draining, that
 //     it may send there with a lease alone.
-// Where discovery is told what is out, its list has to say so as well, for a router that starts and has heard
-// no keeper yet.
-// Guards against routers that are cut off, stand still or died. Hurts where a router is silent before it
-// knew: the machine waits until it is back, or an operator takes it off the list.
+// Where discovery is notified of excluded nodes, the endpoint list has to show them as draining as well, for
+// a router that starts and has reached no voter yet.
+// Guards against routers that are partitioned, stall or crash. Limit: where a router is silent before it has
+// acknowledged the plan, the machine waits until it is back, or an operator removes it from the member list.
 #pragma once
 
 #include <functional>
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -25,64 +27,77 @@
 
 namespace gulltrestle::maintenance {
 
-struct PhaseTransition {
-  std::string machine;
-  Phase from = Phase::waiting, to = Phase::waiting;
-  std::string reason;
-};
-
+// Each voter has one; it acts while shouldLead() says so. All calls take the chosen plan and the fleet's
+// state as this voter knows them.
 class MaintenanceLeader {
  public:
   explicit MaintenanceLeader(Bounds bounds) : bounds_(bounds) {}
 
-  // Kind is seen, each turn, also by keepers that are not the foreman: whoever takes over has seen it for a
-  // while. `plan` is what is settled.
-  void observe(Instant now, const Plan& plan, const FleetState& facts);
-  // Changes the plan by all that has come due. Kind it was called with last by see() holds.
-  std::vector<PhaseTransition> advance(Instant now, Plan& plan, const FleetState& facts);
-  // Whether advance() would change it.
-  bool isDue(Instant now, const Plan& plan, const FleetState& facts);
-  // Kind a machine waits for, in words; empty: for nothing that can be told.
+  // Records since when each router and machine is in its state. Called each turn, also while this voter does
+  // not lead: whoever takes over has observed the fleet for a while.
+  void observe(Instant now, const Plan& plan, const FleetState& fleet);
+  // Applies all phase transitions that are due to the plan, by what observe() was called with last.
+  std::vector<PhaseTransition> advance(Instant now, Plan& plan, const FleetState& fleet);
+  // Whether advance() would change the plan.
+  bool isDue(Instant now, const Plan& plan, const FleetState& fleet);
+  // What a machine waits for, for operators; empty: nothing that could be named.
   std::string waitingFor(Instant now, const Plan& plan, const Machine& machine,
-                         const FleetState& facts) const;
-  // Whether this keeper begins rounds for what is due, each time it is looked at: the first keeper that lives
-  // does, and where nothing happens for a while the next one beside it, then the next. `before`: keepers
-  // ahead of it that live. Guards against one that lives for others and reaches nobody; may cost a round.
-  bool shouldLead(Instant now, bool isDue, std::size_t before);
-  // Something was settled: what is due from here on is due anew.
+                         const FleetState& fleet) const;
+  // Whether this voter begins rounds for what is due: the first voter that is alive does, and while nothing
+  // is chosen for kTakeoverDelay the next one does as well, then the one after it. `aliveAhead`: voters ahead
+  // of this one that are alive. Guards against a leader that others hear but that reaches nobody; costs a
+  // superfluous round at most.
+  bool shouldLead(Instant now, bool isDue, std::size_t aliveAhead);
+  // A value was chosen: the takeover delay begins anew.
   void onChosen() { dueSince_ = Instant(); }
   const Bounds& bounds() const { return bounds_; }
 
  private:
-  struct SeenRouter {
-    std::uint64_t start = 0;
-    Instant startAt, silentAt, leftAt;  // since when; never: it is not
+  // Since when something holds; never: it does not.
+  struct ObservedRouter {
+    std::uint64_t incarnation = 0;
+    Instant incarnationSince, silentSince, removedSince;
   };
-  struct SeenMachine {
-    std::uint64_t since = 0;
+  struct ObservedMachine {
+    std::uint64_t phaseVersion = 0;
     Phase phase = Phase::waiting;
-    Instant at, servesAt;  // since when it is in its phase; since when all that stands on it serves
-    Instant askedAt;
+    Instant phaseSince, servingSince;
+    Instant requestedSince;
   };
-  // Routers that have yet to know, or to be out of the way.
-  std::vector<std::string> unknowing(Instant now, const Plan& plan, const Machine& machine,
-                                     const FleetState& facts) const;
-  std::vector<std::string> inTheWay(Instant now, const Machine& machine, const FleetState& facts) const;
-  bool serves(const Machine& machine, const FleetState& facts) const;
-  bool isListed(const Machine& machine, const FleetState& facts) const;  // as live, where that matters
-  bool fenced(Instant now, Instant since) const { return since != Instant() && now - since >= bounds_.fence; }
+  void observeRouter(Instant now, const RouterState& router, ObservedRouter& observed) const;
+  void observeMachine(Instant now, const Machine& machine, const FleetState& fleet,
+                      ObservedMachine& observed) const;
+  // Null: the machine has not been observed in its present phase yet.
+  const ObservedMachine* observedInPhase(const Machine& machine) const;
+
+  // The transition out of each phase; none: it is not due.
+  std::optional<PhaseTransition> advanceNext(Instant now, const Plan& plan, Machine& machine,
+                                             const FleetState& fleet) const;
+  std::optional<PhaseTransition> advanceDraining(Instant now, const Plan& plan, Machine& machine,
+                                                 const FleetState& fleet) const;
+  std::optional<PhaseTransition> advanceReturning(Instant now, const Plan& plan, Machine& machine) const;
+  std::vector<PhaseTransition> scheduleWaiting(Instant now, Plan& plan, const FleetState& fleet) const;
+  // Back to waiting for another attempt, or finished where there were too many.
+  PhaseTransition abandonAttempt(const Plan& plan, Machine& machine, const std::string& reason) const;
+
+  // Routers that have not acknowledged the machine's phase, and that may still send to it.
+  std::vector<std::string> unnotifiedRouters(Instant now, const Plan& plan, const Machine& machine,
+                                             const FleetState& fleet) const;
+  std::vector<std::string> undrainedRouters(Instant now, const Machine& machine,
+                                            const FleetState& fleet) const;
+  // Whether all that runs on the machine serves.
+  bool isServing(const Machine& machine, const FleetState& fleet) const;
+  // Whether the endpoint list still shows a node of the machine as live, where that is waited for.
+  bool isListedLive(const Machine& machine, const FleetState& fleet) const;
+  // Whether the fence duration is over.
+  bool isFenced(Instant now, Instant since) const {
+    return since != Instant() && now - since >= bounds_.fenceDuration;
+  }
 
   Bounds bounds_;
-  Instant seenAt_, dueSince_;
-  std::map<std::string, SeenRouter> routers_;
-  std::map<std::string, SeenMachine> machines_;
+  Instant observedAt_, dueSince_;
+  std::map<std::string, ObservedRouter> routers_;
+  std::map<std::string, ObservedMachine> machines_;
 };
 
-// Operators' words, as they change the plan. Empty: done; else why not.
-// `request` names the request: one that was carried out already changes nothing, and is done.
-std::string ask(Plan& plan, const std::string& request, const std::vector<Machine>& machines,
-                const FleetState& facts, const Bounds& bounds);
-std::string stop(Plan& plan, const std::string& request, const std::string& machine, const std::string& by);
-std::string done(Plan& plan, const std::string& request, const std::string& machine, const std::string& by);
-
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/maintenance_plan.cpp
+++ b/src/maintenance/maintenance_plan.cpp
@@ -10,69 +10,87 @@
 
 namespace {
 
-constexpr std::string_view kPhases[] = {"waits", "next", "leaves", "free", "returns", "over"};
+// In the order of the enum. Stored plans, logs and status documents have these names.
+constexpr std::string_view kPhaseNames[] = {"waits", "next", "leaves", "free", "returns", "over"};
+
+// A plan of many machines has to fit a message between routers.
+constexpr std::size_t kMaxReasonLength = 160;
+
+Json encodedMachine(const Machine& machine) {
+  return {{"name", machine.name},
+          {"zone", machine.zone},
+          {"nodes", machine.nodes},
+          {"routers", machine.routers},
+          {"takes_us", machine.expectedDuration.inMicros()},
+          {"within_us", machine.wantedWithin.inMicros()},
+          {"order", machine.request},
+          {"by", machine.requestedBy},
+          {"phase", nameOf(machine.phase)},
+          {"since", machine.phaseVersion},
+          {"tries", machine.attempts},
+          {"why", machine.reason}};
+}
+
+Machine readMachine(const Json& object) {
+  Machine machine;
+  machine.name = object.at("name");
+  machine.zone = object.at("zone");
+  machine.nodes = object.at("nodes").get<std::vector<std::string>>();
+  machine.routers = object.at("routers").get<std::vector<std::string>>();
+  machine.expectedDuration = Duration::micros(object.at("takes_us"));
+  machine.wantedWithin = Duration::micros(object.at("within_us"));
+  machine.request = object.at("order");
+  machine.requestedBy = object.at("by");
+  if (!parsePhase(object.at("phase").get<std::string>(), machine.phase)) throw std::runtime_error("a phase");
+  machine.phaseVersion = object.at("since");
+  machine.attempts = object.at("tries");
+  machine.reason = object.at("why");
+  return machine;
+}
 
 }  // namespace
 
-std::string_view nameOf(Phase phase) { return kPhases[static_cast<int>(phase)]; }
+std::string_view nameOf(Phase phase) { return kPhaseNames[static_cast<int>(phase)]; }
 
-bool phaseNamed(std::string_view name, Phase& phase) {
-  const auto at = std::find(std::begin(kPhases), std::end(kPhases), name);
-  if (at == std::end(kPhases)) return false;
-  phase = static_cast<Phase>(at - std::begin(kPhases));
+bool parsePhase(std::string_view name, Phase& phase) {
+  const auto found = std::find(std::begin(kPhaseNames), std::end(kPhaseNames), name);
+  if (found == std::end(kPhaseNames)) return false;
+  phase = static_cast<Phase>(found - std::begin(kPhaseNames));
   return true;
 }
 
 const Machine* Plan::find(const std::string& machine) const {
-  const auto at =
-      std::find_if(machines.begin(), machines.end(), [&](const auto& one) { return one.name == machine; });
-  return at == machines.end() ? nullptr : &*at;
+  const auto found = std::find_if(machines.begin(), machines.end(),
+                                  [&](const Machine& candidate) { return candidate.name == machine; });
+  return found == machines.end() ? nullptr : &*found;
 }
 Machine* Plan::find(const std::string& machine) {
   return const_cast<Machine*>(std::as_const(*this).find(machine));
 }
 
+PhaseTransition moveToPhase(const Plan& plan, Machine& machine, Phase to, std::string reason) {
+  if (reason.size() > kMaxReasonLength) reason.resize(kMaxReasonLength);
+  PhaseTransition transition{machine.name, machine.phase, to, reason};
+  machine.phase = to;
+  machine.phaseVersion = plan.version;
+  machine.reason = std::move(reason);
+  return transition;
+}
+
 std::string encoded(const Plan& plan) {
-  Json all{{"version", plan.version}, {"taken", plan.appliedRequests}, {"machines", Json::array()}};
-  for (const auto& m : plan.machines)
-    all["machines"].push_back({{"name", m.name},
-                               {"zone", m.zone},
-                               {"nodes", m.nodes},
-                               {"routers", m.routers},
-                               {"takes_us", m.expectedDuration.inMicros()},
-                               {"within_us", m.wantedWithin.inMicros()},
-                               {"order", m.request},
-                               {"by", m.requestedBy},
-                               {"phase", nameOf(m.phase)},
-                               {"since", m.since},
-                               {"tries", m.attempts},
-                               {"why", m.reason}});
-  return all.dump(-1, ' ', false, Json::error_handler_t::replace);
+  Json object{{"version", plan.version}, {"taken", plan.appliedRequests}, {"machines", Json::array()}};
+  for (const Machine& machine : plan.machines) object["machines"].push_back(encodedMachine(machine));
+  return object.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 Plan readPlan(const std::string& text) {
   Plan plan;
   if (text.empty()) return plan;
   try {
-    const Json all = Json::parse(text);
-    plan.version = all.at("version");
-    plan.appliedRequests = all.at("taken").get<std::vector<std::string>>();
-    for (const auto& one : all.at("machines")) {
-      Machine m;
-      m.name = one.at("name");
-      m.zone = one.at("zone");
-      m.nodes = one.at("nodes").get<std::vector<std::string>>();
-      m.routers = one.at("routers").get<std::vector<std::string>>();
-      m.expectedDuration = Duration::micros(one.at("takes_us"));
-      m.wantedWithin = Duration::micros(one.at("within_us"));
-      m.request = one.at("order");
-      m.requestedBy = one.at("by");
-      if (!phaseNamed(one.at("phase").get<std::string>(), m.phase)) throw std::runtime_error("a phase");
-      m.since = one.at("since");
-      m.attempts = one.at("tries");
-      m.reason = one.at("why");
-      plan.machines.push_back(std::move(m));
-    }
+    const Json object = Json::parse(text);
+    plan.version = object.at("version");
+    plan.appliedRequests = object.at("taken").get<std::vector<std::string>>();
+    for (const Json& machine : object.at("machines")) plan.machines.push_back(readMachine(machine));
   } catch (const std::exception& bad) { throw std::runtime_error(std::string("no plan: ") + bad.what()); }
   return plan;
 }
--- a/src/maintenance/maintenance_plan.h
+++ b/src/maintenance/maintenance_plan.h
@@ -1,4 +1,5 @@
-// The words of work on machines: what operators ask for, and how far the routers have settled it.
+// The replicated maintenance plan: which machines operators want to take out of service, and how far each of
+// them has got. Also the vocabulary of the consensus protocol by which voters agree on it.
 #pragma once
 
 #include <cstddef>
@@ -12,68 +13,89 @@
 
 namespace gulltrestle::maintenance {
 
-using VoterIndex = std::size_t;  // row in the list of keepers
+using VoterIndex = std::size_t;  // position in the configured list of voters
 
-// Of one round in which a keeper changes what is settled. A higher one wins; drawn, too, so that no two
-// keepers have the same.
+// Orders proposal rounds: a higher one wins. The random draw keeps the ballots of two voters apart.
 struct Ballot {
   std::uint64_t number = 0, draw = 0;
   auto operator<=>(const Ballot&) const = default;
 };
-// Names one value that was written: the same for as long as it is handed on, whatever the round.
+
+// Identifies one proposed value: it stays the same when later rounds propose that value again.
 struct ValueVersion {
-  std::uint64_t version = 0, draw = 0;  // the version only grows; 0: nothing was ever written
+  std::uint64_t version = 0, draw = 0;  // the version only grows; 0: nothing was ever accepted
   auto operator<=>(const ValueVersion&) const = default;
 };
-struct AcceptedValue {  // by one keeper, durable there
+
+// A value that one voter has accepted, with the ballot of the round that proposed it.
+struct AcceptedValue {
   Ballot ballot;
   ValueVersion version;
   std::string value;
   bool operator==(const AcceptedValue&) const = default;
 };
 
-// More than half.
-constexpr std::size_t majorityOf(std::size_t keepers) { return keepers / 2 + 1; }
+// The size of a quorum: more than half.
+constexpr std::size_t majorityOf(std::size_t voters) { return voters / 2 + 1; }
 
-// How far the work on one machine is:
+// The phase of one machine:
 //
-//   phase    what routers do                         goes to
-//   waits    as ever                                 next: its turn has come by the order
-//   next     they know of it, and send there only    leaves: each has said that it knows; waits: one does
-//            while they have a lease                 not in time, or its group has lost another node
-//   leaves   nothing new goes there                  free: no router can send there; waits: as above
-//   free     nothing; the machine is its             returns: an operator says that the work is done
-//            operators'
-//   returns  as ever                                 over: what stands on it serves as before
-//   over     as ever                                 forgotten after a while
+//   phase      what routers do                      goes to
+//   waiting    serve as usual                       next: it was scheduled
+//   next       send there only while they hold a    draining: every router has acknowledged the plan;
+//              lease                                waiting: one does not in time, or its group has lost
+//                                                   another node
+//   draining   send nothing new there               released: no router can send there; waiting: as above
+//   released   nothing; operators own the machine   returning: an operator says that the work is done
+//   returning  serve as usual                       finished: what runs on it serves as before
+//   finished   serve as usual                       deleted once many newer ones are finished
 //
-// An operator's stop takes one that waits, is next or leaves to over, and one that is free to returns.
+// An operator's stop request moves a machine from waiting, next or draining to finished, and from released
+// to returning.
 enum class Phase { waiting, next, draining, released, returning, finished };
+
+// The phase's name in stored plans, logs and status documents, and back; false: no phase has that name.
 std::string_view nameOf(Phase phase);
-bool phaseNamed(std::string_view name, Phase& phase);
+bool parsePhase(std::string_view name, Phase& phase);
 
+// One machine of the plan.
 struct Machine {
   std::string name, zone;
-  std::vector<std::string> nodes, routers;  // that stand on it
+  std::vector<std::string> nodes, routers;  // that run on it
   Duration expectedDuration;                // how long the work is expected to take
-  Duration wantedWithin;                    // of being asked for it is wanted; none: no matter when
-  std::string request, requestedBy;         // the request, and who asked
+  Duration wantedWithin;  // of being requested, by when the work should be done; zero: no matter when
+  std::string request, requestedBy;  // the id of the request, and the operator
   Phase phase = Phase::waiting;
-  std::uint64_t since = 0;  // the version in which it came to its phase
-  unsigned attempts = 0;    // that were given up
-  std::string reason;       // it came to its phase
+  std::uint64_t phaseVersion = 0;  // the plan version in which it entered its phase
+  unsigned attempts = 0;           // that were abandoned
+  std::string reason;              // why it entered its phase
 };
 
-// Kind is settled.
+// The whole plan, as one value that voters agree on.
 struct Plan {
   std::uint64_t version = 0;
   std::vector<Machine> machines;
-  std::vector<std::string> appliedRequests;  // requests that were carried out, the newest last
+  std::vector<std::string> appliedRequests;  // ids, the newest last: repeated requests are recognised by them
+  // Null: the plan has no machine of that name.
   const Machine* find(const std::string& machine) const;
   Machine* find(const std::string& machine);
 };
 
-// As text (a JSON object), and back. Throws std::runtime_error where it is none.
+// The reason of a machine that was requested and has not been attempted yet.
+constexpr std::string_view kRequestedReason = "asked";
+
+// A change of one machine's phase, as it is logged once it is chosen.
+struct PhaseTransition {
+  std::string machineName;
+  Phase from = Phase::waiting, to = Phase::waiting;
+  std::string reason;
+};
+
+// Moves a machine of the plan to a phase, as of the plan's version. Long reasons are truncated.
+PhaseTransition moveToPhase(const Plan& plan, Machine& machine, Phase to, std::string reason);
+
+// The plan as text (a JSON object), and back. Empty text is the empty plan; readPlan throws
+// std::runtime_error where the text is no plan.
 std::string encoded(const Plan& plan);
 Plan readPlan(const std::string& text);
 
--- a/src/maintenance/operator_requests.h
+++ b/src/maintenance/operator_requests.h
@@ -1,4 +1,5 @@
-// Requests of operators, as text: a JSON object that is checked key by key.
+// Operators' requests to plan, stop or complete maintenance, as text: a JSON object that is validated key by
+// key.
 #pragma once
 
 #include <stdexcept>
@@ -11,25 +12,35 @@
 
 namespace gulltrestle::maintenance {
 
-// Names the key that is wrong.
+// A request that is no valid one; the text names the key at fault.
 class InvalidRequest : public std::runtime_error {
  public:
-  InvalidRequest(const std::string& key, const std::string& what) : std::runtime_error(key + ": " + what) {}
+  InvalidRequest(const std::string& key, const std::string& fault) : std::runtime_error(key + ": " + fault) {}
 };
 
+// One request, as the command line or an operator's file makes it.
 struct OperatorRequest {
   enum class Kind { plan, stop, done } kind = Kind::plan;
-  std::string requestedBy;        // who asks
-  std::vector<Machine> machines;  // ask
-  std::string machine;            // done; stop: empty: all
+  std::string requestedBy;        // the operator
+  std::vector<Machine> machines;  // plan: to be added
+  std::string machine;            // done, stop: which one; stop with an empty name: all of them
 };
 
-// Throws BadAsk. Keys that are not known are faults, too.
+// Throws InvalidRequest. A key that is not known is a fault, too.
 OperatorRequest readOperatorRequest(std::string_view text);
-std::string encoded(const OperatorRequest& ask);
-
-// Carries it out on a plan. Empty: done; else why not.
-std::string applyRequest(Plan& plan, const std::string& request, const OperatorRequest& ask,
-                         const FleetState& facts, const Bounds& bounds);
+std::string encoded(const OperatorRequest& request);
+
+// Applies the request to a plan. `requestId` identifies it: one that was applied before is successful and
+// changes nothing. Returns why it was rejected; empty: it was applied.
+std::string applyRequest(Plan& plan, const std::string& requestId, const OperatorRequest& request,
+                         const FleetState& fleet, const Bounds& bounds);
+
+// The requests of each kind, with applyRequest()'s guarantees.
+std::string addMachines(Plan& plan, const std::string& requestId, const std::vector<Machine>& machines,
+                        const FleetState& fleet, const Bounds& bounds);
+std::string stopMaintenance(Plan& plan, const std::string& requestId, const std::string& machine,
+                            const std::string& requestedBy);
+std::string completeMaintenance(Plan& plan, const std::string& requestId, const std::string& machine,
+                                const std::string& requestedBy);
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/plan_view.cpp
+++ b/src/maintenance/plan_view.cpp
@@ -4,40 +4,50 @@
 
 namespace gulltrestle::maintenance {
 
-bool PlanView::onAccepted(VoterIndex keeper, const AcceptedValue& held) {
-  const auto at = told_.find(keeper);
-  // One that lost its disk holds older things again: what it told before is still true.
-  if (at != told_.end() && held.ballot <= at->second.held.ballot) return false;
-  told_[keeper] = {held, readPlan(held.value)};
-  weigh();
+bool PlanView::onAccepted(VoterIndex voter, const AcceptedValue& accepted) {
+  const auto last = reports_.find(voter);
+  // A voter that lost its disk reports older values again: what it reported before is still true.
+  if (last != reports_.end() && accepted.ballot <= last->second.accepted.ballot) return false;
+  reports_[voter] = {accepted, readPlan(accepted.value)};
+  updateChosen();
+  updateExclusions();
   return true;
 }
 
-void PlanView::weigh() {
-  // By the round, not by what was written: one value in several rounds may be settled in none of them.
+// By the ballot, not by the value: one value proposed in several rounds may be chosen in none of them.
+void PlanView::updateChosen() {
   std::map<Ballot, std::size_t> holders;
-  for (const auto& [keeper, told] : told_) ++holders[told.held.ballot];
-  for (const auto& [keeper, told] : told_) {
-    if (told.held.ballot <= settledBy_ || holders[told.held.ballot] < majorityOf(keepers_)) continue;
-    if (told.plan.version >= settled_.version) settled_ = told.plan;
-    settledBy_ = told.held.ballot;
+  for (const auto& [voter, report] : reports_) ++holders[report.accepted.ballot];
+  for (const auto& [voter, report] : reports_) {
+    const Ballot& ballot = report.accepted.ballot;
+    if (ballot <= chosenBallot_ || holders[ballot] < majorityOf(voters_)) continue;
+    if (report.plan.version >= chosen_.version) chosen_ = report.plan;
+    chosenBallot_ = ballot;
+  }
+}
+
+void PlanView::updateExclusions() {
+  excludedNodes_.clear();
+  leaseRequiredNodes_.clear();
+  drainingRouters_.clear();
+  addExclusions(chosen_, true);
+  // An accepted plan is at most one change ahead of the chosen one (maintenance/proposal_round.h).
+  for (const auto& [voter, report] : reports_)
+    if (report.accepted.ballot > chosenBallot_)
+      addExclusions(report.plan, chosen_.version + 1 >= report.plan.version);
+}
+
+void PlanView::addExclusions(const Plan& plan, bool knowsPrevious) {
+  for (const Machine& machine : plan.machines) {
+    const bool mayHaveDrained =
+        !knowsPrevious && machine.phaseVersion == plan.version && machine.phase != Phase::next;
+    const bool isExcluded =
+        machine.phase == Phase::draining || machine.phase == Phase::released || mayHaveDrained;
+    if (isExcluded) excludedNodes_.insert(machine.nodes.begin(), machine.nodes.end());
+    if (machine.phase == Phase::next) leaseRequiredNodes_.insert(machine.nodes.begin(), machine.nodes.end());
+    if (machine.phase == Phase::draining)
+      drainingRouters_.insert(machine.routers.begin(), machine.routers.end());
   }
-  out_.clear();
-  next_.clear();
-  routers_.clear();
-  // Kind is not settled is one change ahead of what is (maintenance/proposal_round.h).
-  const auto take = [&](const Plan& plan, bool knowsBefore) {
-    for (const auto& m : plan.machines) {
-      const bool mayHaveLeft = !knowsBefore && m.since == plan.version && m.phase != Phase::next;
-      const bool leaves = m.phase == Phase::draining || m.phase == Phase::released || mayHaveLeft;
-      if (leaves) out_.insert(m.nodes.begin(), m.nodes.end());
-      if (m.phase == Phase::next) next_.insert(m.nodes.begin(), m.nodes.end());
-      if (m.phase == Phase::draining) routers_.insert(m.routers.begin(), m.routers.end());
-    }
-  };
-  take(settled_, true);
-  for (const auto& [keeper, told] : told_)
-    if (told.held.ballot > settledBy_) take(told.plan, settled_.version + 1 >= told.plan.version);
 }
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/plan_view.h
+++ b/src/maintenance/plan_view.h
@@ -1,9 +1,9 @@
-// Kind a router knows of the plan, and where it may not send by it. No I/O, no clock.
+// What a router knows of the maintenance plan, and which nodes it may not send to by it. No I/O, no clock.
 //
-// Settled is what more than half of the keepers have told it they hold. One that holds something newer may
-// know what is settled ahead of that: until this is clear, a node that either leaves is left alone, and so is
-// one that the newer change has just given back where this router does not know what it was before. One that
-// holds something older is behind, and counts for nothing.
+// Chosen is the plan that a majority of the voters has reported as accepted. A voter that reports a newer one
+// may know of a plan that is chosen already: until that is certain, a node that drains by either is excluded,
+// and so is one that the newer plan has just given back where this router does not know the plan before it.
+// A voter that reports an older one is behind, and counts for nothing.
 #pragma once
 
 #include <map>
@@ -14,33 +14,38 @@
 
 namespace gulltrestle::maintenance {
 
+// Each router has one, fed by the voters' plan updates.
 class PlanView {
  public:
-  explicit PlanView(std::size_t keepers) : keepers_(keepers) {}
+  explicit PlanView(std::size_t voters) : voters_(voters) {}
 
-  // A keeper tells what it holds. True: something has changed here. Throws std::runtime_error where it is no
-  // plan.
-  bool onAccepted(VoterIndex keeper, const AcceptedValue& held);
+  // A voter reports the value that it has accepted. True: it is newer than that voter's last one. Throws
+  // std::runtime_error where it is no plan.
+  bool onAccepted(VoterIndex voter, const AcceptedValue& accepted);
 
-  const Plan& chosen() const { return settled_; }
-  // Nodes that nothing goes to; and those that nothing goes to without a lease, too.
-  const std::set<std::string>& excludedNodes() const { return out_; }
-  const std::set<std::string>& leaseRequiredNodes() const { return next_; }
-  // This router stands on a machine that leaves.
-  bool isRouterLeaving(const std::string& router) const { return routers_.contains(router); }
+  const Plan& chosen() const { return chosen_; }
+  // Nodes that get no new attempts.
+  const std::set<std::string>& excludedNodes() const { return excludedNodes_; }
+  // Nodes that get attempts only while this router holds a lease.
+  const std::set<std::string>& leaseRequiredNodes() const { return leaseRequiredNodes_; }
+  // Whether the router runs on a machine that is draining.
+  bool isRouterDraining(const std::string& router) const { return drainingRouters_.contains(router); }
 
  private:
-  struct Told {
-    AcceptedValue held;
+  struct Report {
+    AcceptedValue accepted;
     Plan plan;
   };
-  void weigh();
-
-  std::size_t keepers_;
-  std::map<VoterIndex, Told> told_;
-  Plan settled_;
-  Ballot settledBy_;
-  std::set<std::string> out_, next_, routers_;
+  void updateChosen();
+  void updateExclusions();
+  // `knowsPrevious`: the plan before this one is known here.
+  void addExclusions(const Plan& plan, bool knowsPrevious);
+
+  std::size_t voters_;
+  std::map<VoterIndex, Report> reports_;
+  Plan chosen_;
+  Ballot chosenBallot_;
+  std::set<std::string> excludedNodes_, leaseRequiredNodes_, drainingRouters_;
 };
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/proposal_round.cpp
+++ b/src/maintenance/proposal_round.cpp
@@ -7,73 +7,77 @@
 
 namespace {
 
-// A round over streams that are up takes some milliseconds and two syncs; two that met part within a few.
-constexpr Duration kPauseFirst = Duration::millis(20), kPauseMost = Duration::millis(1000);
+// A round over connected streams takes some milliseconds and two disk syncs; two competing ones separate
+// within a few such times.
+constexpr Duration kInitialBackoff = Duration::millis(20), kMaxBackoff = Duration::millis(1000);
 
 }  // namespace
 
-ProposalRound::ProposalRound(std::size_t keepers, std::uint64_t draw, Duration most)
-    : keepers_(keepers), draw_(draw), most_(most), pause_(kPauseFirst), chance_(draw) {}
+ProposalRound::ProposalRound(std::size_t voters, std::uint64_t draw, Duration timeout)
+    : voters_(voters), draw_(draw), timeout_(timeout), backoff_(kInitialBackoff), random_(draw) {}
 
 bool ProposalRound::begin(Instant now) {
-  if (state_ != State::idle || now < restsUntil_) return false;
-  ballot_ = {++highest_, draw_};
+  if (state_ != State::idle || now < backoffEndsAt_) return false;
+  ballot_ = {++highestNumber_, draw_};
   state_ = State::preparing;
-  read_.clear();
-  wrote_.clear();
-  readTaken_ = false;
-  until_ = now + most_;
+  promises_.clear();
+  acceptedBy_.clear();
+  isPreparedTaken_ = false;
+  timesOutAt_ = now + timeout_;
   return true;
 }
 
-void ProposalRound::onPromise(Instant now, VoterIndex keeper, const Ballot& ballot,
-                              const AcceptedValue& held) {
-  if (state_ != State::preparing || ballot != ballot_ || now >= until_) return;
-  read_[keeper] = held;
+void ProposalRound::onPromise(Instant now, VoterIndex voter, const Ballot& ballot,
+                              const AcceptedValue& accepted) {
+  if (state_ != State::preparing || ballot != ballot_ || now >= timesOutAt_) return;
+  promises_[voter] = accepted;
 }
 
 std::optional<ProposalRound::PreparedValue> ProposalRound::takePrepared() {
-  if (state_ != State::preparing || readTaken_ || read_.size() < majorityOf(keepers_)) return std::nullopt;
-  readTaken_ = true;
-  const auto newest = std::max_element(read_.begin(), read_.end(),
+  if (state_ != State::preparing || isPreparedTaken_ || promises_.size() < majorityOf(voters_))
+    return std::nullopt;
+  isPreparedTaken_ = true;
+  const auto newest = std::max_element(promises_.begin(), promises_.end(),
                                        [](auto& a, auto& b) { return a.second.ballot < b.second.ballot; });
-  const auto same = static_cast<std::size_t>(std::count_if(
-      read_.begin(), read_.end(), [&](auto& one) { return one.second.ballot == newest->second.ballot; }));
-  return PreparedValue{newest->second, same >= majorityOf(keepers_)};
+  const auto holders =
+      static_cast<std::size_t>(std::count_if(promises_.begin(), promises_.end(), [&](auto& promise) {
+        return promise.second.ballot == newest->second.ballot;
+      }));
+  return PreparedValue{newest->second, holders >= majorityOf(voters_)};
 }
 
-const AcceptedValue& ProposalRound::propose(const ValueVersion& stamp, std::string value) {
+const AcceptedValue& ProposalRound::propose(const ValueVersion& version, std::string value) {
   state_ = State::accepting;
-  own_ = {ballot_, stamp, std::move(value)};
-  return own_;
+  proposed_ = {ballot_, version, std::move(value)};
+  return proposed_;
 }
 
-void ProposalRound::onAccepted(Instant now, VoterIndex keeper, const Ballot& ballot) {
-  if (state_ != State::accepting || ballot != ballot_ || now >= until_) return;
-  wrote_.insert(keeper);
-  if (wrote_.size() < majorityOf(keepers_)) return;
-  settled_ = own_;
+void ProposalRound::onAccepted(Instant now, VoterIndex voter, const Ballot& ballot) {
+  if (state_ != State::accepting || ballot != ballot_ || now >= timesOutAt_) return;
+  acceptedBy_.insert(voter);
+  if (acceptedBy_.size() < majorityOf(voters_)) return;
+  chosen_ = proposed_;
   state_ = State::idle;
-  pause_ = kPauseFirst;
+  backoff_ = kInitialBackoff;
 }
 
 void ProposalRound::onRejected(Instant now, const Ballot& ballot, const Ballot& promised) {
-  highest_ = std::max(highest_, promised.number);
-  if (state_ != State::idle && ballot == ballot_) rest(now);
+  highestNumber_ = std::max(highestNumber_, promised.number);
+  if (state_ != State::idle && ballot == ballot_) backOff(now);
 }
 
-std::optional<AcceptedValue> ProposalRound::takeChosen() { return std::exchange(settled_, std::nullopt); }
+std::optional<AcceptedValue> ProposalRound::takeChosen() { return std::exchange(chosen_, std::nullopt); }
 
-void ProposalRound::rest(Instant now) {
+void ProposalRound::backOff(Instant now) {
   state_ = State::idle;
-  restsUntil_ = now + pause_ * std::uniform_real_distribution<double>(0.5, 1.5)(chance_);
-  pause_ = std::min(pause_ * 2, kPauseMost);
+  backoffEndsAt_ = now + backoff_ * std::uniform_real_distribution<double>(0.5, 1.5)(random_);
+  backoff_ = std::min(backoff_ * 2, kMaxBackoff);
 }
 
 Instant ProposalRound::runTimers(Instant now) {
-  if (state_ == State::idle) return restsUntil_ > now ? restsUntil_ : Instant();
-  if (now >= until_) rest(now);
-  return state_ == State::idle ? restsUntil_ : until_;
+  if (state_ == State::idle) return backoffEndsAt_ > now ? backoffEndsAt_ : Instant();
+  if (now >= timesOutAt_) backOff(now);
+  return state_ == State::idle ? backoffEndsAt_ : timesOutAt_;
 }
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/proposal_round.h
+++ b/src/maintenance/proposal_round.h
@@ -1,17 +1,19 @@
-// How a keeper changes what is settled: a round reads from more than half of the keepers, changes what it
-// read, and writes it to more than half. No I/O, no clock.
+// A voter's part as a proposer of the maintenance plan: a round prepares at a majority of the voters, changes
+// the value that it learned there, and has a majority accept the result. No I/O, no clock.
 //
-//   state   what it is                                          goes to
-//   rests   nothing is wanted, or it waits for its turn         reads: something is wanted and the rest over
-//   reads   it has asked all to promise                         writes: more than half did, and the caller
-//                                                               has changed what the newest of them held
-//   writes  it has asked all to take the changed value          rests, settled: more than half have it
-//                                                               durable
-//   either  a keeper has promised a higher round, or the        rests, for a pause that is drawn and doubles
-//           time is up
+//   state      what it is                                      goes to
+//   idle       no change is wanted, or it backs off            preparing: a change is wanted, and the backoff
+//                                                              is over
+//   preparing  all voters have been asked to promise           accepting: a majority did, and the caller has
+//                                                              proposed a value made from the newest one
+//   accepting  all voters have been asked to accept the value  idle, chosen: a majority has it durable
+//   either     a voter has promised a higher ballot, or the    idle, with a backoff that is random and
+//   doubles
+//              round timed out
 //
-// Two that try at once end each other's rounds; the pause parts them. A round that lasted too long is given
-// up: what it read may be old, and keepers that forgot rely on that (maintenance/acceptor.h).
+// Two proposers that compete end each other's rounds; the random backoff separates them. A round has a
+// timeout since the value that it learned may be outdated later, and since acceptors that lost their state
+// rely on it (maintenance/acceptor.h).
 #pragma once
 
 #include <map>
@@ -24,53 +26,55 @@
 
 namespace gulltrestle::maintenance {
 
+// Owned by the maintenance service of a voter, which sends its requests and delivers the replies.
 class ProposalRound {
  public:
   enum class State { idle, preparing, accepting };
 
-  // `draw`: of this start. `most`: that a round may last.
-  ProposalRound(std::size_t keepers, std::uint64_t draw, Duration most);
+  // `draw`: random, of this incarnation. `timeout`: how long a round may last.
+  ProposalRound(std::size_t voters, std::uint64_t draw, Duration timeout);
 
   State state() const { return state_; }
   const Ballot& ballot() const { return ballot_; }
 
-  // Begins one if it rests and may. True: all keepers are to be asked to promise ballot().
+  // Begins a round if it is idle and its backoff is over. True: all voters are to be asked to promise
+  // ballot().
   bool begin(Instant now);
-  void onPromise(Instant now, VoterIndex keeper, const Ballot& ballot, const AcceptedValue& held);
-  // More than half have promised: what they hold that is newest, once a round. The caller writes: it changes
-  // only what is settled, and else hands on what it read, unchanged. So nobody ever holds what is more than
-  // one change ahead of what is settled.
+  void onPromise(Instant now, VoterIndex voter, const Ballot& ballot, const AcceptedValue& accepted);
+  // The newest value that the promises report, once a round and as soon as a majority has promised. The
+  // caller then calls propose(): it changes the value only if it is chosen, and otherwise proposes it again
+  // as it is. So no voter ever accepts what is more than one change ahead of the chosen value.
   struct PreparedValue {
-    AcceptedValue held;
-    bool isChosen = false;
+    AcceptedValue accepted;
+    bool isChosen = false;  // a majority reported it, with the same ballot
   };
   std::optional<PreparedValue> takePrepared();
-  // All keepers are to be asked to take this, which has the round's ballot.
-  const AcceptedValue& propose(const ValueVersion& stamp, std::string value);
-  void onAccepted(Instant now, VoterIndex keeper, const Ballot& ballot);
+  // Returns what all voters are to be asked to accept, with the round's ballot.
+  const AcceptedValue& propose(const ValueVersion& version, std::string value);
+  void onAccepted(Instant now, VoterIndex voter, const Ballot& ballot);
   void onRejected(Instant now, const Ballot& ballot, const Ballot& promised);
-  // Kind has been settled by this round, once.
+  // The value that this round got chosen, once.
   std::optional<AcceptedValue> takeChosen();
 
-  // Gives up what lasted too long. Returns when there is more to do; never: nothing is.
+  // Abandons a round that timed out. Returns when it is to be called next; never: no timer runs.
   Instant runTimers(Instant now);
 
  private:
-  void rest(Instant now);
+  void backOff(Instant now);
 
-  std::size_t keepers_;
+  std::size_t voters_;
   std::uint64_t draw_;
-  Duration most_, pause_;
-  std::mt19937_64 chance_;
+  Duration timeout_, backoff_;
+  std::mt19937_64 random_;
   State state_ = State::idle;
   Ballot ballot_;
-  std::uint64_t highest_ = 0;  // number of a round that is known of
-  std::map<VoterIndex, AcceptedValue> read_;
-  std::set<VoterIndex> wrote_;
-  bool readTaken_ = false;
-  AcceptedValue own_;
-  std::optional<AcceptedValue> settled_;
-  Instant until_, restsUntil_;
+  std::uint64_t highestNumber_ = 0;  // of any ballot that is known here
+  std::map<VoterIndex, AcceptedValue> promises_;
+  std::set<VoterIndex> acceptedBy_;
+  bool isPreparedTaken_ = false;
+  AcceptedValue proposed_;
+  std::optional<AcceptedValue> chosen_;
+  Instant timesOutAt_, backoffEndsAt_;
 };
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/scheduling.cpp
+++ b/src/maintenance/scheduling.cpp
@@ -8,163 +8,181 @@
 
 namespace {
 
-bool inWork(Phase phase) { return phase != Phase::waiting && phase != Phase::finished; }
+bool isInProgress(Phase phase) { return phase != Phase::waiting && phase != Phase::finished; }
 
-bool stands(const std::vector<std::string>& on, const std::string& name) {
-  return std::find(on.begin(), on.end(), name) != on.end();
+bool contains(const std::vector<std::string>& names, const std::string& name) {
+  return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// Nodes of the group that are away without this machine: lost, leaving by the list, or in work.
-struct Group {
-  std::size_t nodes = 0, replicas = 0, away = 0;  // in all; away counts none that stands on the machine
-  std::size_t servesElsewhere = 0, replicasElsewhere = 0, here = 0;
-  bool primaryHere = false;
+// The names that run on other machines in progress.
+std::set<std::string> inProgressElsewhere(const Plan& plan, const Machine& machine,
+                                          std::vector<std::string> Machine::*names) {
+  std::set<std::string> found;
+  for (const Machine& other : plan.machines)
+    if (other.name != machine.name && isInProgress(other.phase))
+      found.insert((other.*names).begin(), (other.*names).end());
+  return found;
+}
+
+// A group's nodes, on a machine and elsewhere.
+struct GroupCounts {
+  std::size_t nodes = 0, replicas = 0;   // in all
+  std::size_t unavailableElsewhere = 0;  // lost, draining by the endpoint list, or in progress
+  std::size_t servingElsewhere = 0, replicasServingElsewhere = 0;
+  std::size_t onMachine = 0;
+  bool isPrimaryOnMachine = false;
 };
-Group groupOf(const Plan& plan, const Machine& machine, std::uint64_t id, const FleetState& facts) {
-  std::set<std::string> inWorkNodes;
-  for (const auto& other : plan.machines)
-    if (other.name != machine.name && inWork(other.phase))
-      inWorkNodes.insert(other.nodes.begin(), other.nodes.end());
-  Group group;
-  for (const auto& [name, node] : facts.nodes) {
-    if (node.group != id) continue;
-    ++group.nodes;
-    group.replicas += !node.primary;
-    if (stands(machine.nodes, name)) {
-      ++group.here;
-      group.primaryHere = group.primaryHere || node.primary;
-    } else if (!node.live || !node.serves || inWorkNodes.contains(name)) {
-      ++group.away;
+GroupCounts countGroup(const Plan& plan, const Machine& machine, std::uint64_t group,
+                       const FleetState& fleet) {
+  const std::set<std::string> inProgress = inProgressElsewhere(plan, machine, &Machine::nodes);
+  GroupCounts counts;
+  for (const auto& [name, node] : fleet.nodes) {
+    if (node.group != group) continue;
+    ++counts.nodes;
+    counts.replicas += !node.isPrimary;
+    if (contains(machine.nodes, name)) {
+      ++counts.onMachine;
+      counts.isPrimaryOnMachine = counts.isPrimaryOnMachine || node.isPrimary;
+    } else if (!node.isLive || !node.isServing || inProgress.contains(name)) {
+      ++counts.unavailableElsewhere;
     } else {
-      ++group.servesElsewhere;
-      group.replicasElsewhere += !node.primary;
+      ++counts.servingElsewhere;
+      counts.replicasServingElsewhere += !node.isPrimary;
     }
   }
-  return group;
+  return counts;
 }
 
-std::set<std::uint64_t> groupsOn(const Machine& machine, const FleetState& facts) {
+std::set<std::uint64_t> groupsOn(const Machine& machine, const FleetState& fleet) {
   std::set<std::uint64_t> groups;
   for (const auto& name : machine.nodes)
-    if (const auto at = facts.nodes.find(name); at != facts.nodes.end()) groups.insert(at->second.group);
+    if (const auto node = fleet.nodes.find(name); node != fleet.nodes.end())
+      groups.insert(node->second.group);
   return groups;
 }
 
-// Each router has to know of a machine before it leaves: no turn is begun that can't go on.
-std::string silentOne(const Plan& plan, const Machine& machine, const FleetState& facts) {
-  std::set<std::string> away(machine.routers.begin(), machine.routers.end());
-  for (const auto& other : plan.machines)
-    if (inWork(other.phase)) away.insert(other.routers.begin(), other.routers.end());
-  for (const auto& [name, router] : facts.routers)
-    if (!router.wasRemoved && !router.isAlive && !away.contains(name))
+// Each router has to acknowledge the plan before a machine drains: maintenance that could not go on does not
+// begin.
+std::string silentRouterReason(const Plan& plan, const Machine& machine, const FleetState& fleet) {
+  std::set<std::string> expectedAway(machine.routers.begin(), machine.routers.end());
+  for (const Machine& other : plan.machines)
+    if (isInProgress(other.phase)) expectedAway.insert(other.routers.begin(), other.routers.end());
+  for (const auto& [name, router] : fleet.routers)
+    if (!router.wasRemoved && !router.isAlive && !expectedAway.contains(name))
       return "router '" + name + "' is not heard: bring it back, or take it off the list";
   return "";
 }
 
-std::string hindranceOfRouters(const Plan& plan, const Machine& machine, const FleetState& facts,
-                               const Bounds& bounds) {
+std::string routerBlockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet,
+                                 const Bounds& bounds) {
   if (machine.routers.empty()) return "";
-  std::set<std::string> away;
-  for (const auto& other : plan.machines)
-    if (other.name != machine.name && inWork(other.phase))
-      away.insert(other.routers.begin(), other.routers.end());
-  std::size_t keepers = 0, keepersLeft = 0, serving = 0;
-  for (const auto& [name, router] : facts.routers) {
+  std::set<std::string> unavailable = inProgressElsewhere(plan, machine, &Machine::routers);
+  std::size_t voters = 0, votersLeft = 0, serving = 0;
+  for (const auto& [name, router] : fleet.routers) {
     if (router.wasRemoved) continue;
-    keepers += router.isVoter;
-    if (!router.isAlive) away.insert(name);
-    if (stands(machine.routers, name) || away.contains(name)) continue;
+    voters += router.isVoter;
+    if (!router.isAlive) unavailable.insert(name);
+    if (contains(machine.routers, name) || unavailable.contains(name)) continue;
     ++serving;
-    keepersLeft += router.isVoter;
+    votersLeft += router.isVoter;
   }
-  for (const auto& name : machine.routers) away.erase(name);
-  if (away.size() + machine.routers.size() > bounds.routersOut)
-    return "routers away: " + std::to_string(away.size()) + ", and at most " +
-           std::to_string(bounds.routersOut) + " may be";
+  for (const auto& name : machine.routers) unavailable.erase(name);
+  if (unavailable.size() + machine.routers.size() > bounds.maxRoutersOut)
+    return "routers away: " + std::to_string(unavailable.size()) + ", and at most " +
+           std::to_string(bounds.maxRoutersOut) + " may be";
   if (serving == 0) return "no other router lives";
-  if (keepersLeft < majorityOf(keepers)) return "too few keepers would be left";
+  if (votersLeft < majorityOf(voters)) return "too few keepers would be left";
   return "";
 }
 
+// The order of machines that may begin; the least is first.
+using Rank = std::tuple<std::int64_t, bool, std::int64_t, std::int64_t, std::string>;
+Rank rankOf(const Machine& machine, const FleetState& fleet, const std::map<std::string, Duration>& waited) {
+  const auto sinceRequest = waited.find(machine.name);
+  const std::int64_t slackMicros =
+      machine.wantedWithin == Duration() ? INT64_MAX
+      : sinceRequest == waited.end()
+          ? machine.wantedWithin.inMicros()
+          : (machine.wantedWithin - machine.expectedDuration - sinceRequest->second).inMicros();
+  Duration lag;
+  for (const auto& name : machine.nodes)
+    if (const auto node = fleet.nodes.find(name); node != fleet.nodes.end())
+      lag = std::max(lag, node->second.replicationLag);
+  // In whole seconds: smaller differences are noise.
+  const std::int64_t lagSeconds = lag.inMicros() / 1'000'000;
+  return {slackMicros, !machine.routers.empty(), -lagSeconds, -machine.expectedDuration.inMicros(),
+          machine.name};
+}
+
 }  // namespace
 
-std::string blockingReason(const Plan& plan, const Machine& machine, const FleetState& facts,
+std::string blockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet,
                            const Bounds& bounds) {
-  for (const std::uint64_t id : groupsOn(machine, facts)) {
-    const Group group = groupOf(plan, machine, id, facts);
-    const std::string of = "group " + std::to_string(id);
-    if (group.primaryHere) return of + ": its primary stands there, and has to move first";
-    if (group.away + group.here > bounds.outOfGroup)
-      return of + ": " + std::to_string(group.away) + " of its nodes are away";
-    if (group.servesElsewhere == 0) return of + ": no other node of it serves";
-    if (group.replicas > 1 && group.replicasElsewhere == 0) return of + ": no other replica of it serves";
+  for (const std::uint64_t id : groupsOn(machine, fleet)) {
+    const GroupCounts group = countGroup(plan, machine, id, fleet);
+    const std::string prefix = "group " + std::to_string(id);
+    if (group.isPrimaryOnMachine) return prefix + ": its primary stands there, and has to move first";
+    if (group.unavailableElsewhere + group.onMachine > bounds.maxNodesOutPerGroup)
+      return prefix + ": " + std::to_string(group.unavailableElsewhere) + " of its nodes are away";
+    if (group.servingElsewhere == 0) return prefix + ": no other node of it serves";
+    if (group.replicas > 1 && group.replicasServingElsewhere == 0)
+      return prefix + ": no other replica of it serves";
   }
-  return hindranceOfRouters(plan, machine, facts, bounds);
+  return routerBlockingReason(plan, machine, fleet, bounds);
 }
 
-std::string startBlockingReason(const Plan& plan, const Machine& machine, const FleetState& facts,
+std::string startBlockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet,
                                 const Bounds& bounds) {
-  const std::string why = blockingReason(plan, machine, facts, bounds);
-  return why.empty() ? silentOne(plan, machine, facts) : why;
+  const std::string reason = blockingReason(plan, machine, fleet, bounds);
+  return reason.empty() ? silentRouterReason(plan, machine, fleet) : reason;
 }
 
-const Machine* nextMachine(const Plan& plan, const FleetState& facts, const Bounds& bounds,
+const Machine* nextMachine(const Plan& plan, const FleetState& fleet, const Bounds& bounds,
                            const std::map<std::string, Duration>& waited) {
-  if (facts.isStrained) return nullptr;
-  std::size_t inWorkNow = 0;
+  if (fleet.isDegraded) return nullptr;
+  std::size_t inProgress = 0;
   std::set<std::string> zones;
-  for (const auto& m : plan.machines)
-    if (inWork(m.phase)) {
-      ++inWorkNow;
-      zones.insert(m.zone);
+  for (const Machine& machine : plan.machines)
+    if (isInProgress(machine.phase)) {
+      ++inProgress;
+      zones.insert(machine.zone);
     }
-  if (inWorkNow >= bounds.atOnce) return nullptr;
+  if (inProgress >= bounds.maxMachinesInProgress) return nullptr;
   const Machine* best = nullptr;
-  using Rank = std::tuple<std::int64_t, bool, std::int64_t, std::int64_t, std::string>;
   std::optional<Rank> bestRank;
-  for (const auto& m : plan.machines) {
-    if (m.phase != Phase::waiting || (!zones.empty() && !zones.contains(m.zone))) continue;
-    if (!startBlockingReason(plan, m, facts, bounds).empty()) continue;
-    const auto at = waited.find(m.name);
-    const std::int64_t left = m.wantedWithin == Duration() ? INT64_MAX
-                              : at == waited.end()
-                                  ? m.wantedWithin.inMicros()
-                                  : (m.wantedWithin - m.expectedDuration - at->second).inMicros();
-    Duration behind;
-    for (const auto& name : m.nodes)
-      if (const auto node = facts.nodes.find(name); node != facts.nodes.end())
-        behind = std::max(behind, node->second.behind);
-    const Rank rank{left, !m.routers.empty(), -behind.inMicros() / 1'000'000, -m.expectedDuration.inMicros(),
-                    m.name};
+  for (const Machine& machine : plan.machines) {
+    if (machine.phase != Phase::waiting || (!zones.empty() && !zones.contains(machine.zone))) continue;
+    if (!startBlockingReason(plan, machine, fleet, bounds).empty()) continue;
+    const Rank rank = rankOf(machine, fleet, waited);
     if (!bestRank || rank < *bestRank) {
       bestRank = rank;
-      best = &m;
+      best = &machine;
     }
   }
   return best;
 }
 
-std::string permanentBlockingReason(const Machine& machine, const FleetState& facts, const Bounds& bounds) {
+std::string permanentBlockingReason(const Machine& machine, const FleetState& fleet, const Bounds& bounds) {
   if (machine.nodes.empty() && machine.routers.empty()) return "nothing stands on it";
   for (const auto& name : machine.nodes)
-    if (!facts.nodes.contains(name)) return "no list names the node '" + name + "'";
+    if (!fleet.nodes.contains(name)) return "no list names the node '" + name + "'";
   for (const auto& name : machine.routers)
-    if (!facts.routers.contains(name)) return "no router is called '" + name + "'";
-  for (const std::uint64_t id : groupsOn(machine, facts)) {
-    const Group group = groupOf({}, machine, id, facts);
-    const std::string of = "group " + std::to_string(id);
-    if (group.here == group.nodes) return of + " could not serve: all its nodes stand on it";
-    if (group.here > bounds.outOfGroup)
-      return of + ": " + std::to_string(group.here) + " of its nodes stand on it, and at most " +
-             std::to_string(bounds.outOfGroup) + " may be away";
+    if (!fleet.routers.contains(name)) return "no router is called '" + name + "'";
+  for (const std::uint64_t id : groupsOn(machine, fleet)) {
+    const GroupCounts group = countGroup({}, machine, id, fleet);
+    const std::string prefix = "group " + std::to_string(id);
+    if (group.onMachine == group.nodes) return prefix + " could not serve: all its nodes stand on it";
+    if (group.onMachine > bounds.maxNodesOutPerGroup)
+      return prefix + ": " + std::to_string(group.onMachine) + " of its nodes stand on it, and at most " +
+             std::to_string(bounds.maxNodesOutPerGroup) + " may be away";
   }
-  if (machine.routers.size() > bounds.routersOut)
-    return "more routers stand on it than may be away: " + std::to_string(bounds.routersOut);
-  Machine alone = machine;
-  alone.nodes.clear();
-  FleetState lively = facts;
-  for (auto& [name, router] : lively.routers) router.isAlive = true;
-  return hindranceOfRouters({}, alone, lively, bounds);
+  if (machine.routers.size() > bounds.maxRoutersOut)
+    return "more routers stand on it than may be away: " + std::to_string(bounds.maxRoutersOut);
+  Machine routersOnly = machine;
+  routersOnly.nodes.clear();
+  FleetState allAlive = fleet;
+  for (auto& [name, router] : allAlive.routers) router.isAlive = true;
+  return routerBlockingReason({}, routersOnly, allAlive, bounds);
 }
 
 }  // namespace gulltrestle::maintenance
--- a/src/tools/fleet_simulator/outage_orders.cpp
+++ b/src/tools/fleet_simulator/outage_orders.cpp
@@ -36,13 +36,13 @@
   maintenance::Plan plan;
   maintenance::FleetState facts;
   maintenance::Bounds bounds;
-  bounds.atOnce = 5;
+  bounds.maxMachinesInProgress = 5;
   facts.routers["r"].isAlive = true;
   for (std::size_t row = 0; row < groups * kOfGroup; ++row) {
     auto& node = facts.nodes[std::to_string(row)];
     node.group = row / kOfGroup;
-    node.live = node.serves = true;
-    node.primary = row % kOfGroup == 0;
+    node.isLive = node.isServing = true;
+    node.isPrimary = row % kOfGroup == 0;
   }
   // By name as an operator's list has them: machine by machine, whatever the zone.
   for (std::size_t slot = 0; slot * kOnMachine < groups; ++slot)
--- a/tests/order.cpp
+++ b/tests/order.cpp
@@ -36,7 +36,7 @@
       const std::string node = machine.name + "n" + std::to_string(n);
       auto& fact = world.facts.nodes[node];
       fact.group = chance() % groups;
-      fact.live = fact.serves = true;
+      fact.isLive = fact.isServing = true;
       const bool isTwice = std::any_of(machine.nodes.begin(), machine.nodes.end(), [&](auto& other) {
         return world.facts.nodes.at(other).group == fact.group;
       });
@@ -52,8 +52,8 @@
     for (const char* name : {"p", "x"}) {
       auto& fact = world.facts.nodes[name + std::to_string(g)];
       fact.group = g;
-      fact.live = fact.serves = true;
-      fact.primary = *name == 'p';
+      fact.isLive = fact.isServing = true;
+      fact.isPrimary = *name == 'p';
     }
   world.facts.routers["r0"].isAlive = true;
   return world;
@@ -99,7 +99,7 @@
     std::string zone;
     for (const auto& m : plan.machines)
       if (m.phase == Phase::released) ++out, zone = m.zone;
-    if (out >= world.bounds.atOnce) return nullptr;
+    if (out >= world.bounds.maxMachinesInProgress) return nullptr;
     for (const std::size_t i : order) {
       const Machine& m = plan.machines[i];
       if (m.phase == Phase::waiting && (zone.empty() || m.zone == zone) &&
@@ -115,7 +115,7 @@
   constexpr std::size_t kFleets = 20, kMachines = 7;
   for (std::uint64_t seed = 1; seed <= kFleets; ++seed) {
     World world = drawn(seed, kMachines, 5, 1);
-    world.bounds.atOnce = 3;
+    world.bounds.maxMachinesInProgress = 3;
     std::vector<std::size_t> order(kMachines);
     for (std::size_t i = 0; i < kMachines; ++i) order[i] = i;
     double best = 1e18;
@@ -137,7 +137,7 @@
     double ours = 0, plain = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       World world = drawn(seed, 60, 30, 3);
-      world.bounds.atOnce = atOnce;
+      world.bounds.maxMachinesInProgress = atOnce;
       ours += secondsOf(world, taken(world)) / 36000;
       plain += secondsOf(world, plainest()) / 36000;
     }
--- a/tests/work.cpp
+++ b/tests/work.cpp
@@ -95,12 +95,12 @@
 
   static Bounds boundsOf() {
     Bounds bounds;
-    bounds.fence = fenceOf(kExpiry);
-    bounds.warm = ms(500);
-    bounds.rest = ms(1000);
-    bounds.announce = ms(9000);
-    bounds.leave = ms(20'000);
-    bounds.tries = 1000;
+    bounds.fenceDuration = fenceDurationFor(kExpiry);
+    bounds.warmUpDuration = ms(500);
+    bounds.retryDelay = ms(1000);
+    bounds.announceTimeout = ms(9000);
+    bounds.drainTimeout = ms(20'000);
+    bounds.maxAttempts = 1000;
     return bounds;
   }
 
@@ -166,7 +166,7 @@
       if (!p.acceptor) continue;
       const FleetState facts = factsOf(i);
       for (const auto& m : p.known->chosen().machines)
-        std::cerr << "  " << m.name << " " << nameOf(m.phase) << " since " << m.since << ": "
+        std::cerr << "  " << m.name << " " << nameOf(m.phase) << " since " << m.phaseVersion << ": "
                   << p.foreman->waitingFor(clock(i), p.known->chosen(), m, facts) << "\n";
     }
   }
@@ -303,15 +303,15 @@
     for (const auto& id : nodes_) {
       auto& node = facts.nodes[id];
       node.group = id[1] == '1' ? 1 : 2;
-      node.live = node.serves = true;
-      node.primary = id[0] == 'p';
+      node.isLive = node.isServing = true;
+      node.isPrimary = id[0] == 'p';
     }
     for (const auto& router : routers_[i].view->routers()) {
       const auto member = routers_[i].view->memberState(router);
       auto& fact = facts.routers[router];
       fact.isAlive = member.state == membership::MembershipView::State::alive;
       fact.isSilent = member.silent.size() >= majorityOf(kKeepers);
-      fact.start = member.incarnation;
+      fact.incarnation = member.incarnation;
       fact.planVersion = member.progress.planVersion;
       fact.drainedVersion = member.progress.drainedVersion;
       fact.isVoter = router < name(kKeepers);
@@ -325,8 +325,8 @@
     p.foreman->observe(now, p.known->chosen(), facts);
     p.round->runTimers(now);
     if (const auto read = p.round->takePrepared()) {
-      Plan plan = readPlan(read->held.value);
-      plan.version = read->held.version.version + 1;
+      Plan plan = readPlan(read->accepted.value);
+      plan.version = read->accepted.version.version + 1;
       bool changed = read->isChosen && !p.foreman->advance(now, plan, facts).empty();
       for (const auto& [request, ask] : asks_) {
         if (!read->isChosen) break;
@@ -335,8 +335,8 @@
         changed = (applyRequest(plan, request, ask, facts, bounds_).empty() && !was) || changed;
       }
       const AcceptedValue held =
-          p.round->propose(changed ? ValueVersion{plan.version, p.draw} : read->held.version,
-                           changed ? encoded(plan) : read->held.value);
+          p.round->propose(changed ? ValueVersion{plan.version, p.draw} : read->accepted.version,
+                           changed ? encoded(plan) : read->accepted.value);
       for (std::size_t k = 0; k < kKeepers; ++k) say(i, k, [this, i, k, held] { writes(k, i, held); });
     }
     p.round->takeChosen();
@@ -368,7 +368,7 @@
               const std::optional<Acceptor::AcceptorReply>& refused) {
     if (refused) say(k, by, [this, k, by, said = *refused] { said_(by, k, said); });
     if (!disk) return;
-    const std::string text = routers_[k].acceptor->text();
+    const std::string text = routers_[k].acceptor->serialized();
     if (bug_ == Bug::aheadOfDisk) return durable(k, by, text, false);
     Instant& last = diskAt_[k];
     last = std::max(last, now_ + ms(1 + static_cast<std::int64_t>(pick(20))));
@@ -398,7 +398,7 @@
     using Kind = Acceptor::AcceptorReply::Kind;
     ProposalRound& round = *routers_[i].round;
     const Instant now = clock(i);
-    if (said.kind == Kind::promised) round.onPromise(now, k, said.ballot, said.held);
+    if (said.kind == Kind::promised) round.onPromise(now, k, said.ballot, said.accepted);
     if (said.kind == Kind::accepted) round.onAccepted(now, k, said.ballot);
     if (said.kind == Kind::rejected) round.onRejected(now, said.ballot, said.promised);
   }
@@ -423,7 +423,7 @@
       std::cerr << (now_ - kBegin).inMicros() / 1000 << " settled " << plan_.version << " by "
                 << held.ballot.number;
       for (const auto& m : plan_.machines)
-        std::cerr << " " << m.name << "=" << nameOf(m.phase) << "@" << m.since;
+        std::cerr << " " << m.name << "=" << nameOf(m.phase) << "@" << m.phaseVersion;
       std::cerr << "\n";
     }
     std::map<char, std::size_t> away;
@@ -437,7 +437,7 @@
         if (isOff) off.insert(node);
         if (isOff && node[0] == 'p') broken("a primary was told free");
       }
-      if (isOff && doing_.insert(m.name + std::to_string(m.since)).second) {
+      if (isOff && doing_.insert(m.name + std::to_string(m.phaseVersion)).second) {
         ++sum_.frees;
         at(ms(200 + static_cast<std::int64_t>(pick(3000))), [this, machine = m.name] {
           OperatorRequest ask;
@@ -805,7 +805,7 @@
     std::optional<Acceptor::AcceptorReply> refused;
     const bool toDisk = word.writes ? state.keepers[k].accept(word.held, refused)
                                     : state.keepers[k].prepare(word.held.ballot, refused);
-    if (toDisk && isDurable) state.disks[k] = state.keepers[k].text();
+    if (toDisk && isDurable) state.disks[k] = state.keepers[k].serialized();
     const bool tells = toDisk && (isDurable || fault_ == Fault::ahead);
     const auto said = tells ? told(state, k) : refused;
     if (!isDurable) state.keepers[k] = Acceptor(state.disks[k], true);
@@ -837,12 +837,12 @@
       if (said.ballot == round.ballot()) state.wrote[p].insert(word.keeper);
     }
     if (said.kind != Kind::promised) return;
-    round.onPromise(now, word.keeper, said.ballot, said.held);
+    round.onPromise(now, word.keeper, said.ballot, said.accepted);
     if (said.ballot == round.ballot()) state.reads[p].insert(word.keeper);
     const auto read = round.takePrepared();
     if (!read) return;
     // A built-in fault: what it read is passed over.
-    const std::string before = fault_ == Fault::changesUnread ? "" : read->held.value;
+    const std::string before = fault_ == Fault::changesUnread ? "" : read->accepted.value;
     const std::string made =
         read->isChosen ? before + static_cast<char>('a' + 2 * p + state.begun[p] - 1) : before;
     const AcceptedValue held = round.propose({made.size(), 1}, made);
