--- a/src/routing/replica_selection.cpp
+++ b/src/routing/replica_selection.cpp
@@ -39,7 +39,7 @@
 
 NodeState* ReplicaSelector::primaryOf(GroupId group) const {
   NodeState* known = nullptr;
-  NodeState* listed = nullptr;  // the list's word comes late, and counts for nodes that never were replicas
+  NodeState* listed = nullptr;  // lists come late, and count for nodes never known as replicas
   for (NodeState* node : state_.groupOf(group).nodes) {
     if (state_.isDraining(*node)) continue;
     if (node->lastKnownPrimaryAt > node->lastKnownReplicaAt &&
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -49,27 +49,28 @@
 // The configuration of a router, fixed for its life: the deployment's figures and what is allowed.
 struct RoutingConfig {
   std::vector<TransactionClass> transactionClasses;
+  // The usual time between rounds. Decisions leave rounds in reserve for what may come late by one.
   Duration roundInterval;
-  unsigned routerCount = 1;
-  double slowStartFraction = 1;  // of its capacity that a node has when it starts, at least
-  Duration slowStartWindow;      // after this a node has all of its capacity
-  bool onlyDrainingExcludes =
-      false;  // a node that is removed without having been listed as draining may still be sent to
+  unsigned routerCount = 1;  // that share the nodes
+
+  double slowStartFraction = 1;       // of its capacity that a node has when it starts, at least
+  Duration slowStartWindow;           // after this a node has all of its capacity
+  bool onlyDrainingExcludes = false;  // a node removed without having been listed as draining may be sent to
+
   bool healthChecksAllowed = false;
   bool hedgingAllowed = false;
   bool cancelAllowed = false;
   bool retryAfterAllowed = false;
   Duration maxRetryAfter;
-  unsigned maxAttempts = 1;
+  unsigned maxAttempts = 1;             // for one transaction, over all its tries that are known
   bool connectionPerAttempt = false;    // each attempt in flight has a connection, which may hang by itself
   std::size_t maxOpenTransactions = 0;  // that clients can have here at a time; 0: unlimited
+
   double crossZoneCost = 0;  // of an attempt in another zone, as a fraction of a transaction's value
-  bool nodesRejectStaleReads = false;  // a node rejects untouched a read that it is too far behind for
-  bool sessionAgeProvided =
-      false;  // reads carry the age of their session's last write; else the router records it
+  bool nodesRejectStaleReads = false;  // nodes reject untouched a read that they are too far behind for
+  bool sessionAgeProvided = false;  // reads carry the age of their session's last write; else it is recorded
   bool endpointListIsPolled = false;
-  bool degradationEnabled =
-      false;  // degradation levels say what is rejected in an overload (setDegradation())
+  bool degradationEnabled = false;  // levels say what is rejected in an overload (setDegradation())
   bool operator==(const RoutingConfig&) const = default;
 };
 
