--- a/src/cluster/chunks.h
+++ b/src/cluster/chunks.h
@@ -1,4 +1,4 @@
-// News in messages that are well below what a stream takes.
+// Splits updates into messages that stay well below what a stream accepts.
 #pragma once
 
 #include <vector>
@@ -7,31 +7,42 @@
 
 namespace gulltrestle::cluster {
 
-// `sizeOf`: about how many bytes one takes.
-template <typename All, typename Size>
-std::vector<All> slices(const All& all, Size sizeOf) {
-  constexpr std::size_t kBytes = 32 * 1024;
-  std::vector<All> out;
-  std::size_t bytes = kBytes;
-  for (const auto& one : all) {
-    if (bytes >= kBytes) out.emplace_back(), bytes = 0;
-    out.back().push_back(one);
-    bytes += sizeOf(one) + 48;
+// A chunk is closed once its items take this much; a message may hold 128 KiB.
+constexpr std::size_t kChunkBytes = 32 * 1024;
+// What an item's encoding takes beside its text: field tags, lengths and numbers.
+constexpr std::size_t kItemOverheadBytes = 48;
+
+// `textBytesOf`: of one item, the length of its text.
+template <typename Items, typename TextBytes>
+std::vector<Items> chunked(const Items& items, TextBytes textBytesOf) {
+  std::vector<Items> chunks;
+  std::size_t bytes = kChunkBytes;
+  for (const auto& item : items) {
+    if (bytes >= kChunkBytes) {
+      chunks.emplace_back();
+      bytes = 0;
+    }
+    chunks.back().push_back(item);
+    bytes += textBytesOf(item) + kItemOverheadBytes;
   }
-  return out;
+  return chunks;
 }
-inline std::vector<DrainUpdates> slices(const DrainUpdates& all) {
-  return slices(all, [](const auto& news) { return news.node.size(); });
+
+inline std::vector<DrainUpdates> chunked(const DrainUpdates& updates) {
+  return chunked(updates, [](const auto& update) { return update.node.size(); });
 }
-inline std::vector<PrimaryUpdates> slices(const PrimaryUpdates& all) {
-  return slices(all, [](const auto& news) { return news.primary.node.size(); });
+
+inline std::vector<PrimaryUpdates> chunked(const PrimaryUpdates& updates) {
+  return chunked(updates, [](const auto& update) { return update.primary.node.size(); });
 }
-inline std::vector<ObservationReport> slices(const ObservationReport& all) {
-  std::vector<ObservationReport> out;
-  for (auto& some : slices(all.nodes, [](const auto& one) { return one.node.size(); }))
-    out.push_back({std::move(some), all.serves});
-  if (out.empty()) out.push_back(all);
-  return out;
+
+// At least one: whether the router has recovered is reported without observations, too.
+inline std::vector<ObservationReport> chunked(const ObservationReport& report) {
+  std::vector<ObservationReport> chunks;
+  for (auto& nodes : chunked(report.nodes, [](const auto& observation) { return observation.node.size(); }))
+    chunks.push_back({std::move(nodes), report.hasRecovered});
+  if (chunks.empty()) chunks.push_back(report);
+  return chunks;
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/claim_dispatcher_maintenance.cpp
+++ b/src/cluster/claim_dispatcher_maintenance.cpp
@@ -1,42 +1,55 @@
-// The desk's part in work on machines: words of rounds from streams to this keeper and its disk, and back.
+// The claim dispatcher's part in maintenance: proposals on the plan from streams to this voter's acceptor and
+// its store, the replies back, and this router's own turn.
 #include "cluster/claim_dispatcher.h"
 
 namespace gulltrestle::cluster {
 
 using idempotency::VotingMember;
 
-void ClaimDispatcher::workOn(StreamKey stream, const PeerMessage& word) {
-  const auto heard = worker_.hear(word, keeper_->state() == VotingMember::State::voting);
-  if (heard.said) workSaid(stream, *heard.said);
-  if (!heard.toDisk) return;
-  toDisk(PendingWrite{PendingWrite::Kind::work, stream, 0, "", {}, {}});
+bool ClaimDispatcher::mayVote() const {
+  return votingMember_ && votingMember_->state() == VotingMember::State::voting;
 }
 
-void ClaimDispatcher::workSaid(StreamKey stream, const maintenance::Acceptor::AcceptorReply& answer) {
-  if (stream == 0) return worker_.told(ledger_.now(), *own_, answer);
-  effects_.reply(stream, ProposalReply{answer});
+void ClaimDispatcher::onProposal(StreamKey stream, const PeerMessage& message) {
+  const auto outcome = maintenance_.onProposal(message, mayVote());
+  if (outcome.reply) deliverAcceptorReply(stream, *outcome.reply);
+  if (!outcome.needsWrite) return;
+  writeChanges(PendingWrite{PendingWrite::Kind::proposal, stream, 0, "", {}, {}});
 }
 
-// Kind it held is no longer what it is taken for, also at the next start.
-void ClaimDispatcher::forgetWork() {
-  worker_.forgets();
-  effects_.write({{VotingMember::DiskChange::Kind::work, worker_.text(), {}, {}, false}});
+void ClaimDispatcher::onProposalWritten(StreamKey stream, bool durable) {
+  const maintenance::AcceptedValue before = maintenance_.accepted();
+  const auto reply = maintenance_.onWritten(durable);
+  // All routers learn of it ahead of the reply to any message that they send from here on.
+  if (maintenance_.accepted() != before)
+    for (const auto& [other, peer] : greetedStreams_)
+      effects_.reply(other, PlanUpdate{maintenance_.accepted()});
+  if (reply) deliverAcceptorReply(stream, *reply);
 }
 
-void ClaimDispatcher::workTurn(Instant now) {
-  // Its own keeper's word needs no stream.
-  const bool counts = keeper_ && keeper_->state() == VotingMember::State::voting;
-  if (counts && worker_.isWhole()) worker_.answersItself(now);
-  const bool strained = ledger_.isDegraded() || !service_.hasReturned();
-  for (const PeerMessage& word : worker_.turn(now, membership_, service_, strained, counts))
-    for (idempotency::VoterIndex keeper = 0; keeper < setup_.voters.size(); ++keeper)
-      if (keeper == own_)
-        hear(0, {name_, draw_}, word);
-      else
-        effects_.sendToVoter(keeper, word);
-  if (const auto news = worker_.takeNews()) effects_.announce(news->first, news->second);
-  if (worker_.takeEnd()) {
-    effects_.log("work.ends_itself", "version=" + std::to_string(worker_.known()));
+void ClaimDispatcher::deliverAcceptorReply(StreamKey stream,
+                                           const maintenance::Acceptor::AcceptorReply& reply) {
+  if (stream == kOwnStream) return maintenance_.onAcceptorReply(transactions_.now(), *ownIndex_, reply);
+  effects_.reply(stream, ProposalReply{reply});
+}
+
+// Its state is not what it was taken for, also at the next start.
+void ClaimDispatcher::markAcceptorIncomplete() {
+  maintenance_.markIncomplete();
+  effects_.write({{VotingMember::DiskChange::Kind::work, maintenance_.serializedAcceptor(), {}, {}, false}});
+}
+
+void ClaimDispatcher::endMaintenanceTurn(Instant now) {
+  // The reply of this router's own voting member needs no stream.
+  if (mayVote() && maintenance_.isComplete()) maintenance_.renewOwnLease(now);
+  const bool isDegraded = transactions_.isDegraded() || !recovery_.hasReturned();
+  for (const PeerMessage& message : maintenance_.endTurn(now, membership_, recovery_, isDegraded, mayVote()))
+    for (idempotency::VoterIndex voter = 0; voter < config_.voters.size(); ++voter)
+      sendOrHandle(voter, message);
+  if (const auto announcement = maintenance_.takeAnnouncement())
+    effects_.announce(announcement->version, announcement->excludedNodes);
+  if (maintenance_.takeTermination()) {
+    effects_.log("work.ends_itself", "version=" + std::to_string(maintenance_.planVersion()));
     effects_.terminate();
   }
 }
--- /dev/null
+++ b/src/cluster/claim_dispatcher_voter.cpp
@@ -0,0 +1,192 @@
+// The claim dispatcher's part at a voter: messages of other routers, and of this one, to its voting member
+// and failure detector, and the replies to them once the store has what they report.
+#include "cluster/chunks.h"
+#include "cluster/claim_dispatcher.h"
+
+namespace gulltrestle::cluster {
+
+using idempotency::Vote;
+using idempotency::VotingMember;
+
+namespace {
+
+// Rejected greetings are logged once in this time: a router that connects again and again fills no log.
+constexpr Duration kRejectionLogInterval = Duration::millis(1000);
+// Of what a rejected greeting says, so much is logged.
+constexpr std::size_t kMaxLoggedName = 40, kMaxLoggedList = 200;
+
+}  // namespace
+
+// --- Streams of other routers
+
+void ClaimDispatcher::onMessage(StreamKey stream, std::string_view bytes) {
+  try {
+    const PeerMessage message = readMessage(bytes);
+    if (!votingMember_) return effects_.rejectStream(stream, "this router is no keeper");
+    if (const auto* greeting = std::get_if<Greeting>(&message)) return onGreeting(stream, *greeting);
+    const auto sender = greetedStreams_.find(stream);
+    if (sender == greetedStreams_.end()) return effects_.rejectStream(stream, "a greeting comes first");
+    onPeerMessage(stream, sender->second, message);
+  } catch (const MalformedMessage& bad) { effects_.rejectStream(stream, bad.what()); }
+}
+
+void ClaimDispatcher::onStreamEnded(StreamKey stream) {
+  greetedStreams_.erase(stream);
+  membership_.onStreamEnded(stream);
+}
+
+void ClaimDispatcher::onGreeting(StreamKey stream, const Greeting& greeting) {
+  if (!config_.routers.contains(greeting.router)) {
+    logRateLimited("peers.stranger", "router=\"" + greeting.router.substr(0, kMaxLoggedName) + "\"");
+    return effects_.rejectStream(stream, "this router is not on the list");
+  }
+  if (greeting.voterList != config_.voterListText()) {
+    logRateLimited("peers.other_list", "router=" + greeting.router + " its=\"" +
+                                           greeting.voterList.substr(0, kMaxLoggedList) + "\" ours=\"" +
+                                           config_.voterListText() + "\"");
+    return effects_.rejectStream(stream, "the lists of keepers differ");
+  }
+  greetedStreams_[stream] = {greeting.router, greeting.draw};
+  // Ahead of the greeting's reply, and so of any vote.
+  for (const DrainUpdates& chunk : chunked(drains_.all())) effects_.reply(stream, chunk);
+  for (const PrimaryUpdates& chunk : chunked(recovery_.primaries())) effects_.reply(stream, chunk);
+  for (const ObservationReport& chunk : chunked(recovery_.observations())) effects_.reply(stream, chunk);
+  if (maintenance_.accepted().version.version > 0)
+    effects_.reply(stream, PlanUpdate{maintenance_.accepted()});
+  const auto& incarnation = greeting.voterIncarnation;
+  PendingWrite pending{
+      PendingWrite::Kind::greetingReply, stream, incarnation.number, greeting.router, {}, {}};
+  if (incarnation.number > 0) {
+    const auto previous = votingMember_->onGreeting(greeting.router, incarnation);
+    if (!previous)
+      return effects_.rejectStream(stream, "the list of keepers before this one may still count");
+    pending.previousVoterIncarnation = *previous;
+  }
+  writeChanges(std::move(pending));
+}
+
+void ClaimDispatcher::logRateLimited(std::string_view event, const std::string& fields) {
+  const Instant now = transactions_.now();
+  if (rejectionLoggedAt_ != Instant() && now - rejectionLoggedAt_ < kRejectionLogInterval) return;
+  rejectionLoggedAt_ = now;
+  effects_.log(event, fields);
+}
+
+// --- Messages
+
+void ClaimDispatcher::onPeerMessage(StreamKey stream, const PeerIdentity& sender,
+                                    const PeerMessage& message) {
+  const auto tokenOf = [&](std::uint64_t number) {
+    return idempotency::ClaimToken{sender.router, sender.draw, number};
+  };
+  membership::FailureDetector& failureDetector = *membership_.failureDetector();
+  const auto* heartbeat = std::get_if<Heartbeat>(&message);
+  // Any message shows that its sender is alive.
+  failureDetector.onHeartbeat(transactions_.now(), sender.router, sender.draw,
+                              heartbeat ? std::optional(heartbeat->progress) : std::nullopt);
+  const bool hasJoined = failureDetector.isCurrent(sender.router, sender.draw);
+  if (const auto* join = std::get_if<JoinRequest>(&message))
+    return onJoinRequest(stream, sender, join->number);
+  if (heartbeat) return hasJoined ? onHeartbeat(stream, *heartbeat) : deliverJoinReply(stream, sender.router);
+  if (std::holds_alternative<PrepareRequest>(message) || std::holds_alternative<AcceptRequest>(message))
+    return hasJoined ? onProposal(stream, message) : void();
+  if (const auto* claim = std::get_if<Claim>(&message))
+    return hasJoined ? onClaim(stream, sender, *claim) : deliverVote(stream, claim->number, Vote{});
+  if (const auto* drains = std::get_if<DrainUpdates>(&message)) return onDrainUpdates(*drains, sender.router);
+  if (const auto* primaries = std::get_if<PrimaryUpdates>(&message)) return onPrimaryUpdates(*primaries);
+  if (const auto* release = std::get_if<Release>(&message))
+    votingMember_->onReleased(release->id, tokenOf(release->number));
+  if (const auto* committed = std::get_if<Committed>(&message))
+    votingMember_->onCommitted(transactions_.now(), committed->id, tokenOf(committed->number),
+                               committed->value);
+  writeChanges();
+}
+
+void ClaimDispatcher::onJoinRequest(StreamKey stream, const PeerIdentity& sender, std::uint64_t number) {
+  membership_.failureDetector()->onJoinRequest(transactions_.now(), sender.router, {number, sender.draw});
+  writeChanges(PendingWrite{PendingWrite::Kind::join, stream, 0, sender.router, {}, {}});
+}
+
+void ClaimDispatcher::onHeartbeat(StreamKey stream, const Heartbeat& heartbeat) {
+  HeartbeatReply reply = membership_.reportsFor(stream);
+  reply.heartbeatNumber = heartbeat.number;
+  reply.grantsLease = maintenance_.isComplete() && mayVote();
+  effects_.reply(stream, reply);
+}
+
+void ClaimDispatcher::onClaim(StreamKey stream, const PeerIdentity& sender, const Claim& claim) {
+  const idempotency::ClaimToken token{sender.router, sender.draw, claim.number};
+  const auto vote = votingMember_->onClaim(transactions_.now(), claim.id, token);
+  if (vote) return deliverVote(stream, claim.number, *vote);
+  writeChanges(PendingWrite{PendingWrite::Kind::vote, stream, claim.number, claim.id, token, {}});
+}
+
+void ClaimDispatcher::deliverVote(StreamKey stream, std::uint64_t claimNumber, const Vote& vote) {
+  if (stream == kOwnStream) return coordinator_.onVote(*ownIndex_, claimNumber, vote);
+  effects_.reply(stream, VoteReply{claimNumber, vote});
+}
+
+void ClaimDispatcher::deliverJoinReply(StreamKey stream, const std::string& router) {
+  const auto newest = membership_.failureDetector()->newestIncarnation(router);
+  if (stream == kOwnStream) return onJoinReply(*ownIndex_, newest);
+  effects_.reply(stream, JoinReply{newest});
+}
+
+// --- The store
+
+void ClaimDispatcher::writeChanges(std::optional<PendingWrite> pending) {
+  auto changes = votingMember_->takeChanges();
+  for (const auto& [router, incarnation] : membership_.failureDetector()->takeChanges())
+    changes.push_back(
+        {VotingMember::DiskChange::Kind::member, router, {}, {incarnation.number, incarnation.draw}, false});
+  if (pending && pending->kind == PendingWrite::Kind::proposal)
+    changes.push_back(
+        {VotingMember::DiskChange::Kind::work, maintenance_.serializedAcceptor(), {}, {}, false});
+  if (changes.empty() && !pending) return;
+  const Ticket ticket = effects_.write(std::move(changes));
+  if (pending) pendingWrites_[ticket] = std::move(*pending);
+}
+
+void ClaimDispatcher::onWritten(Ticket ticket, bool durable) {
+  const auto found = pendingWrites_.find(ticket);
+  if (found == pendingWrites_.end()) return;
+  const PendingWrite pending = std::move(found->second);
+  pendingWrites_.erase(found);
+  switch (pending.kind) {
+    case PendingWrite::Kind::greetingReply: {
+      // An incarnation that is not durable here was not greeted: its router greets again on its next stream.
+      if (!durable) return effects_.rejectStream(pending.stream, "the disk of this keeper fails");
+      const auto joined = membership_.failureDetector()->newestIncarnation(pending.id);
+      return effects_.reply(pending.stream,
+                            GreetingReply{pending.number, pending.previousVoterIncarnation, joined});
+    }
+    case PendingWrite::Kind::vote: {
+      const auto vote = votingMember_->onWritten(pending.id, pending.token, durable);
+      if (vote) deliverVote(pending.stream, pending.number, *vote);
+      return;
+    }
+    case PendingWrite::Kind::join:
+      if (durable) return deliverJoinReply(pending.stream, pending.id);
+      if (pending.stream == kOwnStream) return writeChanges(pending);
+      return effects_.rejectStream(pending.stream, "the disk of this keeper fails");
+    case PendingWrite::Kind::proposal:
+      return onProposalWritten(pending.stream, durable);
+    case PendingWrite::Kind::regreet:
+      if (!durable) return writeChanges(pending);
+      sendToOtherVoters(greeting());
+  }
+}
+
+void ClaimDispatcher::logVotingState() {
+  if (!votingMember_ || loggedState_ == votingMember_->state()) return;
+  loggedState_ = votingMember_->state();
+  std::string fields = "state=" + std::string(nameOf(*loggedState_)) +
+                       " start=" + std::to_string(votingMember_->start().number) +
+                       " holds=" + std::to_string(votingMember_->size());
+  for (const auto& name : votingMember_->unverifiedVoters()) fields += " waits_for=" + name;
+  if (loggedState_ == VotingMember::State::abstaining)
+    fields += " for_ms=" + std::to_string(config_.votingMember.retention.inMicros() / 1000);
+  effects_.log("claims.keeper", fields);
+}
+
+}  // namespace gulltrestle::cluster
--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -11,12 +11,16 @@
 using config::ConfigError;
 using config::ConfigSection;
 
-// A keeper talks to each of the others, and each router to all of them; more don't make it safer.
-constexpr std::size_t kMostKeepers = 9;
-// The votes for a txn must outlast it, and what a client may repeat, by a good deal.
-constexpr double kRetentionAtLeast = 4;
+// Each router talks to all voters, and the voters to each other; more of them add little safety.
+constexpr std::size_t kMaxVoters = 9;
+// Retention is at least so many times the longest deadline: votes on an idempotency key must outlast its
+// transaction, and the client's retries, by a good deal.
+constexpr double kMinRetentionFactor = 4;
+// A proposal round ends well before an acceptor that lost its state votes again (maintenance/acceptor.h).
+constexpr double kMaxProposalTimeoutFraction = 0.25;
+constexpr std::int64_t kWeekMillis = 7 * 24 * 3'600'000LL, kDayMillis = 24 * 3'600'000LL;
 
-std::set<std::string> namesOf(const json::Value& list, const char* key, const char* fault) {
+std::set<std::string> readNames(const json::Value& list, const char* key, const char* fault) {
   std::set<std::string> names;
   if (list.kind != json::Value::Kind::list) throw ConfigError(key, fault);
   for (const auto& name : list.items) {
@@ -26,124 +30,140 @@
   return names;
 }
 
-// Those before, the oldest first, and the present one.
-std::vector<idempotency::VoterList> listsOf(ConfigSection& top, const json::Value& all,
-                                            const ClusterConfig& setup) {
+void readVoters(ConfigSection& top, ClusterConfig& config) {
+  ConfigSection voters = top.section("keepers");
+  if (voters.keys().empty()) throw ConfigError("keepers", "names none");
+  if (voters.keys().size() > kMaxVoters) throw ConfigError("keepers", "are more than 9");
+  if (voters.keys().size() % 2 == 0)
+    throw ConfigError("keepers", "are an even number: one of them is of no use");
+  for (const auto& name : voters.keys()) {
+    config.voters.push_back({name, config::readAddress(voters.path(name), voters.text(name, ""))});
+    config.routers.insert(name);
+  }
+  std::sort(config.voters.begin(), config.voters.end(), [](auto& a, auto& b) { return a.name < b.name; });
+}
+
+// The former voter lists, the oldest first, and the present one.
+std::vector<idempotency::VoterList> readVoterLists(ConfigSection& top, const json::Value& all,
+                                                   const ClusterConfig& config) {
   constexpr const char* kKey = "keepers_before";
   constexpr const char* kFault = "is no list of lists of names";
   std::vector<idempotency::VoterList> lists;
   if (top.has(kKey)) {
-    const json::Value& before = *all.find(kKey);
-    if (before.kind != json::Value::Kind::list) throw ConfigError(kKey, kFault);
-    for (const auto& list : before.items) lists.push_back({lists.size() + 1, namesOf(list, kKey, kFault)});
+    const json::Value& former = *all.find(kKey);
+    if (former.kind != json::Value::Kind::list) throw ConfigError(kKey, kFault);
+    for (const auto& list : former.items) lists.push_back({lists.size() + 1, readNames(list, kKey, kFault)});
   }
   lists.push_back({lists.size() + 1, {}});
-  for (const auto& place : setup.voters) lists.back().names.insert(place.name);
+  for (const auto& voter : config.voters) lists.back().names.insert(voter.name);
   if (const auto fault = idempotency::faultIn(lists); !fault.empty()) throw ConfigError(kKey, fault);
   return lists;
 }
 
-void readWork(ConfigSection work, ClusterConfig& setup) {
-  setup.workFolder = work.text("folder", "");
-  setup.announceFile = work.text("announce_file", "");
-  maintenance::Bounds& bounds = setup.work;
-  bounds.notifiesDiscovery = !setup.announceFile.empty();
-  const auto few = [&](const char* key, unsigned otherwise) {
-    return static_cast<unsigned>(work.whole(key, otherwise, 1, 100));
-  };
-  bounds.maxNodesOutPerGroup = few("out_of_group", bounds.maxNodesOutPerGroup);
-  bounds.maxMachinesInProgress = few("at_once", bounds.maxMachinesInProgress);
-  bounds.maxRoutersOut = few("routers_out", bounds.maxRoutersOut);
-  bounds.maxAttempts = few("tries", bounds.maxAttempts);
-  constexpr std::int64_t kLongest = 24 * 3'600'000LL;
-  bounds.announceTimeout = work.millis("announce_ms", bounds.announceTimeout, 1000, kLongest);
-  bounds.drainTimeout = work.millis("leave_ms", bounds.drainTimeout, 1000, kLongest);
-  bounds.returnTimeout = work.millis("come_back_ms", bounds.returnTimeout, 1000, kLongest);
-  bounds.warmUpDuration = work.millis("warm_ms", bounds.warmUpDuration, 0, kLongest);
-  bounds.maxReplicationLag = work.millis("caught_up_ms", bounds.maxReplicationLag, 0, kLongest);
-  bounds.retryDelay = work.millis("rest_ms", bounds.retryDelay, 0, kLongest);
-  work.end();
-  // Keepers that forgot rely on rounds that end well before they vote again (maintenance/acceptor.h).
-  setup.mostRound = std::min(setup.mostRound, setup.votingMember.retention * 0.25);
+void readStoreFolder(ConfigSection& top, const std::string& name, ClusterConfig& config) {
+  const bool isVoter = std::any_of(config.voters.begin(), config.voters.end(),
+                                   [&](auto& voter) { return voter.name == name; });
+  config.storeFolder = top.text("store", "");
+  if (isVoter && config.storeFolder.empty())
+    throw ConfigError("store", "is missing: a keeper needs a folder that lasts");
+  if (!isVoter) config.storeFolder.clear();
 }
 
-ClusterConfig read(const json::Value& all, const std::string& name, Duration longest) {
-  ConfigSection top(all, "");
-  ClusterConfig setup;
-  ConfigSection keepers = top.section("keepers");
-  if (keepers.keys().empty()) throw ConfigError("keepers", "names none");
-  if (keepers.keys().size() > kMostKeepers) throw ConfigError("keepers", "are more than 9");
-  if (keepers.keys().size() % 2 == 0)
-    throw ConfigError("keepers", "are an even number: one of them is of no use");
-  for (const auto& key : keepers.keys()) {
-    setup.voters.push_back({key, config::readAddress(keepers.path(key), keepers.text(key, ""))});
-    setup.routers.insert(key);
-  }
-  std::sort(setup.voters.begin(), setup.voters.end(), [](auto& a, auto& b) { return a.name < b.name; });
-  if (top.has("routers")) {
-    setup.routers.merge(namesOf(*all.find("routers"), "routers", "is no list of names"));
-  }
-  setup.lists = listsOf(top, all, setup);
-  if (!setup.routers.contains(name))
-    throw ConfigError("routers", "'" + name + "', this router, is not among them");
-  const bool isKeeper = std::any_of(setup.voters.begin(), setup.voters.end(),
-                                    [&](auto& keeper) { return keeper.name == name; });
-  setup.folder = top.text("store", "");
-  if (isKeeper && setup.folder.empty())
-    throw ConfigError("store", "is missing: a keeper needs a folder that lasts");
-  if (!isKeeper) setup.folder.clear();
-  auto& retention = setup.votingMember.retention;
-  retention = top.millis("retention_ms", retention, 1000, 7 * 24 * 3'600'000LL);
-  if (retention < longest * kRetentionAtLeast)
+void readClaimTimes(ConfigSection& top, Duration longestDeadline, ClusterConfig& config) {
+  auto& retention = config.votingMember.retention;
+  retention = top.millis("retention_ms", retention, 1000, kWeekMillis);
+  if (retention < longestDeadline * kMinRetentionFactor)
     throw ConfigError("retention_ms",
                       "is under 4 times the longest expiry of a txn that may run only once, " +
-                          std::to_string(longest.inMicros() / 1000) + " ms");
-  setup.coordinator.voterCount = setup.voters.size();
-  setup.coordinator.retention = retention;
-  setup.coordinator.maxVoteWait = top.millis("longest_wait_ms", setup.coordinator.maxVoteWait, 10, 60'000);
-  setup.coordinator.retryAfter = top.millis("come_back_ms", setup.coordinator.retryAfter, 0, 60'000);
-  ConfigSection limits = top.section("limits");
-  setup.votingMember.maxClaims = limits.whole("ids", setup.votingMember.maxClaims, 1000, 100'000'000);
-  setup.votingMember.maxValueBytes =
-      limits.whole("value_bytes", setup.votingMember.maxValueBytes, 0, 64 * 1024);
-  setup.coordinator.maxClaims = limits.whole("open_claims", setup.coordinator.maxClaims, 10, 1'000'000);
-  setup.mostConnections = limits.whole("connections", 2 * setup.routers.size(), 1, 10'000);
+                          std::to_string(longestDeadline.inMicros() / 1000) + " ms");
+  auto& coordinator = config.coordinator;
+  coordinator.voterCount = config.voters.size();
+  coordinator.retention = retention;
+  coordinator.maxVoteWait = top.millis("longest_wait_ms", coordinator.maxVoteWait, 10, 60'000);
+  coordinator.retryAfter = top.millis("come_back_ms", coordinator.retryAfter, 0, 60'000);
+}
+
+void readLimits(ConfigSection limits, ClusterConfig& config) {
+  auto& votingMember = config.votingMember;
+  votingMember.maxClaims = limits.whole("ids", votingMember.maxClaims, 1000, 100'000'000);
+  votingMember.maxValueBytes = limits.whole("value_bytes", votingMember.maxValueBytes, 0, 64 * 1024);
+  config.coordinator.maxClaims = limits.whole("open_claims", config.coordinator.maxClaims, 10, 1'000'000);
+  config.maxConnections = limits.whole("connections", 2 * config.routers.size(), 1, 10'000);
   limits.end();
-  setup.firstTxns =
-      static_cast<double>(top.whole("first_txns", static_cast<std::size_t>(setup.firstTxns), 1, 1'000'000));
-  setup.statusFile = top.text("status_file", "");
-  setup.statusEvery = top.millis("status_every_ms", setup.statusEvery, 50, 3'600'000);
-  if (top.has("force")) {
-    ConfigSection force = top.section("force");
-    const std::string stage = force.text("stage", "");
-    for (const auto one : {recovery::Stage::anyReads, recovery::Stage::consistentReads,
-                           recovery::Stage::writes, recovery::Stage::all})
-      if (stage == recovery::nameOf(one)) setup.forced = one;
-    if (!setup.forced)
-      throw ConfigError("force.stage", "'" + stage + "' is none of any_reads, owed_reads, writes and all");
-    setup.forcedBy = force.text("by", "");
-    if (setup.forcedBy.empty())
-      throw ConfigError("force.by", "is missing: whose word it is goes into the log");
-    force.end();
-  }
-  readWork(top.section("work"), setup);
+}
+
+void readForcedStage(ConfigSection force, ClusterConfig& config) {
+  const std::string stage = force.text("stage", "");
+  for (const auto candidate : {recovery::Stage::anyReads, recovery::Stage::consistentReads,
+                               recovery::Stage::writes, recovery::Stage::all})
+    if (stage == recovery::nameOf(candidate)) config.forcedStage = candidate;
+  if (!config.forcedStage)
+    throw ConfigError("force.stage", "'" + stage + "' is none of any_reads, owed_reads, writes and all");
+  config.forcedBy = force.text("by", "");
+  if (config.forcedBy.empty())
+    throw ConfigError("force.by", "is missing: whose word it is goes into the log");
+  force.end();
+}
+
+void readMaintenance(ConfigSection section, ClusterConfig& config) {
+  config.requestFolder = section.text("folder", "");
+  config.announceFile = section.text("announce_file", "");
+  maintenance::Bounds& bounds = config.maintenance;
+  bounds.notifiesDiscovery = !config.announceFile.empty();
+  const auto readCount = [&](const char* key, unsigned defaultValue) {
+    return static_cast<unsigned>(section.whole(key, defaultValue, 1, 100));
+  };
+  bounds.maxNodesOutPerGroup = readCount("out_of_group", bounds.maxNodesOutPerGroup);
+  bounds.maxMachinesInProgress = readCount("at_once", bounds.maxMachinesInProgress);
+  bounds.maxRoutersOut = readCount("routers_out", bounds.maxRoutersOut);
+  bounds.maxAttempts = readCount("tries", bounds.maxAttempts);
+  bounds.announceTimeout = section.millis("announce_ms", bounds.announceTimeout, 1000, kDayMillis);
+  bounds.drainTimeout = section.millis("leave_ms", bounds.drainTimeout, 1000, kDayMillis);
+  bounds.returnTimeout = section.millis("come_back_ms", bounds.returnTimeout, 1000, kDayMillis);
+  bounds.warmUpDuration = section.millis("warm_ms", bounds.warmUpDuration, 0, kDayMillis);
+  bounds.maxReplicationLag = section.millis("caught_up_ms", bounds.maxReplicationLag, 0, kDayMillis);
+  bounds.retryDelay = section.millis("rest_ms", bounds.retryDelay, 0, kDayMillis);
+  section.end();
+  config.proposalTimeout =
+      std::min(config.proposalTimeout, config.votingMember.retention * kMaxProposalTimeoutFraction);
+}
+
+ClusterConfig read(const json::Value& all, const std::string& name, Duration longestDeadline) {
+  ConfigSection top(all, "");
+  ClusterConfig config;
+  readVoters(top, config);
+  if (top.has("routers"))
+    config.routers.merge(readNames(*all.find("routers"), "routers", "is no list of names"));
+  config.voterLists = readVoterLists(top, all, config);
+  if (!config.routers.contains(name))
+    throw ConfigError("routers", "'" + name + "', this router, is not among them");
+  readStoreFolder(top, name, config);
+  readClaimTimes(top, longestDeadline, config);
+  readLimits(top.section("limits"), config);
+  const auto defaultRate = static_cast<std::size_t>(config.initialRatePerNode);
+  config.initialRatePerNode = static_cast<double>(top.whole("first_txns", defaultRate, 1, 1'000'000));
+  config.statusFile = top.text("status_file", "");
+  config.statusInterval = top.millis("status_every_ms", config.statusInterval, 50, 3'600'000);
+  if (top.has("force")) readForcedStage(top.section("force"), config);
+  readMaintenance(top.section("work"), config);
   top.end();
-  return setup;
+  return config;
 }
 
 }  // namespace
 
-std::string ClusterConfig::list() const {
-  std::string out = std::to_string(lists.size()) + ":";
-  for (const auto& place : voters) out += " " + place.name;
-  return out;
+std::string ClusterConfig::voterListText() const {
+  std::string text = std::to_string(voterLists.size()) + ":";
+  for (const auto& voter : voters) text += " " + voter.name;
+  return text;
 }
 
-ClusterConfig readClusterConfig(std::string_view text, const std::string& name, Duration longest) {
-  return read(config::readText(text), name, longest);
+ClusterConfig readClusterConfig(std::string_view text, const std::string& name, Duration longestDeadline) {
+  return read(config::readText(text), name, longestDeadline);
 }
-ClusterConfig readClusterConfigFile(const std::string& path, const std::string& name, Duration longest) {
-  return read(config::readFile(path), name, longest);
+ClusterConfig readClusterConfigFile(const std::string& path, const std::string& name,
+                                    Duration longestDeadline) {
+  return read(config::readFile(path), name, longestDeadline);
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/cluster_config.h
+++ b/src/cluster/cluster_config.h
@@ -1,5 +1,4 @@
-// The configuration of what several routers settle among themselves: read, checked key by key, and given
-// defaults.
+// The configuration of a cluster of routers: read, validated key by key, and given defaults.
 #pragma once
 
 #include <optional>
@@ -17,40 +16,43 @@
 
 namespace gulltrestle::cluster {
 
+// What the fleet's settings file says. All routers of a cluster have the same voters.
 struct ClusterConfig {
   struct VoterAddress {
     std::string name;
     config::Address address;
   };
-  std::vector<VoterAddress> voters;           // in the order of their names
-  std::vector<idempotency::VoterList> lists;  // all that there were of keepers, the present one last
-  std::set<std::string> routers;              // all that belong, keepers included
-  std::string folder;                         // of this router's store; empty: it is no keeper
+  std::vector<VoterAddress> voters;                // in the order of their names
+  std::vector<idempotency::VoterList> voterLists;  // the former ones, the oldest first, and the present one
+  std::set<std::string> routers;                   // all members, voters included
+  std::string storeFolder;                         // of this router's store; empty: it is no voter
   idempotency::VotingMemberLimits votingMember;
   idempotency::ClaimCoordinatorLimits coordinator;
-  std::size_t mostConnections =
-      0;  // to this keeper; by default twice as many as there are routers, for what lingers
-
-  double firstTxns =
-      recovery::AdmissionRamp::kInitialRatePerNode;  // a second and node, over all routers, after a start
-  std::string statusFile;                            // empty: none is written
-  Duration statusEvery = Duration::millis(1000);
-  std::optional<recovery::Stage> forced;  // by an operator, whose name is said
+  // To this voter; by default twice as many as there are routers, for connections that linger.
+  std::size_t maxConnections = 0;
+
+  // --- Recovery
+  // Transactions a second that all routers together admit per node after a start.
+  double initialRatePerNode = recovery::AdmissionRamp::kInitialRatePerNode;
+  std::string statusFile;  // empty: no status document is written
+  Duration statusInterval = Duration::millis(1000);
+  std::optional<recovery::Stage> forcedStage;  // by the operator who is named
   std::string forcedBy;
 
-  // --- Work on machines
-  maintenance::Bounds work;
-  Duration mostRound = Duration::millis(2000);  // well below retention
-  std::string workFolder;    // operators' requests are put there; empty: none are taken here
-  std::string announceFile;  // nodes that are out, for whoever feeds discovery; empty: none
+  // --- Maintenance
+  maintenance::Bounds maintenance;
+  Duration proposalTimeout = Duration::millis(2000);  // well below the retention time
+  std::string requestFolder;  // where operators put requests; empty: none are taken here
+  std::string announceFile;   // of excluded nodes, for whoever feeds discovery; empty: none is written
 
-  // All keepers, as both ends of a stream must have them.
-  std::string list() const;
+  // The number of the present voter list and its names: the same on both ends of a stream.
+  std::string voterListText() const;
 };
 
-// `name`: of this router; `longest`: that a client waits for a txn that may run only once. Throws
-// config::BadKey, which names the key. Keys that are not known are faults, too.
-ClusterConfig readClusterConfig(std::string_view text, const std::string& name, Duration longest);
-ClusterConfig readClusterConfigFile(const std::string& path, const std::string& name, Duration longest);
+// `name`: this router's; `longestDeadline`: of a transaction that runs at most once. Throws
+// config::ConfigError, which names the key. A key that is not known is a fault, too.
+ClusterConfig readClusterConfig(std::string_view text, const std::string& name, Duration longestDeadline);
+ClusterConfig readClusterConfigFile(const std::string& path, const std::string& name,
+                                    Duration longestDeadline);
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -36,9 +36,9 @@
 
 std::unique_ptr<store::Store> storeOf(const ClusterConfig& setup, const std::string& name,
                                       std::uint64_t draw) {
-  if (setup.folder.empty()) return nullptr;
+  if (setup.storeFolder.empty()) return nullptr;
   try {
-    return std::make_unique<store::Store>(setup.folder, name, draw, setup.lists);
+    return std::make_unique<store::Store>(setup.storeFolder, name, draw, setup.voterLists);
   } catch (const store::RejectedVoterList& bad) {
     throw config::ConfigError("keepers", bad.what());
   } catch (const store::UnusableFolder& bad) { throw config::ConfigError("store", bad.what()); }
@@ -48,7 +48,7 @@
   grpc_server::Bounds bounds;
   bounds.calls.connection.mostStreams = 4;
   bounds.calls.longestMessage = kLongestMessage;
-  bounds.mostConnections = setup.mostConnections;
+  bounds.mostConnections = setup.maxConnections;
   return bounds;
 }
 
@@ -96,20 +96,20 @@
   if (store_) {
     if (!store_->setAside().empty())
       spdlog::error("event=store.damaged set_aside=\"{}\"", store_->setAside());
-    spdlog::info("event=store.opened folder={} start={} whole={} ids={}", setup_.folder,
+    spdlog::info("event=store.opened folder={} start={} whole={} ids={}", setup_.storeFolder,
                  store_->storedState().own.back().number, store_->storedState().isComplete,
                  store_->storedState().entries.size());
     if (!store_->storedState().isComplete)
       spdlog::warn(
           "event=store.not_whole folder={} votes_after_ms={} hint=\"a new installation's folder is made by: "
           "gulltrestle store create FOLDER {}\"",
-          setup_.folder, setup_.votingMember.retention.inMicros() / 1000, name);
+          setup_.storeFolder, setup_.votingMember.retention.inMicros() / 1000, name);
     kept = store_->takeStoredState();
   }
   Duration longest;
   for (const auto& type : terms.transactionClasses) longest = std::max(longest, type.deadline);
-  setup_.work.fenceDuration = maintenance::fenceDurationFor(longest);
-  if (!setup_.workFolder.empty()) requests_.emplace(setup_.workFolder);
+  setup_.maintenance.fenceDuration = maintenance::fenceDurationFor(longest);
+  if (!setup_.requestFolder.empty()) requests_.emplace(setup_.requestFolder);
   Effects& effects = *this;
   grpc_server::CallHandler& receiver = *this;
   desk_ = std::make_unique<ClaimDispatcher>(ledger_, terms, setup_, name, draw, std::move(kept), effects);
@@ -122,8 +122,8 @@
   if (store_) loop_.spawn(watchDisk());
   ledger_.setExecutionGate(desk_.get());
   ledger_.setAdmissionController(&desk_->recovery());
-  spdlog::info("event=peers.on keepers=\"{}\" routers={} keeper={}", setup_.list(), setup_.routers.size(),
-               store_ != nullptr);
+  spdlog::info("event=peers.on keepers=\"{}\" routers={} keeper={}", setup_.voterListText(),
+               setup_.routers.size(), store_ != nullptr);
 }
 
 // Its coroutines refer to it.
@@ -139,7 +139,7 @@
   const auto at = talks_.find(keeper);
   if (at == talks_.end()) return;
   PeerStream& talk = *at->second;
-  ++talked_.said;
+  ++streamStatistics_.messagesSent;
   talk.session.send(talk.call, grpc::framed(encoded(word)));
   // Only these are answered.
   const bool isAnswered = std::holds_alternative<Greeting>(word) || std::holds_alternative<Claim>(word) ||
@@ -151,7 +151,7 @@
 }
 
 void ClusterServer::reply(StreamKey stream, const PeerReply& said) {
-  ++talked_.answersGiven;
+  ++streamStatistics_.repliesSent;
   listener_->send(stream, encoded(said));
 }
 
@@ -177,7 +177,7 @@
   const auto sooner = [&](Instant at) {
     if (due == Instant() || at < due) due = at;
   };
-  if (!setup_.statusFile.empty()) sooner(statusAt_ + setup_.statusEvery);
+  if (!setup_.statusFile.empty()) sooner(statusAt_ + setup_.statusInterval);
   if (requests_) sooner(requestsAt_ + kRequestsPause);
   return due;
 }
@@ -186,11 +186,12 @@
 
 void ClusterServer::readRequests(Instant now) {
   if (!requests_) return;
-  for (const auto& answer : desk_->maintenance().takeAnswers()) requests_->answer(answer.request, answer.why);
+  for (const auto& answer : desk_->maintenance().takeAnswers())
+    requests_->answer(answer.requestId, answer.rejection);
   if (requestsAt_ != Instant() && now - requestsAt_ < kRequestsPause) return;
   requestsAt_ = now;
-  for (auto& [name, text] : requests_->take()) try {
-      desk_->maintenance().asked(name, maintenance::readOperatorRequest(text));
+  for (auto& [name, text] : requests_->takeNew()) try {
+      desk_->maintenance().onOperatorRequest(name, maintenance::readOperatorRequest(text));
     } catch (const maintenance::InvalidRequest& bad) { requests_->answer(name, bad.what()); }
   if (const std::string fault = requests_->takeFault(); !fault.empty())
     spdlog::error("event=work.folder_fails why=\"{}\"", fault);
@@ -201,7 +202,7 @@
 
 void ClusterServer::announce(std::uint64_t version, const std::set<std::string>& out) {
   if (setup_.announceFile.empty()) return;
-  if (!replaceFile(setup_.announceFile, announced(version, out)))
+  if (!replaceFile(setup_.announceFile, announcementOf(version, out)))
     spdlog::error("event=work.announce_failed file=\"{}\"", setup_.announceFile);
 }
 
@@ -212,10 +213,11 @@
 }
 
 void ClusterServer::writeStatus(Instant now) {
-  if (setup_.statusFile.empty() || now - statusAt_ < setup_.statusEvery) return;
+  if (setup_.statusFile.empty() || now - statusAt_ < setup_.statusInterval) return;
   statusAt_ = now;
   const auto disk = store_ ? std::optional(store_->statistics()) : std::nullopt;
-  const bool fails = !replaceFile(setup_.statusFile, statusOf(now, *desk_, disk ? &*disk : nullptr, talked_));
+  const bool fails =
+      !replaceFile(setup_.statusFile, statusOf(now, *desk_, disk ? &*disk : nullptr, streamStatistics_));
   if (fails && !std::exchange(statusFails_, fails))
     spdlog::error("event=peers.status_failed file=\"{}\"", setup_.statusFile);
   statusFails_ = fails;
@@ -315,7 +317,7 @@
                 std::string_view left = talk.kept, message;
                 grpc::Cut cut;
                 while ((cut = grpc::cutMessage(left, kLongestMessage, message)) == grpc::Cut::message) {
-                  ++talked_.heard;
+                  ++streamStatistics_.repliesReceived;
                   desk_->onReply(keeper, message);
                   pause = kAgainFirst;
                 }
--- a/src/cluster/cluster_server.h
+++ b/src/cluster/cluster_server.h
@@ -32,7 +32,7 @@
 
   // Descriptors that it may take.
   static std::size_t descriptors(const ClusterConfig& setup) {
-    return setup.voters.size() + (setup.folder.empty() ? 0 : setup.mostConnections + 8);
+    return setup.voters.size() + (setup.storeFolder.empty() ? 0 : setup.maxConnections + 8);
   }
 
   void onDiscoveryActivity() override {}
@@ -61,7 +61,7 @@
   void seen(Instant now) override { ledger_.advanceTo(now); }
   void opened(grpc_server::CallKey) override {}
   void message(grpc_server::CallKey call, std::string_view bytes) override {
-    ++talked_.wordsTaken;
+    ++streamStatistics_.messagesReceived;
     desk_->onMessage(call, bytes);
   }
   void halfClosed(grpc_server::CallKey call) override { listener_->finish(call, grpc::Status::ok, ""); }
@@ -84,7 +84,7 @@
   std::mt19937_64 chance_;
   std::function<ClusterConfig()> read_;
   Instant saidAt_, statusAt_, requestsAt_;
-  StreamStatistics talked_;
+  StreamStatistics streamStatistics_;
   bool statusFails_ = false;
   std::uint64_t saidAsked_ = 0;
   bool faulty_ = false;  // the disk, as it was last logged
--- a/src/cluster/gossip.cpp
+++ b/src/cluster/gossip.cpp
@@ -1,4 +1,5 @@
-// The desk's news of nodes and primaries: from lists, from others, to the disk and to keepers.
+// The claim dispatcher's updates on draining nodes and on primaries: from endpoint lists and from other
+// routers, to the store and to the voters.
 #include <algorithm>
 
 #include "cluster/chunks.h"
@@ -8,72 +9,77 @@
 
 using idempotency::VotingMember;
 
+namespace {
+
+std::size_t countNotLive(const std::vector<EndpointEntry*>& entries) {
+  return static_cast<std::size_t>(std::count_if(
+      entries.begin(), entries.end(), [](const auto* entry) { return entry->health != Health::live; }));
+}
+
+}  // namespace
+
 void ClaimDispatcher::amendEndpointList(EndpointUpdateKind kind, std::uint64_t version,
                                         std::vector<transactions::ResolvedEndpoint>& list) {
   std::vector<EndpointEntry*> entries;
-  std::size_t named = 0, later = 0;
-  for (auto& [entry, address] : list) {
-    entries.push_back(&entry);
-    named += entry.health != Health::live;
-  }
-  const DrainUpdates news = leaving_.applyList(kind, version, entries);
-  for (const EndpointEntry* entry : entries) later += entry->health != Health::live;
-  if (later > named)
+  for (auto& [entry, address] : list) entries.push_back(&entry);
+  const std::size_t notLiveInList = countNotLive(entries);
+  const DrainUpdates updates = drains_.applyList(kind, version, entries);
+  const std::size_t notLive = countNotLive(entries);
+  if (notLive > notLiveInList)
     effects_.log("peers.old_list", "version=" + std::to_string(version) +
-                                       " newest=" + std::to_string(leaving_.newest()) +
-                                       " kept_draining=" + std::to_string(later - named));
-  service_.listed(kind, version, entries);
-  if (news.empty()) return;
-  keep(news);
-  for (const DrainUpdates& some : slices(news))
-    for (std::size_t i = 0; i < setup_.voters.size(); ++i)
-      if (i != own_) effects_.sendToVoter(i, some);
+                                       " newest=" + std::to_string(drains_.newest()) +
+                                       " kept_draining=" + std::to_string(notLive - notLiveInList));
+  recovery_.onEndpointList(kind, version, entries);
+  if (updates.empty()) return;
+  storeDrains(updates);
+  for (const DrainUpdates& chunk : chunked(updates)) sendToOtherVoters(chunk);
 }
 
-void ClaimDispatcher::learn(const DrainUpdates& news, std::string_view from) {
-  DrainUpdates fresh;
-  std::vector<NodeId> leave;
-  for (const auto& one : news)
-    if (leaving_.learn(one)) {
-      fresh.push_back(one);
-      if (one.isDraining) leave.push_back(one.node);
+void ClaimDispatcher::onDrainUpdates(const DrainUpdates& updates, std::string_view from) {
+  DrainUpdates newUpdates;
+  std::vector<NodeId> draining;
+  for (const auto& update : updates)
+    if (drains_.learn(update)) {
+      newUpdates.push_back(update);
+      if (update.isDraining) draining.push_back(update.node);
     }
-  if (fresh.empty()) return;
+  if (newUpdates.empty()) return;
   effects_.log("peers.nodes_learnt", "from=" + std::string(from) +
-                                         " leaving=" + std::to_string(leave.size()) +
-                                         " staying=" + std::to_string(fresh.size() - leave.size()));
-  keep(fresh);
-  ledger_.leave(leave);
+                                         " leaving=" + std::to_string(draining.size()) +
+                                         " staying=" + std::to_string(newUpdates.size() - draining.size()));
+  storeDrains(newUpdates);
+  transactions_.leave(draining);
 }
 
-void ClaimDispatcher::keep(const DrainUpdates& news) {
-  const auto forgotten = leaving_.takeForgotten();
-  if (setup_.folder.empty()) return;
+void ClaimDispatcher::storeDrains(const DrainUpdates& updates) {
+  const auto forgotten = drains_.takeForgotten();
+  if (config_.storeFolder.empty()) return;
   std::vector<VotingMember::DiskChange> changes;
   for (const auto& node : forgotten)
     changes.push_back({VotingMember::DiskChange::Kind::node, node, {}, {}, false});
-  for (const auto& one : news)
-    changes.push_back({VotingMember::DiskChange::Kind::node, one.node, {}, {one.version, 0}, one.isDraining});
+  for (const auto& update : updates)
+    changes.push_back(
+        {VotingMember::DiskChange::Kind::node, update.node, {}, {update.version, 0}, update.isDraining});
   if (!changes.empty()) effects_.write(std::move(changes));
 }
 
-void ClaimDispatcher::learn(const PrimaryUpdates& news) {
-  PrimaryUpdates fresh;
-  for (const auto& one : news)
-    if (service_.knew(one)) fresh.push_back(one);
-  keep(fresh);
+void ClaimDispatcher::onPrimaryUpdates(const PrimaryUpdates& updates) {
+  PrimaryUpdates newUpdates;
+  for (const auto& update : updates)
+    if (recovery_.onPrimaryUpdate(update)) newUpdates.push_back(update);
+  storePrimaries(newUpdates);
 }
 
-void ClaimDispatcher::keep(const PrimaryUpdates& news) {
-  if (setup_.folder.empty() || news.empty()) return;
+void ClaimDispatcher::storePrimaries(const PrimaryUpdates& updates) {
+  if (config_.storeFolder.empty() || updates.empty()) return;
   std::vector<VotingMember::DiskChange> changes;
-  for (const auto& one : news)
+  for (const auto& update : updates)
     changes.push_back({VotingMember::DiskChange::Kind::primary,
-                       one.primary.node,
+                       update.primary.node,
                        {},
-                       {one.primary.version, 0},
+                       {update.primary.version, 0},
                        false,
-                       one.group});
+                       update.group});
   effects_.write(std::move(changes));
 }
 
--- a/src/cluster/maintenance_service.cpp
+++ b/src/cluster/maintenance_service.cpp
@@ -12,260 +12,300 @@
 
 namespace {
 
-// How often the fleet is looked at where there is work; less than half of what a step is worth waiting for.
-constexpr Duration kLook = Duration::millis(500);
-// Requests that wait for a round.
-constexpr std::size_t kMostAsks = 100;
+// How often the fleet is observed while there is maintenance: a transition is delayed by this at most.
+constexpr Duration kObservationInterval = Duration::millis(500);
+// Operators' requests that wait for a round.
+constexpr std::size_t kMaxPendingRequests = 100;
 
 }  // namespace
 
-MaintenanceService::MaintenanceService(transactions::TransactionTable& ledger, Place place,
+MaintenanceService::MaintenanceService(transactions::TransactionTable& transactions, Place place,
                                        std::uint64_t draw, const maintenance::Bounds& bounds,
-                                       Duration mostRound, std::optional<std::pair<std::string, bool>> kept,
+                                       Duration proposalTimeout, std::optional<StoredAcceptor> stored,
                                        Log log)
-    : ledger_(ledger),
+    : transactions_(transactions),
       place_(std::move(place)),
       draw_(draw),
       log_(std::move(log)),
-      known_(place_.keepers.size()),
-      lease_(place_.keepers.size()),
-      foreman_(bounds),
-      now_(ledger.now()) {
-  if (!kept) return;
-  acceptor_.emplace(kept->first, kept->second);
-  round_.emplace(place_.keepers.size(), draw, mostRound);
-  holds(*place_.own, acceptor_->accepted());
+      planView_(place_.voters.size()),
+      lease_(place_.voters.size()),
+      leader_(bounds),
+      now_(transactions.now()) {
+  if (!stored) return;
+  acceptor_.emplace(stored->text, stored->isComplete);
+  round_.emplace(place_.voters.size(), draw, proposalTimeout);
+  onAccepted(*place_.ownIndex, acceptor_->accepted());
 }
 
-// --- At the router
+// --- At each router
 
-void MaintenanceService::beats(Instant now, maintenance::VoterIndex keeper, std::uint64_t number) {
-  lease_.onHeartbeatSent(now, keeper, number);
+void MaintenanceService::onHeartbeatSent(Instant now, maintenance::VoterIndex voter, std::uint64_t number) {
+  lease_.onHeartbeatSent(now, voter, number);
 }
 
-void MaintenanceService::answered(maintenance::VoterIndex keeper, const HeartbeatReply& reports) {
-  if (reports.counts) lease_.onHeartbeatReply(keeper, reports.beat);
+void MaintenanceService::onHeartbeatReply(maintenance::VoterIndex voter, const HeartbeatReply& reply) {
+  if (reply.grantsLease) lease_.onHeartbeatReply(voter, reply.heartbeatNumber);
 }
 
-void MaintenanceService::answersItself(Instant now) {
-  lease_.onHeartbeatSent(now, *place_.own, ++ownBeat_);
-  lease_.onHeartbeatReply(*place_.own, ownBeat_);
+void MaintenanceService::renewOwnLease(Instant now) {
+  lease_.onHeartbeatSent(now, *place_.ownIndex, ++ownHeartbeatNumber_);
+  lease_.onHeartbeatReply(*place_.ownIndex, ownHeartbeatNumber_);
 }
 
-void MaintenanceService::holds(maintenance::VoterIndex keeper, const maintenance::AcceptedValue& held) {
-  if (held.version.version == 0) return;
-  const maintenance::Plan before = known_.chosen();
+void MaintenanceService::onAccepted(maintenance::VoterIndex voter,
+                                    const maintenance::AcceptedValue& accepted) {
+  if (accepted.version.version == 0) return;
+  const maintenance::Plan before = planView_.chosen();
   try {
-    known_.onAccepted(keeper, held);
+    planView_.onAccepted(voter, accepted);
   } catch (const std::exception& bad) {
-    return log_("work.unreadable", "keeper=" + place_.keepers.at(keeper) + " why=\"" + bad.what() + "\"");
+    return log_("work.unreadable", "keeper=" + place_.voters.at(voter) + " why=\"" + bad.what() + "\"");
   }
-  const std::string version = " version=" + std::to_string(known_.chosen().version);
-  for (const auto& m : known_.chosen().machines) {
-    const maintenance::Machine* old = before.find(m.name);
-    if (!old || old->phase != m.phase || old->request != m.request)
-      log_("work.machine", "machine=" + m.name + " phase=" + std::string(maintenance::nameOf(m.phase)) +
-                               version + " why=\"" + m.reason + "\"");
+  const std::string version = " version=" + std::to_string(planView_.chosen().version);
+  for (const auto& machine : planView_.chosen().machines) {
+    const maintenance::Machine* old = before.find(machine.name);
+    if (!old || old->phase != machine.phase || old->request != machine.request)
+      log_("work.machine", "machine=" + machine.name +
+                               " phase=" + std::string(maintenance::nameOf(machine.phase)) + version +
+                               " why=\"" + machine.reason + "\"");
   }
 }
 
-bool MaintenanceService::takeEnd() {
-  const bool ends = known_.isRouterDraining(place_.name);
-  return ends && !std::exchange(endTold_, ends);
+bool MaintenanceService::takeTermination() {
+  const bool mustTerminate = planView_.isRouterDraining(place_.name);
+  return mustTerminate && !std::exchange(isTerminationTaken_, true);
 }
 
-// --- At a keeper
+// --- At a voter
 
-MaintenanceService::Heard MaintenanceService::hear(const PeerMessage& word, bool counts) {
-  Heard heard;
-  if (!acceptor_ || !counts) return heard;
-  if (const auto* read = std::get_if<PrepareRequest>(&word))
-    heard.toDisk = acceptor_->prepare(read->ballot, heard.said);
-  else if (const auto* write = std::get_if<AcceptRequest>(&word))
-    heard.toDisk = acceptor_->accept(write->held, heard.said);
-  return heard;
+MaintenanceService::RequestOutcome MaintenanceService::onProposal(const PeerMessage& message, bool mayVote) {
+  RequestOutcome outcome;
+  if (!acceptor_ || !mayVote) return outcome;
+  if (const auto* prepare = std::get_if<PrepareRequest>(&message))
+    outcome.needsWrite = acceptor_->prepare(prepare->ballot, outcome.reply);
+  else if (const auto* accept = std::get_if<AcceptRequest>(&message))
+    outcome.needsWrite = acceptor_->accept(accept->proposed, outcome.reply);
+  return outcome;
 }
 
-std::optional<Acceptor::AcceptorReply> MaintenanceService::wrote(bool durable) {
-  const auto answer = acceptor_->onWritten(durable);
-  holds(*place_.own, acceptor_->accepted());
-  return answer;
+std::optional<Acceptor::AcceptorReply> MaintenanceService::onWritten(bool durable) {
+  const auto reply = acceptor_->onWritten(durable);
+  onAccepted(*place_.ownIndex, acceptor_->accepted());
+  return reply;
 }
 
-void MaintenanceService::told(Instant now, maintenance::VoterIndex keeper,
-                              const Acceptor::AcceptorReply& answer) {
+void MaintenanceService::onAcceptorReply(Instant now, maintenance::VoterIndex voter,
+                                         const Acceptor::AcceptorReply& reply) {
   if (!round_) return;
   using Kind = Acceptor::AcceptorReply::Kind;
-  if (answer.kind == Kind::promised) round_->onPromise(now, keeper, answer.ballot, answer.accepted);
-  if (answer.kind == Kind::accepted) round_->onAccepted(now, keeper, answer.ballot);
-  if (answer.kind == Kind::rejected) round_->onRejected(now, answer.ballot, answer.promised);
+  switch (reply.kind) {
+    case Kind::promised:
+      return round_->onPromise(now, voter, reply.ballot, reply.accepted);
+    case Kind::accepted:
+      return round_->onAccepted(now, voter, reply.ballot);
+    case Kind::rejected:
+      return round_->onRejected(now, reply.ballot, reply.promised);
+  }
 }
 
-void MaintenanceService::asked(std::string request, maintenance::OperatorRequest ask) {
-  if (!round_) return answers_.push_back({std::move(request), "this router is no keeper"});
-  if (asks_.size() >= kMostAsks) return answers_.push_back({std::move(request), "too many requests wait"});
-  asks_.emplace_back(std::move(request), std::move(ask));
+void MaintenanceService::onOperatorRequest(std::string requestId, maintenance::OperatorRequest request) {
+  if (!round_) return answers_.push_back({std::move(requestId), "this router is no keeper"});
+  if (pendingRequests_.size() >= kMaxPendingRequests)
+    return answers_.push_back({std::move(requestId), "too many requests wait"});
+  pendingRequests_.push_back({std::move(requestId), std::move(request)});
 }
 
-// --- Turns
+// --- The fleet's state
 
-maintenance::FleetState MaintenanceService::factsOf(const MembershipService& membership,
-                                                    const RecoveryService& service, bool strained) const {
-  maintenance::FleetState facts;
-  facts.isDegraded = strained;
-  std::map<std::uint64_t, Instant> newest;
-  const auto seen = service.firstHand();
-  for (const auto& [id, listed] : ledger_.lastEndpointList()) {
-    auto& node = facts.nodes[id];
+maintenance::FleetState MaintenanceService::fleetState(const MembershipService& membership,
+                                                       const RecoveryService& recovery,
+                                                       bool isDegraded) const {
+  maintenance::FleetState fleet;
+  fleet.isDegraded = isDegraded;
+  addNodeStates(recovery, fleet);
+  addRouterStates(membership, fleet);
+  return fleet;
+}
+
+void MaintenanceService::addNodeStates(const RecoveryService& recovery,
+                                       maintenance::FleetState& fleet) const {
+  const auto observations = recovery.firstHand();
+  for (const auto& [id, listed] : transactions_.lastEndpointList()) {
+    auto& node = fleet.nodes[id];
     node.group = listed.entry.group;
     node.isLive = listed.entry.health == Health::live;
     node.isPrimary = listed.entry.primary;
   }
-  // Positions as they were when the newest of the group was seen.
-  for (const auto& one : seen)
-    if (const auto at = facts.nodes.find(one.node); at != facts.nodes.end() && one.position) {
-      auto& position = newest[at->second.group];
-      position = std::max(position, *one.position + one.age);
+  // Positions move on with time: each is taken as it would be now.
+  std::map<std::uint64_t, Instant> newestPositions;  // by group
+  for (const auto& observation : observations)
+    if (const auto node = fleet.nodes.find(observation.node);
+        node != fleet.nodes.end() && observation.position) {
+      auto& newest = newestPositions[node->second.group];
+      newest = std::max(newest, *observation.position + observation.age);
     }
-  for (const auto& one : seen) {
-    const auto at = facts.nodes.find(one.node);
-    if (at == facts.nodes.end()) continue;
-    maintenance::NodeState& node = at->second;
-    node.isServing = node.isLive && one.age <= maintenance::kServingTimeout;
-    if (one.role != Role::unknown) node.isPrimary = one.role == Role::primary;
-    if (one.position)
-      node.replicationLag = std::max(Duration(), newest[node.group] - (*one.position + one.age));
+  for (const auto& observation : observations) {
+    const auto found = fleet.nodes.find(observation.node);
+    if (found == fleet.nodes.end()) continue;
+    maintenance::NodeState& node = found->second;
+    node.isServing = node.isLive && observation.age <= maintenance::kServingTimeout;
+    if (observation.role != Role::unknown) node.isPrimary = observation.role == Role::primary;
+    if (observation.position)
+      node.replicationLag =
+          std::max(Duration(), newestPositions[node.group] - (*observation.position + observation.age));
   }
+}
+
+void MaintenanceService::addRouterStates(const MembershipService& membership,
+                                         maintenance::FleetState& fleet) const {
   const auto& view = membership.view();
-  const std::size_t wanted = maintenance::majorityOf(place_.keepers.size());
+  const std::size_t majority = maintenance::majorityOf(place_.voters.size());
   for (const auto& name : view.routers()) {
     const auto member = view.memberState(name);
-    auto& router = facts.routers[name];
+    auto& router = fleet.routers[name];
     router.isAlive = member.state == MembershipView::State::alive;
-    router.wasRemoved = member.left >= wanted;
-    router.isSilent = member.silent.size() - member.left >= wanted;
+    router.wasRemoved = member.left >= majority;
+    router.isSilent = member.silent.size() - member.left >= majority;
     router.incarnation = member.incarnation;
     router.planVersion = member.progress.planVersion;
     router.drainedVersion = member.progress.drainedVersion;
-    router.isVoter = std::find(place_.keepers.begin(), place_.keepers.end(), name) != place_.keepers.end();
+    router.isVoter = std::find(place_.voters.begin(), place_.voters.end(), name) != place_.voters.end();
   }
-  return facts;
 }
 
-std::size_t MaintenanceService::livingBefore(const MembershipService& membership) const {
-  std::size_t before = 0;
-  for (std::size_t k = 0; k < *place_.own; ++k)
-    before += membership.view().memberState(place_.keepers[k]).state == MembershipView::State::alive;
-  return before;
+std::size_t MaintenanceService::aliveAhead(const MembershipService& membership) const {
+  std::size_t alive = 0;
+  for (maintenance::VoterIndex voter = 0; voter < *place_.ownIndex; ++voter)
+    alive += membership.view().memberState(place_.voters[voter]).state == MembershipView::State::alive;
+  return alive;
 }
 
-// Nodes of groups with work: whether they serve is known from their own word alone.
-void MaintenanceService::askNodes(Instant now) {
-  if (now - askedAt_ < maintenance::kReportInterval) return;
-  askedAt_ = now;
+// From nodes of groups with maintenance: whether they serve is known by their own load reports alone.
+void MaintenanceService::requestLoadReports(Instant now) {
+  if (now - reportsRequestedAt_ < maintenance::kReportInterval) return;
+  reportsRequestedAt_ = now;
   std::set<std::uint64_t> groups;
-  for (const auto& m : known_.chosen().machines)
-    if (m.phase != Phase::finished)
-      for (const auto& name : m.nodes)
-        if (const auto at = facts_.nodes.find(name); at != facts_.nodes.end())
-          groups.insert(at->second.group);
-  for (const auto& [name, node] : facts_.nodes)
-    if (groups.contains(node.group) && node.isLive && !known_.excludedNodes().contains(name))
-      ledger_.requestLoadReport(name);
+  for (const auto& machine : planView_.chosen().machines) {
+    if (machine.phase == Phase::finished) continue;
+    for (const auto& name : machine.nodes)
+      if (const auto node = fleet_.nodes.find(name); node != fleet_.nodes.end())
+        groups.insert(node->second.group);
+  }
+  for (const auto& [name, node] : fleet_.nodes)
+    if (groups.contains(node.group) && node.isLive && !planView_.excludedNodes().contains(name))
+      transactions_.requestLoadReport(name);
 }
 
-// Kind was read, changed by all that waits, is to be written.
-void MaintenanceService::change(Instant now, const maintenance::ProposalRound::PreparedValue& found,
-                                std::vector<PeerMessage>& words) {
-  proposed_ = {};
-  const maintenance::AcceptedValue& read = found.accepted;
-  if (!found.isChosen) return words.push_back(AcceptRequest{round_->propose(read.version, read.value)});
-  maintenance::Plan plan = maintenance::readPlan(read.value);
-  plan.version = read.version.version + 1;
-  for (const auto& [request, ask] : asks_)
-    proposed_.answers.push_back(
-        {request, maintenance::applyRequest(plan, request, ask, facts_, foreman_.bounds())});
-  const bool asked = std::any_of(proposed_.answers.begin(), proposed_.answers.end(),
-                                 [](const auto& answer) { return answer.why.empty(); });
-  // By what is settled now, not by what it was when the round began.
-  proposed_.steps = foreman_.advance(now, plan, facts_);
-  proposed_.version = plan.version;
-  const bool changed = asked || !proposed_.steps.empty();
-  words.push_back(
-      AcceptRequest{round_->propose(changed ? maintenance::ValueVersion{plan.version, draw_} : read.version,
-                                    changed ? maintenance::encoded(plan) : read.value)});
+// --- Proposals
+
+AcceptRequest MaintenanceService::propose(Instant now,
+                                          const maintenance::ProposalRound::PreparedValue& prepared) {
+  proposedChange_ = {};
+  const maintenance::AcceptedValue& accepted = prepared.accepted;
+  if (!prepared.isChosen) return {round_->propose(accepted.version, accepted.value)};
+  maintenance::Plan plan = maintenance::readPlan(accepted.value);
+  plan.version = accepted.version.version + 1;
+  for (const auto& [id, request] : pendingRequests_)
+    proposedChange_.answers.push_back(
+        {id, maintenance::applyRequest(plan, id, request, fleet_, leader_.bounds())});
+  const bool wasRequested = std::any_of(proposedChange_.answers.begin(), proposedChange_.answers.end(),
+                                        [](const Answer& answer) { return answer.rejection.empty(); });
+  // By the value that is chosen now, not by the one that was when the round began.
+  proposedChange_.transitions = leader_.advance(now, plan, fleet_);
+  proposedChange_.version = plan.version;
+  if (!wasRequested && proposedChange_.transitions.empty())
+    return {round_->propose(accepted.version, accepted.value)};
+  return {round_->propose(maintenance::ValueVersion{plan.version, draw_}, maintenance::encoded(plan))};
 }
 
-void MaintenanceService::settle() {
-  const auto settled = round_->takeChosen();
-  if (!settled) return;
-  foreman_.onChosen();
-  lookedAt_ = Instant();  // it is looked at anew by what is settled now
-  for (const auto& step : proposed_.steps)
-    log_("work.step", "machine=" + step.machineName + " from=" + std::string(maintenance::nameOf(step.from)) +
-                          " to=" + std::string(maintenance::nameOf(step.to)) +
-                          " version=" + std::to_string(proposed_.version) + " why=\"" + step.reason + "\"");
-  for (auto& answer : proposed_.answers) {
-    std::erase_if(asks_, [&](const auto& asked) { return asked.first == answer.request; });
-    log_("work.asked",
-         "request=" + answer.request + (answer.why.empty() ? " done" : " refused=\"" + answer.why + "\""));
+// What this router's round got chosen: logs it, and answers the requests.
+void MaintenanceService::applyChosen() {
+  if (!round_->takeChosen()) return;
+  leader_.onChosen();
+  observedAt_ = Instant();  // the fleet is observed anew, by the plan that is chosen now
+  for (const auto& transition : proposedChange_.transitions)
+    log_("work.step",
+         "machine=" + transition.machineName + " from=" + std::string(maintenance::nameOf(transition.from)) +
+             " to=" + std::string(maintenance::nameOf(transition.to)) +
+             " version=" + std::to_string(proposedChange_.version) + " why=\"" + transition.reason + "\"");
+  for (auto& answer : proposedChange_.answers) {
+    std::erase_if(pendingRequests_,
+                  [&](const PendingRequest& pending) { return pending.id == answer.requestId; });
+    log_("work.asked", "request=" + answer.requestId +
+                           (answer.rejection.empty() ? " done" : " refused=\"" + answer.rejection + "\""));
     answers_.push_back(std::move(answer));
   }
-  proposed_ = {};
+  proposedChange_ = {};
 }
 
-std::vector<PeerMessage> MaintenanceService::turn(Instant now, const MembershipService& membership,
-                                                  const RecoveryService& service, bool strained,
-                                                  bool counts) {
-  now_ = now;
-  std::vector<PeerMessage> words;
-  if (known_.excludedNodes() != outTold_ || known_.leaseRequiredNodes() != nextTold_ ||
-      (!nextTold_.empty() && lease_.until() != untilTold_)) {
-    outTold_ = known_.excludedNodes();
-    nextTold_ = known_.leaseRequiredNodes();
-    untilTold_ = lease_.until();
-    ledger_.excludeNodes(outTold_, nextTold_, untilTold_);
-  }
-  if (clear_ < known() && (outTold_.empty() || !ledger_.hasAttemptAt(outTold_))) clear_ = known();
-  due_ = nextTold_.empty() ? Instant() : untilTold_ > now ? untilTold_ : Instant();
-  if (!round_) return words;
-  const auto sooner = [&](Instant at) {
-    if (at != Instant() && (due_ == Instant() || at < due_)) due_ = at;
-  };
-  if (const auto read = round_->takePrepared()) change(now, *read, words);
-  settle();
-  sooner(round_->runTimers(now));
-  const bool isOpen = std::any_of(known_.chosen().machines.begin(), known_.chosen().machines.end(),
-                                  [](const auto& m) { return m.phase != Phase::finished; });
-  // One that learns brings itself up to date: two that forgot one after the other would be too many.
-  const bool learns = counts && !acceptor_->isComplete();
-  if (!isOpen && asks_.empty() && !learns) {
-    foremanNow_ = isDue_ = false;
-    return words;
+// --- Turns
+
+void MaintenanceService::bringForward(Instant due) {
+  if (due != Instant() && (nextDue_ == Instant() || due < nextDue_)) nextDue_ = due;
+}
+
+void MaintenanceService::excludeNodes(Instant now) {
+  const bool isLeaseNews = !leaseRequiredNodes_.empty() && lease_.until() != leaseUntil_;
+  if (planView_.excludedNodes() != excludedNodes_ || planView_.leaseRequiredNodes() != leaseRequiredNodes_ ||
+      isLeaseNews) {
+    excludedNodes_ = planView_.excludedNodes();
+    leaseRequiredNodes_ = planView_.leaseRequiredNodes();
+    leaseUntil_ = lease_.until();
+    transactions_.excludeNodes(excludedNodes_, leaseRequiredNodes_, leaseUntil_);
   }
-  // Not in each of a busy keeper's many turns.
-  if (now - lookedAt_ >= kLook || lookedAt_ == Instant()) {
-    lookedAt_ = now;
-    facts_ = factsOf(membership, service, strained);
-    foreman_.observe(now, known_.chosen(), facts_);
-    isDue_ = foreman_.isDue(now, known_.chosen(), facts_);
-    foremanNow_ = foreman_.shouldLead(now, isDue_, livingBefore(membership));
-    if (foremanNow_) askNodes(now);
+  if (drainedVersion_ < planVersion() &&
+      (excludedNodes_.empty() || !transactions_.hasAttemptAt(excludedNodes_)))
+    drainedVersion_ = planVersion();
+  nextDue_ = !leaseRequiredNodes_.empty() && leaseUntil_ > now ? leaseUntil_ : Instant();
+}
+
+// Not in each of a busy voter's many turns.
+void MaintenanceService::observeFleet(Instant now, const MembershipService& membership,
+                                      const RecoveryService& recovery, bool isDegraded) {
+  if (observedAt_ != Instant() && now - observedAt_ < kObservationInterval) return;
+  observedAt_ = now;
+  fleet_ = fleetState(membership, recovery, isDegraded);
+  leader_.observe(now, planView_.chosen(), fleet_);
+  isDue_ = leader_.isDue(now, planView_.chosen(), fleet_);
+  isLeader_ = leader_.shouldLead(now, isDue_, aliveAhead(membership));
+  if (isLeader_) requestLoadReports(now);
+}
+
+std::vector<PeerMessage> MaintenanceService::endTurn(Instant now, const MembershipService& membership,
+                                                     const RecoveryService& recovery, bool isDegraded,
+                                                     bool mayVote) {
+  now_ = now;
+  std::vector<PeerMessage> messages;
+  excludeNodes(now);
+  if (!round_) return messages;
+  if (const auto prepared = round_->takePrepared()) messages.push_back(propose(now, *prepared));
+  applyChosen();
+  bringForward(round_->runTimers(now));
+  const auto& machines = planView_.chosen().machines;
+  const bool isOpen = std::any_of(machines.begin(), machines.end(),
+                                  [](const auto& machine) { return machine.phase != Phase::finished; });
+  // An incomplete acceptor is completed by a round of its own: two that lost their state one after the other
+  // would be too many.
+  const bool mustComplete = mayVote && !acceptor_->isComplete();
+  if (!isOpen && pendingRequests_.empty() && !mustComplete) {
+    isLeader_ = isDue_ = false;
+    return messages;
   }
-  if (((isDue_ && foremanNow_) || !asks_.empty() || learns) && round_->begin(now))
-    words.push_back(PrepareRequest{round_->ballot()});
-  sooner(round_->runTimers(now));
-  sooner(lookedAt_ + kLook);
-  return words;
+  observeFleet(now, membership, recovery, isDegraded);
+  if (((isDue_ && isLeader_) || !pendingRequests_.empty() || mustComplete) && round_->begin(now))
+    messages.push_back(PrepareRequest{round_->ballot()});
+  bringForward(round_->runTimers(now));
+  bringForward(observedAt_ + kObservationInterval);
+  return messages;
 }
 
-std::optional<std::pair<std::uint64_t, std::set<std::string>>> MaintenanceService::takeNews() {
-  if (std::exchange(newsOf_, known()) == known()) return std::nullopt;
-  return std::pair(known(), known_.excludedNodes());
+std::optional<MaintenanceService::Announcement> MaintenanceService::takeAnnouncement() {
+  if (std::exchange(announcedVersion_, planVersion()) == planVersion()) return std::nullopt;
+  return Announcement{planVersion(), planView_.excludedNodes()};
 }
 
-std::string MaintenanceService::awaits(const maintenance::Machine& machine) const {
-  return round_ ? foreman_.waitingFor(now_, known_.chosen(), machine, facts_) : "";
+std::string MaintenanceService::waitingFor(const maintenance::Machine& machine) const {
+  return round_ ? leader_.waitingFor(now_, planView_.chosen(), machine, fleet_) : "";
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/maintenance_service.h
+++ b/src/cluster/maintenance_service.h
@@ -1,6 +1,6 @@
-// Work on machines at this router: what it knows of the plan and where it may not send by it; where it is a
-// keeper, its part in settling the plan and carrying it on. A reducer: words and operators' requests in,
-// words and answers out; the decisions stand in src/work.
+// Maintenance at this router: what it knows of the plan and which nodes that excludes; where it is a voter,
+// its part in agreeing on the plan and advancing it. A reducer: messages and operators' requests in, messages
+// and answers out; the protocols stand in src/maintenance.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "cluster/membership.h"
+#include "cluster/membership_service.h"
 #include "cluster/messages.h"
 #include "cluster/recovery_service.h"
 #include "maintenance/lease.h"
@@ -26,100 +26,133 @@
 
 namespace gulltrestle::cluster {
 
+// Owned by the claim dispatcher, which delivers the messages and calls endTurn().
 class MaintenanceService {
  public:
   using Log = std::function<void(std::string_view event, const std::string& fields)>;
-  struct Place {  // of this router
+  // This router's place in the cluster.
+  struct Place {
     std::string name;
-    std::vector<std::string> keepers;
-    std::optional<maintenance::VoterIndex> own;
+    std::vector<std::string> voters;
+    std::optional<maintenance::VoterIndex> ownIndex;  // among the voters; none: it is no voter
   };
-  // `kept`: where it is a keeper, what its disk holds of the plan, and whether that is all it ever promised.
-  MaintenanceService(transactions::TransactionTable& ledger, Place place, std::uint64_t draw,
-                     const maintenance::Bounds& bounds, Duration mostRound,
-                     std::optional<std::pair<std::string, bool>> kept, Log log);
+  // What a voter's store holds of its acceptor.
+  struct StoredAcceptor {
+    std::string text;         // Acceptor::serialized()
+    bool isComplete = false;  // that is all that it ever promised
+  };
+  // `stored`: where this router is a voter.
+  MaintenanceService(transactions::TransactionTable& transactions, Place place, std::uint64_t draw,
+                     const maintenance::Bounds& bounds, Duration proposalTimeout,
+                     std::optional<StoredAcceptor> stored, Log log);
 
-  // --- At the router
-  // Its beat goes to a keeper, and its answer came.
-  void beats(Instant now, maintenance::VoterIndex keeper, std::uint64_t number);
-  void answered(maintenance::VoterIndex keeper, const HeartbeatReply& reports);
-  void answersItself(Instant now);  // where it is a keeper whose word counts
-  void holds(maintenance::VoterIndex keeper, const maintenance::AcceptedValue& held);
-  void lost(maintenance::VoterIndex keeper) { lease_.onVoterLost(keeper); }
-  std::uint64_t known() const { return known_.chosen().version; }
-  std::uint64_t clear() const { return clear_; }
-  // It stands on a machine that leaves, and has to end; once.
-  bool takeEnd();
+  // --- At each router
+  void onHeartbeatSent(Instant now, maintenance::VoterIndex voter, std::uint64_t number);
+  void onHeartbeatReply(maintenance::VoterIndex voter, const HeartbeatReply& reply);
+  // This router is a voter itself, and its reply would grant a lease.
+  void renewOwnLease(Instant now);
+  // A voter reports what it has accepted.
+  void onAccepted(maintenance::VoterIndex voter, const maintenance::AcceptedValue& accepted);
+  void onVoterLost(maintenance::VoterIndex voter) { lease_.onVoterLost(voter); }
+  // The version of the plan that this router obeys, and the one up to which it has no attempts in flight at
+  // excluded nodes.
+  std::uint64_t planVersion() const { return planView_.chosen().version; }
+  std::uint64_t drainedVersion() const { return drainedVersion_; }
+  // This router runs on a machine that is draining, and has to terminate; once.
+  bool takeTermination();
 
-  // --- At a keeper. `counts`: it may take part in rounds now.
-  struct Heard {          // what came of a word of a round
-    bool toDisk = false;  // text() is to be made durable; then wrote() answers
-    std::optional<maintenance::Acceptor::AcceptorReply> said;  // at once
+  // --- At a voter
+  // What a prepare or an accept request led to.
+  struct RequestOutcome {
+    bool needsWrite = false;  // serializedAcceptor() is to be made durable; onWritten() returns the reply
+    std::optional<maintenance::Acceptor::AcceptorReply> reply;  // to be sent at once
   };
-  Heard hear(const PeerMessage& word, bool counts);
-  std::optional<maintenance::Acceptor::AcceptorReply> wrote(bool durable);
-  std::string text() const { return acceptor_->serialized(); }
-  // Kind it has on disk, for whoever beats or greets.
-  const maintenance::AcceptedValue& held() const { return acceptor_->accepted(); }
-  bool isWhole() const { return acceptor_ && acceptor_->isComplete(); }
-  // A keeper's answer to this one's round.
-  void told(Instant now, maintenance::VoterIndex keeper, const maintenance::Acceptor::AcceptorReply& answer);
-  void forgets() { acceptor_->markIncomplete(); }
+  // `mayVote`: this voter may take part in rounds now.
+  RequestOutcome onProposal(const PeerMessage& message, bool mayVote);
+  std::optional<maintenance::Acceptor::AcceptorReply> onWritten(bool durable);
+  std::string serializedAcceptor() const { return acceptor_->serialized(); }
+  // The accepted value that is durable here.
+  const maintenance::AcceptedValue& accepted() const { return acceptor_->accepted(); }
+  // Whether this is a voter whose acceptor is complete.
+  bool isComplete() const { return acceptor_ && acceptor_->isComplete(); }
+  void markIncomplete() { acceptor_->markIncomplete(); }
+  // A voter's reply to this one's round.
+  void onAcceptorReply(Instant now, maintenance::VoterIndex voter,
+                       const maintenance::Acceptor::AcceptorReply& reply);
 
   // --- Operators
-  void asked(std::string request, maintenance::OperatorRequest ask);
+  void onOperatorRequest(std::string requestId, maintenance::OperatorRequest request);
   struct Answer {
-    std::string request, why;  // empty: it was carried out
+    std::string requestId, rejection;  // empty rejection: it was applied
   };
   std::vector<Answer> takeAnswers() { return std::exchange(answers_, {}); }
 
-  // Ahead of the module's round. Words to all keepers, this one among them. `counts`: as for hear().
-  std::vector<PeerMessage> turn(Instant now, const MembershipService& membership,
-                                const RecoveryService& service, bool strained, bool counts);
-  Instant nextDue() const { return due_; }
-  // Kind discovery is to be told: nodes that leave, by which version. Empty version: nothing new.
-  std::optional<std::pair<std::uint64_t, std::set<std::string>>> takeNews();
+  // Before the router's own turn ends. Returns messages to all voters, this one included. `mayVote`: as for
+  // onProposal().
+  std::vector<PeerMessage> endTurn(Instant now, const MembershipService& membership,
+                                   const RecoveryService& recovery, bool isDegraded, bool mayVote);
+  Instant nextDue() const { return nextDue_; }
+  // The nodes that a plan excludes, for whoever feeds discovery; none: the plan is the same as last time.
+  struct Announcement {
+    std::uint64_t version = 0;
+    std::set<std::string> excludedNodes;
+  };
+  std::optional<Announcement> takeAnnouncement();
 
   // --- For the status document
-  const maintenance::Plan& plan() const { return known_.chosen(); }
-  std::string awaits(const maintenance::Machine& machine) const;
-  bool isForeman() const { return foremanNow_; }
+  const maintenance::Plan& plan() const { return planView_.chosen(); }
+  std::string waitingFor(const maintenance::Machine& machine) const;
+  bool isLeader() const { return isLeader_; }
   Instant leaseUntil() const { return lease_.until(); }
 
  private:
-  maintenance::FleetState factsOf(const MembershipService& membership, const RecoveryService& service,
-                                  bool strained) const;
-  std::size_t livingBefore(const MembershipService& membership) const;  // keepers ahead of this one
-  void askNodes(Instant now);
-  void change(Instant now, const maintenance::ProposalRound::PreparedValue& read,
-              std::vector<PeerMessage>& words);
-  void settle();
+  struct PendingRequest {
+    std::string id;
+    maintenance::OperatorRequest request;
+  };
+  // What the round that is accepting changes in the plan.
+  struct ProposedChange {
+    std::vector<maintenance::PhaseTransition> transitions;
+    std::vector<Answer> answers;
+    std::uint64_t version = 0;
+  };
+
+  maintenance::FleetState fleetState(const MembershipService& membership, const RecoveryService& recovery,
+                                     bool isDegraded) const;
+  void addNodeStates(const RecoveryService& recovery, maintenance::FleetState& fleet) const;
+  void addRouterStates(const MembershipService& membership, maintenance::FleetState& fleet) const;
+  // Voters ahead of this one that are alive.
+  std::size_t aliveAhead(const MembershipService& membership) const;
+  void requestLoadReports(Instant now);
+  void excludeNodes(Instant now);
+  void observeFleet(Instant now, const MembershipService& membership, const RecoveryService& recovery,
+                    bool isDegraded);
+  // The accept request that follows a majority of promises.
+  AcceptRequest propose(Instant now, const maintenance::ProposalRound::PreparedValue& prepared);
+  void applyChosen();
+  void bringForward(Instant due);  // nextDue_
 
-  transactions::TransactionTable& ledger_;
+  transactions::TransactionTable& transactions_;
   Place place_;
   std::uint64_t draw_;
   Log log_;
-  maintenance::PlanView known_;
+  maintenance::PlanView planView_;
   maintenance::Lease lease_;
   std::optional<maintenance::Acceptor> acceptor_;
   std::optional<maintenance::ProposalRound> round_;
-  maintenance::MaintenanceLeader foreman_;
-  maintenance::FleetState facts_;
-  std::set<std::string> outTold_, nextTold_;
-  Instant untilTold_;
-  std::uint64_t ownBeat_ = 0;
-  std::uint64_t clear_ = 0;
-  bool endTold_ = false, foremanNow_ = false, isDue_ = false;
-  Instant lookedAt_, askedAt_, due_, now_;
-  std::deque<std::pair<std::string, maintenance::OperatorRequest>> asks_;  // not settled yet
+  maintenance::MaintenanceLeader leader_;
+  maintenance::FleetState fleet_;
+  // As the transaction table was told last.
+  std::set<std::string> excludedNodes_, leaseRequiredNodes_;
+  Instant leaseUntil_;
+  std::uint64_t ownHeartbeatNumber_ = 0;
+  std::uint64_t drainedVersion_ = 0;
+  bool isTerminationTaken_ = false, isLeader_ = false, isDue_ = false;
+  Instant observedAt_, reportsRequestedAt_, nextDue_, now_;
+  std::deque<PendingRequest> pendingRequests_;  // not chosen yet
   std::vector<Answer> answers_;
-  struct Proposed {  // by the round that writes
-    std::vector<maintenance::PhaseTransition> steps;
-    std::vector<Answer> answers;
-    std::uint64_t version = 0;
-  };
-  Proposed proposed_;
-  std::uint64_t newsOf_ = 0;
+  ProposedChange proposedChange_;
+  std::uint64_t announcedVersion_ = 0;
 };
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/messages.cpp
+++ b/src/cluster/messages.cpp
@@ -6,30 +6,32 @@
 
 namespace {
 
-void set(wire::Start& to, const idempotency::VoterIncarnation& start) {
-  to.set_number(start.number);
-  to.set_draw(start.draw);
+// --- Parts of messages: set() encodes, read() decodes
+
+void set(wire::Start& to, const idempotency::VoterIncarnation& incarnation) {
+  to.set_number(incarnation.number);
+  to.set_draw(incarnation.draw);
 }
 idempotency::VoterIncarnation read(const wire::Start& from) { return {from.number(), from.draw()}; }
-void set(wire::Start& to, const membership::Incarnation& start) {
-  to.set_number(start.number);
-  to.set_draw(start.draw);
+void set(wire::Start& to, const membership::Incarnation& incarnation) {
+  to.set_number(incarnation.number);
+  to.set_draw(incarnation.draw);
 }
-membership::Incarnation incarnation(const wire::Start& from) { return {from.number(), from.draw()}; }
+membership::Incarnation readIncarnation(const wire::Start& from) { return {from.number(), from.draw()}; }
 
 void set(wire::Reports& to, const HeartbeatReply& reports) {
   for (const auto& report : reports.reports) {
     auto& one = *to.add_reports();
     one.set_router(report.router);
     set(*one.mutable_incarnation(), report.incarnation);
-    // The same names in the same order.
+    // Both enums have the same values.
     one.set_hearing(static_cast<wire::Report::Liveness>(report.liveness));
     one.set_progress(report.progress.recoveryStage);
     one.set_known(report.progress.planVersion);
     one.set_clear(report.progress.drainedVersion);
   }
-  to.set_beat(reports.beat);
-  to.set_counts(reports.counts);
+  to.set_beat(reports.heartbeatNumber);
+  to.set_counts(reports.grantsLease);
 }
 HeartbeatReply read(const wire::Reports& from) {
   HeartbeatReply reports;
@@ -37,12 +39,12 @@
     if (one.hearing() < wire::Report::AWAITED || one.hearing() > wire::Report::LEFT)
       throw MalformedMessage("a hearing that is not known");
     reports.reports.push_back({one.router(),
-                               incarnation(one.incarnation()),
+                               readIncarnation(one.incarnation()),
                                static_cast<membership::Liveness>(one.hearing()),
                                {one.progress(), one.known(), one.clear()}});
   }
-  reports.beat = from.beat();
-  reports.counts = from.counts();
+  reports.heartbeatNumber = from.beat();
+  reports.grantsLease = from.counts();
   return reports;
 }
 
@@ -61,7 +63,7 @@
   return {read(from.ballot()), {from.version(), from.draw()}, from.value()};
 }
 void set(wire::AcceptorReply& to, const maintenance::Acceptor::AcceptorReply& answer) {
-  // The same names in the same order.
+  // Both enums have the same values.
   to.set_what(static_cast<wire::AcceptorReply::Kind>(answer.kind));
   set(*to.mutable_ballot(), answer.ballot);
   set(*to.mutable_promised(), answer.promised);
@@ -76,11 +78,11 @@
 }
 
 void set(wire::Nodes& to, const DrainUpdates& nodes) {
-  for (const auto& news : nodes) {
+  for (const auto& update : nodes) {
     auto& node = *to.add_nodes();
-    node.set_id(news.node);
-    node.set_version(news.version);
-    node.set_leaving(news.isDraining);
+    node.set_id(update.node);
+    node.set_version(update.version);
+    node.set_leaving(update.isDraining);
   }
 }
 DrainUpdates read(const wire::Nodes& from) {
@@ -90,11 +92,11 @@
 }
 
 void set(wire::Primaries& to, const PrimaryUpdates& primaries) {
-  for (const auto& news : primaries) {
+  for (const auto& update : primaries) {
     auto& primary = *to.add_primaries();
-    primary.set_group(news.group);
-    primary.set_node(news.primary.node);
-    primary.set_version(news.primary.version);
+    primary.set_group(update.group);
+    primary.set_node(update.primary.node);
+    primary.set_version(update.primary.version);
   }
 }
 PrimaryUpdates read(const wire::Primaries& from) {
@@ -103,35 +105,35 @@
   return primaries;
 }
 
-void set(wire::Seen& to, const ObservationReport& seen) {
-  to.set_serves(seen.serves);
-  for (const auto& sighting : seen.nodes) {
+void set(wire::Seen& to, const ObservationReport& report) {
+  to.set_serves(report.hasRecovered);
+  for (const auto& observation : report.nodes) {
     auto& one = *to.add_sightings();
-    one.set_node(sighting.node);
-    one.set_node_start_us(sighting.nodeStart.inMicros());
-    one.set_role(sighting.role == Role::primary   ? wire::Observation::PRIMARY
-                 : sighting.role == Role::replica ? wire::Observation::REPLICA
-                                                  : wire::Observation::UNKNOWN);
-    one.set_has_position(sighting.position.has_value());
-    if (sighting.position) one.set_position_us(sighting.position->inMicros());
-    one.set_age_us(sighting.age.inMicros());
+    one.set_node(observation.node);
+    one.set_node_start_us(observation.nodeStart.inMicros());
+    one.set_role(observation.role == Role::primary   ? wire::Observation::PRIMARY
+                 : observation.role == Role::replica ? wire::Observation::REPLICA
+                                                     : wire::Observation::UNKNOWN);
+    one.set_has_position(observation.position.has_value());
+    if (observation.position) one.set_position_us(observation.position->inMicros());
+    one.set_age_us(observation.age.inMicros());
   }
 }
 ObservationReport read(const wire::Seen& from) {
-  ObservationReport seen;
-  seen.serves = from.serves();
+  ObservationReport report;
+  report.hasRecovered = from.serves();
   for (const auto& one : from.sightings()) {
-    recovery::Observation sighting;
-    sighting.node = one.node();
-    sighting.nodeStart = Instant::atMicros(one.node_start_us());
-    sighting.role = one.role() == wire::Observation::PRIMARY   ? Role::primary
-                    : one.role() == wire::Observation::REPLICA ? Role::replica
-                                                               : Role::unknown;
-    if (one.has_position()) sighting.position = Instant::atMicros(one.position_us());
-    sighting.age = Duration::micros(one.age_us());
-    seen.nodes.push_back(std::move(sighting));
+    recovery::Observation observation;
+    observation.node = one.node();
+    observation.nodeStart = Instant::atMicros(one.node_start_us());
+    observation.role = one.role() == wire::Observation::PRIMARY   ? Role::primary
+                       : one.role() == wire::Observation::REPLICA ? Role::replica
+                                                                  : Role::unknown;
+    if (one.has_position()) observation.position = Instant::atMicros(one.position_us());
+    observation.age = Duration::micros(one.age_us());
+    report.nodes.push_back(std::move(observation));
   }
-  return seen;
+  return report;
 }
 
 template <typename Message>
@@ -142,78 +144,79 @@
   return message;
 }
 
+// The visitor made of one lambda for each message type.
 template <typename... Cases>
-struct Each : Cases... {
+struct Overloaded : Cases... {
   using Cases::operator()...;
 };
 template <typename... Cases>
-Each(Cases...) -> Each<Cases...>;
+Overloaded(Cases...) -> Overloaded<Cases...>;
 
 }  // namespace
 
-std::string encoded(const PeerMessage& word) {
+std::string encoded(const PeerMessage& message) {
   wire::Word out;
-  std::visit(Each{[&](const Greeting& w) {
-                    auto& hello = *out.mutable_hello();
-                    hello.set_router(w.router);
-                    hello.set_keepers(w.keepers);
-                    hello.set_draw(w.draw);
-                    if (w.keeper.number > 0) set(*hello.mutable_keeper(), w.keeper);
-                  },
-                  [&](const Claim& w) {
-                    out.mutable_claim()->set_id(w.id);
-                    out.mutable_claim()->set_number(w.number);
-                  },
-                  [&](const Release& w) {
-                    out.mutable_release()->set_id(w.id);
-                    out.mutable_release()->set_number(w.number);
-                  },
-                  [&](const Committed& w) {
-                    auto& committed = *out.mutable_committed();
-                    committed.set_id(w.id);
-                    committed.set_number(w.number);
-                    committed.set_value(w.value);
-                  },
-                  [&](const DrainUpdates& w) { set(*out.mutable_nodes(), w); },
-                  [&](const PrimaryUpdates& w) { set(*out.mutable_primaries(), w); },
-                  [&](const JoinRequest& w) { out.mutable_enter()->set_number(w.number); },
-                  [&](const Heartbeat& w) {
-                    auto& beat = *out.mutable_beat();
-                    beat.set_number(w.number);
-                    beat.set_progress(w.progress.recoveryStage);
-                    beat.set_known(w.progress.planVersion);
-                    beat.set_clear(w.progress.drainedVersion);
-                  },
-                  [&](const PrepareRequest& w) { set(*out.mutable_read(), w.ballot); },
-                  [&](const AcceptRequest& w) { set(*out.mutable_write(), w.held); }},
-             word);
+  std::visit(Overloaded{[&](const Greeting& w) {
+                          auto& hello = *out.mutable_hello();
+                          hello.set_router(w.router);
+                          hello.set_keepers(w.voterList);
+                          hello.set_draw(w.draw);
+                          if (w.voterIncarnation.number > 0) set(*hello.mutable_keeper(), w.voterIncarnation);
+                        },
+                        [&](const Claim& w) {
+                          out.mutable_claim()->set_id(w.id);
+                          out.mutable_claim()->set_number(w.number);
+                        },
+                        [&](const Release& w) {
+                          out.mutable_release()->set_id(w.id);
+                          out.mutable_release()->set_number(w.number);
+                        },
+                        [&](const Committed& w) {
+                          auto& committed = *out.mutable_committed();
+                          committed.set_id(w.id);
+                          committed.set_number(w.number);
+                          committed.set_value(w.value);
+                        },
+                        [&](const DrainUpdates& w) { set(*out.mutable_nodes(), w); },
+                        [&](const PrimaryUpdates& w) { set(*out.mutable_primaries(), w); },
+                        [&](const JoinRequest& w) { out.mutable_enter()->set_number(w.number); },
+                        [&](const Heartbeat& w) {
+                          auto& beat = *out.mutable_beat();
+                          beat.set_number(w.number);
+                          beat.set_progress(w.progress.recoveryStage);
+                          beat.set_known(w.progress.planVersion);
+                          beat.set_clear(w.progress.drainedVersion);
+                        },
+                        [&](const PrepareRequest& w) { set(*out.mutable_read(), w.ballot); },
+                        [&](const AcceptRequest& w) { set(*out.mutable_write(), w.proposed); }},
+             message);
   return out.SerializeAsString();
 }
 
 std::string encoded(const PeerReply& reply) {
   wire::Reply out;
-  std::visit(Each{[&](const GreetingReply& r) {
-                    out.mutable_heard()->set_number(r.number);
-                    set(*out.mutable_heard()->mutable_knew(), r.knew);
-                    set(*out.mutable_heard()->mutable_speaks(), r.speaks);
-                  },
-                  [&](const VoteReply& r) {
-                    auto& vote = *out.mutable_vote();
-                    vote.set_number(r.number);
-                    vote.set_what(r.vote.kind == idempotency::Vote::Kind::granted ? wire::Vote::YOURS
-                                  : r.vote.kind == idempotency::Vote::Kind::takenByOther
-                                      ? wire::Vote::TAKEN
-                                      : wire::Vote::SILENT);
-                    vote.set_committed(r.vote.committed);
-                    vote.set_value(r.vote.value);
-                  },
-                  [&](const DrainUpdates& r) { set(*out.mutable_nodes(), r); },
-                  [&](const PrimaryUpdates& r) { set(*out.mutable_primaries(), r); },
-                  [&](const ObservationReport& r) { set(*out.mutable_seen(), r); },
-                  [&](const JoinReply& r) { set(*out.mutable_entered()->mutable_newest(), r.newest); },
-                  [&](const HeartbeatReply& r) { set(*out.mutable_reports(), r); },
-                  [&](const ProposalReply& r) { set(*out.mutable_answer(), r.answer); },
-                  [&](const PlanUpdate& r) { set(*out.mutable_holds(), r.held); }},
+  std::visit(Overloaded{[&](const GreetingReply& r) {
+                          out.mutable_heard()->set_number(r.number);
+                          set(*out.mutable_heard()->mutable_knew(), r.previousVoterIncarnation);
+                          set(*out.mutable_heard()->mutable_speaks(), r.joinedIncarnation);
+                        },
+                        [&](const VoteReply& r) {
+                          auto& vote = *out.mutable_vote();
+                          vote.set_number(r.number);
+                          vote.set_what(r.vote.kind == idempotency::Vote::Kind::granted ? wire::Vote::YOURS
+                                        : r.vote.kind == idempotency::Vote::Kind::takenByOther
+                                            ? wire::Vote::TAKEN
+                                            : wire::Vote::SILENT);
+                          vote.set_committed(r.vote.committed);
+                          vote.set_value(r.vote.value);
+                        },
+                        [&](const DrainUpdates& r) { set(*out.mutable_nodes(), r); },
+                        [&](const PrimaryUpdates& r) { set(*out.mutable_primaries(), r); },
+                        [&](const ObservationReport& r) { set(*out.mutable_seen(), r); },
+                        [&](const JoinReply& r) { set(*out.mutable_entered()->mutable_newest(), r.newest); },
+                        [&](const HeartbeatReply& r) { set(*out.mutable_reports(), r); },
+                        [&](const ProposalReply& r) { set(*out.mutable_answer(), r.reply); },
+                        [&](const PlanUpdate& r) { set(*out.mutable_holds(), r.accepted); }},
              reply);
   return out.SerializeAsString();
 }
@@ -251,11 +254,11 @@
 PeerReply readReply(std::string_view bytes) {
   const auto in = parsed<wire::Reply>(bytes);
   if (in.has_heard())
-    return GreetingReply{in.heard().number(), read(in.heard().knew()), incarnation(in.heard().speaks())};
+    return GreetingReply{in.heard().number(), read(in.heard().knew()), readIncarnation(in.heard().speaks())};
   if (in.has_nodes()) return read(in.nodes());
   if (in.has_primaries()) return read(in.primaries());
   if (in.has_seen()) return read(in.seen());
-  if (in.has_entered()) return JoinReply{incarnation(in.entered().newest())};
+  if (in.has_entered()) return JoinReply{readIncarnation(in.entered().newest())};
   if (in.has_reports()) return read(in.reports());
   if (in.has_answer()) return ProposalReply{read(in.answer())};
   if (in.has_holds()) return PlanUpdate{read(in.holds())};
--- a/src/cluster/messages.h
+++ b/src/cluster/messages.h
@@ -1,4 +1,5 @@
-// The messages between routers and keepers, as values. Protobuf's types stay within words.cpp.
+// The codec of the messages between routers and voters: typed values here, protobuf on the wire. Protobuf's
+// types are used in messages.cpp alone.
 #pragma once
 
 #include <stdexcept>
@@ -7,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "cluster/membership.h"
+#include "cluster/membership_service.h"
 #include "cluster/recovery_service.h"
 #include "idempotency/claim_types.h"
 #include "maintenance/acceptor.h"
@@ -15,63 +16,77 @@
 
 namespace gulltrestle::cluster {
 
+// The gRPC method whose bidirectional stream carries them.
 constexpr std::string_view kMethod = "/gulltrestle.peers.Keeper/Talk";
 
+// Bytes that are no message, or one of an unknown type.
 class MalformedMessage : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// --- In both directions
+// Nodes that are draining, or no longer, by which endpoint list.
+using DrainUpdates = std::vector<recovery::DrainUpdate>;
+using PrimaryUpdates = std::vector<PrimaryUpdate>;
+
+// --- From a router to a voter
+// Opens the stream; the voter list has to be the same on both sides.
 struct Greeting {
-  std::string router, keepers;
-  std::uint64_t draw = 0;
-  idempotency::VoterIncarnation keeper;  // number 0: it is none
+  std::string router, voterList;
+  std::uint64_t draw = 0;                          // of this incarnation, for the tokens of its claims
+  idempotency::VoterIncarnation voterIncarnation;  // of the router as a voter; number 0: it is none
 };
+// Asks for a vote on an idempotency key. Claims of an incarnation are numbered.
 struct Claim {
   std::string id;
   std::uint64_t number = 0;
 };
+// The transaction of that claim did not run.
 struct Release {
   std::string id;
   std::uint64_t number = 0;
 };
+// The transaction of that claim has committed, with this result.
 struct Committed {
   std::string id;
   std::uint64_t number = 0;
   std::string value;
 };
-using DrainUpdates = std::vector<recovery::DrainUpdate>;  // to a keeper, and back
-using PrimaryUpdates = std::vector<PrimaryUpdate>;        // likewise
-struct PrepareRequest {                                   // a round on the plan of work
+// The two phases of a proposal round on the maintenance plan.
+struct PrepareRequest {
   maintenance::Ballot ballot;
 };
 struct AcceptRequest {
-  maintenance::AcceptedValue held;
+  maintenance::AcceptedValue proposed;
 };
 using PeerMessage = std::variant<Greeting, Claim, Release, Committed, DrainUpdates, PrimaryUpdates,
                                  JoinRequest, Heartbeat, PrepareRequest, AcceptRequest>;
 
+// --- From a voter to a router
 struct GreetingReply {
-  std::uint64_t number = 0;
-  idempotency::VoterIncarnation knew;
-  membership::Incarnation speaks;  // the newest start of the router that has entered there
+  std::uint64_t number = 0;                                // of the voter incarnation that was greeted with
+  idempotency::VoterIncarnation previousVoterIncarnation;  // the newest that was known of it before
+  membership::Incarnation joinedIncarnation;               // the newest of the router that has joined there
 };
 struct VoteReply {
-  std::uint64_t number = 0;
+  std::uint64_t number = 0;  // of the claim
   idempotency::Vote vote;
 };
-struct ProposalReply {  // to a round
-  maintenance::Acceptor::AcceptorReply answer;
+// To a prepare or an accept request.
+struct ProposalReply {
+  maintenance::Acceptor::AcceptorReply reply;
 };
-struct PlanUpdate {  // what that keeper has on disk, whenever it changes, and ahead of its greeting's answer
-  maintenance::AcceptedValue held;
+// The accepted value that is durable at that voter: whenever it changes, and ahead of the greeting's reply.
+struct PlanUpdate {
+  maintenance::AcceptedValue accepted;
 };
 using PeerReply = std::variant<GreetingReply, VoteReply, DrainUpdates, PrimaryUpdates, ObservationReport,
                                JoinReply, HeartbeatReply, ProposalReply, PlanUpdate>;
 
-std::string encoded(const PeerMessage& word);
+std::string encoded(const PeerMessage& message);
 std::string encoded(const PeerReply& reply);
-// Throw Malformed where it is none, or one that is not known.
+// Throw MalformedMessage.
 PeerMessage readMessage(std::string_view bytes);
 PeerReply readReply(std::string_view bytes);
 
--- a/src/cluster/request_directory.cpp
+++ b/src/cluster/request_directory.cpp
@@ -12,57 +12,58 @@
 
 namespace {
 
-constexpr std::string_view kAsk = ".ask.json", kAnswer = ".answer.json";
-// At a look, and of one. Guards the turn against a folder that somebody fills; the rest waits.
-constexpr std::size_t kMostAtOnce = 16;
-constexpr std::uintmax_t kLongest = 256 * 1024;
+constexpr std::string_view kRequestSuffix = ".ask.json", kAnswerSuffix = ".answer.json";
+// In one call, and of one request. Guards the turn against a folder that somebody fills; the rest waits.
+constexpr std::size_t kMaxRequestsTaken = 16;
+constexpr std::uintmax_t kMaxRequestBytes = 256 * 1024;
 
 }  // namespace
 
 bool replaceFile(const std::string& path, const std::string& content) {
-  const std::string beside = path + ".new";
-  std::ofstream file(beside, std::ios::binary | std::ios::trunc);
+  const std::string temporary = path + ".new";
+  std::ofstream file(temporary, std::ios::binary | std::ios::trunc);
   file << content;
   file.close();
-  return file && std::rename(beside.c_str(), path.c_str()) == 0;
+  return file && std::rename(temporary.c_str(), path.c_str()) == 0;
 }
 
-std::string announced(std::uint64_t version, const std::set<std::string>& out) {
-  return Json{{"version", version}, {"out", out}}.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
+std::string announcementOf(std::uint64_t version, const std::set<std::string>& excludedNodes) {
+  const Json announcement{{"version", version}, {"out", excludedNodes}};
+  return announcement.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-std::vector<std::pair<std::string, std::string>> RequestDirectory::take() {
-  std::vector<std::pair<std::string, std::string>> out;
-  std::error_code code;
-  std::filesystem::directory_iterator all(folder_, code), end;
-  for (; !code && all != end && out.size() < kMostAtOnce; all.increment(code)) {
-    const std::string file = all->path().filename().string();
-    if (!file.ends_with(kAsk)) continue;
-    const std::string name = file.substr(0, file.size() - kAsk.size());
-    if (name.empty() || open_.contains(name)) continue;
-    std::error_code size;
-    open_.insert(name);
-    if (all->file_size(size) > kLongest || size) {
+std::vector<RequestDirectory::RequestFile> RequestDirectory::takeNew() {
+  std::vector<RequestFile> requests;
+  std::error_code listing;
+  std::filesystem::directory_iterator file(folder_, listing), end;
+  for (; !listing && file != end && requests.size() < kMaxRequestsTaken; file.increment(listing)) {
+    const std::string fileName = file->path().filename().string();
+    if (!fileName.ends_with(kRequestSuffix)) continue;
+    const std::string name = fileName.substr(0, fileName.size() - kRequestSuffix.size());
+    if (name.empty() || unanswered_.contains(name)) continue;
+    unanswered_.insert(name);
+    std::error_code sizing;
+    if (file->file_size(sizing) > kMaxRequestBytes || sizing) {
       answer(name, "the request is longer than 256 KiB, or can't be read");
       continue;
     }
-    std::ifstream in(all->path(), std::ios::binary);
-    out.emplace_back(name, std::string(std::istreambuf_iterator<char>(in), {}));
+    std::ifstream content(file->path(), std::ios::binary);
+    requests.push_back({name, std::string(std::istreambuf_iterator<char>(content), {})});
   }
-  if (code && !faulty_) fault_ = folder_ + ": " + code.message();
-  faulty_ = static_cast<bool>(code);
-  return out;
+  if (listing && !isFailing_) fault_ = folder_ + ": " + listing.message();
+  isFailing_ = static_cast<bool>(listing);
+  return requests;
 }
 
-void RequestDirectory::answer(const std::string& name, const std::string& why) {
-  const Json answer = why.empty() ? Json{{"done", true}} : Json{{"done", false}, {"why", why}};
+void RequestDirectory::answer(const std::string& name, const std::string& rejection) {
+  const Json answer = rejection.empty() ? Json{{"done", true}} : Json{{"done", false}, {"why", rejection}};
   const std::string base = folder_ + "/" + name;
-  if (!replaceFile(base + std::string(kAnswer), answer.dump() + "\n")) {
-    if (!std::exchange(faulty_, true)) fault_ = base + ": the answer can't be written";
+  if (!replaceFile(base + std::string(kAnswerSuffix), answer.dump() + "\n")) {
+    if (!std::exchange(isFailing_, true)) fault_ = base + ": the answer can't be written";
     return;
   }
-  std::remove((base + std::string(kAsk)).c_str());
-  open_.erase(name);
+  std::remove((base + std::string(kRequestSuffix)).c_str());
+  unanswered_.erase(name);
 }
 
 std::string RequestDirectory::takeFault() { return std::exchange(fault_, ""); }
--- a/src/cluster/status_document.cpp
+++ b/src/cluster/status_document.cpp
@@ -10,92 +10,107 @@
 
 std::int64_t millis(Duration span) { return span.inMicros() / 1000; }
 
-Json groupsOf(Instant now, const RecoveryService& service) {
+Json groupsOf(Instant now, const RecoveryService& recovery) {
   Json groups = Json::array();
-  const auto& stages = service.stages();
+  const auto& stages = recovery.stages();
   for (const GroupId id : stages.groups()) {
-    const auto group = stages.statusOf(id);
-    Json one{{"group", id}, {"stage", recovery::nameOf(group.stage)}, {"for_ms", millis(now - group.since)}};
-    if (!group.awaits.empty()) one["awaits"] = group.awaits;
-    if (!group.claimed.empty()) one["contested_by"] = group.claimed;
-    if (const auto known = service.known().find(id); known != service.known().end())
-      one["primary"] = known->second.node;
-    groups.push_back(std::move(one));
+    const auto status = stages.statusOf(id);
+    Json group{
+        {"group", id}, {"stage", recovery::nameOf(status.stage)}, {"for_ms", millis(now - status.since)}};
+    if (!status.awaits.empty()) group["awaits"] = status.awaits;
+    if (!status.claimed.empty()) group["contested_by"] = status.claimed;
+    if (const auto known = recovery.knownPrimaries().find(id); known != recovery.knownPrimaries().end())
+      group["primary"] = known->second.node;
+    groups.push_back(std::move(group));
   }
   return groups;
 }
 
+std::string_view stageNameOf(unsigned recoveryStage) {
+  // A router of a later version may report a stage that is not known here.
+  const unsigned known = std::min(recoveryStage, static_cast<unsigned>(recovery::Stage::all));
+  return recovery::nameOf(static_cast<recovery::Stage>(known));
+}
+
 Json membersOf(const MembershipService& membership) {
-  Json all = Json::array();
+  Json members = Json::array();
   const auto& view = membership.view();
   for (const auto& router : view.routers()) {
-    const auto member = view.memberState(router);
-    Json one{{"router", router},
-             {"state", membership::nameOf(member.state)},
-             {"start", member.incarnation},
-             {"stage", recovery::nameOf(static_cast<recovery::Stage>(std::min(
-                           member.progress.recoveryStage, static_cast<unsigned>(recovery::Stage::all))))}};
-    for (const auto keeper : member.silent) one["silent_at"].push_back(membership.keepers().at(keeper));
-    all.push_back(std::move(one));
+    const auto state = view.memberState(router);
+    Json member{{"router", router},
+                {"state", membership::nameOf(state.state)},
+                {"start", state.incarnation},
+                {"stage", stageNameOf(state.progress.recoveryStage)}};
+    for (const auto voter : state.silent) member["silent_at"].push_back(membership.voters().at(voter));
+    members.push_back(std::move(member));
   }
-  return all;
+  return members;
 }
 
-Json workOf(Instant now, const MaintenanceService& worker) {
-  Json work{{"version", worker.known()}, {"clear", worker.clear()}, {"foreman", worker.isForeman()}};
-  work["lease_ms"] = worker.leaseUntil() == Instant() ? 0 : millis(worker.leaseUntil() - now);
+Json maintenanceOf(Instant now, const MaintenanceService& maintenance) {
+  Json work{{"version", maintenance.planVersion()},
+            {"clear", maintenance.drainedVersion()},
+            {"foreman", maintenance.isLeader()}};
+  const Instant leaseUntil = maintenance.leaseUntil();
+  work["lease_ms"] = leaseUntil == Instant() ? 0 : millis(leaseUntil - now);
   work["machines"] = Json::array();
-  for (const auto& m : worker.plan().machines) {
-    Json one{{"machine", m.name},
-             {"phase", maintenance::nameOf(m.phase)},
-             {"why", m.reason},
-             {"by", m.requestedBy},
-             {"tries", m.attempts}};
-    if (const auto awaits = worker.awaits(m); !awaits.empty()) one["awaits"] = awaits;
-    work["machines"].push_back(std::move(one));
+  for (const auto& machine : maintenance.plan().machines) {
+    Json status{{"machine", machine.name},
+                {"phase", maintenance::nameOf(machine.phase)},
+                {"why", machine.reason},
+                {"by", machine.requestedBy},
+                {"tries", machine.attempts}};
+    if (const auto awaits = maintenance.waitingFor(machine); !awaits.empty()) status["awaits"] = awaits;
+    work["machines"].push_back(std::move(status));
   }
   return work;
 }
 
+Json votingMemberOf(const idempotency::VotingMember& votingMember) {
+  Json status{{"state", nameOf(votingMember.state())}, {"ids", votingMember.size()}};
+  if (const auto unverified = votingMember.unverifiedVoters(); !unverified.empty())
+    status["waits_for"] = unverified;
+  return status;
+}
+
+Json storeOf(const store::StoreStatistics& store) {
+  Json status{{"bytes", store.bytes},
+              {"queued", store.queued},
+              {"commits", store.commits},
+              {"failures", store.failures},
+              {"longest_ms", millis(store.longest)},
+              {"durable_ms_ago", millis(store.durableAgo)}};
+  if (!store.fault.empty()) status["fault"] = store.fault;
+  return status;
+}
+
 }  // namespace
 
-std::string statusOf(Instant now, const ClaimDispatcher& desk, const store::StoreStatistics* disk,
-                     const StreamStatistics& talked) {
-  Json all;
-  const RecoveryService& service = desk.service();
-  const auto& ramp = service.ramp();
-  all["time_ms"] = now.inMicros() / 1000;
-  all["started_ms_ago"] = millis(now - ramp.startedAt());
-  all["ramp"] = {{"state", nameOf(ramp.state())}, {"turned_away", ramp.rejected()}};
-  if (ramp.state() != recovery::AdmissionRamp::State::finished) all["ramp"]["txns_a_second"] = ramp.rate();
-  if (!service.forcedBy().empty()) all["forced_by"] = service.forcedBy();
-  all["groups"] = groupsOf(now, service);
-  const MembershipService& membership = desk.membership();
-  all["entry"] = {{"state", nameOf(membership.entry().state())},
-                  {"start", membership.entry().incarnation().number}};
-  all["members"] = membersOf(membership);
-  const MaintenanceService& worker = desk.worker();
-  all["work"] = workOf(now, worker);
-  if (const idempotency::VotingMember* keeper = desk.votingMember()) {
-    all["keeper"] = {{"state", nameOf(keeper->state())}, {"ids", keeper->size()}};
-    if (const auto unheard = keeper->unverifiedVoters(); !unheard.empty())
-      all["keeper"]["waits_for"] = unheard;
-  }
-  if (disk) {
-    all["store"] = {{"bytes", disk->bytes},
-                    {"queued", disk->queued},
-                    {"commits", disk->commits},
-                    {"failures", disk->failures},
-                    {"longest_ms", millis(disk->longest)},
-                    {"durable_ms_ago", millis(disk->durableAgo)}};
-    if (!disk->fault.empty()) all["store"]["fault"] = disk->fault;
-  }
-  all["talk"] = {{"said", talked.said}, {"heard", talked.heard}};
-  if (disk) {
-    all["talk"]["words_taken"] = talked.wordsTaken;
-    all["talk"]["answers_given"] = talked.answersGiven;
+std::string statusOf(Instant now, const ClaimDispatcher& dispatcher, const store::StoreStatistics* store,
+                     const StreamStatistics& streams) {
+  Json document;
+  const RecoveryService& recovery = dispatcher.recovery();
+  const auto& ramp = recovery.ramp();
+  document["time_ms"] = now.inMicros() / 1000;
+  document["started_ms_ago"] = millis(now - ramp.startedAt());
+  document["ramp"] = {{"state", nameOf(ramp.state())}, {"turned_away", ramp.rejected()}};
+  if (ramp.state() != recovery::AdmissionRamp::State::finished)
+    document["ramp"]["txns_a_second"] = ramp.rate();
+  if (!recovery.forcedBy().empty()) document["forced_by"] = recovery.forcedBy();
+  document["groups"] = groupsOf(now, recovery);
+  const auto& joinProtocol = dispatcher.membership().joinProtocol();
+  document["entry"] = {{"state", nameOf(joinProtocol.state())}, {"start", joinProtocol.incarnation().number}};
+  document["members"] = membersOf(dispatcher.membership());
+  document["work"] = maintenanceOf(now, dispatcher.maintenance());
+  if (const auto* votingMember = dispatcher.votingMember())
+    document["keeper"] = votingMemberOf(*votingMember);
+  if (store) document["store"] = storeOf(*store);
+  document["talk"] = {{"said", streams.messagesSent}, {"heard", streams.repliesReceived}};
+  if (store) {
+    document["talk"]["words_taken"] = streams.messagesReceived;
+    document["talk"]["answers_given"] = streams.repliesSent;
   }
-  return all.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
+  return document.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/status_document.h
+++ b/src/cluster/status_document.h
@@ -1,4 +1,4 @@
-// The status document of a router that settles with others: a JSON object, for operators and their scripts.
+// The status document of a router in a cluster: a JSON object, for operators and their scripts.
 #pragma once
 
 #include <string>
@@ -8,14 +8,14 @@
 
 namespace gulltrestle::cluster {
 
-// Words that went over this router's streams since it started.
+// Messages on this router's streams since it started.
 struct StreamStatistics {
-  std::uint64_t said = 0, heard = 0;               // to keepers, and their answers
-  std::uint64_t wordsTaken = 0, answersGiven = 0;  // where it is a keeper
+  std::uint64_t messagesSent = 0, repliesReceived = 0;  // to and from other voters
+  std::uint64_t messagesReceived = 0, repliesSent = 0;  // where it is a voter, from and to other routers
 };
 
-// `disk`: of this router's store; null: it is no keeper.
-std::string statusOf(Instant now, const ClaimDispatcher& desk, const store::StoreStatistics* disk,
-                     const StreamStatistics& talked);
+// `store`: null: this router is no voter.
+std::string statusOf(Instant now, const ClaimDispatcher& dispatcher, const store::StoreStatistics* store,
+                     const StreamStatistics& streams);
 
 }  // namespace gulltrestle::cluster
--- a/tests/setups.cpp
+++ b/tests/setups.cpp
@@ -29,8 +29,8 @@
   const auto tried = [](const std::string& text, const std::string& name = "a") {
     try {
       const ClusterConfig setup = readClusterConfig(text, name, ms(3000));
-      std::cout << "taken: keepers " << setup.list() << "; routers " << setup.routers.size() << "; store '"
-                << setup.folder << "'; connections " << setup.mostConnections << "\n";
+      std::cout << "taken: keepers " << setup.voterListText() << "; routers " << setup.routers.size()
+                << "; store '" << setup.storeFolder << "'; connections " << setup.maxConnections << "\n";
     } catch (const config::ConfigError& bad) { std::cout << bad.what() << "\n"; }
   };
   const std::string three = R"("keepers":{"c":"127.0.0.1:3","a":"127.0.0.1:1","b":"127.0.0.1:2"})";
@@ -127,7 +127,7 @@
   std::filesystem::remove_all(base);
 }
 
-// A keeper's desk, with others' words put on it by hand.
+// A voter's claim dispatcher, with other routers' messages delivered to it by hand.
 class World final : public Effects {
  public:
   World()
@@ -138,23 +138,23 @@
     idempotency::StoredState kept;
     kept.own = {{1, 50}};
     kept.isComplete = true;
-    kept.lists.current = setup.lists.back();
-    desk_ = std::make_unique<ClaimDispatcher>(ledger_, RoutingConfig{}, setup, "a", 99, kept, *this);
+    kept.lists.current = setup.voterLists.back();
+    dispatcher_ = std::make_unique<ClaimDispatcher>(ledger_, RoutingConfig{}, setup, "a", 99, kept, *this);
   }
   void say(StreamKey stream, const std::string& what, const std::string& bytes) {
     std::cout << what << "\n";
-    desk_->onMessage(stream, bytes);
+    dispatcher_->onMessage(stream, bytes);
   }
   void durable(bool is) {
     std::cout << (is ? "durable\n" : "the disk fails\n");
-    for (const Ticket ticket : std::exchange(tickets_, {})) desk_->onWritten(ticket, is);
+    for (const Ticket ticket : std::exchange(tickets_, {})) dispatcher_->onWritten(ticket, is);
   }
-  ClaimDispatcher& desk() { return *desk_; }
+  ClaimDispatcher& dispatcher() { return *dispatcher_; }
   std::string status() const {
     store::StoreStatistics disk;
     disk.bytes = 20480;
     disk.fault = "disk I/O error";
-    return statusOf(ledger_.now(), *desk_, &disk, {});
+    return statusOf(ledger_.now(), *dispatcher_, &disk, {});
   }
 
  private:
@@ -164,9 +164,10 @@
   void reply(StreamKey stream, const PeerReply& reply) override {
     std::cout << "  to stream " << stream << ": ";
     if (const auto* heard = std::get_if<GreetingReply>(&reply))
-      std::cout << "heard " << heard->number << ", knew " << heard->knew.number << "\n";
+      std::cout << "heard " << heard->number << ", knew " << heard->previousVoterIncarnation.number << "\n";
     else if (const auto* seen = std::get_if<ObservationReport>(&reply))
-      std::cout << "saw " << seen->nodes.size() << " nodes, " << (seen->serves ? "serves" : "starts") << "\n";
+      std::cout << "saw " << seen->nodes.size() << " nodes, " << (seen->hasRecovered ? "serves" : "starts")
+                << "\n";
     else if (const auto* entered = std::get_if<JoinReply>(&reply))
       std::cout << "entered " << entered->newest.number << " drawn " << entered->newest.draw << "\n";
     else if (const auto* reports = std::get_if<HeartbeatReply>(&reply)) {
@@ -194,7 +195,7 @@
     std::cout << "  " << event << " " << fields << "\n";
   }
   transactions::TransactionTable ledger_;
-  std::unique_ptr<ClaimDispatcher> desk_;
+  std::unique_ptr<ClaimDispatcher> dispatcher_;
   std::vector<Ticket> tickets_;
   Ticket last_ = 0;
 };
@@ -219,10 +220,10 @@
   world.say(1, "it claims, and the keeper has not heard the others", encoded(PeerMessage(Claim{"b1", 1})));
   std::cout << "a keeper answers with nonsense: ";
   try {
-    world.desk().onReply(1, "\xff\xff");
+    world.dispatcher().onReply(1, "\xff\xff");
   } catch (const MalformedMessage& bad) { std::cout << bad.what() << "\n"; }
   std::cout << "one answers\n";
-  world.desk().onReply(1, encoded(PeerReply(GreetingReply{1, {}, {}})));
+  world.dispatcher().onReply(1, encoded(PeerReply(GreetingReply{1, {}, {}})));
   world.say(1, "it claims", encoded(PeerMessage(Claim{"b1", 2})));
   world.durable(false);
   world.say(2, "a keeper greets, and its start can't be kept",
@@ -233,7 +234,7 @@
   world.say(3, "it enters", encoded(PeerMessage(JoinRequest{1})));
   world.durable(true);
   world.say(3, "it claims the same", encoded(PeerMessage(Claim{"b1", 1})));
-  world.desk().onStreamEnded(3);
+  world.dispatcher().onStreamEnded(3);
   world.say(3, "a claim on a stream that ended", encoded(PeerMessage(Claim{"b2", 2})));
   world.say(4, "another process of the name d greets", encoded(PeerMessage(Greeting{"d", list, 8, {}})));
   world.durable(true);
@@ -248,10 +249,10 @@
   ClusterConfig without = readClusterConfig(
       R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2","c":"127.0.0.1:3"},"routers":["e"],"store":"/s"})",
       "a", ms(2000));
-  world.desk().reloadConfig(without);
+  world.dispatcher().reloadConfig(without);
   world.say(5, "it greets", encoded(PeerMessage(Greeting{"d", list, 8, {}})));
   std::cout << "another keeper knows a start of this one that its disk doesn't\n";
-  world.desk().onReply(2, encoded(PeerReply(GreetingReply{1, {9, 70}, {}})));
+  world.dispatcher().onReply(2, encoded(PeerReply(GreetingReply{1, {9, 70}, {}})));
   world.durable(true);
 }
 
@@ -260,8 +261,8 @@
   World world;
   const auto tell = [&](idempotency::VoterIndex by, const std::string& what, const ObservationReport& seen) {
     std::cout << what << "\n";
-    world.desk().onReply(by, encoded(PeerReply(seen)));
-    world.desk().endTurn();
+    world.dispatcher().onReply(by, encoded(PeerReply(seen)));
+    world.dispatcher().endTurn();
   };
   const auto sighting = [](const NodeId& node, Role role, std::int64_t position) {
     return recovery::Observation{node, Instant(), role, Instant() + ms(position), ms(3)};
@@ -273,18 +274,18 @@
     list.back().entry.group = 1;
     list.back().entry.primary = node == "p";
   }
-  world.desk().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
-  world.desk().endTurn();
+  world.dispatcher().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
+  world.dispatcher().endTurn();
   tell(1, "one tells that the replica is a year ahead", {{sighting("a", Role::replica, 1 << 30)}, false});
   tell(2, "another tells the truth: what both reach is proven", {{sighting("a", Role::replica, 10)}, false});
   tell(1, "one tells that the replica is the primary", {{sighting("a", Role::primary, 20)}, false});
   tell(1, "one tells of a node that no list names", {{sighting("z", Role::primary, 20)}, false});
   std::cout << "one tells of a primary by a list from the future\n";
-  world.desk().onReply(1, encoded(PeerReply(PrimaryUpdates{{1, {"a", 1'000'000}}})));
-  world.desk().endTurn();
+  world.dispatcher().onReply(1, encoded(PeerReply(PrimaryUpdates{{1, {"a", 1'000'000}}})));
+  world.dispatcher().endTurn();
   std::cout << "the node that the list names says that it is the primary\n";
-  world.desk().recovery().onLoadReport("p", {Role::primary, Instant() + ms(30), {}});
-  world.desk().endTurn();
+  world.dispatcher().recovery().onLoadReport("p", {Role::primary, Instant() + ms(30), {}});
+  world.dispatcher().endTurn();
   const auto kept = std::filesystem::path(scratch()) / ("gulltrestle-status-" + std::to_string(getpid()));
   const auto status = [&] {
     std::ofstream(kept) << world.status();
@@ -297,10 +298,10 @@
   status();
   std::cout << "an operator decides\n";
   ClusterConfig forced;
-  forced.forced = recovery::Stage::all;
+  forced.forcedStage = recovery::Stage::all;
   forced.forcedBy = "kim";
-  world.desk().reloadConfig(forced);
-  world.desk().endTurn();
+  world.dispatcher().reloadConfig(forced);
+  world.dispatcher().endTurn();
   status();
   std::filesystem::remove(kept);
 }
@@ -310,16 +311,17 @@
   World world;
   for (const idempotency::VoterIndex by : {1, 2}) {
     std::cout << "one tells of a replica\n";
-    world.desk().onReply(by, encoded(PeerReply(ObservationReport{
-                                 {{"a", Instant(), Role::replica, Instant() + ms(10), ms(3)}}, false})));
-    world.desk().endTurn();
+    world.dispatcher().onReply(
+        by, encoded(PeerReply(
+                ObservationReport{{{"a", Instant(), Role::replica, Instant() + ms(10), ms(3)}}, false})));
+    world.dispatcher().endTurn();
   }
   std::cout << "a list names it\n";
   std::vector<transactions::ResolvedEndpoint> list(1);
   list.back().entry.node = "a";
   list.back().entry.group = 1;
-  world.desk().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
-  world.desk().endTurn();
+  world.dispatcher().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
+  world.dispatcher().endTurn();
 }
 
 }  // namespace
