--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -15,329 +15,312 @@
 
 namespace {
 
-// A keeper that could not be reached is tried again after this, at first and at most; give or take half of
-// it, so that routers that lost it together don't return in step.
-constexpr Duration kAgainFirst = Duration::millis(100), kAgainMost = Duration::millis(2000);
-// A stream on which a claim was made and nothing came for so long is broken off: a path that swallows what is
-// sent shows no other sign.
-constexpr Duration kDeaf = Duration::millis(3000);
-// Kind waits to be written to a keeper. A stream beyond it is broken off.
-constexpr std::size_t kMostUnsent = 1 << 20;
-constexpr std::size_t kLongestMessage = 128 * 1024;
-// How often the folder of requests is looked at.
-constexpr Duration kRequestsPause = Duration::millis(500);
-// How often the counts are logged while there is anything new.
-constexpr Duration kCountsPause = Duration::millis(60'000);
+// After which a stream that ended is opened again, at first and at most; give or take half of it, so that
+// routers that lost a voter together don't return in step.
+constexpr Duration kInitialBackoff = Duration::millis(100), kMaxBackoff = Duration::millis(2000);
+// How often the folder of requests is read.
+constexpr Duration kRequestsInterval = Duration::millis(500);
+// How often the counts are logged while there are new ones.
+constexpr Duration kCountsInterval = Duration::millis(60'000);
+// At most so much is read from a stream before others have their turn.
+constexpr std::size_t kReadBytes = 16384;
+// A router opens one; the others are for streams that end.
+constexpr std::size_t kMaxStreamsPerConnection = 4;
 
 std::uint64_t drawn() {
-  std::random_device chance;
-  return static_cast<std::uint64_t>(chance()) << 32 | chance();
+  std::random_device device;
+  return static_cast<std::uint64_t>(device()) << 32 | device();
 }
 
-std::unique_ptr<store::Store> storeOf(const ClusterConfig& setup, const std::string& name,
+std::unique_ptr<store::Store> storeOf(const ClusterConfig& config, const std::string& name,
                                       std::uint64_t draw) {
-  if (setup.storeFolder.empty()) return nullptr;
+  if (config.storeFolder.empty()) return nullptr;
   try {
-    return std::make_unique<store::Store>(setup.storeFolder, name, draw, setup.voterLists);
+    return std::make_unique<store::Store>(config.storeFolder, name, draw, config.voterLists);
   } catch (const store::RejectedVoterList& bad) {
     throw config::ConfigError("keepers", bad.what());
   } catch (const store::UnusableFolder& bad) { throw config::ConfigError("store", bad.what()); }
 }
 
-grpc_server::Bounds boundsOf(const ClusterConfig& setup) {
+grpc_server::Bounds boundsOf(const ClusterConfig& config) {
   grpc_server::Bounds bounds;
-  bounds.calls.connection.mostStreams = 4;
-  bounds.calls.longestMessage = kLongestMessage;
-  bounds.mostConnections = setup.maxConnections;
+  bounds.calls.connection.mostStreams = kMaxStreamsPerConnection;
+  bounds.calls.longestMessage = kMaxMessageBytes;
+  bounds.mostConnections = config.maxConnections;
   return bounds;
 }
 
+Duration longestDeadlineOf(const RoutingConfig& routing) {
+  Duration longest;
+  for (const auto& type : routing.transactionClasses) longest = std::max(longest, type.deadline);
+  return longest;
+}
+
 }  // namespace
 
-struct ClusterServer::PeerStream final : http2::Handler {
-  PeerStream(event_loop::EventLoop& onLoop, event_loop::Descriptor descriptor)
-      : stream(onLoop, std::move(descriptor)), session(http2::Session::Side::client, {}, *this) {}
-
-  void headers(http2::StreamId, http2::Headers) override {}
-  void data(http2::StreamId, std::string_view bytes) override { kept += bytes; }
-  void halfClosed(http2::StreamId) override { over = true; }
-  void closed(http2::StreamId, http2::Code) override { over = true; }
-
-  void flush() {
-    if (!up || over) return;
-    unsent += session.output();
-    while (!unsent.empty()) {
-      const std::string_view all = unsent;
-      const auto done = stream.write({&all, 1});
-      if (done.how == Io::failed) over = true;
-      if (done.how != Io::some) break;
-      unsent.erase(0, done.size);
-    }
-    if (unsent.size() > kMostUnsent) over = true;
-    if (over) stream.wake();
+class ClusterServer::StreamRegistration {
+ public:
+  StreamRegistration(ClusterServer& server, idempotency::VoterIndex voter, PeerStream& peer)
+      : server_(server), voter_(voter) {
+    server_.openStreams_[voter_] = &peer;
+  }
+  StreamRegistration(const StreamRegistration&) = delete;
+  StreamRegistration& operator=(const StreamRegistration&) = delete;
+  ~StreamRegistration() {
+    server_.openStreams_.erase(voter_);
+    server_.dispatcher_->onVoterLost(voter_);
   }
 
-  event_loop::Stream stream;
-  http2::Session session;
-  http2::StreamId call = 0;
-  std::string kept, unsent;
-  bool up = false, over = false;
-  Instant deafAt;  // never: no answer is awaited
+ private:
+  ClusterServer& server_;
+  idempotency::VoterIndex voter_;
 };
 
-ClusterServer::ClusterServer(event_loop::EventLoop& loop, transactions::TransactionTable& ledger,
-                             const RoutingConfig& terms, const ClusterConfig& setup, const std::string& name,
-                             std::function<ClusterConfig()> read)
-    : loop_(loop), ledger_(ledger), setup_(setup), chance_(drawn()), read_(std::move(read)) {
+ClusterServer::ClusterServer(event_loop::EventLoop& loop, transactions::TransactionTable& transactions,
+                             const RoutingConfig& routing, const ClusterConfig& config,
+                             const std::string& name, std::function<ClusterConfig()> readConfig)
+    : loop_(loop),
+      transactions_(transactions),
+      config_(config),
+      random_(drawn()),
+      readConfig_(std::move(readConfig)) {
   const std::uint64_t draw = drawn();
-  store_ = storeOf(setup_, name, draw);
-  ledger_.advanceTo(loop_.now());
-  std::optional<idempotency::StoredState> kept;
-  if (store_) {
-    if (!store_->setAside().empty())
-      spdlog::error("event=store.damaged set_aside=\"{}\"", store_->setAside());
-    spdlog::info("event=store.opened folder={} start={} whole={} ids={}", setup_.storeFolder,
-                 store_->storedState().own.back().number, store_->storedState().isComplete,
-                 store_->storedState().entries.size());
-    if (!store_->storedState().isComplete)
-      spdlog::warn(
-          "event=store.not_whole folder={} votes_after_ms={} hint=\"a new installation's folder is made by: "
-          "gulltrestle store create FOLDER {}\"",
-          setup_.storeFolder, setup_.votingMember.retention.inMicros() / 1000, name);
-    kept = store_->takeStoredState();
-  }
-  Duration longest;
-  for (const auto& type : terms.transactionClasses) longest = std::max(longest, type.deadline);
-  setup_.maintenance.fenceDuration = maintenance::fenceDurationFor(longest);
-  if (!setup_.requestFolder.empty()) requests_.emplace(setup_.requestFolder);
+  auto stored = openStore(name, draw);
+  config_.maintenance.fenceDuration = maintenance::fenceDurationFor(longestDeadlineOf(routing));
+  if (!config_.requestFolder.empty()) requests_.emplace(config_.requestFolder);
   Effects& effects = *this;
-  grpc_server::CallHandler& receiver = *this;
-  desk_ = std::make_unique<ClaimDispatcher>(ledger_, terms, setup_, name, draw, std::move(kept), effects);
-  for (idempotency::VoterIndex keeper = 0; keeper < setup_.voters.size(); ++keeper)
-    if (keeper == desk_->ownIndex())
+  dispatcher_ = std::make_unique<ClaimDispatcher>(transactions_, routing, config_, name, draw,
+                                                  std::move(stored), effects);
+  startStreams();
+  if (store_) loop_.spawn(watchStore());
+  transactions_.setExecutionGate(dispatcher_.get());
+  transactions_.setAdmissionController(&dispatcher_->recovery());
+  spdlog::info("event=peers.on keepers=\"{}\" routers={} keeper={}", config_.voterListText(),
+               config_.routers.size(), store_ != nullptr);
+}
+
+// None: this router is no voter.
+std::optional<idempotency::StoredState> ClusterServer::openStore(const std::string& name,
+                                                                 std::uint64_t draw) {
+  store_ = storeOf(config_, name, draw);
+  transactions_.advanceTo(loop_.now());
+  if (!store_) return std::nullopt;
+  if (!store_->setAside().empty()) spdlog::error("event=store.damaged set_aside=\"{}\"", store_->setAside());
+  const idempotency::StoredState& stored = store_->storedState();
+  spdlog::info("event=store.opened folder={} start={} whole={} ids={}", config_.storeFolder,
+               stored.own.back().number, stored.isComplete, stored.entries.size());
+  if (!stored.isComplete)
+    spdlog::warn(
+        "event=store.not_whole folder={} votes_after_ms={} hint=\"a new installation's folder is made by: "
+        "gulltrestle store create FOLDER {}\"",
+        config_.storeFolder, config_.votingMember.retention.inMicros() / 1000, name);
+  return store_->takeStoredState();
+}
+
+void ClusterServer::startStreams() {
+  grpc_server::CallHandler& handler = *this;
+  for (idempotency::VoterIndex voter = 0; voter < config_.voters.size(); ++voter)
+    if (voter == dispatcher_->ownIndex())
       listener_ = std::make_unique<grpc_server::GrpcServer>(
-          loop_, setup_.voters[keeper].address, std::string(kMethod), boundsOf(setup_), "peers", receiver);
+          loop_, config_.voters[voter].address, std::string(kMethod), boundsOf(config_), "peers", handler);
     else
-      loop_.spawn(talk(keeper));
-  if (store_) loop_.spawn(watchDisk());
-  ledger_.setExecutionGate(desk_.get());
-  ledger_.setAdmissionController(&desk_->recovery());
-  spdlog::info("event=peers.on keepers=\"{}\" routers={} keeper={}", setup_.voterListText(),
-               setup_.routers.size(), store_ != nullptr);
+      loop_.spawn(maintainStream(voter));
 }
 
-// Its coroutines refer to it.
+// The tasks refer to it.
 ClusterServer::~ClusterServer() {
-  ledger_.setExecutionGate(nullptr);
-  ledger_.setAdmissionController(nullptr);
+  transactions_.setExecutionGate(nullptr);
+  transactions_.setAdmissionController(nullptr);
   loop_.endTasks();
 }
 
 // --- Effects
 
-void ClusterServer::sendToVoter(idempotency::VoterIndex keeper, const PeerMessage& word) {
-  const auto at = talks_.find(keeper);
-  if (at == talks_.end()) return;
-  PeerStream& talk = *at->second;
+void ClusterServer::sendToVoter(idempotency::VoterIndex voter, const PeerMessage& message) {
+  const auto stream = openStreams_.find(voter);
+  if (stream == openStreams_.end()) return;
   ++streamStatistics_.messagesSent;
-  talk.session.send(talk.call, grpc::framed(encoded(word)));
-  // Only these are answered.
-  const bool isAnswered = std::holds_alternative<Greeting>(word) || std::holds_alternative<Claim>(word) ||
-                          std::holds_alternative<Heartbeat>(word);
-  if (talk.deafAt == Instant() && isAnswered) {
-    talk.deafAt = loop_.now() + kDeaf;
-    talk.stream.wakeAt(talk.deafAt);
-  }
+  stream->second->send(message);
 }
 
-void ClusterServer::reply(StreamKey stream, const PeerReply& said) {
+void ClusterServer::reply(StreamKey stream, const PeerReply& reply) {
   ++streamStatistics_.repliesSent;
-  listener_->send(stream, encoded(said));
+  listener_->send(stream, encoded(reply));
 }
 
-void ClusterServer::rejectStream(StreamKey stream, std::string_view why) {
-  listener_->finish(stream, grpc::Status::invalidArgument, why);
+void ClusterServer::rejectStream(StreamKey stream, std::string_view reason) {
+  listener_->finish(stream, grpc::Status::invalidArgument, reason);
 }
 
 void ClusterServer::log(std::string_view event, const std::string& fields) {
   spdlog::info("event={} {}", event, fields);
 }
 
+// As an operator would: the process answers the transactions that it has admitted, and exits.
+void ClusterServer::terminate() { ::raise(SIGTERM); }
+
+void ClusterServer::announce(std::uint64_t version, const std::set<std::string>& excludedNodes) {
+  if (config_.announceFile.empty()) return;
+  if (!replaceFile(config_.announceFile, announcementOf(version, excludedNodes)))
+    spdlog::error("event=work.announce_failed file=\"{}\"", config_.announceFile);
+}
+
 // --- Turns
 
 void ClusterServer::endTurn() {
-  readRequests(ledger_.now());
-  desk_->endTurn();
-  logCounts(ledger_.now());
-  writeStatus(ledger_.now());
+  readRequests(transactions_.now());
+  dispatcher_->endTurn();
+  logCounts(transactions_.now());
+  writeStatus(transactions_.now());
 }
 
 Instant ClusterServer::nextDue() const {
-  Instant due = desk_->nextDue();
-  const auto sooner = [&](Instant at) {
-    if (due == Instant() || at < due) due = at;
+  Instant due = dispatcher_->nextDue();
+  const auto bringForward = [&](Instant other) {
+    if (due == Instant() || other < due) due = other;
   };
-  if (!setup_.statusFile.empty()) sooner(statusAt_ + setup_.statusInterval);
-  if (requests_) sooner(requestsAt_ + kRequestsPause);
+  if (!config_.statusFile.empty()) bringForward(statusWrittenAt_ + config_.statusInterval);
+  if (requests_) bringForward(requestsReadAt_ + kRequestsInterval);
   return due;
 }
 
-// --- Work on machines
+void ClusterServer::flush() {
+  // What the transaction table has reported since the dispatcher's turn goes out now, too.
+  dispatcher_->flushDecisions();
+  if (listener_) listener_->flush();
+  for (auto& [voter, stream] : openStreams_) stream->flush();
+}
+
+void ClusterServer::reloadConfig() {
+  try {
+    dispatcher_->reloadConfig(readConfig_());
+  } catch (const std::exception& bad) { spdlog::error("event=peers.not_taken why=\"{}\"", bad.what()); }
+}
+
+// --- Operators
 
 void ClusterServer::readRequests(Instant now) {
   if (!requests_) return;
-  for (const auto& answer : desk_->maintenance().takeAnswers())
+  for (const auto& answer : dispatcher_->maintenance().takeAnswers())
     requests_->answer(answer.requestId, answer.rejection);
-  if (requestsAt_ != Instant() && now - requestsAt_ < kRequestsPause) return;
-  requestsAt_ = now;
+  if (requestsReadAt_ != Instant() && now - requestsReadAt_ < kRequestsInterval) return;
+  requestsReadAt_ = now;
   for (auto& [name, text] : requests_->takeNew()) try {
-      desk_->maintenance().onOperatorRequest(name, maintenance::readOperatorRequest(text));
+      dispatcher_->maintenance().onOperatorRequest(name, maintenance::readOperatorRequest(text));
     } catch (const maintenance::InvalidRequest& bad) { requests_->answer(name, bad.what()); }
   if (const std::string fault = requests_->takeFault(); !fault.empty())
     spdlog::error("event=work.folder_fails why=\"{}\"", fault);
 }
 
-// As an operator would: it answers what it has taken, and ends.
-void ClusterServer::terminate() { ::raise(SIGTERM); }
-
-void ClusterServer::announce(std::uint64_t version, const std::set<std::string>& out) {
-  if (setup_.announceFile.empty()) return;
-  if (!replaceFile(setup_.announceFile, announcementOf(version, out)))
-    spdlog::error("event=work.announce_failed file=\"{}\"", setup_.announceFile);
-}
-
-void ClusterServer::reloadConfig() {
-  try {
-    desk_->reloadConfig(read_());
-  } catch (const std::exception& bad) { spdlog::error("event=peers.not_taken why=\"{}\"", bad.what()); }
-}
-
 void ClusterServer::writeStatus(Instant now) {
-  if (setup_.statusFile.empty() || now - statusAt_ < setup_.statusInterval) return;
-  statusAt_ = now;
-  const auto disk = store_ ? std::optional(store_->statistics()) : std::nullopt;
-  const bool fails =
-      !replaceFile(setup_.statusFile, statusOf(now, *desk_, disk ? &*disk : nullptr, streamStatistics_));
-  if (fails && !std::exchange(statusFails_, fails))
-    spdlog::error("event=peers.status_failed file=\"{}\"", setup_.statusFile);
-  statusFails_ = fails;
-}
-
-void ClusterServer::flush() {
-  // Kind the ledger has told since the desk's turn goes out now, too.
-  desk_->flushDecisions();
-  if (listener_) listener_->flush();
-  for (auto& [keeper, talk] : talks_) talk->flush();
+  if (config_.statusFile.empty() || now - statusWrittenAt_ < config_.statusInterval) return;
+  statusWrittenAt_ = now;
+  const auto storeStatistics = store_ ? std::optional(store_->statistics()) : std::nullopt;
+  const std::string status =
+      statusOf(now, *dispatcher_, storeStatistics ? &*storeStatistics : nullptr, streamStatistics_);
+  const bool hasFailed = !replaceFile(config_.statusFile, status);
+  if (hasFailed && !isStatusFailing_)
+    spdlog::error("event=peers.status_failed file=\"{}\"", config_.statusFile);
+  isStatusFailing_ = hasFailed;
 }
 
 void ClusterServer::logCounts(Instant now) {
-  const auto& counts = desk_->coordinator().counts();
-  if (now - saidAt_ < kCountsPause || counts.requested == saidAsked_) return;
-  saidAt_ = now;
-  saidAsked_ = counts.requested;
+  const auto& counts = dispatcher_->coordinator().counts();
+  if (now - countsLoggedAt_ < kCountsInterval || counts.requested == loggedClaims_) return;
+  countsLoggedAt_ = now;
+  loggedClaims_ = counts.requested;
   spdlog::info(
       "event=claims.counts asked={} admitted={} committed={} rolled_back={} refused={} open={} reached={}",
       counts.requested, counts.admitted, counts.committed, counts.rolledBack, counts.rejected,
-      desk_->coordinator().open(), desk_->coordinator().reachable());
+      dispatcher_->coordinator().open(), dispatcher_->coordinator().reachable());
   if (!store_) return;
-  const auto figures = store_->statistics();
+  const auto statistics = store_->statistics();
   spdlog::info("event=store.counts commits={} changes={} failures={} queued={} longest_ms={} ids={}",
-               figures.commits, figures.changes, figures.failures, figures.queued,
-               figures.longest.inMicros() / 1000, desk_->votingMember()->size());
+               statistics.commits, statistics.changes, statistics.failures, statistics.queued,
+               statistics.longest.inMicros() / 1000, dispatcher_->votingMember()->size());
 }
 
-event_loop::Task ClusterServer::watchDisk() {
-  // Without it nothing that the disk says would be heard: it is tried for as long as there is no descriptor.
-  int own = ::dup(store_->descriptor());
-  while (own < 0) {
-    co_await loop_.sleepUntil(loop_.now() + kAgainFirst);
-    own = ::dup(store_->descriptor());
+// --- The store
+
+event_loop::Task ClusterServer::watchStore() {
+  // Without a descriptor no completed write would be noticed: it is retried for as long as there is none.
+  int descriptor = ::dup(store_->descriptor());
+  while (descriptor < 0) {
+    co_await loop_.sleepUntil(loop_.now() + kInitialBackoff);
+    descriptor = ::dup(store_->descriptor());
   }
-  event_loop::Stream stream(loop_, event_loop::Descriptor(own));
+  event_loop::Stream stream(loop_, event_loop::Descriptor(descriptor));
   for (;;) {
     stream.readBlocked();
-    ledger_.advanceTo(loop_.now());
-    for (const auto& done : store_->takeCompleted()) desk_->onWritten(done.ticket, done.durable);
-    const auto fault = store_->statistics().fault;
-    if (fault.empty() == faulty_) {
-      faulty_ = !fault.empty();
-      if (faulty_)
-        spdlog::error("event=store.fails why=\"{}\"", fault);
-      else
-        spdlog::info("event=store.heals");
-    }
+    transactions_.advanceTo(loop_.now());
+    for (const auto& write : store_->takeCompleted()) dispatcher_->onWritten(write.ticket, write.durable);
+    logStoreHealth();
     co_await stream.changed();
   }
 }
 
-// --- A stream to a keeper, begun anew whenever it is gone
+void ClusterServer::logStoreHealth() {
+  const auto fault = store_->statistics().fault;
+  if (fault.empty() != isStoreFailing_) return;
+  isStoreFailing_ = !fault.empty();
+  if (isStoreFailing_)
+    spdlog::error("event=store.fails why=\"{}\"", fault);
+  else
+    spdlog::info("event=store.heals");
+}
+
+// --- Streams to voters
 
-event_loop::Task ClusterServer::talk(idempotency::VoterIndex keeper) {
-  const auto& place = setup_.voters[keeper];
-  Duration pause = kAgainFirst;
+event_loop::Task ClusterServer::maintainStream(idempotency::VoterIndex voter) {
+  const auto& [name, address] = config_.voters[voter];
+  Duration backoff = kInitialBackoff;
   for (;;) {
     try {
-      event_loop::Descriptor descriptor = event_loop::startConnecting(place.address.host, place.address.port);
+      event_loop::Descriptor descriptor = event_loop::startConnecting(address.host, address.port);
       if (descriptor) {
-        PeerStream talk(loop_, std::move(descriptor));
-        const Instant by = loop_.now() + kDeaf;
-        talk.stream.wakeAt(by);
-        while (!talk.stream.canWrite() && loop_.now() < by) co_await talk.stream.changed();
-        talk.up = talk.stream.canWrite() && event_loop::isConnected(talk.stream.descriptor());
-        if (talk.up) {
-          talk.call = talk.session.request({{":method", "POST"},
-                                            {":scheme", "http"},
-                                            {":path", std::string(kMethod)},
-                                            {":authority", place.name},
-                                            {"content-type", "application/grpc"},
-                                            {"te", "trailers"}});
-          struct Up {
-            ClusterServer& peers;
-            idempotency::VoterIndex keeper;
-            ~Up() {
-              peers.talks_.erase(keeper);
-              peers.desk_->onVoterLost(keeper);
-            }
-          };
-          talks_[keeper] = &talk;
-          const Up place_up{*this, keeper};
-          sendToVoter(keeper, desk_->greeting());
-          talk.flush();
-          while (!talk.over) {
-            if (talk.deafAt != Instant() && loop_.now() >= talk.deafAt) break;
-            if (talk.stream.canRead()) {
-              char bytes[16384];
-              const auto got = talk.stream.read(bytes);
-              if (got.how == Io::ended || got.how == Io::failed) break;
-              if (got.how == Io::some) {
-                const Instant now = loop_.now();
-                ledger_.advanceTo(now);
-                talk.deafAt = Instant();
-                if (!talk.session.received(now, {bytes, got.size})) talk.over = true;
-                std::string_view left = talk.kept, message;
-                grpc::Cut cut;
-                while ((cut = grpc::cutMessage(left, kLongestMessage, message)) == grpc::Cut::message) {
-                  ++streamStatistics_.repliesReceived;
-                  desk_->onReply(keeper, message);
-                  pause = kAgainFirst;
-                }
-                if (cut != grpc::Cut::none) break;
-                talk.kept.erase(0, talk.kept.size() - left.size());
-              }
-            }
-            talk.flush();
-            if (!talk.over && !talk.stream.canRead()) co_await talk.stream.changed();
-          }
+        PeerStream peer(loop_, std::move(descriptor));
+        const Instant deadline = loop_.now() + PeerStream::kReplyTimeout;
+        peer.stream().wakeAt(deadline);
+        while (!peer.stream().canWrite() && loop_.now() < deadline) co_await peer.stream().changed();
+        if (peer.open(name)) {
+          const StreamRegistration registration(*this, voter, peer);
+          sendToVoter(voter, dispatcher_->greeting());
+          peer.flush();
+          while (exchange(voter, peer, backoff))
+            if (!peer.stream().canRead()) co_await peer.stream().changed();
         }
       }
     } catch (const std::exception& bad) {
-      spdlog::warn("event=peers.talk_failed keeper={} why=\"{}\"", place.name, bad.what());
+      spdlog::warn("event=peers.talk_failed keeper={} why=\"{}\"", name, bad.what());
     }
-    ledger_.advanceTo(loop_.now());
+    transactions_.advanceTo(loop_.now());
     co_await loop_.sleepUntil(loop_.now() +
-                              pause * std::uniform_real_distribution<double>(0.5, 1.5)(chance_));
-    pause = std::min(pause * 2, kAgainMost);
+                              backoff * std::uniform_real_distribution<double>(0.5, 1.5)(random_));
+    backoff = std::min(backoff * 2, kMaxBackoff);
+  }
+}
+
+bool ClusterServer::exchange(idempotency::VoterIndex voter, PeerStream& peer, Duration& backoff) {
+  if (peer.isClosed() || peer.hasTimedOut()) return false;
+  if (peer.stream().canRead() && !receiveReplies(voter, peer, backoff)) return false;
+  peer.flush();
+  return !peer.isClosed();
+}
+
+bool ClusterServer::receiveReplies(idempotency::VoterIndex voter, PeerStream& peer, Duration& backoff) {
+  char bytes[kReadBytes];
+  const auto result = peer.stream().read(bytes);
+  if (result.how == Io::ended || result.how == Io::failed) return false;
+  if (result.how != Io::some) return true;
+  const Instant now = loop_.now();
+  transactions_.advanceTo(now);
+  peer.onBytes(now, {bytes, result.size});
+  while (const auto reply = peer.nextReply()) {
+    ++streamStatistics_.repliesReceived;
+    dispatcher_->onReply(voter, *reply);
+    backoff = kInitialBackoff;
   }
+  return !peer.isMalformed();
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/cluster_server.h
+++ b/src/cluster/cluster_server.h
@@ -1,6 +1,6 @@
-// Kind routers settle among themselves, on sockets and a disk: a stream to each keeper, kept up; a listener
-// and a store where this router is a keeper. For a private network: whoever can reach the listener and knows
-// the list may speak.
+// The cluster component of a router, on sockets and a disk: a stream to each voter, which is reopened
+// whenever it ends; a listener and a store where this router is a voter. For a private network: whoever can
+// reach the listener and knows the member list is accepted.
 #pragma once
 
 #include <functional>
@@ -12,6 +12,7 @@
 
 #include "cluster/claim_dispatcher.h"
 #include "cluster/cluster_config.h"
+#include "cluster/peer_stream.h"
 #include "cluster/request_directory.h"
 #include "cluster/status_document.h"
 #include "gateway/gateway.h"
@@ -21,73 +22,90 @@
 
 namespace gulltrestle::cluster {
 
+// One for each process that has a cluster configuration. It carries out the claim dispatcher's effects.
 class ClusterServer final : public gateway::Component, private Effects, private grpc_server::CallHandler {
  public:
-  // Throws config::BadKey where the store or the address to listen on can't be had.
-  // `read`: reads the configuration anew; it may throw config::BadKey.
-  ClusterServer(event_loop::EventLoop& loop, transactions::TransactionTable& ledger,
-                const RoutingConfig& terms, const ClusterConfig& setup, const std::string& name,
-                std::function<ClusterConfig()> read);
+  // `readConfig`: reads the configuration anew; it may throw config::ConfigError. The constructor throws
+  // config::ConfigError where the store or the address to listen on can't be used.
+  ClusterServer(event_loop::EventLoop& loop, transactions::TransactionTable& transactions,
+                const RoutingConfig& routing, const ClusterConfig& config, const std::string& name,
+                std::function<ClusterConfig()> readConfig);
   ~ClusterServer() override;
 
-  // Descriptors that it may take.
-  static std::size_t descriptors(const ClusterConfig& setup) {
-    return setup.voters.size() + (setup.storeFolder.empty() ? 0 : setup.maxConnections + 8);
+  // File descriptors that it may need.
+  static std::size_t descriptors(const ClusterConfig& config) {
+    const std::size_t asVoter = config.storeFolder.empty() ? 0 : config.maxConnections + kStoreDescriptors;
+    return config.voters.size() + asVoter;
   }
 
   void onDiscoveryActivity() override {}
   void endTurn() override;
   void flush() override;
   Instant nextDue() const override;
-  // Only what an operator forces is taken over. Kind can't be used is logged with its key.
+  // Takes over the members and the forced stage alone. A configuration that can't be used is logged with its
+  // key.
   void reloadConfig() override;
-  // Keepers go on for the others' sake until this router's own txns are answered.
+  // A voter goes on for the other routers until this router's own transactions are answered.
   void stop() override {}
   bool empty() const override { return true; }
 
  private:
-  struct PeerStream;  // a stream to a keeper
+  // The store's files, the listening socket, and a few to spare.
+  static constexpr std::size_t kStoreDescriptors = 8;
 
-  void sendToVoter(idempotency::VoterIndex keeper, const PeerMessage& word) override;
+  // While it exists, messages to the voter go to that stream.
+  class StreamRegistration;
+
+  // --- Effects
+  void sendToVoter(idempotency::VoterIndex voter, const PeerMessage& message) override;
   void reply(StreamKey stream, const PeerReply& reply) override;
-  void rejectStream(StreamKey stream, std::string_view why) override;
+  void rejectStream(StreamKey stream, std::string_view reason) override;
   Ticket write(std::vector<idempotency::VotingMember::DiskChange> changes) override {
     return store_->write(std::move(changes));
   }
   void log(std::string_view event, const std::string& fields) override;
   void terminate() override;
-  void announce(std::uint64_t version, const std::set<std::string>& out) override;
+  void announce(std::uint64_t version, const std::set<std::string>& excludedNodes) override;
 
-  void seen(Instant now) override { ledger_.advanceTo(now); }
+  // --- grpc_server::CallHandler
+  void seen(Instant now) override { transactions_.advanceTo(now); }
   void opened(grpc_server::CallKey) override {}
   void message(grpc_server::CallKey call, std::string_view bytes) override {
     ++streamStatistics_.messagesReceived;
-    desk_->onMessage(call, bytes);
+    dispatcher_->onMessage(call, bytes);
   }
   void halfClosed(grpc_server::CallKey call) override { listener_->finish(call, grpc::Status::ok, ""); }
-  void ended(grpc_server::CallKey call) override { desk_->onStreamEnded(call); }
+  void ended(grpc_server::CallKey call) override { dispatcher_->onStreamEnded(call); }
 
-  event_loop::Task talk(idempotency::VoterIndex keeper);
-  event_loop::Task watchDisk();
+  std::optional<idempotency::StoredState> openStore(const std::string& name, std::uint64_t draw);
+  void startStreams();
+  // Keeps a stream to the voter open for as long as the server lives.
+  event_loop::Task maintainStream(idempotency::VoterIndex voter);
+  // Receives and sends what can be at once. False: the stream is to be closed. A reply resets the backoff.
+  bool exchange(idempotency::VoterIndex voter, PeerStream& peer, Duration& backoff);
+  bool receiveReplies(idempotency::VoterIndex voter, PeerStream& peer, Duration& backoff);
+  // Hands on the store's completed writes, and logs when it begins or ceases to fail.
+  event_loop::Task watchStore();
+  void logStoreHealth();
   void logCounts(Instant now);
   void writeStatus(Instant now);
   void readRequests(Instant now);
 
   event_loop::EventLoop& loop_;
-  transactions::TransactionTable& ledger_;
-  ClusterConfig setup_;
+  transactions::TransactionTable& transactions_;
+  ClusterConfig config_;
   std::unique_ptr<store::Store> store_;
-  std::unique_ptr<ClaimDispatcher> desk_;
+  std::unique_ptr<ClaimDispatcher> dispatcher_;
   std::unique_ptr<grpc_server::GrpcServer> listener_;
   std::optional<RequestDirectory> requests_;
-  std::map<idempotency::VoterIndex, PeerStream*> talks_;  // those that are up
-  std::mt19937_64 chance_;
-  std::function<ClusterConfig()> read_;
-  Instant saidAt_, statusAt_, requestsAt_;
+  std::map<idempotency::VoterIndex, PeerStream*> openStreams_;
+  std::mt19937_64 random_;
+  std::function<ClusterConfig()> readConfig_;
+  Instant countsLoggedAt_, statusWrittenAt_, requestsReadAt_;
   StreamStatistics streamStatistics_;
-  bool statusFails_ = false;
-  std::uint64_t saidAsked_ = 0;
-  bool faulty_ = false;  // the disk, as it was last logged
+  bool isStatusFailing_ = false;
+  std::uint64_t loggedClaims_ = 0;
+  bool isStoreFailing_ = false;  // as it was logged last
 };
 
 }  // namespace gulltrestle::cluster
