--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -10,25 +10,25 @@
 
 namespace gulltrestle::cli {
 
-int run(int count, const char* const* words, std::ostream& out, std::ostream& complaints) {
+int run(int argumentCount, const char* const* arguments, std::ostream& out, std::ostream& errors) {
   CLI::App app("gulltrestle: without a command it serves, as the file that BALANCER_CONFIG names says",
                "gulltrestle");
   app.require_subcommand(1);
-  std::function<int()> todo;
-  addStore(app, out, todo);
-  addStatus(app, out, todo);
-  addWork(app, out, todo);
+  std::function<int()> action;
+  addStore(app, out, action);
+  addStatus(app, out, action);
+  addWork(app, out, action);
   try {
-    app.parse(count, words);
-    return todo ? todo() : 2;
+    app.parse(argumentCount, arguments);
+    return action ? action() : 2;
   } catch (const CLI::CallForHelp&) {
     out << app.help();
     return 0;
   } catch (const CLI::ParseError& bad) {
-    complaints << "gulltrestle: " << bad.what() << "\nSee gulltrestle --help.\n";
+    errors << "gulltrestle: " << bad.what() << "\nSee gulltrestle --help.\n";
     return 2;
   } catch (const std::exception& bad) {
-    complaints << "gulltrestle: " << bad.what() << "\n";
+    errors << "gulltrestle: " << bad.what() << "\n";
     return 1;
   }
 }
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -1,12 +1,12 @@
-// The command line: what an operator asks of the program beside serving. Each sub-command is a file.
+// The command line beside serving: sub-commands for operators, each in a file of its own.
 #pragma once
 
 #include <iosfwd>
 
 namespace gulltrestle::cli {
 
-// Runs what the arguments name. Returns the exit code: 0 done, 1 it can't be, or what was looked at is not
-// sound, 2 the words are off.
-int run(int count, const char* const* words, std::ostream& out, std::ostream& complaints);
+// Runs the sub-command that the arguments name. Returns the exit code: 0 success; 1 failure, or what was
+// inspected is not sound; 2 the arguments are invalid; 3 something is pending (status, work).
+int run(int argumentCount, const char* const* arguments, std::ostream& out, std::ostream& errors);
 
 }  // namespace gulltrestle::cli
--- a/src/cli/status_command.h
+++ b/src/cli/status_command.h
@@ -1,4 +1,4 @@
-// `gulltrestle status FILE`: what a running router's status document says of the return of service.
+// `gulltrestle status FILE`: what a running router's status document says of its recovery.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,7 +7,8 @@
 
 namespace gulltrestle::cli {
 
-// Exit codes: 0: all is let in everywhere; 3: something is awaited; 1: the document can't be read.
-void addStatus(CLI::App& app, std::ostream& out, std::function<int()>& todo);
+// Adds the sub-command; once it is parsed, `action` runs it. Exit codes: 0 all groups admit everything; 3
+// some group waits; 1 the document can't be read.
+void addStatus(CLI::App& app, std::ostream& out, std::function<int()>& action);
 
 }  // namespace gulltrestle::cli
--- a/src/cli/store_command.h
+++ b/src/cli/store_command.h
@@ -1,4 +1,4 @@
-// `gulltrestle store`: a keeper's folder, while no router is on it.
+// `gulltrestle store`: a voter's store folder, while no router uses it.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,7 +7,7 @@
 
 namespace gulltrestle::cli {
 
-// Adds the sub-command. What was asked for is left in `todo`, which returns the exit code.
-void addStore(CLI::App& app, std::ostream& out, std::function<int()>& todo);
+// Adds the sub-command; once it is parsed, `action` runs it and returns the exit code.
+void addStore(CLI::App& app, std::ostream& out, std::function<int()>& action);
 
 }  // namespace gulltrestle::cli
--- a/src/cli/work_command.cpp
+++ b/src/cli/work_command.cpp
@@ -17,11 +17,13 @@
 namespace {
 
 // How often the answer is looked for.
-constexpr auto kLook = std::chrono::milliseconds(50);
+constexpr auto kPollInterval = std::chrono::milliseconds(50);
+// The exit code where there is no answer yet, or a machine is not finished.
+constexpr int kPending = 3;
 
-struct Asked {
-  std::string folder, file, machine, by;
-  double wait = 15;
+struct Options {
+  std::string folder, file, machine, requestedBy;
+  double waitSeconds = 15;
   bool asJson = false;
 };
 
@@ -31,110 +33,127 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// Put beside and renamed, so that the router finds a whole one; its name is the request's for good.
-int send(const Asked& asked, const maintenance::OperatorRequest& ask, std::ostream& out) {
+// Unique for each request: a router that finds it again after a crash knows it by that.
+std::string newRequestId() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  const std::string name =
-      std::to_string(std::chrono::duration_cast<std::chrono::microseconds>(now).count()) + "-" +
-      std::to_string(getpid());
-  const std::string base = asked.folder + "/" + name;
-  {
-    std::ofstream file(base + ".new", std::ios::binary);
-    file << encoded(ask) << "\n";
-    file.close();
-    if (!file || std::rename((base + ".new").c_str(), (base + ".ask.json").c_str()) != 0)
-      throw std::runtime_error("'" + asked.folder + "': the request can't be put there");
+  return std::to_string(std::chrono::duration_cast<std::chrono::microseconds>(now).count()) + "-" +
+         std::to_string(getpid());
+}
+
+// Written beside and renamed, so that the router finds a complete file.
+void writeRequest(const Options& options, const std::string& base,
+                  const maintenance::OperatorRequest& request) {
+  std::ofstream file(base + ".new", std::ios::binary);
+  file << encoded(request) << "\n";
+  file.close();
+  if (!file || std::rename((base + ".new").c_str(), (base + ".ask.json").c_str()) != 0)
+    throw std::runtime_error("'" + options.folder + "': the request can't be put there");
+}
+
+// Returns the exit code.
+int printAnswer(const nlohmann::json& answer, const std::string& requestId, std::ostream& out) {
+  if (answer.at("done").get<bool>()) {
+    out << "done: request " << requestId << "\n";
+    return 0;
   }
-  const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(asked.wait);
-  while (std::chrono::steady_clock::now() < until) {
-    if (std::ifstream file(base + ".answer.json"); file) {
-      const auto answer = nlohmann::json::parse(file);
-      if (answer.at("done").get<bool>()) {
-        out << "done: request " << name << "\n";
-        return 0;
-      }
-      out << "refused: " << answer.at("why").get<std::string>() << "\n";
-      return 1;
-    }
-    std::this_thread::sleep_for(kLook);
+  out << "refused: " << answer.at("why").get<std::string>() << "\n";
+  return 1;
+}
+
+int send(const Options& options, const maintenance::OperatorRequest& request, std::ostream& out) {
+  const std::string requestId = newRequestId();
+  const std::string base = options.folder + "/" + requestId;
+  writeRequest(options, base, request);
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::duration<double>(options.waitSeconds);
+  while (std::chrono::steady_clock::now() < deadline) {
+    if (std::ifstream file(base + ".answer.json"); file)
+      return printAnswer(nlohmann::json::parse(file), requestId, out);
+    std::this_thread::sleep_for(kPollInterval);
   }
-  out << "no answer yet: request " << name << " waits in " << asked.folder
+  out << "no answer yet: request " << requestId << " waits in " << options.folder
       << "; is a keeper running there that reaches more than half of the others?\n";
-  return 3;
+  return kPending;
+}
+
+void printMachine(const nlohmann::json& machine, std::ostream& out) {
+  out << machine.at("machine").get<std::string>() << ": " << machine.at("phase").get<std::string>() << ", by "
+      << machine.at("by").get<std::string>();
+  if (const auto attempts = machine.at("tries").get<unsigned>(); attempts > 0)
+    out << ", " << attempts << " tries given up";
+  if (const auto reason = machine.at("why").get<std::string>(); !reason.empty()) out << "; " << reason;
+  if (machine.contains("awaits")) out << "; awaits " << machine.at("awaits").get<std::string>();
+  out << "\n";
+}
+
+// Returns the exit code.
+int printPlan(const nlohmann::json& work, std::ostream& out) {
+  std::size_t open = 0;
+  for (const auto& machine : work.at("machines")) {
+    open += machine.at("phase").get<std::string>() != "over";
+    printMachine(machine, out);
+  }
+  out << "plan " << work.at("version").get<std::uint64_t>() << ", " << open << " machines open; this router "
+      << (work.at("foreman").get<bool>() ? "carries it on" : "does not carry it on") << ", lease "
+      << work.at("lease_ms").get<std::int64_t>() << " ms\n";
+  return open > 0 ? kPending : 0;
 }
 
-int list(const Asked& asked, std::ostream& out) {
+int list(const Options& options, std::ostream& out) {
   try {
-    const auto all = nlohmann::json::parse(contentOf(asked.file));
-    const auto& work = all.at("work");
-    if (asked.asJson) {
-      out << work.dump(2) << "\n";
-      return 0;
-    }
-    std::size_t open = 0;
-    for (const auto& m : work.at("machines")) {
-      const auto phase = m.at("phase").get<std::string>();
-      open += phase != "over";
-      out << m.at("machine").get<std::string>() << ": " << phase << ", by " << m.at("by").get<std::string>();
-      if (m.at("tries").get<unsigned>() > 0)
-        out << ", " << m.at("tries").get<unsigned>() << " tries given up";
-      if (!m.at("why").get<std::string>().empty()) out << "; " << m.at("why").get<std::string>();
-      if (m.contains("awaits")) out << "; awaits " << m.at("awaits").get<std::string>();
-      out << "\n";
-    }
-    out << "plan " << work.at("version").get<std::uint64_t>() << ", " << open
-        << " machines open; this router "
-        << (work.at("foreman").get<bool>() ? "carries it on" : "does not carry it on") << ", lease "
-        << work.at("lease_ms").get<std::int64_t>() << " ms\n";
-    return open > 0 ? 3 : 0;
+    const auto status = nlohmann::json::parse(contentOf(options.file));
+    const auto& work = status.at("work");
+    if (!options.asJson) return printPlan(work, out);
+    out << work.dump(2) << "\n";
+    return 0;
   } catch (const nlohmann::json::exception&) {
-    throw std::runtime_error("'" + asked.file + "' is no status document of a router that knows of work");
+    throw std::runtime_error("'" + options.file + "' is no status document of a router that knows of work");
   }
 }
 
 }  // namespace
 
-void addWork(CLI::App& app, std::ostream& out, std::function<int()>& todo) {
-  auto* all = app.add_subcommand("work", "Machines that are to be taken out for work, one after another");
-  all->require_subcommand(1);
-  const auto asked = std::make_shared<Asked>();
-  const auto add = [&](const char* name, const char* what,
-                       std::function<maintenance::OperatorRequest()> make) {
-    auto* made = all->add_subcommand(name, what);
-    made->add_option("FOLDER", asked->folder, "A keeper's work.folder")->required();
-    made->add_option("--by", asked->by, "Whose word it is, for the log")->required();
-    made->add_option("--wait", asked->wait, "Seconds to wait for the answer");
-    made->callback([asked, &out, &todo, make = std::move(make)] {
-      todo = [asked, &out, make] { return send(*asked, make(), out); };
+void addWork(CLI::App& app, std::ostream& out, std::function<int()>& action) {
+  auto* command = app.add_subcommand("work", "Machines that are to be taken out for work, one after another");
+  command->require_subcommand(1);
+  const auto options = std::make_shared<Options>();
+  const auto add = [&](const char* name, const char* description,
+                       std::function<maintenance::OperatorRequest()> makeRequest) {
+    auto* subcommand = command->add_subcommand(name, description);
+    subcommand->add_option("FOLDER", options->folder, "A keeper's work.folder")->required();
+    subcommand->add_option("--by", options->requestedBy, "Whose word it is, for the log")->required();
+    subcommand->add_option("--wait", options->waitSeconds, "Seconds to wait for the answer");
+    subcommand->callback([options, &out, &action, makeRequest = std::move(makeRequest)] {
+      action = [options, &out, makeRequest] { return send(*options, makeRequest(), out); };
     });
-    return made;
+    return subcommand;
   };
   add("ask", "Asks for work on the machines that a file names",
-      [asked] {
-        // Checked here first: a fault is told at once, with its key.
-        maintenance::OperatorRequest ask = maintenance::readOperatorRequest(contentOf(asked->file));
-        if (ask.kind != maintenance::OperatorRequest::Kind::plan)
-          throw std::runtime_error("'" + asked->file + "' asks for no work");
-        ask.requestedBy = asked->by;
-        return ask;
+      [options] {
+        // Validated here first: a fault is reported at once, with its key.
+        maintenance::OperatorRequest request = maintenance::readOperatorRequest(contentOf(options->file));
+        if (request.kind != maintenance::OperatorRequest::Kind::plan)
+          throw std::runtime_error("'" + options->file + "' asks for no work");
+        request.requestedBy = options->requestedBy;
+        return request;
       })
-      ->add_option("FILE", asked->file, "The machines, as JSON")
+      ->add_option("FILE", options->file, "The machines, as JSON")
       ->required();
-  add("stop", "Stops the work on a machine, or on all", [asked] {
+  add("stop", "Stops the work on a machine, or on all", [options] {
     return maintenance::OperatorRequest{
-        maintenance::OperatorRequest::Kind::stop, asked->by, {}, asked->machine};
-  })->add_option("MACHINE", asked->machine, "Without: all");
+        maintenance::OperatorRequest::Kind::stop, options->requestedBy, {}, options->machine};
+  })->add_option("MACHINE", options->machine, "Without: all");
   add("done", "Gives back a machine that was told free",
-      [asked] {
+      [options] {
         return maintenance::OperatorRequest{
-            maintenance::OperatorRequest::Kind::done, asked->by, {}, asked->machine};
+            maintenance::OperatorRequest::Kind::done, options->requestedBy, {}, options->machine};
       })
-      ->add_option("MACHINE", asked->machine, "Which")
+      ->add_option("MACHINE", options->machine, "Which")
       ->required();
-  auto* shown = all->add_subcommand("list", "What is out, what waits for what, and for whom");
-  shown->add_option("FILE", asked->file, "A keeper's status_file")->required();
-  shown->add_flag("--json", asked->asJson, "As JSON");
-  shown->callback([asked, &out, &todo] { todo = [asked, &out] { return list(*asked, out); }; });
+  auto* listCommand = command->add_subcommand("list", "What is out, what waits for what, and for whom");
+  listCommand->add_option("FILE", options->file, "A keeper's status_file")->required();
+  listCommand->add_flag("--json", options->asJson, "As JSON");
+  listCommand->callback(
+      [options, &out, &action] { action = [options, &out] { return list(*options, out); }; });
 }
 
 }  // namespace gulltrestle::cli
--- a/src/cli/work_command.h
+++ b/src/cli/work_command.h
@@ -1,4 +1,4 @@
-// `gulltrestle work`: what operators ask of routers that settle work on machines among themselves.
+// `gulltrestle work`: operators' requests for maintenance, and the state of the plan.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,8 +7,8 @@
 
 namespace gulltrestle::cli {
 
-// Exit codes: 0: carried out; 1: refused, or it can't be read; 3: no answer yet, and the request stays; list:
-// 3: something is in work or waits.
-void addWork(CLI::App& app, std::ostream& out, std::function<int()>& todo);
+// Adds the sub-command; once it is parsed, `action` runs it. Exit codes: 0 applied; 1 rejected, or a file
+// can't be read; 3 no answer yet, and the request stays; list: 3 some machine is not finished.
+void addWork(CLI::App& app, std::ostream& out, std::function<int()>& action);
 
 }  // namespace gulltrestle::cli
--- a/src/cluster/maintenance_service.cpp
+++ b/src/cluster/maintenance_service.cpp
@@ -19,22 +19,22 @@
 
 }  // namespace
 
-MaintenanceService::MaintenanceService(transactions::TransactionTable& transactions, Place place,
+MaintenanceService::MaintenanceService(transactions::TransactionTable& transactions, Identity identity,
                                        std::uint64_t draw, const maintenance::Bounds& bounds,
                                        Duration proposalTimeout, std::optional<StoredAcceptor> stored,
                                        Log log)
     : transactions_(transactions),
-      place_(std::move(place)),
+      identity_(std::move(identity)),
       draw_(draw),
       log_(std::move(log)),
-      planView_(place_.voters.size()),
-      lease_(place_.voters.size()),
+      planView_(identity_.voters.size()),
+      lease_(identity_.voters.size()),
       leader_(bounds),
       now_(transactions.now()) {
   if (!stored) return;
   acceptor_.emplace(stored->text, stored->isComplete);
-  round_.emplace(place_.voters.size(), draw, proposalTimeout);
-  onAccepted(*place_.ownIndex, acceptor_->accepted());
+  round_.emplace(identity_.voters.size(), draw, proposalTimeout);
+  onAccepted(*identity_.ownIndex, acceptor_->accepted());
 }
 
 // --- At each router
@@ -48,8 +48,8 @@
 }
 
 void MaintenanceService::renewOwnLease(Instant now) {
-  lease_.onHeartbeatSent(now, *place_.ownIndex, ++ownHeartbeatNumber_);
-  lease_.onHeartbeatReply(*place_.ownIndex, ownHeartbeatNumber_);
+  lease_.onHeartbeatSent(now, *identity_.ownIndex, ++ownHeartbeatNumber_);
+  lease_.onHeartbeatReply(*identity_.ownIndex, ownHeartbeatNumber_);
 }
 
 void MaintenanceService::onAccepted(maintenance::VoterIndex voter,
@@ -59,7 +59,7 @@
   try {
     planView_.onAccepted(voter, accepted);
   } catch (const std::exception& bad) {
-    return log_("work.unreadable", "keeper=" + place_.voters.at(voter) + " why=\"" + bad.what() + "\"");
+    return log_("work.unreadable", "keeper=" + identity_.voters.at(voter) + " why=\"" + bad.what() + "\"");
   }
   const std::string version = " version=" + std::to_string(planView_.chosen().version);
   for (const auto& machine : planView_.chosen().machines) {
@@ -72,7 +72,7 @@
 }
 
 bool MaintenanceService::takeTermination() {
-  const bool mustTerminate = planView_.isRouterDraining(place_.name);
+  const bool mustTerminate = planView_.isRouterDraining(identity_.name);
   return mustTerminate && !std::exchange(isTerminationTaken_, true);
 }
 
@@ -90,7 +90,7 @@
 
 std::optional<Acceptor::AcceptorReply> MaintenanceService::onWritten(bool durable) {
   const auto reply = acceptor_->onWritten(durable);
-  onAccepted(*place_.ownIndex, acceptor_->accepted());
+  onAccepted(*identity_.ownIndex, acceptor_->accepted());
   return reply;
 }
 
@@ -159,7 +159,7 @@
 void MaintenanceService::addRouterStates(const MembershipService& membership,
                                          maintenance::FleetState& fleet) const {
   const auto& view = membership.view();
-  const std::size_t majority = maintenance::majorityOf(place_.voters.size());
+  const std::size_t majority = maintenance::majorityOf(identity_.voters.size());
   for (const auto& name : view.routers()) {
     const auto member = view.memberState(name);
     auto& router = fleet.routers[name];
@@ -169,14 +169,15 @@
     router.incarnation = member.incarnation;
     router.planVersion = member.progress.planVersion;
     router.drainedVersion = member.progress.drainedVersion;
-    router.isVoter = std::find(place_.voters.begin(), place_.voters.end(), name) != place_.voters.end();
+    router.isVoter =
+        std::find(identity_.voters.begin(), identity_.voters.end(), name) != identity_.voters.end();
   }
 }
 
 std::size_t MaintenanceService::aliveAhead(const MembershipService& membership) const {
   std::size_t alive = 0;
-  for (maintenance::VoterIndex voter = 0; voter < *place_.ownIndex; ++voter)
-    alive += membership.view().memberState(place_.voters[voter]).state == MembershipView::State::alive;
+  for (maintenance::VoterIndex voter = 0; voter < *identity_.ownIndex; ++voter)
+    alive += membership.view().memberState(identity_.voters[voter]).state == MembershipView::State::alive;
   return alive;
 }
 
@@ -245,9 +246,9 @@
 }
 
 void MaintenanceService::excludeNodes(Instant now) {
-  const bool isLeaseNews = !leaseRequiredNodes_.empty() && lease_.until() != leaseUntil_;
+  const bool hasLeaseChanged = !leaseRequiredNodes_.empty() && lease_.until() != leaseUntil_;
   if (planView_.excludedNodes() != excludedNodes_ || planView_.leaseRequiredNodes() != leaseRequiredNodes_ ||
-      isLeaseNews) {
+      hasLeaseChanged) {
     excludedNodes_ = planView_.excludedNodes();
     leaseRequiredNodes_ = planView_.leaseRequiredNodes();
     leaseUntil_ = lease_.until();
--- a/src/cluster/maintenance_service.h
+++ b/src/cluster/maintenance_service.h
@@ -30,8 +30,8 @@
 class MaintenanceService {
  public:
   using Log = std::function<void(std::string_view event, const std::string& fields)>;
-  // This router's place in the cluster.
-  struct Place {
+  // This router, and the voters of the cluster.
+  struct Identity {
     std::string name;
     std::vector<std::string> voters;
     std::optional<maintenance::VoterIndex> ownIndex;  // among the voters; none: it is no voter
@@ -42,7 +42,7 @@
     bool isComplete = false;  // that is all that it ever promised
   };
   // `stored`: where this router is a voter.
-  MaintenanceService(transactions::TransactionTable& transactions, Place place, std::uint64_t draw,
+  MaintenanceService(transactions::TransactionTable& transactions, Identity identity, std::uint64_t draw,
                      const maintenance::Bounds& bounds, Duration proposalTimeout,
                      std::optional<StoredAcceptor> stored, Log log);
 
@@ -133,7 +133,7 @@
   void bringForward(Instant due);  // nextDue_
 
   transactions::TransactionTable& transactions_;
-  Place place_;
+  Identity identity_;
   std::uint64_t draw_;
   Log log_;
   maintenance::PlanView planView_;
--- a/src/cluster/membership_service.h
+++ b/src/cluster/membership_service.h
@@ -24,6 +24,7 @@
 struct JoinRequest {
   std::uint64_t number = 0;
 };
+// Shows that this incarnation is alive, and how far it has got.
 struct Heartbeat {
   std::uint64_t number = 0;  // of this router's heartbeats; the reply carries it
   membership::MemberProgress progress;
--- a/src/cluster/messages.cpp
+++ b/src/cluster/messages.cpp
@@ -154,97 +154,101 @@
 
 }  // namespace
 
-std::string encoded(const PeerMessage& message) {
-  wire::Word out;
-  std::visit(Overloaded{[&](const Greeting& w) {
-                          auto& hello = *out.mutable_hello();
-                          hello.set_router(w.router);
-                          hello.set_keepers(w.voterList);
-                          hello.set_draw(w.draw);
-                          if (w.voterIncarnation.number > 0) set(*hello.mutable_keeper(), w.voterIncarnation);
-                        },
-                        [&](const Claim& w) {
-                          out.mutable_claim()->set_id(w.id);
-                          out.mutable_claim()->set_number(w.number);
-                        },
-                        [&](const Release& w) {
-                          out.mutable_release()->set_id(w.id);
-                          out.mutable_release()->set_number(w.number);
-                        },
-                        [&](const Committed& w) {
-                          auto& committed = *out.mutable_committed();
-                          committed.set_id(w.id);
-                          committed.set_number(w.number);
-                          committed.set_value(w.value);
-                        },
-                        [&](const DrainUpdates& w) { set(*out.mutable_nodes(), w); },
-                        [&](const PrimaryUpdates& w) { set(*out.mutable_primaries(), w); },
-                        [&](const JoinRequest& w) { out.mutable_enter()->set_number(w.number); },
-                        [&](const Heartbeat& w) {
-                          auto& beat = *out.mutable_beat();
-                          beat.set_number(w.number);
-                          beat.set_progress(w.progress.recoveryStage);
-                          beat.set_known(w.progress.planVersion);
-                          beat.set_clear(w.progress.drainedVersion);
-                        },
-                        [&](const PrepareRequest& w) { set(*out.mutable_read(), w.ballot); },
-                        [&](const AcceptRequest& w) { set(*out.mutable_write(), w.proposed); }},
-             message);
-  return out.SerializeAsString();
+std::string encoded(const PeerMessage& peerMessage) {
+  wire::Word wireMessage;
+  std::visit(
+      Overloaded{[&](const Greeting& message) {
+                   auto& hello = *wireMessage.mutable_hello();
+                   hello.set_router(message.router);
+                   hello.set_keepers(message.voterList);
+                   hello.set_draw(message.draw);
+                   if (message.voterIncarnation.number > 0)
+                     set(*hello.mutable_keeper(), message.voterIncarnation);
+                 },
+                 [&](const Claim& message) {
+                   wireMessage.mutable_claim()->set_id(message.id);
+                   wireMessage.mutable_claim()->set_number(message.number);
+                 },
+                 [&](const Release& message) {
+                   wireMessage.mutable_release()->set_id(message.id);
+                   wireMessage.mutable_release()->set_number(message.number);
+                 },
+                 [&](const Committed& message) {
+                   auto& committed = *wireMessage.mutable_committed();
+                   committed.set_id(message.id);
+                   committed.set_number(message.number);
+                   committed.set_value(message.value);
+                 },
+                 [&](const DrainUpdates& message) { set(*wireMessage.mutable_nodes(), message); },
+                 [&](const PrimaryUpdates& message) { set(*wireMessage.mutable_primaries(), message); },
+                 [&](const JoinRequest& message) { wireMessage.mutable_enter()->set_number(message.number); },
+                 [&](const Heartbeat& message) {
+                   auto& beat = *wireMessage.mutable_beat();
+                   beat.set_number(message.number);
+                   beat.set_progress(message.progress.recoveryStage);
+                   beat.set_known(message.progress.planVersion);
+                   beat.set_clear(message.progress.drainedVersion);
+                 },
+                 [&](const PrepareRequest& message) { set(*wireMessage.mutable_read(), message.ballot); },
+                 [&](const AcceptRequest& message) { set(*wireMessage.mutable_write(), message.proposed); }},
+      peerMessage);
+  return wireMessage.SerializeAsString();
 }
 
-std::string encoded(const PeerReply& reply) {
-  wire::Reply out;
-  std::visit(Overloaded{[&](const GreetingReply& r) {
-                          out.mutable_heard()->set_number(r.number);
-                          set(*out.mutable_heard()->mutable_knew(), r.previousVoterIncarnation);
-                          set(*out.mutable_heard()->mutable_speaks(), r.joinedIncarnation);
-                        },
-                        [&](const VoteReply& r) {
-                          auto& vote = *out.mutable_vote();
-                          vote.set_number(r.number);
-                          vote.set_what(r.vote.kind == idempotency::Vote::Kind::granted ? wire::Vote::YOURS
-                                        : r.vote.kind == idempotency::Vote::Kind::takenByOther
-                                            ? wire::Vote::TAKEN
-                                            : wire::Vote::SILENT);
-                          vote.set_committed(r.vote.committed);
-                          vote.set_value(r.vote.value);
-                        },
-                        [&](const DrainUpdates& r) { set(*out.mutable_nodes(), r); },
-                        [&](const PrimaryUpdates& r) { set(*out.mutable_primaries(), r); },
-                        [&](const ObservationReport& r) { set(*out.mutable_seen(), r); },
-                        [&](const JoinReply& r) { set(*out.mutable_entered()->mutable_newest(), r.newest); },
-                        [&](const HeartbeatReply& r) { set(*out.mutable_reports(), r); },
-                        [&](const ProposalReply& r) { set(*out.mutable_answer(), r.reply); },
-                        [&](const PlanUpdate& r) { set(*out.mutable_holds(), r.accepted); }},
-             reply);
-  return out.SerializeAsString();
+std::string encoded(const PeerReply& peerReply) {
+  wire::Reply wireReply;
+  std::visit(
+      Overloaded{
+          [&](const GreetingReply& reply) {
+            wireReply.mutable_heard()->set_number(reply.number);
+            set(*wireReply.mutable_heard()->mutable_knew(), reply.previousVoterIncarnation);
+            set(*wireReply.mutable_heard()->mutable_speaks(), reply.joinedIncarnation);
+          },
+          [&](const VoteReply& reply) {
+            auto& vote = *wireReply.mutable_vote();
+            vote.set_number(reply.number);
+            vote.set_what(reply.vote.kind == idempotency::Vote::Kind::granted        ? wire::Vote::YOURS
+                          : reply.vote.kind == idempotency::Vote::Kind::takenByOther ? wire::Vote::TAKEN
+                                                                                     : wire::Vote::SILENT);
+            vote.set_committed(reply.vote.committed);
+            vote.set_value(reply.vote.value);
+          },
+          [&](const DrainUpdates& reply) { set(*wireReply.mutable_nodes(), reply); },
+          [&](const PrimaryUpdates& reply) { set(*wireReply.mutable_primaries(), reply); },
+          [&](const ObservationReport& reply) { set(*wireReply.mutable_seen(), reply); },
+          [&](const JoinReply& reply) { set(*wireReply.mutable_entered()->mutable_newest(), reply.newest); },
+          [&](const HeartbeatReply& reply) { set(*wireReply.mutable_reports(), reply); },
+          [&](const ProposalReply& reply) { set(*wireReply.mutable_answer(), reply.reply); },
+          [&](const PlanUpdate& reply) { set(*wireReply.mutable_holds(), reply.accepted); }},
+      peerReply);
+  return wireReply.SerializeAsString();
 }
 
 PeerMessage readMessage(std::string_view bytes) {
-  const auto in = parsed<wire::Word>(bytes);
-  switch (in.word_case()) {
+  const auto message = parsed<wire::Word>(bytes);
+  switch (message.word_case()) {
     case wire::Word::kHello:
-      return Greeting{in.hello().router(), in.hello().keepers(), in.hello().draw(),
-                      read(in.hello().keeper())};
+      return Greeting{message.hello().router(), message.hello().keepers(), message.hello().draw(),
+                      read(message.hello().keeper())};
     case wire::Word::kClaim:
-      return Claim{in.claim().id(), in.claim().number()};
+      return Claim{message.claim().id(), message.claim().number()};
     case wire::Word::kRelease:
-      return Release{in.release().id(), in.release().number()};
+      return Release{message.release().id(), message.release().number()};
     case wire::Word::kCommitted:
-      return Committed{in.committed().id(), in.committed().number(), in.committed().value()};
+      return Committed{message.committed().id(), message.committed().number(), message.committed().value()};
     case wire::Word::kNodes:
-      return read(in.nodes());
+      return read(message.nodes());
     case wire::Word::kPrimaries:
-      return read(in.primaries());
+      return read(message.primaries());
     case wire::Word::kEnter:
-      return JoinRequest{in.enter().number()};
+      return JoinRequest{message.enter().number()};
     case wire::Word::kBeat:
-      return Heartbeat{in.beat().number(), {in.beat().progress(), in.beat().known(), in.beat().clear()}};
+      return Heartbeat{message.beat().number(),
+                       {message.beat().progress(), message.beat().known(), message.beat().clear()}};
     case wire::Word::kRead:
-      return PrepareRequest{read(in.read())};
+      return PrepareRequest{read(message.read())};
     case wire::Word::kWrite:
-      return AcceptRequest{read(in.write())};
+      return AcceptRequest{read(message.write())};
     case wire::Word::WORD_NOT_SET:
       break;
   }
@@ -252,21 +256,22 @@
 }
 
 PeerReply readReply(std::string_view bytes) {
-  const auto in = parsed<wire::Reply>(bytes);
-  if (in.has_heard())
-    return GreetingReply{in.heard().number(), read(in.heard().knew()), readIncarnation(in.heard().speaks())};
-  if (in.has_nodes()) return read(in.nodes());
-  if (in.has_primaries()) return read(in.primaries());
-  if (in.has_seen()) return read(in.seen());
-  if (in.has_entered()) return JoinReply{readIncarnation(in.entered().newest())};
-  if (in.has_reports()) return read(in.reports());
-  if (in.has_answer()) return ProposalReply{read(in.answer())};
-  if (in.has_holds()) return PlanUpdate{read(in.holds())};
-  if (!in.has_vote()) throw MalformedMessage("a reply that is not known");
-  VoteReply vote{in.vote().number(),
-                 {idempotency::Vote::Kind::abstained, in.vote().committed(), in.vote().value()}};
-  if (in.vote().what() == wire::Vote::YOURS) vote.vote.kind = idempotency::Vote::Kind::granted;
-  if (in.vote().what() == wire::Vote::TAKEN) vote.vote.kind = idempotency::Vote::Kind::takenByOther;
+  const auto reply = parsed<wire::Reply>(bytes);
+  if (reply.has_heard())
+    return GreetingReply{reply.heard().number(), read(reply.heard().knew()),
+                         readIncarnation(reply.heard().speaks())};
+  if (reply.has_nodes()) return read(reply.nodes());
+  if (reply.has_primaries()) return read(reply.primaries());
+  if (reply.has_seen()) return read(reply.seen());
+  if (reply.has_entered()) return JoinReply{readIncarnation(reply.entered().newest())};
+  if (reply.has_reports()) return read(reply.reports());
+  if (reply.has_answer()) return ProposalReply{read(reply.answer())};
+  if (reply.has_holds()) return PlanUpdate{read(reply.holds())};
+  if (!reply.has_vote()) throw MalformedMessage("a reply that is not known");
+  VoteReply vote{reply.vote().number(),
+                 {idempotency::Vote::Kind::abstained, reply.vote().committed(), reply.vote().value()}};
+  if (reply.vote().what() == wire::Vote::YOURS) vote.vote.kind = idempotency::Vote::Kind::granted;
+  if (reply.vote().what() == wire::Vote::TAKEN) vote.vote.kind = idempotency::Vote::Kind::takenByOther;
   return vote;
 }
 
--- a/src/cluster/messages.h
+++ b/src/cluster/messages.h
@@ -42,7 +42,7 @@
   std::string id;
   std::uint64_t number = 0;
 };
-// The transaction of that claim did not run.
+// Withdraws that claim.
 struct Release {
   std::string id;
   std::uint64_t number = 0;
@@ -53,10 +53,11 @@
   std::uint64_t number = 0;
   std::string value;
 };
-// The two phases of a proposal round on the maintenance plan.
+// Phase 1 of a proposal round on the maintenance plan.
 struct PrepareRequest {
   maintenance::Ballot ballot;
 };
+// Phase 2 of a proposal round.
 struct AcceptRequest {
   maintenance::AcceptedValue proposed;
 };
@@ -69,6 +70,7 @@
   idempotency::VoterIncarnation previousVoterIncarnation;  // the newest that was known of it before
   membership::Incarnation joinedIncarnation;               // the newest of the router that has joined there
 };
+// To a claim.
 struct VoteReply {
   std::uint64_t number = 0;  // of the claim
   idempotency::Vote vote;
