--- a/src/tools/fleet_model/node_model.h
+++ b/src/tools/fleet_model/node_model.h
@@ -1,5 +1,6 @@
-// The modelled nodes, as they truly are: a queue each before one core, a log that replicas apply late, cold
-// starts, a price for each new connection, losses of power. No router sees any of it but by what it is told.
+// The modelled nodes, as they truly are: each a queue before one core, replication that lags, cold starts, a
+// price for each new connection, losses of power. Routers learn of it by load reports and endpoint lists
+// alone.
 #pragma once
 
 #include <cstdint>
@@ -15,69 +16,72 @@
 
 namespace gulltrestle::fleet_model {
 
-// What nodes are like. Spans below zero make no sense; a share is from 0 to 1.
+// What nodes are like. Durations below zero make no sense; a fraction is from 0 to 1.
 struct NodeParameters {
-  std::size_t groups = 1, replicas = 2;     // a primary and so many replicas in each group
-  Duration queue = Duration::millis(2000);  // a node rejects what would wait for longer
-  Duration lag = Duration::millis(40);      // of replicas
-  double coldShare = 1;                     // of its speed that a node has as it starts
-  Duration coldTime;                        // until it has all of it
-  Duration connection;                      // work of taking a new connection
-  Duration probe = Duration::micros(200);   // work of a probe
-  Duration pushOver;  // a cold node falls over where a txn would wait for longer; zero: it doesn't
-  Duration fallen = Duration::millis(3000);  // until it is back, cold
+  std::size_t groups = 1, replicas = 2;            // each group has a primary and so many replicas
+  Duration maxQueueWait = Duration::millis(2000);  // a node rejects what would wait for longer
+  Duration replicationLag = Duration::millis(40);
+  double coldSpeedFraction = 1;  // of its speed, that a node has as it starts
+  Duration warmUpDuration;       // until it has all of it
+  Duration connectionWork;       // to accept a new connection
+  Duration healthCheckWork = Duration::micros(200);
+  Duration collapseWait;  // a cold node falls over where work would wait for longer; zero: it does not
+  Duration collapseDuration = Duration::millis(3000);  // until it is back, cold
 };
 
+// All nodes of all groups. Nodes are addressed by their index.
 class NodeModel {
  public:
   struct Node {
     NodeId id;
     GroupId group = 0;
-    bool primary = false, draining = false;
-    Instant busyUntil, toldToDrain, startedAt;
-    Instant upAt;  // down before
-    unsigned starts = 0;
-    std::deque<Instant> ends;             // of the work in hand
-    Instant logAt;                        // how far its log reached as it came back; never: it lost none
-    std::set<std::uint64_t> connections;  // of routers' starts
+    bool isPrimary = false, isDraining = false;
+    Instant busyUntil, drainedAt, startedAt;
+    Instant backAt;  // it is down before
+    unsigned incarnation = 0;
+    std::deque<Instant> inFlightEnds;     // when each of the transactions in flight ends
+    Instant recoveredLogEnd;              // how far its log reached as it came back; never: it lost none
+    std::set<std::uint64_t> connections;  // by router incarnation
   };
 
-  explicit NodeModel(NodeParameters machines);
+  explicit NodeModel(NodeParameters parameters);
 
-  enum class How { served, rejected, noConnection };
-  struct Served {
-    How how = How::served;
-    Instant end;             // of the work
-    bool connected = false;  // a new connection was taken for it
+  enum class ServeOutcome { served, rejected, noConnection };
+  struct ServeResult {
+    ServeOutcome outcome = ServeOutcome::served;
+    Instant end;                   // of the work
+    bool isNewConnection = false;  // one was opened for it
   };
-  // `router`: this start of a router, for the connections that it has; `work`: drawn where it is not turned
-  // away.
-  Served serve(Instant now, std::size_t node, std::uint64_t router, const std::function<Duration()>& work);
+  // `router`: a router incarnation, for its connection; `work`: called, and so drawn, unless it is rejected.
+  ServeResult serve(Instant now, std::size_t node, std::uint64_t router,
+                    const std::function<Duration()>& work);
 
   void drain(Instant now, std::size_t node);
-  // Down now and back then, cold; what it had in hand is lost.
-  // A replica has lost so much of its log's end, too, and catches up from there.
+  // The node goes down now, and is back cold then; what it had in flight is lost. A replica has lost so much
+  // of the end of its log, too, and catches up from there.
   void lose(Instant now, std::size_t node, Instant backAt, Duration logLost = {});
-  bool isUp(Instant now, std::size_t node) const { return nodes_[node].upAt <= now; }
+  bool isUp(Instant now, std::size_t node) const { return nodes_[node].backAt <= now; }
 
-  // What a node has applied, all commits up to there. `stoodStillAt`: replicas apply nothing from then on.
-  Instant applied(Instant now, const Node& node, std::optional<Instant> stoodStillAt) const;
-  // Txns that the node has in hand, of all routers.
-  double inHand(Instant now, std::size_t node);
-  // As discovery would list it, if it knew all of this moment.
-  std::vector<transactions::ResolvedEndpoint> list(Instant now) const;
+  // The node has applied all commits up to there. `stoppedAt`: when replication stopped.
+  Instant appliedPosition(Instant now, const Node& node, std::optional<Instant> stoppedAt) const;
+  // Transactions in flight at the node, of all routers.
+  double inFlight(Instant now, std::size_t node);
+  // As discovery would list the nodes if it knew all at this moment.
+  std::vector<transactions::ResolvedEndpoint> endpointList(Instant now) const;
 
-  const std::vector<Node>& all() const { return nodes_; }
-  std::size_t at(const NodeId& id) const;
-  std::uint64_t fellOver() const { return fellOver_; }
+  const std::vector<Node>& nodes() const { return nodes_; }
+  std::size_t indexOf(const NodeId& id) const;
+  // Cold nodes that fell over so far.
+  std::uint64_t collapsedNodes() const { return collapsedNodes_; }
 
  private:
+  // As a fraction of a warm node's.
   double speed(Instant now, const Node& node) const;
 
-  NodeParameters machines_;
+  NodeParameters parameters_;
   std::vector<Node> nodes_;
-  std::map<NodeId, std::size_t> rows_;
-  std::uint64_t fellOver_ = 0;
+  std::map<NodeId, std::size_t> indexes_;
+  std::uint64_t collapsedNodes_ = 0;
 };
 
 }  // namespace gulltrestle::fleet_model
--- a/src/tools/fleet_model/scenario_check.h
+++ b/src/tools/fleet_model/scenario_check.h
@@ -1,5 +1,5 @@
-// A watch for what only size shows: the days of days.h at full size, judged by the five rules as they truly
-// held and by a gate: of the value of each txn type at least half of what one router serves that sees all.
+// A check for what only size shows: scenarios at full size, judged by the five rules as they truly held, and
+// by a gate: of the value of each traffic class at least half of what a single router serves that sees all.
 #pragma once
 
 #include <string>
@@ -9,16 +9,17 @@
 
 namespace gulltrestle::fleet_model {
 
+// What a scenario's run came to.
 struct ScenarioResult {
-  std::vector<std::string> faults;  // in words; none: the day passed
-  double value = 0, whole = 0;      // of all, and what one router that sees all has
-  double probesATxn = 0;
+  std::vector<std::string> faults;          // for operators to read; none: the scenario passed
+  double value = 0, singleRouterValue = 0;  // Result::value of all routers, and of a single one
+  double healthChecksPerTxn = 0;
   Result result;
 };
 
-// Plays the day twice, the second time seen whole.
-ScenarioResult checkScenario(const Scenario& day);
-// What of it does not hold: by the rules, by type, by probes, by nodes pushed over.
-std::vector<std::string> faultsOf(const Scenario& day, const Result& result, const Result& whole);
+// Runs the scenario twice, the second time with a single router.
+ScenarioResult checkScenario(const Scenario& scenario);
+// What failed: by the rules, by traffic class, by health checks, by nodes that collapsed.
+std::vector<std::string> faultsOf(const Scenario& scenario, const Result& result, const Result& singleRouter);
 
 }  // namespace gulltrestle::fleet_model
--- a/src/tools/fleet_simulator/main.cpp
+++ b/src/tools/fleet_simulator/main.cpp
@@ -26,10 +26,10 @@
 fleet_model::Scenario scenarioOf(const Options& options, const std::string& name) {
   fleet_model::Scenario scenario =
       fleet_model::scenarioNamed(name, options.routers, options.nodes, options.seed);
-  scenario.sheet.ramp = options.hasRamp;
+  scenario.parameters.hasAdmissionRamp = options.hasRamp;
   if (options.seconds > 0) scenario.seconds = options.seconds;
-  if (options.fault == "alone") scenario.sheet.believedRouters = 1;
-  if (options.fault == "warm") scenario.sheet.believedWarm = true;
+  if (options.fault == "alone") scenario.parameters.believedRouters = 1;
+  if (options.fault == "warm") scenario.parameters.believesNodesWarm = true;
   return scenario;
 }
 
@@ -38,9 +38,9 @@
   file << "second,served,txns,late,submissions,probes,connections,refused\n";
   for (std::size_t s = 0; s < result.seconds.size(); ++s) {
     const auto& second = result.seconds[s];
-    file << s << "," << (second.asked > 0 ? second.earned / second.asked : 0) << "," << second.txns << ","
-         << second.late << "," << second.attempts << "," << second.probes << "," << second.connections << ","
-         << second.refused << "\n";
+    file << s << "," << (second.valueRequested > 0 ? second.valueServed / second.valueRequested : 0) << ","
+         << second.txns << "," << second.late << "," << second.attempts << "," << second.healthChecks << ","
+         << second.connections << "," << second.rejected << "\n";
   }
   file.close();
   if (!file) throw std::runtime_error("'" + path + "' can't be written");
@@ -51,10 +51,11 @@
   std::cout << std::fixed << std::setprecision(3);
   for (const auto& name : options.names) {
     const auto scenario = scenarioOf(options, name);
-    const auto result = fleet_model::Fleet(scenario.sheet).run(scenario.seconds, scenario.demand);
+    const auto result = fleet_model::Fleet(scenario.parameters).run(scenario.seconds, scenario.demand);
     std::cout << name << " " << options.routers << "x" << options.nodes << " seed " << options.seed
-              << ": value " << result.value << ", worst 10 s " << result.worst << ", nodes pushed over "
-              << result.fellOver << ", rules broken " << result.broken.sum() << "\n";
+              << ": value " << result.value << ", worst 10 s " << result.worstCommittedFraction
+              << ", nodes pushed over " << result.collapsedNodes << ", rules broken "
+              << result.violations.sum() << "\n";
     if (!options.csvFile.empty()) writeSeconds(options.csvFile, result);
   }
   return 0;
@@ -72,13 +73,14 @@
     fleet_model::Scenario scenario =
         fleet_model::scenarioNamed("calm", options.routers, options.nodes, options.seed);
     const auto schedule = fleet_simulator::scheduleOf(order, options.nodes / 4);
-    scenario.sheet.trouble.outages = schedule.outages;
+    scenario.parameters.faults.outages = schedule.outages;
     const auto demand = [](double t) { return 0.6 + 0.3 * std::sin(t * 0.15); };
-    const auto result = fleet_model::Fleet(scenario.sheet).run(length, demand);
+    const auto result = fleet_model::Fleet(scenario.parameters).run(length, demand);
     std::cout << order << " " << options.routers << "x" << options.nodes << " seed " << options.seed
-              << ": value " << result.value << ", worst 10 s " << result.worst << ", nodes pushed over "
-              << result.fellOver << ", rules broken " << result.broken.sum() << ", all back and warm after "
-              << std::setprecision(0) << schedule.ends << " s" << std::setprecision(3) << std::endl;
+              << ": value " << result.value << ", worst 10 s " << result.worstCommittedFraction
+              << ", nodes pushed over " << result.collapsedNodes << ", rules broken "
+              << result.violations.sum() << ", all back and warm after " << std::setprecision(0)
+              << schedule.ends << " s" << std::setprecision(3) << std::endl;
     if (!options.csvFile.empty()) writeSeconds(options.csvFile + order + ".csv", result);
   }
   return 0;
@@ -91,8 +93,8 @@
   for (const auto& name : options.names) {
     const auto check = fleet_model::checkScenario(scenarioOf(options, name));
     std::cout << name << " " << options.routers << "x" << options.nodes << " seed " << options.seed
-              << ": value " << check.value << ", seen whole " << check.whole << ", probes a txn "
-              << check.probesATxn << ", nodes pushed over " << check.result.fellOver << "\n";
+              << ": value " << check.value << ", seen whole " << check.singleRouterValue << ", probes a txn "
+              << check.healthChecksPerTxn << ", nodes pushed over " << check.result.collapsedNodes << "\n";
     for (const auto& fault : check.faults) std::cout << "  " << fault << "\n";
     passed = passed && check.faults.empty();
   }
--- a/tests/levels.cpp
+++ b/tests/levels.cpp
@@ -386,10 +386,10 @@
   fleet_model::FleetParameters made;
   const double shares[] = {0.30, 0.25, 0.25, 0.04, 0.16};
   for (std::size_t row = 0; row < types.size(); ++row)
-    made.kinds.push_back({types[row], shares[row], row == 3 ? ms(200) : ms(20)});
+    made.trafficClasses.push_back({types[row], shares[row], row == 3 ? ms(200) : ms(20)});
   made.routers = routers;
-  made.refusing = refusing;
-  made.trouble = trouble;
+  made.loadShedding = refusing;
+  made.faults = trouble;
   made.seed = 5;
   return made;
 }
@@ -411,19 +411,20 @@
     const auto with = play(routers, LoadShedding::byLevels, 120, demand, trouble);
     const auto before = play(routers, LoadShedding::byModule, 120, demand, trouble);
     std::cout << std::fixed << std::setprecision(2) << what << ", " << routers << ": value " << with.value
-              << " (before " << before.value << "), worst 10 s " << with.worst << " (" << before.worst
-              << "), changes " << with.changes << ", highest level " << with.mostLevel << ", refusals right "
-              << with.right << " wrong " << with.wrong << ", rules broken "
-              << with.broken.sum() + before.broken.sum() << "; the first router's levels:";
+              << " (before " << before.value << "), worst 10 s " << with.worstCommittedFraction << " ("
+              << before.worstCommittedFraction << "), changes " << with.levelChanges << ", highest level "
+              << with.maxLevel << ", refusals right " << with.correctRejections << " wrong "
+              << with.wrongRejections << ", rules broken " << with.violations.sum() + before.violations.sum()
+              << "; the first router's levels:";
     for (const auto& [second, level] : with.levels) std::cout << " " << level << " at " << second;
     std::cout << "\n";
   };
   for (const std::size_t routers : {1, 4}) {
     fleet_model::FaultPlan again, restarted, behind, late, drained;
-    again.comeAgain = 3;
+    again.maxRetriesAfterRejection = 3;
     restarted.restartAt = 40;
-    behind.behindFrom = 20, behind.behindTo = 80;
-    late.newsLate = 2;
+    behind.replicationStopsAt = 20, behind.replicationResumesAt = 80;
+    late.loadReportDelay = 2;
     drained.drainAt = 30;
     tell("a jump to twice the capacity from 20 to 60 s", routers, jump, {});
     tell("the same, clients come again at once", routers, jump, again);
@@ -457,9 +458,9 @@
       const auto none = play(routers, LoadShedding::nobody, minutes * 60, demand);
       std::cout << std::fixed << std::setprecision(2) << name << ", " << routers << ": " << with.value << " "
                 << before.value << " " << none.value << "; "
-                << static_cast<double>(with.changes) / static_cast<double>(routers) / minutes << ", "
-                << with.mostAMinute << "; " << with.mostLevel << "; "
-                << with.broken.sum() + before.broken.sum() + none.broken.sum() << "\n";
+                << static_cast<double>(with.levelChanges) / static_cast<double>(routers) / minutes << ", "
+                << with.maxLevelChangesPerMinute << "; " << with.maxLevel << "; "
+                << with.violations.sum() + before.violations.sum() + none.violations.sum() << "\n";
     }
   }
 }
