--- a/tests/order.cpp
+++ b/tests/order.cpp
@@ -1,5 +1,5 @@
-// The order of work on machines: turn by turn as the decisions take it, beside the best of all orders on
-// small fleets and the plainest (by name, one at a time) on large ones. Run as `order CASE`: prints what is
+// The order of maintenance: machine by machine as scheduling has it, beside the best of all orders on small
+// fleets and the simplest (by name, one at a time) on large ones. Run as `order CASE`: prints what is
 // measured; the same for the same seeds.
 #include <algorithm>
 #include <functional>
@@ -15,75 +15,75 @@
 
 namespace {
 
-// Kind a turn costs beside the work: all have to know, nothing to be out, and what comes back to serve warm.
-constexpr double kTurn = 25;
+// What a machine costs beside the work: notifying all routers, draining, and warming up afterwards.
+constexpr double kOverheadSeconds = 25;
 
 struct World {
   Plan plan;
-  FleetState facts;
+  FleetState fleet;
   Bounds bounds;
 };
 
 World drawn(std::uint64_t seed, std::size_t machines, std::size_t groups, std::size_t zones) {
-  std::mt19937_64 chance(seed);
+  std::mt19937_64 random(seed);
   World world;
   for (std::size_t m = 0; m < machines; ++m) {
     Machine machine;
     machine.name = "m" + std::to_string(100 + m);
     machine.zone = "z" + std::to_string(m % zones);
-    machine.expectedDuration = Duration::millis(static_cast<std::int64_t>(60'000 + chance() % 840'000));
-    for (std::size_t n = 0; n < 1 + chance() % 3; ++n) {
+    machine.expectedDuration = Duration::millis(static_cast<std::int64_t>(60'000 + random() % 840'000));
+    for (std::size_t n = 0; n < 1 + random() % 3; ++n) {
       const std::string node = machine.name + "n" + std::to_string(n);
-      auto& fact = world.facts.nodes[node];
-      fact.group = chance() % groups;
-      fact.isLive = fact.isServing = true;
+      auto& state = world.fleet.nodes[node];
+      state.group = random() % groups;
+      state.isLive = state.isServing = true;
       const bool isTwice = std::any_of(machine.nodes.begin(), machine.nodes.end(), [&](auto& other) {
-        return world.facts.nodes.at(other).group == fact.group;
+        return world.fleet.nodes.at(other).group == state.group;
       });
       if (isTwice)
-        world.facts.nodes.erase(node);
+        world.fleet.nodes.erase(node);
       else
         machine.nodes.push_back(node);
     }
     world.plan.machines.push_back(machine);
   }
-  // Each group has a primary on a machine that is not on the list, and another replica.
+  // Each group has a primary on a machine that is not in the plan, and another replica.
   for (std::size_t g = 0; g < groups; ++g)
     for (const char* name : {"p", "x"}) {
-      auto& fact = world.facts.nodes[name + std::to_string(g)];
-      fact.group = g;
-      fact.isLive = fact.isServing = true;
-      fact.isPrimary = *name == 'p';
+      auto& state = world.fleet.nodes[name + std::to_string(g)];
+      state.group = g;
+      state.isLive = state.isServing = true;
+      state.isPrimary = *name == 'p';
     }
-  world.facts.routers["r0"].isAlive = true;
+  world.fleet.routers["r0"].isAlive = true;
   return world;
 }
 
-// Seconds until all is done, by whoever says which goes next, if any.
+// Seconds until all machines are finished; `choose` says which begins next, if any.
 using Chooser = std::function<const Machine*(const Plan&)>;
 double secondsOf(World world, const Chooser& choose) {
   double now = 0;
-  std::map<std::string, double> ends;
+  std::map<std::string, double> endsAt;
   for (;;) {
     while (const Machine* next = choose(world.plan)) {
-      ends[next->name] = now + kTurn + next->expectedDuration.inSeconds();
+      endsAt[next->name] = now + kOverheadSeconds + next->expectedDuration.inSeconds();
       world.plan.find(next->name)->phase = Phase::released;
     }
-    if (ends.empty()) break;
+    if (endsAt.empty()) break;
     const auto first =
-        std::min_element(ends.begin(), ends.end(), [](auto& a, auto& b) { return a.second < b.second; });
+        std::min_element(endsAt.begin(), endsAt.end(), [](auto& a, auto& b) { return a.second < b.second; });
     now = first->second;
     world.plan.find(first->first)->phase = Phase::finished;
-    ends.erase(first);
+    endsAt.erase(first);
   }
   for (const auto& m : world.plan.machines)
     if (m.phase != Phase::finished) return -1;  // never: each group keeps two
   return now;
 }
-Chooser taken(const World& world) {
-  return [&world](const Plan& plan) { return nextMachine(plan, world.facts, world.bounds, {}); };
+Chooser byScheduling(const World& world) {
+  return [&world](const Plan& plan) { return nextMachine(plan, world.fleet, world.bounds, {}); };
 }
-Chooser plainest() {
+Chooser byName() {
   return [](const Plan& plan) -> const Machine* {
     for (const auto& m : plan.machines)
       if (m.phase == Phase::released) return nullptr;
@@ -92,7 +92,7 @@
     return nullptr;
   };
 }
-// The first in this order that nothing hinders.
+// The first in this order that nothing blocks.
 Chooser inOrder(const World& world, const std::vector<std::size_t>& order) {
   return [&world, &order](const Plan& plan) -> const Machine* {
     std::size_t out = 0;
@@ -103,7 +103,7 @@
     for (const std::size_t i : order) {
       const Machine& m = plan.machines[i];
       if (m.phase == Phase::waiting && (zone.empty() || m.zone == zone) &&
-          startBlockingReason(plan, m, world.facts, world.bounds).empty())
+          startBlockingReason(plan, m, world.fleet, world.bounds).empty())
         return &m;
     }
     return nullptr;
@@ -121,10 +121,10 @@
     double best = 1e18;
     do best = std::min(best, secondsOf(world, inOrder(world, order)));
     while (std::next_permutation(order.begin(), order.end()));
-    const double ours = secondsOf(world, taken(world)) / best;
+    const double ours = secondsOf(world, byScheduling(world)) / best;
     sum += ours;
     worst = std::max(worst, ours);
-    plain += secondsOf(world, plainest()) / best;
+    plain += secondsOf(world, byName()) / best;
   }
   std::cout << std::fixed << std::setprecision(3) << kFleets << " fleets of " << kMachines
             << " machines in one zone, three at once, time of the whole by the best of all orders: taken "
@@ -138,8 +138,8 @@
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       World world = drawn(seed, 60, 30, 3);
       world.bounds.maxMachinesInProgress = atOnce;
-      ours += secondsOf(world, taken(world)) / 36000;
-      plain += secondsOf(world, plainest()) / 36000;
+      ours += secondsOf(world, byScheduling(world)) / 36000;
+      plain += secondsOf(world, byName()) / 36000;
     }
     std::cout << std::fixed << std::setprecision(2)
               << "60 machines with about 120 nodes of 30 groups in 3 zones, " << atOnce
@@ -149,8 +149,8 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-  const std::string name = count > 1 ? words[1] : "";
+int main(int argumentCount, char** arguments) {
+  const std::string name = argumentCount > 1 ? arguments[1] : "";
   if (name == "small")
     small();
   else if (name == "large")
--- a/tests/work.cpp
+++ b/tests/work.cpp
@@ -1,6 +1,6 @@
-// Work on machines without processes: the real decisions in simulated worlds (routers, some of them keepers,
-// on links that break, stall and deliver late, with clocks that differ, disks that forget), and the register
-// that they settle the plan by in a small world tried in every order. Run as `work CASE [SEEDS] [FROM]`.
+// Maintenance without processes: the real protocols in simulated worlds (routers, some of them voters, on
+// links that break, stall and deliver late, with clocks that differ, and disks that are lost), and the
+// consensus on the plan in a small world that is searched in every order. Run as `work CASE [SEEDS] [FROM]`.
 #include <algorithm>
 #include <iostream>
 #include <map>
@@ -30,19 +30,20 @@
 Duration ms(std::int64_t n) { return Duration::millis(n); }
 const Instant kBegin = Instant::atMicros(1'000'000'000);
 
-// Kind is settled, seen from outside: each round's value once more than half of the keepers hold it, durable.
+// What is chosen, seen from outside: each round's value once a majority of the voters has accepted it,
+// durable.
 class Monitor {
  public:
-  explicit Monitor(std::size_t keepers) : keepers_(keepers) {}
-  // True: this round's value has just come to be settled.
-  bool holds(VoterIndex keeper, const AcceptedValue& held) {
-    auto& by = by_[held.ballot];
-    return by.insert(keeper).second && by.size() == majorityOf(keepers_);
+  explicit Monitor(std::size_t voters) : voters_(voters) {}
+  // True: this round's value has just been chosen.
+  bool onAccepted(VoterIndex voter, const AcceptedValue& held) {
+    auto& by = acceptedBy_[held.ballot];
+    return by.insert(voter).second && by.size() == majorityOf(voters_);
   }
 
  private:
-  std::size_t keepers_;
-  std::map<Ballot, std::set<VoterIndex>> by_;
+  std::size_t voters_;
+  std::map<Ballot, std::set<VoterIndex>> acceptedBy_;
 };
 
 enum class Bug { none, forgets, noLease, saysClear, aheadOfDisk, tellsLate };
@@ -56,32 +57,33 @@
 class World {
  public:
   World(std::uint64_t seed, Bug bug, Sum& sum)
-      : chance_(seed), bug_(bug), sum_(sum), monitor_(kKeepers), bounds_(boundsOf()) {
+      : random_(seed), bug_(bug), sum_(sum), monitor_(kVoters), bounds_(boundsOf()) {
     for (const char* group : {"1", "2"})
       for (const char* name : {"p", "a", "b"}) nodes_.push_back(std::string(name) + group);
     for (std::size_t i = 0; i < kRouters; ++i) {
       disks_.emplace_back();
       routers_.emplace_back();
-      // Running clocks differ by a few parts in a hundred.
-      rates_.push_back(0.96 + 0.08 * part());
+      // Monotonic clocks differ by a few percent.
+      clockRates_.push_back(0.96 + 0.08 * fraction());
       start(i);
     }
   }
 
   // Empty: all properties held, and the work was done once all was well.
-  std::string play() {
-    for (std::size_t i = 0; i < kRouters; ++i) at(ms(0), [this, i] { turn(i); });
-    at(ms(500), [this] { order(); });
-    at(ms(1000), [this] { trouble(); });
-    at(ms(5), [this] { sendSome(); });
-    while (!events_.empty() && fault_.empty() && ended_ < kMachines && now_ < kBegin + kWhole) {
+  std::string simulate() {
+    for (std::size_t i = 0; i < kRouters; ++i) at(ms(0), [this, i] { keepTurning(i); });
+    at(ms(500), [this] { requestMaintenance(); });
+    at(ms(1000), [this] { injectFault(); });
+    at(ms(5), [this] { sendAttempts(); });
+    while (!events_.empty() && fault_.empty() && finishedMachines_ < kMachines &&
+           now_ < kBegin + kSimulatedTime) {
       auto event = events_.top();
       events_.pop();
       now_ = event.at;
       event.what();
     }
     if (!fault_.empty()) return fault_;
-    if (ended_ < kMachines) {
+    if (finishedMachines_ < kMachines) {
       if (std::getenv("WORK_TRACE")) trace();
       return "the work was not done";
     }
@@ -89,13 +91,13 @@
   }
 
  private:
-  static constexpr std::size_t kRouters = 5, kKeepers = 3, kMachines = 2;
-  static constexpr Duration kWhole = Duration::millis(300'000), kTroubled = Duration::millis(90'000);
-  static constexpr Duration kExpiry = Duration::millis(1000), kRetention = Duration::millis(12'000);
+  static constexpr std::size_t kRouters = 5, kVoters = 3, kMachines = 2;
+  static constexpr Duration kSimulatedTime = Duration::millis(300'000), kFaultTime = Duration::millis(90'000);
+  static constexpr Duration kDeadline = Duration::millis(1000), kRetention = Duration::millis(12'000);
 
   static Bounds boundsOf() {
     Bounds bounds;
-    bounds.fenceDuration = fenceDurationFor(kExpiry);
+    bounds.fenceDuration = fenceDurationFor(kDeadline);
     bounds.warmUpDuration = ms(500);
     bounds.retryDelay = ms(1000);
     bounds.announceTimeout = ms(9000);
@@ -115,250 +117,257 @@
   void at(Duration after, std::function<void()> what) {
     events_.push({now_ + after, ++number_, std::move(what)});
   }
-  double part() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
-  std::size_t pick(std::size_t n) { return chance_() % n; }
-  void broken(const std::string& what) {
+  double fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  std::size_t pick(std::size_t n) { return random_() % n; }
+  void fail(const std::string& what) {
     if (fault_.empty()) fault_ = what;
   }
 
   struct Disk {
     std::string durable;  // the acceptor's
-    bool whole = true;
+    bool isComplete = true;
   };
   struct Process {
-    bool up = false, stopped = false;
-    std::uint64_t life = 0, draw = 0, number = 0;
-    Instant silentUntil;  // of a keeper that forgot
-    std::optional<PlanView> known;
+    bool isUp = false, isStopped = false;
+    std::uint64_t processId = 0, draw = 0, number = 0;
+    Instant abstainsUntil;  // of a voter that lost its disk
+    std::optional<PlanView> planView;
     std::optional<Lease> lease;
     std::optional<Acceptor> acceptor;
     std::optional<ProposalRound> round;
-    std::optional<membership::FailureDetector> roll;
+    std::optional<membership::FailureDetector> failureDetector;
     std::optional<membership::MembershipView> view;
-    std::optional<MaintenanceLeader> foreman;
-    std::vector<std::function<void()>> queued;  // while it stands still
-    std::uint64_t clear = 0, beat = 0;
-    Instant beatAt, wantsAt;
-    std::map<std::size_t, std::uint64_t> told;  // by router: the roll's version
-    std::map<std::size_t, Ballot> held;         // by router: what it was told to hold
+    std::optional<MaintenanceLeader> leader;
+    std::vector<std::function<void()>> queued;  // while it is stopped
+    std::uint64_t drainedVersion = 0, heartbeatNumber = 0;
+    Instant heartbeatSentAt, wantsAt;
+    std::map<std::size_t, std::uint64_t> reportedVersions;  // of the failure detector, by router
+    std::map<std::size_t, Ballot> reportedBallots;          // of the accepted value, by router
     bool writing = false;
     std::vector<std::string> out;  // nodes with something in flight
   };
-  // A router's own running clock.
-  Instant clock(std::size_t i) const { return kBegin + (now_ - kBegin) * rates_[i]; }
+  // A router's own monotonic clock.
+  Instant clock(std::size_t i) const { return kBegin + (now_ - kBegin) * clockRates_[i]; }
   static std::string name(std::size_t i) { return "r" + std::to_string(i); }
   bool votes(std::size_t k) const {
     return routers_[k].acceptor &&
-           (routers_[k].silentUntil == Instant() || clock(k) >= routers_[k].silentUntil);
+           (routers_[k].abstainsUntil == Instant() || clock(k) >= routers_[k].abstainsUntil);
   }
 
   // How it stands, for whoever looks into a seed.
   void trace() {
     for (std::size_t i = 0; i < kRouters; ++i) {
       Process& p = routers_[i];
-      std::cerr << name(i) << ": " << (p.up ? "up" : "down") << (p.stopped ? ", stopped" : "") << ", start "
-                << p.number << ", knows " << p.known->chosen().version << ", clear " << p.clear;
+      std::cerr << name(i) << ": " << (p.isUp ? "up" : "down") << (p.isStopped ? ", stopped" : "")
+                << ", start " << p.number << ", knows " << p.planView->chosen().version << ", clear "
+                << p.drainedVersion;
       if (p.acceptor)
         std::cerr << ", votes " << votes(i) << ", whole " << p.acceptor->isComplete() << ", holds "
                   << p.acceptor->accepted().version.version << ", round "
                   << static_cast<int>(p.round->state());
       std::cerr << "\n";
       if (!p.acceptor) continue;
-      const FleetState facts = factsOf(i);
-      for (const auto& m : p.known->chosen().machines)
+      const FleetState fleet = fleetOf(i);
+      for (const auto& m : p.planView->chosen().machines)
         std::cerr << "  " << m.name << " " << nameOf(m.phase) << " since " << m.phaseVersion << ": "
-                  << p.foreman->waitingFor(clock(i), p.known->chosen(), m, facts) << "\n";
+                  << p.leader->waitingFor(clock(i), p.planView->chosen(), m, fleet) << "\n";
     }
   }
 
   // --- Processes
   void start(std::size_t i) {
-    Process fresh;
-    fresh.up = true;
-    fresh.life = ++lives_;
-    fresh.draw = chance_();
-    fresh.number = ++starts_[i];
-    fresh.known.emplace(kKeepers);
-    fresh.lease.emplace(kKeepers);
-    fresh.view.emplace(kKeepers);
-    if (i < kKeepers) {
+    Process process;
+    process.isUp = true;
+    process.processId = ++lastProcessId_;
+    process.draw = random_();
+    process.number = ++incarnations_[i];
+    process.planView.emplace(kVoters);
+    process.lease.emplace(kVoters);
+    process.view.emplace(kVoters);
+    if (i < kVoters) {
       const Disk& disk = disks_[i];
-      fresh.acceptor.emplace(disk.durable, disk.whole || bug_ == Bug::forgets);
-      if (!disk.whole && bug_ != Bug::forgets) fresh.silentUntil = clock(i) + kRetention;
-      fresh.round.emplace(kKeepers, fresh.draw, ms(2000));
+      process.acceptor.emplace(disk.durable, disk.isComplete || bug_ == Bug::forgets);
+      if (!disk.isComplete && bug_ != Bug::forgets) process.abstainsUntil = clock(i) + kRetention;
+      process.round.emplace(kVoters, process.draw, ms(2000));
       std::set<std::string> list;
-      std::map<std::string, membership::Incarnation> kept;
+      std::map<std::string, membership::Incarnation> stored;
       for (std::size_t r = 0; r < kRouters; ++r) list.insert(name(r));
-      fresh.roll.emplace(clock(i), list, std::move(kept));
-      fresh.foreman.emplace(bounds_);
+      process.failureDetector.emplace(clock(i), list, std::move(stored));
+      process.leader.emplace(bounds_);
     }
-    routers_[i] = std::move(fresh);
+    routers_[i] = std::move(process);
     if (std::getenv("WORK_TRACE"))
       std::cerr << (now_ - kBegin).inMicros() / 1000 << " " << name(i) << " starts, " << routers_[i].number
                 << "\n";
-    if (i >= kKeepers) return;
-    // Kind became durable in the moment of its end counts as much as what was answered.
+    if (i >= kVoters) return;
+    // What became durable in the moment of its end counts as much as what was replied to.
     const AcceptedValue held = routers_[i].acceptor->accepted();
-    holds(i, i, held);
-    if (held.version.version > 0) settled(i, held);
+    onAccepted(i, i, held);
+    if (held.version.version > 0) onChosen(i, held);
   }
   void kill(std::size_t i) {
     if (std::getenv("WORK_TRACE"))
       std::cerr << (now_ - kBegin).inMicros() / 1000 << " " << name(i) << " is killed\n";
-    routers_[i].up = false;
-    routers_[i].stopped = false;
+    routers_[i].isUp = false;
+    routers_[i].isStopped = false;
     routers_[i].queued.clear();
     routers_[i].out.clear();
-    ++routers_[i].life;
+    ++routers_[i].processId;
   }
-  // On process `i`, as it is then: one that died meanwhile does nothing, one that stands still does it later.
-  void run(std::size_t i, std::uint64_t life, std::function<void()> what) {
+  // On process `i`, as it is then: one that was killed meanwhile does nothing, one that is stopped does it
+  // later.
+  void run(std::size_t i, std::uint64_t processId, std::function<void()> what) {
     Process& p = routers_[i];
-    if (!p.up || p.life != life) return;
-    if (p.stopped) return p.queued.push_back(std::move(what));
+    if (!p.isUp || p.processId != processId) return;
+    if (p.isStopped) return p.queued.push_back(std::move(what));
     what();
   }
-  void goOn(std::size_t i) {
+  void resume(std::size_t i) {
     Process& p = routers_[i];
-    if (!std::exchange(p.stopped, false)) return;
-    turnOnce(i);  // the clock is seen ahead of any event
+    if (!std::exchange(p.isStopped, false)) return;
+    endTurn(i);  // the clock is seen ahead of any event
     for (auto& what : std::exchange(p.queued, {})) what();
   }
-  // A word from one to another; in order on each link, lost with the link.
-  void say(std::size_t from, std::size_t to, std::function<void()> what) {
+  // A message from one to another; in order on each link, lost with the link.
+  void deliver(std::size_t from, std::size_t to, std::function<void()> what) {
     if (from == to) return what();
-    if (cut_.contains({from, to})) return;
-    Instant& last = links_[{from, to}];
+    if (cutLinks_.contains({from, to})) return;
+    Instant& last = lastDeliveries_[{from, to}];
     last = std::max(last, now_ + ms(1 + static_cast<std::int64_t>(pick(pick(10) == 0 ? 400 : 10))));
-    at(last - now_, [this, from, to, life = routers_[to].life, what = std::move(what)] {
-      if (!cut_.contains({from, to})) run(to, life, what);
+    at(last - now_, [this, from, to, processId = routers_[to].processId, what = std::move(what)] {
+      if (!cutLinks_.contains({from, to})) run(to, processId, what);
     });
   }
 
   // --- Turns
-  void turn(std::size_t i) {
+  void keepTurning(std::size_t i) {
     const Process& p = routers_[i];
-    if (p.up && !p.stopped) turnOnce(i);
-    at(ms(90 + static_cast<std::int64_t>(pick(20))), [this, i] { turn(i); });
+    if (p.isUp && !p.isStopped) endTurn(i);
+    at(ms(90 + static_cast<std::int64_t>(pick(20))), [this, i] { keepTurning(i); });
   }
-  void turnOnce(std::size_t i) {
+  void endTurn(std::size_t i) {
     Process& p = routers_[i];
     const Instant now = clock(i);
-    if (p.clear < p.known->chosen().version &&
+    if (p.drainedVersion < p.planView->chosen().version &&
         (bug_ == Bug::saysClear || std::none_of(p.out.begin(), p.out.end(), [&](auto& node) {
-           return p.known->excludedNodes().contains(node);
+           return p.planView->excludedNodes().contains(node);
          })))
-      p.clear = p.known->chosen().version;
-    const membership::MemberProgress progress{0, p.known->chosen().version, p.clear};
-    if (now - p.beatAt >= membership::HeartbeatTimer::kInterval) {
-      p.beatAt = now;
-      ++p.beat;
-      for (std::size_t k = 0; k < kKeepers; ++k) {
+      p.drainedVersion = p.planView->chosen().version;
+    const membership::MemberProgress progress{0, p.planView->chosen().version, p.drainedVersion};
+    if (now - p.heartbeatSentAt >= membership::HeartbeatTimer::kInterval) {
+      p.heartbeatSentAt = now;
+      ++p.heartbeatNumber;
+      for (std::size_t k = 0; k < kVoters; ++k) {
         if (k == i) continue;
-        p.lease->onHeartbeatSent(now, k, p.beat);
-        say(i, k, [this, i, k, progress, draw = p.draw, number = p.number, beat = p.beat, life = p.life] {
-          hears(k, i, progress, draw, number, beat, life);
-        });
+        p.lease->onHeartbeatSent(now, k, p.heartbeatNumber);
+        deliver(i, k,
+                [this, i, k, progress, draw = p.draw, number = p.number, heartbeatNumber = p.heartbeatNumber,
+                 processId = p.processId] {
+                  onHeartbeat(k, i, progress, draw, number, heartbeatNumber, processId);
+                });
       }
     }
     if (!p.acceptor) return;
-    p.roll->onJoinRequest(now, name(i), {p.number, p.draw});
-    p.roll->onHeartbeat(now, name(i), p.draw, progress);
-    p.roll->checkTimeouts(now);
-    p.view->onReports(i, p.roll->reportsSince(p.told[i], 100));
+    p.failureDetector->onJoinRequest(now, name(i), {p.number, p.draw});
+    p.failureDetector->onHeartbeat(now, name(i), p.draw, progress);
+    p.failureDetector->checkTimeouts(now);
+    p.view->onReports(i, p.failureDetector->reportsSince(p.reportedVersions[i], 100));
     if (p.acceptor->isComplete() && votes(i)) {
-      p.lease->onHeartbeatSent(now, i, ++p.beat);
-      p.lease->onHeartbeatReply(i, p.beat);
+      p.lease->onHeartbeatSent(now, i, ++p.heartbeatNumber);
+      p.lease->onHeartbeatReply(i, p.heartbeatNumber);
     }
-    carryOn(i);
+    advancePlan(i);
   }
-  void hears(std::size_t k, std::size_t i, const membership::MemberProgress& progress, std::uint64_t draw,
-             std::uint64_t number, std::uint64_t beat, std::uint64_t life) {
+  void onHeartbeat(std::size_t k, std::size_t i, const membership::MemberProgress& progress,
+                   std::uint64_t draw, std::uint64_t number, std::uint64_t heartbeatNumber,
+                   std::uint64_t processId) {
     Process& p = routers_[k];
-    if (p.roll->newestIncarnation(name(i)).number < number) p.told.erase(i), p.held.erase(i);
-    p.roll->onJoinRequest(clock(k), name(i), {number, draw});
-    if (!p.roll->isCurrent(name(i), draw)) return;
-    p.roll->onHeartbeat(clock(k), name(i), draw, progress);
-    // Kind it holds goes ahead of the answer to any word.
+    if (p.failureDetector->newestIncarnation(name(i)).number < number)
+      p.reportedVersions.erase(i), p.reportedBallots.erase(i);
+    p.failureDetector->onJoinRequest(clock(k), name(i), {number, draw});
+    if (!p.failureDetector->isCurrent(name(i), draw)) return;
+    p.failureDetector->onHeartbeat(clock(k), name(i), draw, progress);
+    // What it has accepted is reported ahead of the reply to any message.
     const AcceptedValue held = p.acceptor->accepted();
-    if (p.held[i] != held.ballot && !(bug_ == Bug::tellsLate && pick(2) == 0)) {
-      p.held[i] = held.ballot;
-      say(k, i, [this, k, i, held] { holds(i, k, held); });
+    if (p.reportedBallots[i] != held.ballot && !(bug_ == Bug::tellsLate && pick(2) == 0)) {
+      p.reportedBallots[i] = held.ballot;
+      deliver(k, i, [this, k, i, held] { onAccepted(i, k, held); });
     }
-    const auto reports = p.roll->reportsSince(p.told[i], 100);
+    const auto reports = p.failureDetector->reportsSince(p.reportedVersions[i], 100);
     const bool counts = p.acceptor->isComplete() && votes(k);
-    say(k, i, [this, k, i, reports, beat, counts, life] {
-      if (routers_[i].life != life) return;
+    deliver(k, i, [this, k, i, reports, heartbeatNumber, counts, processId] {
+      if (routers_[i].processId != processId) return;
       routers_[i].view->onReports(k, reports);
-      if (counts) routers_[i].lease->onHeartbeatReply(k, beat);
+      if (counts) routers_[i].lease->onHeartbeatReply(k, heartbeatNumber);
     });
   }
-  void holds(std::size_t i, std::size_t k, const AcceptedValue& held) {
-    if (held.version.version > 0) routers_[i].known->onAccepted(k, held);
+  void onAccepted(std::size_t i, std::size_t k, const AcceptedValue& held) {
+    if (held.version.version > 0) routers_[i].planView->onAccepted(k, held);
   }
 
   // --- Rounds
-  FleetState factsOf(std::size_t i) {
-    FleetState facts;
+  FleetState fleetOf(std::size_t i) {
+    FleetState fleet;
     for (const auto& id : nodes_) {
-      auto& node = facts.nodes[id];
+      auto& node = fleet.nodes[id];
       node.group = id[1] == '1' ? 1 : 2;
       node.isLive = node.isServing = true;
       node.isPrimary = id[0] == 'p';
     }
     for (const auto& router : routers_[i].view->routers()) {
       const auto member = routers_[i].view->memberState(router);
-      auto& fact = facts.routers[router];
-      fact.isAlive = member.state == membership::MembershipView::State::alive;
-      fact.isSilent = member.silent.size() >= majorityOf(kKeepers);
-      fact.incarnation = member.incarnation;
-      fact.planVersion = member.progress.planVersion;
-      fact.drainedVersion = member.progress.drainedVersion;
-      fact.isVoter = router < name(kKeepers);
+      auto& state = fleet.routers[router];
+      state.isAlive = member.state == membership::MembershipView::State::alive;
+      state.isSilent = member.silent.size() >= majorityOf(kVoters);
+      state.incarnation = member.incarnation;
+      state.planVersion = member.progress.planVersion;
+      state.drainedVersion = member.progress.drainedVersion;
+      state.isVoter = router < name(kVoters);
     }
-    return facts;
+    return fleet;
   }
-  void carryOn(std::size_t i) {
+  void advancePlan(std::size_t i) {
     Process& p = routers_[i];
     const Instant now = clock(i);
-    const FleetState facts = factsOf(i);
-    p.foreman->observe(now, p.known->chosen(), facts);
+    const FleetState fleet = fleetOf(i);
+    p.leader->observe(now, p.planView->chosen(), fleet);
     p.round->runTimers(now);
     if (const auto read = p.round->takePrepared()) {
       Plan plan = readPlan(read->accepted.value);
       plan.version = read->accepted.version.version + 1;
-      bool changed = read->isChosen && !p.foreman->advance(now, plan, facts).empty();
-      for (const auto& [request, ask] : asks_) {
+      bool changed = read->isChosen && !p.leader->advance(now, plan, fleet).empty();
+      for (const auto& [request, ask] : requests_) {
         if (!read->isChosen) break;
         const bool was = std::find(plan.appliedRequests.begin(), plan.appliedRequests.end(), request) !=
                          plan.appliedRequests.end();
-        changed = (applyRequest(plan, request, ask, facts, bounds_).empty() && !was) || changed;
+        changed = (applyRequest(plan, request, ask, fleet, bounds_).empty() && !was) || changed;
       }
       const AcceptedValue held =
           p.round->propose(changed ? ValueVersion{plan.version, p.draw} : read->accepted.version,
                            changed ? encoded(plan) : read->accepted.value);
-      for (std::size_t k = 0; k < kKeepers; ++k) say(i, k, [this, i, k, held] { writes(k, i, held); });
+      for (std::size_t k = 0; k < kVoters; ++k) deliver(i, k, [this, i, k, held] { onAccept(k, i, held); });
     }
     p.round->takeChosen();
-    // Whoever sees something to do tries: the foreman's rank is a matter of speed, not of safety.
-    const bool asks = std::any_of(asks_.begin(), asks_.end(), [&](const auto& one) {
-      const auto& taken = p.known->chosen().appliedRequests;
+    // Every voter that sees something due begins a round: who leads is a matter of speed, not of safety.
+    const bool asks = std::any_of(requests_.begin(), requests_.end(), [&](const auto& one) {
+      const auto& taken = p.planView->chosen().appliedRequests;
       return std::find(taken.begin(), taken.end(), one.first) == taken.end();
     });
     const bool learns = votes(i) && !p.acceptor->isComplete();
-    if ((p.foreman->isDue(now, p.known->chosen(), facts) || asks || learns) && pick(1 + 3 * i) == 0 &&
+    if ((p.leader->isDue(now, p.planView->chosen(), fleet) || asks || learns) && pick(1 + 3 * i) == 0 &&
         p.round->begin(now)) {
       const Ballot ballot = p.round->ballot();
-      for (std::size_t k = 0; k < kKeepers; ++k) say(i, k, [this, i, k, ballot] { reads(k, i, ballot); });
+      for (std::size_t k = 0; k < kVoters; ++k)
+        deliver(i, k, [this, i, k, ballot] { onPrepare(k, i, ballot); });
     }
   }
-  void reads(std::size_t k, std::size_t by, const Ballot& ballot) {
+  void onPrepare(std::size_t k, std::size_t by, const Ballot& ballot) {
     if (!votes(k)) return;
     std::optional<Acceptor::AcceptorReply> refused;
     const bool disk = routers_[k].acceptor->prepare(ballot, refused);
     answer(k, by, disk, refused);
   }
-  void writes(std::size_t k, std::size_t by, const AcceptedValue& held) {
+  void onAccept(std::size_t k, std::size_t by, const AcceptedValue& held) {
     if (!votes(k)) return;
     std::optional<Acceptor::AcceptorReply> refused;
     const bool disk = routers_[k].acceptor->accept(held, refused);
@@ -366,35 +375,35 @@
   }
   void answer(std::size_t k, std::size_t by, bool disk,
               const std::optional<Acceptor::AcceptorReply>& refused) {
-    if (refused) say(k, by, [this, k, by, said = *refused] { said_(by, k, said); });
+    if (refused) deliver(k, by, [this, k, by, said = *refused] { onAcceptorReply(by, k, said); });
     if (!disk) return;
     const std::string text = routers_[k].acceptor->serialized();
     if (bug_ == Bug::aheadOfDisk) return durable(k, by, text, false);
-    Instant& last = diskAt_[k];
+    Instant& last = diskBusyUntil_[k];
     last = std::max(last, now_ + ms(1 + static_cast<std::int64_t>(pick(20))));
-    at(last - now_, [this, k, by, text, life = routers_[k].life] {
-      if (routers_[k].life == life && routers_[k].up) durable(k, by, text, true);
+    at(last - now_, [this, k, by, text, processId = routers_[k].processId] {
+      if (routers_[k].processId == processId && routers_[k].isUp) durable(k, by, text, true);
     });
   }
   void durable(std::size_t k, std::size_t by, const std::string& text, bool onDisk) {
-    // A commit goes on while its process stands still; its answer waits.
+    // A disk write goes on while its process is stopped; its reply waits.
     if (onDisk || pick(4) > 0) disks_[k].durable = text;
-    run(k, routers_[k].life, [this, k, by] {
+    run(k, routers_[k].processId, [this, k, by] {
       const auto answer = routers_[k].acceptor->onWritten(true);
       if (!answer) return;
-      disks_[k].whole = disks_[k].whole || routers_[k].acceptor->isComplete();
+      disks_[k].isComplete = disks_[k].isComplete || routers_[k].acceptor->isComplete();
       const AcceptedValue held = routers_[k].acceptor->accepted();
-      if (answer->kind == Acceptor::AcceptorReply::Kind::accepted) settled(k, held);
-      holds(k, k, held);
-      for (auto& [router, told] : routers_[k].held)
+      if (answer->kind == Acceptor::AcceptorReply::Kind::accepted) onChosen(k, held);
+      onAccepted(k, k, held);
+      for (auto& [router, told] : routers_[k].reportedBallots)
         if (router != k && told != held.ballot && !(bug_ == Bug::tellsLate && pick(2) == 0)) {
           told = held.ballot;
-          say(k, router, [this, k, to = router, held] { holds(to, k, held); });
+          deliver(k, router, [this, k, to = router, held] { onAccepted(to, k, held); });
         }
-      say(k, by, [this, k, by, said = *answer] { said_(by, k, said); });
+      deliver(k, by, [this, k, by, said = *answer] { onAcceptorReply(by, k, said); });
     });
   }
-  void said_(std::size_t i, std::size_t k, const Acceptor::AcceptorReply& said) {
+  void onAcceptorReply(std::size_t i, std::size_t k, const Acceptor::AcceptorReply& said) {
     using Kind = Acceptor::AcceptorReply::Kind;
     ProposalRound& round = *routers_[i].round;
     const Instant now = clock(i);
@@ -404,58 +413,59 @@
   }
 
   // --- The properties
-  void settled(std::size_t k, const AcceptedValue& held) {
-    if (!monitor_.holds(k, held)) return;
+  void onChosen(std::size_t k, const AcceptedValue& held) {
+    if (!monitor_.onAccepted(k, held)) return;
     ++sum_.settled;
-    // In the order of rounds each goes on from the one before.
-    const auto after = chain_.lower_bound(held.ballot);
-    if (after != chain_.begin() && std::prev(after)->second > held.version)
-      return broken("what was settled is lost");
-    if (after != chain_.end() && held.version > after->second) return broken("what was settled is lost");
-    if (after != chain_.begin() && std::prev(after)->second.version == held.version.version &&
+    // In the order of ballots each version follows from the one before.
+    const auto after = chosenVersions_.lower_bound(held.ballot);
+    if (after != chosenVersions_.begin() && std::prev(after)->second > held.version)
+      return fail("what was settled is lost");
+    if (after != chosenVersions_.end() && held.version > after->second)
+      return fail("what was settled is lost");
+    if (after != chosenVersions_.begin() && std::prev(after)->second.version == held.version.version &&
         std::prev(after)->second != held.version)
-      return broken("two plans of one version");
-    chain_[held.ballot] = held.version;
-    if (held.ballot < newest_) return;
-    newest_ = held.ballot;
-    plan_ = readPlan(held.value);
+      return fail("two plans of one version");
+    chosenVersions_[held.ballot] = held.version;
+    if (held.ballot < newestBallot_) return;
+    newestBallot_ = held.ballot;
+    chosenPlan_ = readPlan(held.value);
     if (std::getenv("WORK_TRACE")) {
-      std::cerr << (now_ - kBegin).inMicros() / 1000 << " settled " << plan_.version << " by "
+      std::cerr << (now_ - kBegin).inMicros() / 1000 << " settled " << chosenPlan_.version << " by "
                 << held.ballot.number;
-      for (const auto& m : plan_.machines)
+      for (const auto& m : chosenPlan_.machines)
         std::cerr << " " << m.name << "=" << nameOf(m.phase) << "@" << m.phaseVersion;
       std::cerr << "\n";
     }
     std::map<char, std::size_t> away;
     std::set<std::string> off;
-    ended_ = 0;
-    for (const auto& m : plan_.machines) {
-      ended_ += m.phase == Phase::finished;
+    finishedMachines_ = 0;
+    for (const auto& m : chosenPlan_.machines) {
+      finishedMachines_ += m.phase == Phase::finished;
       const bool isOff = m.phase == Phase::released;
       for (const auto& node : m.nodes) {
         if (m.phase != Phase::waiting && m.phase != Phase::finished) ++away[node[1]];
         if (isOff) off.insert(node);
-        if (isOff && node[0] == 'p') broken("a primary was told free");
+        if (isOff && node[0] == 'p') fail("a primary was told free");
       }
-      if (isOff && doing_.insert(m.name + std::to_string(m.phaseVersion)).second) {
+      if (isOff && workBegun_.insert(m.name + std::to_string(m.phaseVersion)).second) {
         ++sum_.frees;
         at(ms(200 + static_cast<std::int64_t>(pick(3000))), [this, machine = m.name] {
           OperatorRequest ask;
           ask.kind = OperatorRequest::Kind::done;
           ask.requestedBy = "kim";
           ask.machine = machine;
-          asks_["done " + machine + std::to_string(++number_)] = ask;
+          requests_["done " + machine + std::to_string(++number_)] = ask;
         });
       }
     }
     for (const auto& [group, count] : away)
-      if (count > 1) broken("more of a group away than its budget");
+      if (count > 1) fail("more of a group away than its budget");
     for (std::size_t i = 0; i < kRouters; ++i)
       for (const auto& node : routers_[i].out)
-        if (off.contains(node)) broken("a txn was out at a node that was told free");
-    off_ = std::move(off);
+        if (off.contains(node)) fail("a txn was out at a node that was told free");
+    releasedNodes_ = std::move(off);
   }
-  void order() {
+  void requestMaintenance() {
     OperatorRequest ask;
     ask.requestedBy = "kim";
     for (const char* name : {"a", "b"}) {
@@ -466,82 +476,83 @@
       m.expectedDuration = ms(1000);
       ask.machines.push_back(m);
     }
-    asks_["order"] = ask;
+    requests_["order"] = ask;
   }
-  // Every router sends now and then, wherever it may by what it knows.
-  void sendSome() {
+  // Every router sends attempts now and then, wherever it may by the plan that it knows.
+  void sendAttempts() {
     for (int n = 0; n < 3; ++n) {
       const std::size_t i = pick(kRouters);
       const std::string node = nodes_[pick(nodes_.size())];
-      run(i, routers_[i].life, [this, i, node] { send(i, node); });
+      run(i, routers_[i].processId, [this, i, node] { send(i, node); });
     }
-    at(ms(15), [this] { sendSome(); });
+    at(ms(15), [this] { sendAttempts(); });
   }
   void send(std::size_t i, const std::string& node) {
     Process& p = routers_[i];
-    if (p.known->excludedNodes().contains(node)) return;
+    if (p.planView->excludedNodes().contains(node)) return;
     const bool leased = p.lease->until() != Instant() && clock(i) < p.lease->until();
-    if (p.known->leaseRequiredNodes().contains(node) && !leased && bug_ != Bug::noLease) return;
-    // A start that has reached no keeper goes by its list, which discovery was told to change.
-    if (p.known->chosen().version == 0 && !leased && plan_.version > 0) return;
+    if (p.planView->leaseRequiredNodes().contains(node) && !leased && bug_ != Bug::noLease) return;
+    // An incarnation that has reached no voter goes by the endpoint list, of which discovery was notified.
+    if (p.planView->chosen().version == 0 && !leased && chosenPlan_.version > 0) return;
     ++sum_.sends;
-    if (off_.contains(node)) {
+    if (releasedNodes_.contains(node)) {
       if (std::getenv("WORK_TRACE")) {
         std::cerr << name(i) << " sends to " << node << " at " << (now_ - kBegin).inMicros() / 1000
-                  << ", leased " << leased << ", next " << p.known->leaseRequiredNodes().contains(node)
+                  << ", leased " << leased << ", next " << p.planView->leaseRequiredNodes().contains(node)
                   << "\n";
         trace();
       }
-      return broken("a txn came to a node that was told free");
+      return fail("a txn came to a node that was told free");
     }
     p.out.push_back(node);
-    at(ms(5 + static_cast<std::int64_t>(pick(pick(20) == 0 ? 990 : 40))), [this, i, node, life = p.life] {
-      Process& later = routers_[i];
-      if (later.life != life) return;
-      const auto at = std::find(later.out.begin(), later.out.end(), node);
-      if (at != later.out.end()) later.out.erase(at);
-    });
-  }
-
-  // --- Troubles, until all is well for good
-  void trouble() {
-    if (now_ - kBegin > kTroubled) {
-      cut_.clear();
+    at(ms(5 + static_cast<std::int64_t>(pick(pick(20) == 0 ? 990 : 40))),
+       [this, i, node, processId = p.processId] {
+         Process& later = routers_[i];
+         if (later.processId != processId) return;
+         const auto at = std::find(later.out.begin(), later.out.end(), node);
+         if (at != later.out.end()) later.out.erase(at);
+       });
+  }
+
+  // --- Faults, until all is well for good
+  void injectFault() {
+    if (now_ - kBegin > kFaultTime) {
+      cutLinks_.clear();
       for (std::size_t i = 0; i < kRouters; ++i) {
-        routers_[i].held.clear();  // all streams are begun anew
-        routers_[i].told.clear();
-        if (!routers_[i].up) start(i);
-        goOn(i);
+        routers_[i].reportedBallots.clear();  // all streams are reopened
+        routers_[i].reportedVersions.clear();
+        if (!routers_[i].isUp) start(i);
+        resume(i);
       }
       return;
     }
-    const std::size_t i = pick(kRouters), k = pick(kKeepers);
+    const std::size_t i = pick(kRouters), k = pick(kVoters);
     const Duration soon = ms(static_cast<std::int64_t>(pick(pick(3) == 0 ? 15'000 : 3000)));
     switch (pick(7)) {
       case 0:
         ++sum_.kills;
         kill(i);
         at(soon, [this, i] {
-          if (!routers_[i].up) start(i);
+          if (!routers_[i].isUp) start(i);
         });
         break;
       case 1:
         ++sum_.stops;
-        routers_[i].stopped = routers_[i].up;
-        at(soon, [this, i, life = routers_[i].life] {
-          if (routers_[i].life == life) goOn(i);
+        routers_[i].isStopped = routers_[i].isUp;
+        at(soon, [this, i, processId = routers_[i].processId] {
+          if (routers_[i].processId == processId) resume(i);
         });
         break;
       case 2:  // one way, or both
       case 3:
         ++sum_.cuts;
-        cut_.insert({i, k});
-        if (pick(2) == 0) cut_.insert({k, i});
+        cutLinks_.insert({i, k});
+        if (pick(2) == 0) cutLinks_.insert({k, i});
         at(soon, [this, i, k] {
-          cut_.erase({i, k});
-          cut_.erase({k, i});
-          routers_[k].held.erase(i);  // a stream that is begun anew
-          routers_[k].told.erase(i);
+          cutLinks_.erase({i, k});
+          cutLinks_.erase({k, i});
+          routers_[k].reportedBallots.erase(i);  // a stream that is reopened
+          routers_[k].reportedVersions.erase(i);
         });
         break;
       case 4:  // power, of all
@@ -549,49 +560,50 @@
         for (std::size_t r = 0; r < kRouters; ++r) kill(r);
         for (std::size_t r = 0; r < kRouters; ++r)
           at(ms(static_cast<std::int64_t>(pick(3000))), [this, r] {
-            if (!routers_[r].up) start(r);
+            if (!routers_[r].isUp) start(r);
           });
         break;
       case 5:
-        // One disk at a time: more than half that forget are beyond what is promised.
-        if (std::any_of(disks_.begin(), disks_.begin() + kKeepers, [](auto& disk) { return !disk.whole; }))
+        // One disk at a time: a majority that lost their state is beyond what is promised.
+        if (std::any_of(disks_.begin(), disks_.begin() + kVoters,
+                        [](auto& disk) { return !disk.isComplete; }))
           break;
         ++sum_.disks;
         kill(k);
         disks_[k] = {"", false};
         at(soon, [this, k] {
-          if (!routers_[k].up) start(k);
+          if (!routers_[k].isUp) start(k);
         });
-        // Its next starts know, too, until it has taken what is settled.
+        // Its next incarnations know, too, until it has accepted what is chosen.
         break;
       default:
         break;
     }
-    at(ms(500 + static_cast<std::int64_t>(pick(6000))), [this] { trouble(); });
+    at(ms(500 + static_cast<std::int64_t>(pick(6000))), [this] { injectFault(); });
   }
 
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   Bug bug_;
   Sum& sum_;
   Monitor monitor_;
   Bounds bounds_;
   Instant now_ = kBegin;
-  std::uint64_t number_ = 0, lives_ = 0;
+  std::uint64_t number_ = 0, lastProcessId_ = 0;
   std::priority_queue<Event> events_;
   std::vector<std::string> nodes_;
   std::vector<Disk> disks_;
   std::vector<Process> routers_;
-  std::vector<double> rates_;
-  std::map<std::size_t, std::uint64_t> starts_;
-  std::set<std::pair<std::size_t, std::size_t>> cut_;
-  std::map<std::pair<std::size_t, std::size_t>, Instant> links_;
-  std::map<std::size_t, Instant> diskAt_;
-  std::map<std::string, OperatorRequest> asks_;
-  std::map<Ballot, ValueVersion> chain_;
-  Ballot newest_;
-  Plan plan_;
-  std::set<std::string> off_, doing_;
-  std::size_t ended_ = 0;
+  std::vector<double> clockRates_;
+  std::map<std::size_t, std::uint64_t> incarnations_;
+  std::set<std::pair<std::size_t, std::size_t>> cutLinks_;
+  std::map<std::pair<std::size_t, std::size_t>, Instant> lastDeliveries_;
+  std::map<std::size_t, Instant> diskBusyUntil_;
+  std::map<std::string, OperatorRequest> requests_;
+  std::map<Ballot, ValueVersion> chosenVersions_;
+  Ballot newestBallot_;
+  Plan chosenPlan_;
+  std::set<std::string> releasedNodes_, workBegun_;
+  std::size_t finishedMachines_ = 0;
   std::string fault_;
 };
 
@@ -613,7 +625,7 @@
   Sum sum;
   std::uint64_t bad = 0;
   for (std::uint64_t seed = from; seed < from + seeds; ++seed)
-    if (const auto fault = World(seed, Bug::none, sum).play(); !fault.empty()) {
+    if (const auto fault = World(seed, Bug::none, sum).simulate(); !fault.empty()) {
       ++bad;
       std::cerr << "seed " << seed << ": " << fault << "\n";
     }
@@ -641,7 +653,7 @@
     std::string fault;
     std::uint64_t seed = from;
     for (; seed < from + 40 && (fault.empty() || fault == "the work was not done"); ++seed)
-      fault = World(seed, bug, sum).play();
+      fault = World(seed, bug, sum).simulate();
     const bool found = !fault.empty() && fault != "the work was not done";
     std::cout << what << ": " << (found ? "found, " + fault : "NOT FOUND") << "\n";
     std::cerr << what << ": seed " << seed - 1 << "\n";
