--- a/src/tools/fleet_model/fleet.cpp
+++ b/src/tools/fleet_model/fleet.cpp
@@ -183,19 +183,10 @@
 }
 
 Result Fleet::run(double length, const std::function<double(double)>& demand) {
-  std::deque<Instant> recentChanges;  // changes of the first router's level
-  unsigned level = 0;
-  double windowBegin = 0;
   while (seconds() < length) {
     now_ = now_ + kStep;
     injectFaults();
-    if (seconds() - windowBegin >= kWindowSeconds) {
-      if (window_.first >= kMinWindowTxns)
-        result_.worstCommittedFraction =
-            std::min(result_.worstCommittedFraction, window_.second / window_.first);
-      window_ = {};
-      windowBegin = seconds();
-    }
+    if (seconds() - windowBegin_ >= kWindowSeconds) closeWindow();
     while (!retries_.empty() && retries_.begin()->first <= now_) {
       const ClientRequest request = retries_.begin()->second;
       retries_.erase(retries_.begin());
@@ -209,14 +200,30 @@
       finishAttempt(end);
     }
     endRouterTurns();
-    if (!routers_.front() || routers_.front()->levels.stateOf(1).level == level) continue;
-    level = routers_.front()->levels.stateOf(1).level;
-    result_.levels.emplace_back(seconds(), level);
-    recentChanges.push_back(now_);
-    while (now_ - recentChanges.front() > Duration::millis(60'000)) recentChanges.pop_front();
-    result_.maxLevelChangesPerMinute =
-        std::max(result_.maxLevelChangesPerMinute, static_cast<unsigned>(recentChanges.size()));
+    recordLevel();
   }
+  recordTotals();
+  return result_;
+}
+
+void Fleet::closeWindow() {
+  if (window_.first >= kMinWindowTxns)
+    result_.worstCommittedFraction = std::min(result_.worstCommittedFraction, window_.second / window_.first);
+  window_ = {};
+  windowBegin_ = seconds();
+}
+
+void Fleet::recordLevel() {
+  if (!routers_.front() || routers_.front()->levels.stateOf(1).level == recordedLevel_) return;
+  recordedLevel_ = routers_.front()->levels.stateOf(1).level;
+  result_.levels.emplace_back(seconds(), recordedLevel_);
+  recentChanges_.push_back(now_);
+  while (now_ - recentChanges_.front() > Duration::millis(60'000)) recentChanges_.pop_front();
+  result_.maxLevelChangesPerMinute =
+      std::max(result_.maxLevelChangesPerMinute, static_cast<unsigned>(recentChanges_.size()));
+}
+
+void Fleet::recordTotals() {
   for (const auto& router : routers_) {
     if (!router) continue;
     result_.levelChanges += router->levelChanges;
@@ -227,7 +234,6 @@
   result_.levelChanges += levelChangesBefore_;
   result_.value = valueRequested_ > 0 ? valueServed_ / valueRequested_ : 0;
   result_.collapsedNodes = nodes_.collapsedNodes();
-  return result_;
 }
 
 }  // namespace gulltrestle::fleet_model
--- a/src/tools/fleet_model/fleet.h
+++ b/src/tools/fleet_model/fleet.h
@@ -157,6 +157,10 @@
   void publishEndpointList();
   void deliverEndpointList(Router& router, const std::vector<transactions::ResolvedEndpoint>& list);
   void endRouterTurns();
+  // --- Results (fleet.cpp): at the end of a window, of a step, and of the run
+  void closeWindow();
+  void recordLevel();
+  void recordTotals();
   Second& secondOf(Instant at);
   double seconds() const;
 
@@ -190,6 +194,9 @@
   std::set<Instant> nodesBackAt_;
   std::map<std::uint64_t, Instant> lastCommits_;  // by session
   std::pair<double, double> window_;              // transactions submitted and committed in this one
+  double windowBegin_ = 0;                        // in seconds
+  std::deque<Instant> recentChanges_;             // of the first router's level, within a minute
+  unsigned recordedLevel_ = 0;                    // of the first router
   double valueRequested_ = 0, valueServed_ = 0;
   unsigned levelChangesBefore_ = 0;  // of routers that have stopped
   Result result_;
