--- a/src/maintenance/lease.h
+++ b/src/maintenance/lease.h
@@ -3,7 +3,7 @@
 //
 // The lease counts from when the answered heartbeat was sent: of whatever plan was chosen before that moment,
 // one of the voters that answered had accepted it, and reported it ahead of its answer. A voter takes a
-// router for silent after membership::FailureDetector::kSilence, by its own monotonic clock, from when it
+// router for silent after membership::FailureDetector::kTimeout, by its own monotonic clock, from when it
 // received the heartbeat: that is after it was sent, and the timeout is half a second longer than a lease,
 // more than two clocks drift apart in that time. So once a majority takes a router for silent, that router
 // holds no lease.
@@ -23,7 +23,7 @@
 // Each router has one, fed by the heartbeats that it sends and the replies of voters that count.
 class Lease {
  public:
-  // Below membership::FailureDetector::kSilence, above the time that two lost heartbeats take.
+  // Below membership::FailureDetector::kTimeout, above the time that two lost heartbeats take.
   static constexpr Duration kDuration = Duration::millis(3000);
 
   explicit Lease(std::size_t voters) : voters_(voters) {}
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -383,16 +383,16 @@
   std::cout << "  maintenance: " << (acceptor.isComplete() ? "complete" : "incomplete") << ", ballot "
             << accepted.ballot.number << " of " << accepted.ballot.draw << ", version "
             << accepted.version.version << " of " << accepted.version.draw << ", the text is "
-            << (acceptor.text() == state.maintenance ? "what" : "NOT WHAT") << " an acceptor writes\n";
+            << (acceptor.serialized() == state.maintenance ? "what" : "NOT WHAT") << " an acceptor writes\n";
   const maintenance::Plan plan = maintenance::readPlan(accepted.value);
   std::cout << "  plan " << plan.version << ", applied: " << joined(plan.appliedRequests) << "\n";
   for (const auto& machine : plan.machines)
     std::cout << "  machine " << machine.name << " in " << machine.zone << " is "
-              << maintenance::nameOf(machine.phase) << " since " << machine.since << " ('" << machine.reason
-              << "'), nodes: " << joined(machine.nodes) << ", routers: " << joined(machine.routers)
-              << ", takes " << machine.expectedDuration.inMicros() << " us, wanted within "
-              << machine.wantedWithin.inMicros() << " us, by " << machine.request << " of "
-              << machine.requestedBy << ", attempts " << machine.attempts << "\n";
+              << maintenance::nameOf(machine.phase) << " since " << machine.phaseVersion << " ('"
+              << machine.reason << "'), nodes: " << joined(machine.nodes)
+              << ", routers: " << joined(machine.routers) << ", takes " << machine.expectedDuration.inMicros()
+              << " us, wanted within " << machine.wantedWithin.inMicros() << " us, by " << machine.request
+              << " of " << machine.requestedBy << ", attempts " << machine.attempts << "\n";
 }
 
 void printState(const idempotency::StoredState& state) {
@@ -445,7 +445,7 @@
   std::optional<maintenance::Acceptor::AcceptorReply> rejected;
   std::cout << "the plan's next ballot is " << (acceptor.accept(next, rejected) ? "accepted" : "REJECTED")
             << "\n";
-  changes.push_back(changed(Kind::work, acceptor.text(), {}));
+  changes.push_back(changed(Kind::work, acceptor.serialized(), {}));
   return changes;
 }
 
