--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -1,9 +1,9 @@
 #include "cluster/cluster_server.h"
 
-#include <signal.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstdio>
 #include <fstream>
 
