--- a/benchmarks/votes.cpp
+++ b/benchmarks/votes.cpp
@@ -11,6 +11,7 @@
 #include <fstream>
 #include <iostream>
 
+#include "idempotency/voting_member.h"
 #include "store/store.h"
 
 using namespace gulltrestle;
@@ -24,11 +25,11 @@
   return std::chrono::duration<double>(Clock::now() - began).count();
 }
 
-idempotency::VotingMember::DiskChange vote(std::uint64_t number) {
-  idempotency::VotingMember::DiskChange change;
-  change.id = change.entry.id = "9b1f03aa5c7e" + std::to_string(number);
-  change.entry.token = {"r1", 7, number};
-  return change;
+idempotency::DiskChange vote(std::uint64_t number) {
+  idempotency::ClaimRecord claim;
+  claim.id = "9b1f03aa5c7e" + std::to_string(number);
+  claim.token = {"r1", 7, number};
+  return claim;
 }
 
 void asItIs(const std::string& folder, std::size_t together) {
@@ -40,12 +41,12 @@
     while (sent - durable < together) store.write({vote(++sent)});
     pollfd ready{store.descriptor(), POLLIN, 0};
     poll(&ready, 1, 1000);
-    for (const auto& done : store.takeCompleted()) durable += done.durable;
+    for (const auto& done : store.takeCompleted()) durable += done.isDurable;
   }
   std::cout << "the store, " << together
             << " out at a time: " << static_cast<double>(durable) / secondsSince(began) << " votes a second, "
             << static_cast<double>(store.statistics().commits) / secondsSince(began) << " commits, longest "
-            << store.statistics().longest.inMicros() / 1000.0 << " ms\n";
+            << store.statistics().longestCommit.inMicros() / 1000.0 << " ms\n";
 }
 
 void plain(const std::string& file, const char* journal, const char* sync, std::size_t together) {
@@ -88,13 +89,13 @@
   {
     store::Store store(folder, "r1", 1, {{1, {"r1"}}});
     for (std::uint64_t n = 0; n < ids;) {
-      std::vector<idempotency::VotingMember::DiskChange> changes;
+      std::vector<idempotency::DiskChange> changes;
       while (changes.size() < kTogether && n < ids) changes.push_back(vote(++n));
-      const auto ticket = store.write(std::move(changes));
+      const auto id = store.write(std::move(changes));
       for (bool durable = false; !durable;) {
         pollfd ready{store.descriptor(), POLLIN, 0};
         poll(&ready, 1, 1000);
-        for (const auto& done : store.takeCompleted()) durable = durable || done.ticket == ticket;
+        for (const auto& done : store.takeCompleted()) durable = durable || done.id == id;
       }
     }
   }
@@ -106,7 +107,7 @@
   bounds.maxClaims = ids + 1;
   const idempotency::VotingMember keeper(Instant::atMicros(1), "r1", bounds, store.takeStoredState());
   std::cout << ids << " ids, a file of " << static_cast<double>(std::filesystem::file_size(file)) / 1e6
-            << " MB: opened and checked in " << opened << " s, a keeper that holds " << keeper.size()
+            << " MB: opened and checked in " << opened << " s, a keeper that holds " << keeper.claimCount()
             << " after " << secondsSince(began) << " s, " << resident() - before << " MB\n";
 }
 
--- a/src/cli/store_command.cpp
+++ b/src/cli/store_command.cpp
@@ -16,37 +16,38 @@
 
 int check(const Options& options, std::ostream& out) {
   const auto contents = store::read(options.folder);
-  if (!contents.damage.empty()) {
-    out << "damaged: " << contents.damage << "\n"
+  if (contents.damage) {
+    out << "damaged: " << *contents.damage << "\n"
         << "A router that starts on it sets the file aside and gives no votes for the time of retention.\n";
     return 1;
   }
   std::size_t committed = 0;
-  for (const auto& entry : contents.kept.entries) committed += entry.committed;
-  out << "keeper " << contents.keeper << ": sound\n"
-      << "ids " << contents.kept.entries.size() << ", known as committed " << committed << "\n"
-      << "starts " << (contents.kept.own.empty() ? 0 : contents.kept.own.back().number) << "; its votes "
-      << (contents.kept.isComplete ? "count from the next start on"
-                                   : "wait out the time of retention at the next start")
+  for (const auto& claim : contents.state.claims) committed += claim.isCommitted;
+  out << "keeper " << contents.voter << ": sound\n"
+      << "ids " << contents.state.claims.size() << ", known as committed " << committed << "\n"
+      << "starts " << (contents.state.ownStarts.empty() ? 0 : contents.state.ownStarts.back().number)
+      << "; its votes "
+      << (contents.state.isComplete ? "count from the next start on"
+                                    : "wait out the time of retention at the next start")
       << "\n";
   return 0;
 }
 
 int show(const Options& options, std::ostream& out) {
   const auto contents = store::read(options.folder);
-  if (!contents.damage.empty()) {
-    out << "damaged: " << contents.damage << "\n";
+  if (contents.damage) {
+    out << "damaged: " << *contents.damage << "\n";
     return 1;
   }
   std::size_t shown = 0;
-  for (const auto& entry : contents.kept.entries) {
+  for (const auto& claim : contents.state.claims) {
     if (++shown > options.maxShown) break;
-    out << entry.id << " claimed by " << entry.token.router << " number " << entry.token.number
-        << (entry.committed ? ", committed, value of " + std::to_string(entry.value.size()) + " bytes" : "")
+    out << claim.id << " claimed by " << claim.token.router << " number " << claim.token.number
+        << (claim.isCommitted ? ", committed, value of " + std::to_string(claim.value.size()) + " bytes" : "")
         << "\n";
   }
-  if (shown > options.maxShown) out << "and " << contents.kept.entries.size() - options.maxShown << " more\n";
-  for (const auto& [name, start] : contents.kept.starts)
+  if (shown > options.maxShown) out << "and " << contents.state.claims.size() - options.maxShown << " more\n";
+  for (const auto& [name, start] : contents.state.voterStarts)
     out << "keeper " << name << " was heard at start " << start.number << "\n";
   return 0;
 }
--- a/src/cluster/claim_dispatcher.cpp
+++ b/src/cluster/claim_dispatcher.cpp
@@ -26,7 +26,7 @@
     const std::optional<idempotency::StoredState>& stored) {
   std::map<std::string, membership::Incarnation> members;
   if (!stored) return members;
-  for (const auto& [router, incarnation] : stored->members)
+  for (const auto& [router, incarnation] : stored->routerStarts)
     members[router] = {incarnation.number, incarnation.draw};
   return members;
 }
@@ -34,7 +34,7 @@
 std::optional<MaintenanceService::StoredAcceptor> acceptorOf(
     const std::optional<idempotency::StoredState>& stored) {
   if (!stored) return std::nullopt;
-  return MaintenanceService::StoredAcceptor{stored->maintenance, stored->isComplete};
+  return MaintenanceService::StoredAcceptor{stored->acceptorState, stored->isComplete};
 }
 
 // With as many routers as are members: the routing settings may know of fewer.
@@ -62,7 +62,7 @@
   switch (message.kind) {
     case ClaimCoordinator::ClaimMessage::Kind::release:
       return Release{message.id, message.number};
-    case ClaimCoordinator::ClaimMessage::Kind::committed:
+    case ClaimCoordinator::ClaimMessage::Kind::commit:
       return Committed{message.id, message.number, std::move(message.value)};
     case ClaimCoordinator::ClaimMessage::Kind::claim:
       break;
@@ -100,8 +100,9 @@
   applyForcedStage();
   if (!stored) return;
   for (const auto& [group, primary] : stored->primaries)
-    recovery_.onPrimaryUpdate({group, {primary.first, primary.second}});
-  for (const auto& [node, drain] : stored->nodes) drains_.learn({node, drain.first, drain.second});
+    recovery_.onPrimaryUpdate({group, {primary.node, primary.listVersion}});
+  for (const auto& [node, drain] : stored->nodeDrains)
+    drains_.learn({node, drain.listVersion, drain.isDraining});
   storeDrains({});
   votingMember_.emplace(transactions_.now(), name, config.votingMember, std::move(*stored));
   // A disk that was lost is marked as incomplete from its first start on, also for the next one.
@@ -126,16 +127,16 @@
   for (const auto& decision : coordinator_.takeDecisions()) {
     using Kind = ClaimCoordinator::Decision::Kind;
     switch (decision.kind) {
-      case Kind::admit:
+      case Kind::admitted:
         transactions_.admit(decision.txn);
         break;
-      case Kind::committed:
+      case Kind::alreadyCommitted:
         transactions_.answerCommitted(decision.txn, {decision.value, "", ""});
         break;
-      case Kind::rollBack:
+      case Kind::rolledBack:
         transactions_.answerRolledBack(decision.txn);
         break;
-      case Kind::reject:
+      case Kind::rejected:
         transactions_.answerRejected(decision.txn, decision.retryAfter);
     }
   }
@@ -298,7 +299,7 @@
 }
 
 void ClaimDispatcher::advanceRecovery() {
-  const bool isQuorumReached = coordinator_.reachable() * 2 > config_.voters.size();
+  const bool isQuorumReached = coordinator_.reachableVoters() * 2 > config_.voters.size();
   const PrimaryUpdates confirmed = recovery_.endTurn(isQuorumReached);
   storePrimaries(confirmed);
   for (const PrimaryUpdates& chunk : chunked(confirmed)) sendToOtherVoters(chunk);
--- a/src/cluster/claim_dispatcher.h
+++ b/src/cluster/claim_dispatcher.h
@@ -39,7 +39,7 @@
   // Ends a stream whose router is no member, or whose messages are invalid.
   virtual void rejectStream(StreamKey stream, std::string_view reason) = 0;
   // Begins to make the changes durable; onWritten() reports the end.
-  virtual Ticket write(std::vector<idempotency::VotingMember::DiskChange> changes) = 0;
+  virtual Ticket write(std::vector<idempotency::DiskChange> changes) = 0;
   virtual void log(std::string_view event, const std::string& fields) = 0;
   // This router runs on a machine whose maintenance begins.
   virtual void terminate() = 0;
--- a/src/cluster/claim_dispatcher_maintenance.cpp
+++ b/src/cluster/claim_dispatcher_maintenance.cpp
@@ -36,7 +36,7 @@
 // Its state is not what it was taken for, also at the next start.
 void ClaimDispatcher::markAcceptorIncomplete() {
   maintenance_.markIncomplete();
-  effects_.write({{VotingMember::DiskChange::Kind::work, maintenance_.serializedAcceptor(), {}, {}, false}});
+  effects_.write({idempotency::MaintenanceRecord{maintenance_.serializedAcceptor()}});
 }
 
 void ClaimDispatcher::endMaintenanceTurn(Instant now) {
--- a/src/cluster/claim_dispatcher_voter.cpp
+++ b/src/cluster/claim_dispatcher_voter.cpp
@@ -137,11 +137,10 @@
 void ClaimDispatcher::writeChanges(std::optional<PendingWrite> pending) {
   auto changes = votingMember_->takeChanges();
   for (const auto& [router, incarnation] : membership_.failureDetector()->takeChanges())
-    changes.push_back(
-        {VotingMember::DiskChange::Kind::member, router, {}, {incarnation.number, incarnation.draw}, false});
+    changes.push_back(idempotency::RouterStartRecord{
+        .router = router, .incarnation = {.number = incarnation.number, .draw = incarnation.draw}});
   if (pending && pending->kind == PendingWrite::Kind::proposal)
-    changes.push_back(
-        {VotingMember::DiskChange::Kind::work, maintenance_.serializedAcceptor(), {}, {}, false});
+    changes.push_back(idempotency::MaintenanceRecord{maintenance_.serializedAcceptor()});
   if (changes.empty() && !pending) return;
   const Ticket ticket = effects_.write(std::move(changes));
   if (pending) pendingWrites_[ticket] = std::move(*pending);
@@ -182,7 +181,7 @@
   loggedState_ = votingMember_->state();
   std::string fields = "state=" + std::string(nameOf(*loggedState_)) +
                        " start=" + std::to_string(votingMember_->start().number) +
-                       " holds=" + std::to_string(votingMember_->size());
+                       " holds=" + std::to_string(votingMember_->claimCount());
   for (const auto& name : votingMember_->unverifiedVoters()) fields += " waits_for=" + name;
   if (loggedState_ == VotingMember::State::abstaining)
     fields += " for_ms=" + std::to_string(config_.votingMember.retention.inMicros() / 1000);
--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -56,7 +56,7 @@
   }
   lists.push_back({lists.size() + 1, {}});
   for (const auto& voter : config.voters) lists.back().names.insert(voter.name);
-  if (const auto fault = idempotency::faultIn(lists); !fault.empty()) throw ConfigError(kKey, fault);
+  if (const auto fault = idempotency::faultIn(lists)) throw ConfigError(kKey, *fault);
   return lists;
 }
 
--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -108,7 +108,7 @@
   if (!store_->setAside().empty()) spdlog::error("event=store.damaged set_aside=\"{}\"", store_->setAside());
   const idempotency::StoredState& stored = store_->storedState();
   spdlog::info("event=store.opened folder={} start={} whole={} ids={}", config_.storeFolder,
-               stored.own.back().number, stored.isComplete, stored.entries.size());
+               stored.ownStarts.back().number, stored.isComplete, stored.claims.size());
   if (!stored.isComplete)
     spdlog::warn(
         "event=store.not_whole folder={} votes_after_ms={} hint=\"a new installation's folder is made by: "
@@ -232,12 +232,13 @@
   spdlog::info(
       "event=claims.counts asked={} admitted={} committed={} rolled_back={} refused={} open={} reached={}",
       counts.requested, counts.admitted, counts.committed, counts.rolledBack, counts.rejected,
-      dispatcher_->coordinator().open(), dispatcher_->coordinator().reachable());
+      dispatcher_->coordinator().openClaims(), dispatcher_->coordinator().reachableVoters());
   if (!store_) return;
   const auto statistics = store_->statistics();
   spdlog::info("event=store.counts commits={} changes={} failures={} queued={} longest_ms={} ids={}",
-               statistics.commits, statistics.changes, statistics.failures, statistics.queued,
-               statistics.longest.inMicros() / 1000, dispatcher_->votingMember()->size());
+               statistics.commits, statistics.durableChanges, statistics.failedCommits,
+               statistics.queuedChanges, statistics.longestCommit.inMicros() / 1000,
+               dispatcher_->votingMember()->claimCount());
 }
 
 // --- The store
@@ -253,14 +254,14 @@
   for (;;) {
     stream.readBlocked();
     transactions_.advanceTo(loop_.now());
-    for (const auto& write : store_->takeCompleted()) dispatcher_->onWritten(write.ticket, write.durable);
+    for (const auto& write : store_->takeCompleted()) dispatcher_->onWritten(write.id, write.isDurable);
     logStoreHealth();
     co_await stream.changed();
   }
 }
 
 void ClusterServer::logStoreHealth() {
-  const auto fault = store_->statistics().fault;
+  const auto fault = store_->statistics().lastFault;
   if (fault.empty() != isStoreFailing_) return;
   isStoreFailing_ = !fault.empty();
   if (isStoreFailing_)
--- a/src/cluster/gossip.cpp
+++ b/src/cluster/gossip.cpp
@@ -7,8 +7,6 @@
 
 namespace gulltrestle::cluster {
 
-using idempotency::VotingMember;
-
 namespace {
 
 std::size_t countNotLive(const std::vector<EndpointEntry*>& entries) {
@@ -54,12 +52,12 @@
 void ClaimDispatcher::storeDrains(const DrainUpdates& updates) {
   const auto forgotten = drains_.takeForgotten();
   if (config_.storeFolder.empty()) return;
-  std::vector<VotingMember::DiskChange> changes;
+  std::vector<idempotency::DiskChange> changes;
   for (const auto& node : forgotten)
-    changes.push_back({VotingMember::DiskChange::Kind::node, node, {}, {}, false});
+    changes.push_back(idempotency::NodeDrainRecord{.node = node, .listVersion = 0, .isDraining = false});
   for (const auto& update : updates)
-    changes.push_back(
-        {VotingMember::DiskChange::Kind::node, update.node, {}, {update.version, 0}, update.isDraining});
+    changes.push_back(idempotency::NodeDrainRecord{
+        .node = update.node, .listVersion = update.version, .isDraining = update.isDraining});
   if (!changes.empty()) effects_.write(std::move(changes));
 }
 
@@ -72,14 +70,10 @@
 
 void ClaimDispatcher::storePrimaries(const PrimaryUpdates& updates) {
   if (config_.storeFolder.empty() || updates.empty()) return;
-  std::vector<VotingMember::DiskChange> changes;
-  for (const auto& update : updates)
-    changes.push_back({VotingMember::DiskChange::Kind::primary,
-                       update.primary.node,
-                       {},
-                       {update.primary.version, 0},
-                       false,
-                       update.group});
+  std::vector<idempotency::DiskChange> changes;
+  for (const auto& [group, primary] : updates)
+    changes.push_back(
+        idempotency::PrimaryRecord{.group = group, .node = primary.node, .listVersion = primary.version});
   effects_.write(std::move(changes));
 }
 
--- a/src/cluster/messages.cpp
+++ b/src/cluster/messages.cpp
@@ -210,7 +210,7 @@
             vote.set_what(reply.vote.kind == idempotency::Vote::Kind::granted        ? wire::Vote::YOURS
                           : reply.vote.kind == idempotency::Vote::Kind::takenByOther ? wire::Vote::TAKEN
                                                                                      : wire::Vote::SILENT);
-            vote.set_committed(reply.vote.committed);
+            vote.set_committed(reply.vote.isCommitted);
             vote.set_value(reply.vote.value);
           },
           [&](const DrainUpdates& reply) { set(*wireReply.mutable_nodes(), reply); },
--- a/src/cluster/status_document.cpp
+++ b/src/cluster/status_document.cpp
@@ -67,20 +67,20 @@
 }
 
 Json votingMemberOf(const idempotency::VotingMember& votingMember) {
-  Json status{{"state", nameOf(votingMember.state())}, {"ids", votingMember.size()}};
+  Json status{{"state", nameOf(votingMember.state())}, {"ids", votingMember.claimCount()}};
   if (const auto unverified = votingMember.unverifiedVoters(); !unverified.empty())
     status["waits_for"] = unverified;
   return status;
 }
 
 Json storeOf(const store::StoreStatistics& store) {
-  Json status{{"bytes", store.bytes},
-              {"queued", store.queued},
+  Json status{{"bytes", store.fileBytes},
+              {"queued", store.queuedChanges},
               {"commits", store.commits},
-              {"failures", store.failures},
-              {"longest_ms", millis(store.longest)},
-              {"durable_ms_ago", millis(store.durableAgo)}};
-  if (!store.fault.empty()) status["fault"] = store.fault;
+              {"failures", store.failedCommits},
+              {"longest_ms", millis(store.longestCommit)},
+              {"durable_ms_ago", millis(store.sinceLastCommit)}};
+  if (!store.lastFault.empty()) status["fault"] = store.lastFault;
   return status;
 }
 
--- a/src/idempotency/claim_coordinator.cpp
+++ b/src/idempotency/claim_coordinator.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-// The part of a client's time that may go on votes: the txn has to run in what is left.
+// Fraction of a client's remaining time that may be spent on votes: the transaction has to run in the rest.
 constexpr double kVoteTimeFraction = 0.4;
-// A txn that a client waits for longer than this part of the time of retention could be sent after the votes
-// for it were forgotten; half leaves as much again for clocks that run at different speeds.
+// Fraction of the time of retention that a client may wait at most: beyond it the transaction could be sent
+// after its votes were removed. Half leaves as much again for clocks that run at different speeds.
 constexpr double kRetentionFraction = 0.5;
-// Rejected txns are spread over this range around the time that they are told, so that those that are
-// rejected in the same moment don't come back in another one.
-constexpr double kMinRetrySpread = 0.5, kMaxRetrySpread = 1.5;
+// Jitter of retryAfter, as factors: transactions that were rejected at the same time don't retry at the same
+// time.
+constexpr double kMinRetryJitter = 0.5, kMaxRetryJitter = 1.5;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
 
 Duration ClaimCoordinator::drawRetryAfter() {
   return limits_.retryAfter *
-         std::uniform_real_distribution<double>(kMinRetrySpread, kMaxRetrySpread)(random_);
+         std::uniform_real_distribution<double>(kMinRetryJitter, kMaxRetryJitter)(random_);
 }
 
 void ClaimCoordinator::setReachable(VoterIndex voter, bool isReachable) {
@@ -37,23 +37,28 @@
     claim.withoutVote.insert(voter);
     waiting.push_back(number);
   }
-  for (const ClaimNumber number : waiting) judge(number, false);
+  for (const ClaimNumber number : waiting) decideIfPossible(number, false);
 }
 
 void ClaimCoordinator::beginClaim(Instant now, TxnKey txn, const std::string& id, Duration remaining) {
   ++counts_.requested;
-  const std::string_view reason = rejectReason(id, remaining);
-  if (reason.empty()) return openClaim(now, txn, id, remaining);
+  const auto reason = rejectReason(id, remaining);
+  if (!reason) return openClaim(now, txn, id, remaining);
   ++counts_.rejected;
-  decisions_.push_back({Decision::Kind::reject, txn, "", drawRetryAfter(), reason});
+  decisions_.push_back({.kind = Decision::Kind::rejected,
+                        .txn = txn,
+                        .value = {},
+                        .retryAfter = drawRetryAfter(),
+                        .reason = *reason});
 }
 
-std::string_view ClaimCoordinator::rejectReason(const std::string& id, Duration remaining) const {
+std::optional<std::string_view> ClaimCoordinator::rejectReason(const std::string& id,
+                                                               Duration remaining) const {
   if (id.empty()) return "it has no id";
   if (remaining > limits_.retention * kRetentionFraction) return "its time is too long for retention";
   if (claims_.size() >= limits_.maxClaims) return "too many claims are open";
   if (reachable_.size() < majorityOf(limits_.voterCount)) return "too few keepers can be reached";
-  return "";
+  return std::nullopt;
 }
 
 void ClaimCoordinator::openClaim(Instant now, TxnKey txn, const std::string& id, Duration remaining) {
@@ -64,7 +69,8 @@
   claim.votesUntil = now + std::min(remaining * kVoteTimeFraction, limits_.maxVoteWait);
   for (VoterIndex voter = 0; voter < limits_.voterCount; ++voter) {
     if (reachable_.contains(voter))
-      messages_.push_back({ClaimMessage::Kind::claim, voter, id, number, ""});
+      messages_.push_back(
+          {.kind = ClaimMessage::Kind::claim, .voter = voter, .id = id, .number = number, .value = {}});
     else
       claim.withoutVote.insert(voter);
   }
@@ -83,53 +89,58 @@
       break;
     case Vote::Kind::takenByOther:
       claim.takenBy.insert(voter);
-      if (vote.committed) return decide(number, Decision::Kind::committed, vote.value, "it was committed");
+      if (vote.isCommitted)
+        return decide(number, Decision::Kind::alreadyCommitted, vote.value, "it was committed");
       break;
     case Vote::Kind::abstained:
       claim.withoutVote.insert(voter);
       break;
   }
-  judge(number, false);
+  decideIfPossible(number, false);
 }
 
-void ClaimCoordinator::judge(ClaimNumber number, bool isTimeOver) {
+void ClaimCoordinator::decideIfPossible(ClaimNumber number, bool isTimeOver) {
   const Claim& claim = claims_.at(number);
   const std::size_t majority = majorityOf(limits_.voterCount);
   const std::size_t granted = claim.grantedBy.size();
-  if (granted >= majority) return decide(number, Decision::Kind::admit, "", "");
+  if (granted >= majority) return decide(number, Decision::Kind::admitted, "", "");
   const std::size_t unanswered =
       limits_.voterCount - granted - claim.takenBy.size() - claim.withoutVote.size();
-  // A voter that may still answer may know that it was committed: worth its wait once another claim was seen.
+  // A voter that has not answered may know of a commit: worth waiting for once another claim was seen.
   const bool maySuffice = granted + unanswered >= majority;
   if (!isTimeOver && unanswered > 0 && (maySuffice || !claim.takenBy.empty())) return;
   if (!claim.takenBy.empty())
-    return decide(number, Decision::Kind::rollBack, "", "another claim has its votes");
-  decide(number, Decision::Kind::reject, "", isTimeOver ? "votes came too late" : "too few keepers vote");
+    return decide(number, Decision::Kind::rolledBack, "", "another claim has its votes");
+  decide(number, Decision::Kind::rejected, "", isTimeOver ? "votes came too late" : "too few keepers vote");
 }
 
 void ClaimCoordinator::decide(ClaimNumber number, Decision::Kind kind, std::string value,
                               std::string_view reason) {
   Claim& claim = claims_.at(number);
   claim.isDecided = true;
-  claim.isAdmitted = kind == Decision::Kind::admit;
+  claim.isAdmitted = kind == Decision::Kind::admitted;
   count(kind);
-  const Duration retryAfter = kind == Decision::Kind::reject ? drawRetryAfter() : Duration();
-  decisions_.push_back({kind, claim.txn, std::move(value), retryAfter, reason});
+  const Duration retryAfter = kind == Decision::Kind::rejected ? drawRetryAfter() : Duration();
+  decisions_.push_back({.kind = kind,
+                        .txn = claim.txn,
+                        .value = std::move(value),
+                        .retryAfter = retryAfter,
+                        .reason = reason});
   if (!claim.isAdmitted) sendToAll(ClaimMessage::Kind::release, claim, number);
 }
 
 void ClaimCoordinator::count(Decision::Kind kind) {
   switch (kind) {
-    case Decision::Kind::admit:
+    case Decision::Kind::admitted:
       ++counts_.admitted;
       break;
-    case Decision::Kind::committed:
+    case Decision::Kind::alreadyCommitted:
       ++counts_.committed;
       break;
-    case Decision::Kind::rollBack:
+    case Decision::Kind::rolledBack:
       ++counts_.rolledBack;
       break;
-    case Decision::Kind::reject:
+    case Decision::Kind::rejected:
       ++counts_.rejected;
       break;
   }
@@ -137,7 +148,8 @@
 
 void ClaimCoordinator::sendToAll(ClaimMessage::Kind kind, const Claim& claim, ClaimNumber number,
                                  const std::string& value) {
-  for (const VoterIndex voter : reachable_) messages_.push_back({kind, voter, claim.id, number, value});
+  for (const VoterIndex voter : reachable_)
+    messages_.push_back({.kind = kind, .voter = voter, .id = claim.id, .number = number, .value = value});
 }
 
 void ClaimCoordinator::onCommitted(TxnKey txn, std::string value) {
@@ -145,7 +157,7 @@
   if (found == numberOfTxn_.end()) return;
   Claim& claim = claims_.at(found->second);
   if (!claim.isAdmitted || std::exchange(claim.isCommitSent, true)) return;
-  sendToAll(ClaimMessage::Kind::committed, claim, found->second, value);
+  sendToAll(ClaimMessage::Kind::commit, claim, found->second, value);
 }
 
 void ClaimCoordinator::onTransactionEnded(TxnKey txn, ExecutionOutcome outcome) {
@@ -159,7 +171,7 @@
   else if (isOutcomeOpen && outcome == ExecutionOutcome::neverRan)
     sendToAll(ClaimMessage::Kind::release, claim, number);
   else if (isOutcomeOpen && outcome == ExecutionOutcome::committed)
-    sendToAll(ClaimMessage::Kind::committed, claim, number);
+    sendToAll(ClaimMessage::Kind::commit, claim, number);
   claims_.erase(number);
   numberOfTxn_.erase(found);
 }
@@ -169,7 +181,7 @@
     const ClaimNumber number = voteDeadlines_.begin()->second;
     voteDeadlines_.erase(voteDeadlines_.begin());
     const auto found = claims_.find(number);
-    if (found != claims_.end() && !found->second.isDecided) judge(number, true);
+    if (found != claims_.end() && !found->second.isDecided) decideIfPossible(number, true);
   }
   return voteDeadlines_.empty() ? Instant() : voteDeadlines_.begin()->first;
 }
--- a/src/idempotency/claim_coordinator.h
+++ b/src/idempotency/claim_coordinator.h
@@ -1,19 +1,21 @@
-// A claim coordinator's decisions: whether a txn that may run only once may be sent, by the votes of the
-// voters. No I/O, no clock.
+// A claim coordinator decides whether an at-most-once transaction may be sent, by the votes of the voters. No
+// I/O, no clock.
 //
-//   state     what it is                          ends by
-//   claiming  its votes are being asked for       admit: it has those of more than half of the voters
-//                                                 committed: a voter knows that another claim was
-//                                                 rollBack: another claim has a vote, and more than half
-//                                                   can't be had any more, or not within its time
-//                                                 reject: likewise, and no other claim was seen; or too few
-//                                                   voters can be reached to begin with
-//   admitted  it may be sent, and is reported as  onTransactionEnded(): committed, never ran (its votes are
-//             ended when its txn is               given back), or unknown (they are kept)
+//   state of a claim  what it is                        ends by
+//   claiming          its votes have been requested     admitted: more than half of the voters granted theirs
+//                                                       alreadyCommitted: a voter knows another claim that
+//                                                       was rolledBack: another claim has a vote, and a
+//                                                       majority
+//                                                         is out of reach, or was not had in time
+//                                                       rejected: likewise, and no other claim was seen; or
+//                                                         too few voters can be reached to begin with
+//   admitted          its transaction may be sent       onTransactionEnded(): committed, never ran (its votes
+//                                                       are released), or unknown (they stay)
 //
-// What ends without being admitted gives back the votes that it may have got: it was never sent. Nothing that
-// one voter or a minority says, or keeps silent about, lets a txn run. A voter that answers falsely can make
-// txns be rejected, rolled back or answered as committed; it takes more than half of them to run one twice.
+// A claim that ends without being admitted releases the votes that it may have got: its transaction was never
+// sent. No answer of one voter or of a minority, nor a missing one, lets a transaction run. A voter that
+// answers falsely can make transactions be rejected, rolled back or answered as committed; it takes more than
+// half of the voters to run one twice.
 #pragma once
 
 #include <map>
@@ -29,68 +31,68 @@
 
 namespace gulltrestle::idempotency {
 
-using TxnKey = std::uint64_t;  // whatever the caller names a txn by
+using TxnKey = std::uint64_t;  // the caller's id of a transaction
 using ClaimNumber = std::uint64_t;
-using VoterIndex = std::size_t;  // row in the list of voters
+using VoterIndex = std::size_t;  // position in the list of voters
 
-// From the settings, alike at all routers.
+// From the settings, which are the same at all routers.
 struct ClaimCoordinatorLimits {
   std::size_t voterCount = 0;
   Duration retention;                             // the voters' own
-  std::size_t maxClaims = 65536;                  // claims open at a time, admitted ones included
+  std::size_t maxClaims = 65536;                  // open at a time, admitted ones included
   Duration maxVoteWait = Duration::millis(1000);  // for votes
-  Duration retryAfter = Duration::millis(250);    // what rejected txns are told, give or take half of it
+  Duration retryAfter = Duration::millis(250);    // of rejected transactions, on average
 };
 
-// All claims of one router. Driven by cluster/claim_dispatcher.h: it feeds in votes and txns' ends, calls
-// runTimers() when that is due, and carries out what takeDecisions() and takeMessages() return after each
-// call.
+// All claims of one router. Driven by cluster/claim_dispatcher.h: it passes in votes and the ends of
+// transactions, calls runTimers() when that is due, and carries out what takeDecisions() and takeMessages()
+// return after each call.
 class ClaimCoordinator {
  public:
-  // `seed`: of the spread of retryAfter.
+  // `seed`: for the jitter of retryAfter.
   ClaimCoordinator(ClaimCoordinatorLimits limits, std::uint64_t seed);
 
   struct Decision {
-    enum class Kind { admit, committed, rollBack, reject } kind = Kind::reject;
+    enum class Kind { admitted, alreadyCommitted, rolledBack, rejected } kind = Kind::rejected;
     TxnKey txn = 0;
-    std::string value;        // committed: empty where it is not known
-    Duration retryAfter;      // reject
+    std::string value;        // alreadyCommitted: of the commit; empty where it is not known
+    Duration retryAfter;      // rejected
     std::string_view reason;  // a constant text
   };
-  // What is to be sent to a voter, in this order.
+  // To be sent to a voter, in this order.
   struct ClaimMessage {
-    enum class Kind { claim, release, committed } kind = Kind::claim;
+    enum class Kind { claim, release, commit } kind = Kind::claim;
     VoterIndex voter = 0;
     std::string id;
     ClaimNumber number = 0;
-    std::string value;  // committed
+    std::string value;  // commit
   };
 
-  // Who can be reached from now on; all claims that wait for the vote of one that can't be are judged anew.
+  // Whether the voter can be reached from now on. Claims that wait for the vote of one that can't be are
+  // decided where the votes that are left don't suffice.
   void setReachable(VoterIndex voter, bool isReachable);
 
-  // Claims the id for the txn; its decision comes by takeDecisions(), perhaps at once. `remaining`: how long
-  // the txn's client waits.
+  // Claims the id for the transaction; its decision comes by takeDecisions(), perhaps at once. `remaining`:
+  // how long the transaction's client waits.
   void beginClaim(Instant now, TxnKey txn, const std::string& id, Duration remaining);
   // A voter's answer to the claim of that number; one that comes after the decision is ignored.
   void onVote(VoterIndex voter, ClaimNumber number, const Vote& vote);
-  // The txn was committed with this value. Ahead of onTransactionEnded().
+  // The transaction was committed with this value. Called before onTransactionEnded().
   void onCommitted(TxnKey txn, std::string value);
   enum class ExecutionOutcome { committed, neverRan, unknown };
-  // Nothing of the txn is out any more, whether it was decided here or not.
+  // No attempt of the transaction is in flight any more, whether its claim was decided or not.
   void onTransactionEnded(TxnKey txn, ExecutionOutcome outcome);
 
-  // Decides claims whose time for votes is over. Returns when there is more; never: nothing is.
+  // Decides claims whose time for votes is over. Returns when the next call is due; never: none is.
   Instant runTimers(Instant now);
 
   // Since the last call, oldest first.
-  std::vector<Decision> takeDecisions() { return std::exchange(decisions_, {}); }
-  std::vector<ClaimMessage> takeMessages() { return std::exchange(messages_, {}); }
+  [[nodiscard]] std::vector<Decision> takeDecisions() { return std::exchange(decisions_, {}); }
+  [[nodiscard]] std::vector<ClaimMessage> takeMessages() { return std::exchange(messages_, {}); }
 
-  // Claims that are open, and voters that can be reached.
-  std::size_t open() const { return claims_.size(); }
-  std::size_t reachable() const { return reachable_.size(); }
-  // Of claims, since the start.
+  std::size_t openClaims() const { return claims_.size(); }
+  std::size_t reachableVoters() const { return reachable_.size(); }
+  // Of claims, since the program started.
   struct Counts {
     std::uint64_t requested = 0, admitted = 0, committed = 0, rolledBack = 0, rejected = 0;
   };
@@ -102,14 +104,14 @@
     std::string id;
     Instant votesUntil;
     bool isDecided = false, isAdmitted = false;
-    bool isCommitSent = false;  // the voters were notified of its value
+    bool isCommitSent = false;  // to the voters, with its value
     std::set<VoterIndex> grantedBy, takenBy, withoutVote;
   };
-  // Why no claim may begin now; empty: it may.
-  std::string_view rejectReason(const std::string& id, Duration remaining) const;
+  // Why no claim may begin now; none: it may.
+  std::optional<std::string_view> rejectReason(const std::string& id, Duration remaining) const;
   void openClaim(Instant now, TxnKey txn, const std::string& id, Duration remaining);
-  // Decides the claim if its votes suffice, or can't any more. `isTimeOver`: no further vote is waited for.
-  void judge(ClaimNumber number, bool isTimeOver);
+  // Decides the claim if its votes suffice or no longer can. `isTimeOver`: no further vote is waited for.
+  void decideIfPossible(ClaimNumber number, bool isTimeOver);
   void decide(ClaimNumber number, Decision::Kind kind, std::string value, std::string_view reason);
   void count(Decision::Kind kind);
   void sendToAll(ClaimMessage::Kind kind, const Claim& claim, ClaimNumber number,
--- a/src/idempotency/claim_types.h
+++ b/src/idempotency/claim_types.h
@@ -1,9 +1,10 @@
-// Claims: how routers agree that a txn that may run only once does.
+// Claims: how routers agree that an at-most-once transaction runs at most once.
 //
-// A router that was asked for such a txn claims its id at all voters, which are a few routers with a lasting
-// disk, named in a list that all routers have. A voter gives its vote for an id to one claim, durable before
-// it is answered, and stores it for the time of retention. Who has the votes of more than half of the voters
-// may send the txn. The voters are notified of its outcome, so that a repeat gets the outcome that is known.
+// A router that received such a transaction claims its id at all voters, which are a few routers with durable
+// disks, named in a list that all routers have. A voter grants its vote for an id to one claim, durable
+// before it is sent, and stores it for the time of retention. The router that has the votes of more than half
+// of the voters may send the transaction. The voters are notified of its outcome, so that a client that
+// repeats the request gets the outcome that is known.
 #pragma once
 
 #include <compare>
@@ -15,7 +16,7 @@
 
 namespace gulltrestle::idempotency {
 
-// One claim. No two have the same, of whatever router and start.
+// Identifies one claim, over all routers and starts.
 struct ClaimToken {
   std::string router;
   std::uint64_t start = 0;   // drawn anew at each start of the program, from all 64-bit numbers
@@ -23,19 +24,19 @@
   auto operator<=>(const ClaimToken&) const = default;
 };
 
-// One start of a voter's program: counted on its disk, and drawn, so that two disks that count alike are
-// told apart.
+// One start of a voter's program: a number counted on its disk, and a random draw that tells apart two disks
+// that have counted to the same number.
 struct VoterIncarnation {
   std::uint64_t number = 0;  // 0: none is known
   std::uint64_t draw = 0;
   bool operator==(const VoterIncarnation&) const = default;
 };
 
-// What a voter stores of an id.
+// What a voter stores of an id: the claim that has its vote, or was committed.
 struct ClaimRecord {
   std::string id;
   ClaimToken token;
-  bool committed = false;
+  bool isCommitted = false;
   std::string value;  // where it is committed and its value known and not too long
   bool operator==(const ClaimRecord&) const = default;
 };
@@ -43,16 +44,16 @@
 // A voter's answer to a claim.
 struct Vote {
   enum class Kind {
-    granted,       // this claim has its vote, durably
-    takenByOther,  // another has it
-    abstained,     // it gives none now
+    granted,       // this claim has the vote, durably
+    takenByOther,  // another claim has it
+    abstained,     // the voter grants none at present
   } kind = Kind::abstained;
-  bool committed = false;  // takenByOther: that one is known as committed, with this value
+  bool isCommitted = false;  // takenByOther: the other claim was, with this value
   std::string value;
   bool operator==(const Vote&) const = default;
 };
 
-// More than half: any two such sets share a voter.
+// More than half: any two majorities share a voter.
 constexpr std::size_t majorityOf(std::size_t voters) { return voters / 2 + 1; }
 
 }  // namespace gulltrestle::idempotency
--- a/src/idempotency/voter_lists.cpp
+++ b/src/idempotency/voter_lists.cpp
@@ -17,19 +17,19 @@
   return names;
 }
 
-// Why the list may not follow its predecessor; empty: it may.
-std::string faultOf(const VoterList& list, const VoterList& predecessor, std::size_t number) {
+// Why the list may not follow its predecessor; none: it may.
+std::optional<std::string> faultOf(const VoterList& list, const VoterList& predecessor, std::size_t number) {
   const auto place = "list " + std::to_string(number) + " (" + joinedNames(list) + ")";
   if (list.names.size() < predecessor.names.size())
     return place +
            " is shorter than the one before: that takes a stop of all routers, for the time of retention";
   if (countIn(predecessor, list.names) < majorityOf(predecessor.names.size()))
     return place + " keeps half or fewer of the one before: change fewer at a time";
-  return "";
+  return std::nullopt;
 }
 
-// Why this disk's voter may not serve under the last of the lists; empty: it may.
-std::string rejectReasonOf(const VoterList& servedUnder, const std::vector<VoterList>& lists) {
+// Why this disk's voter may not serve under the last of the lists; none: it may.
+std::optional<std::string> rejectReasonOf(const VoterList& servedUnder, const std::vector<VoterList>& lists) {
   const std::uint64_t last = servedUnder.version;
   if (last > lists.size())
     return "are list " + std::to_string(lists.back().version) + ", and this keeper served under list " +
@@ -37,32 +37,32 @@
   if (last > 0 && lists[last - 1] != servedUnder)
     return "have another list " + std::to_string(last) + " than the one that this keeper served under (" +
            joinedNames(servedUnder) + "); a change adds a list";
-  return "";
+  return std::nullopt;
 }
 
 }  // namespace
 
-std::string faultIn(const std::vector<VoterList>& lists) {
+std::optional<std::string> faultIn(const std::vector<VoterList>& lists) {
   if (lists.size() > kMaxVoterLists) return "are too many lists";
   for (std::size_t i = 1; i < lists.size(); ++i)
-    if (std::string fault = faultOf(lists[i], lists[i - 1], i + 1); !fault.empty()) return fault;
-  return "";
+    if (auto fault = faultOf(lists[i], lists[i - 1], i + 1)) return fault;
+  return std::nullopt;
 }
 
-VoterListTransition transitionTo(const VoterListHistory& stored, const std::vector<VoterList>& lists,
-                                 const std::string& voter) {
+std::variant<VoterListTransition, VoterListRejection> transitionTo(const VoterListHistory& stored,
+                                                                   const std::vector<VoterList>& lists,
+                                                                   const std::string& voter) {
+  if (auto reason = rejectReasonOf(stored.current, lists)) return VoterListRejection{std::move(*reason)};
   const VoterList& present = lists.back();
   VoterListTransition transition;
-  transition.lists = {present, stored.previous};
-  transition.changed = present != stored.current;
-  transition.rejectReason = rejectReasonOf(stored.current, lists);
-  if (!transition.rejectReason.empty()) return transition;
+  transition.lists = {.current = present, .previous = stored.previous};
+  transition.hasChanged = present != stored.current;
   const std::uint64_t last = stored.current.version;
-  if (last == 0) transition.diskCounts = lists.size() == 1;
+  if (last == 0) transition.isDiskTrusted = lists.size() == 1;
   // The one that it served under and those that it missed may not be superseded yet.
   for (std::size_t i = last == 0 ? 0 : last - 1; i + 1 < lists.size(); ++i) {
     transition.lists.previous.push_back(lists[i]);
-    if (!lists[i].names.contains(voter)) transition.diskCounts = false;
+    if (!lists[i].names.contains(voter)) transition.isDiskTrusted = false;
   }
   return transition;
 }
--- a/src/idempotency/voting_member.cpp
+++ b/src/idempotency/voting_member.cpp
@@ -13,17 +13,17 @@
                            StoredState stored)
     : limits_(limits),
       isComplete_(stored.isComplete),
-      lists_(std::move(stored.lists)),
+      lists_(std::move(stored.voterLists)),
       onCurrentList_{name},
-      ownStarts_(std::move(stored.own)),
+      ownStarts_(std::move(stored.ownStarts)),
       newSince_(stored.newSince),
       otherVoters_(lists_.current.names),
-      otherStarts_(std::move(stored.starts)) {
+      otherStarts_(std::move(stored.voterStarts)) {
   otherVoters_.erase(name);
-  for (ClaimRecord& record : stored.entries) {
-    expiries_.push_back({now + limits_.retention, record.id, record.token});
+  for (ClaimRecord& record : stored.claims) {
+    expiries_.push_back({.when = now + limits_.retention, .id = record.id, .token = record.token});
     const std::string id = record.id;
-    claims_[id] = {std::move(record), true};
+    claims_[id] = {.record = std::move(record), .isDurable = true};
   }
   finishListChange(false);
   finishVerification(now);
@@ -31,21 +31,18 @@
 
 // --- Among voters
 
-// Lists that are superseded stay so: disks don't go back.
-void VotingMember::finishListChange(bool isAnswered) {
+// Lists that are superseded stay so: no disk returns to an earlier list.
+void VotingMember::finishListChange(bool isConfirmed) {
   if (state_ != State::changingLists) return;
-  const bool areSuperseded = isAnswered || std::all_of(lists_.previous.begin(), lists_.previous.end(),
-                                                       [&](const VoterList& previous) {
-                                                         return isSuperseded(previous, onCurrentList_);
-                                                       });
+  const bool areSuperseded = isConfirmed || std::all_of(lists_.previous.begin(), lists_.previous.end(),
+                                                        [&](const VoterList& previous) {
+                                                          return isSuperseded(previous, onCurrentList_);
+                                                        });
   if (!areSuperseded) return;
   state_ = State::verifyingDisk;
   if (lists_.previous.empty()) return;
   lists_.previous.clear();
-  DiskChange change;
-  change.kind = DiskChange::Kind::lists;
-  change.lists = lists_;
-  changes_.push_back(std::move(change));
+  changes_.push_back(lists_);
 }
 
 void VotingMember::finishVerification(Instant now) {
@@ -77,22 +74,22 @@
   const VoterIncarnation knownBefore = newest;
   if (start.number > newest.number) {
     newest = start;
-    writeStart(voter, start);
+    changes_.push_back(VoterStartRecord{.voter = voter, .incarnation = start});
   }
   return knownBefore;
 }
 
 bool VotingMember::onGreetingReply(Instant now, const std::string& voter, std::uint64_t greetedStart,
                                    const VoterIncarnation& knownStart) {
-  // An answer to an older greeting says nothing of this start.
+  // A reply to an older greeting says nothing about this start.
   if (!otherVoters_.contains(voter) || greetedStart != start().number) return false;
   finishListChange(true);
   const bool isOurs = std::any_of(ownStarts_.begin(), ownStarts_.end(),
                                   [&](const auto& own) { return own.draw == knownStart.draw; });
-  // A start that this disk has not seen: it was another disk's, or this one's later than this copy. Numbers
-  // alone don't tell: starts that nobody was notified of count up, too.
+  // A start that this disk has not seen: it was another disk's, or this one's after this copy was made.
+  // Numbers alone don't show that: starts that nobody was notified of count up, too.
   if (knownStart.number > 0 && knownStart.number >= newSince_ && !isOurs) {
-    startAnew(knownStart);
+    restartVerification(knownStart);
     return true;
   }
   confirmedBy_.insert(voter);
@@ -100,11 +97,11 @@
   return false;
 }
 
-void VotingMember::startAnew(const VoterIncarnation& knownStart) {
+void VotingMember::restartVerification(const VoterIncarnation& knownStart) {
   newSince_ = std::max(knownStart.number, start().number) + 1;
-  ownStarts_.push_back({newSince_, start().draw});
-  writeStart("", start());
-  writeVoting(start(), false);
+  ownStarts_.push_back({.number = newSince_, .draw = start().draw});
+  changes_.push_back(VoterStartRecord{.voter = {}, .incarnation = start()});
+  changes_.push_back(VotingRecord{.isComplete = false, .newSince = newSince_});
   isComplete_ = false;
   state_ = State::verifyingDisk;
   confirmedBy_.clear();
@@ -115,22 +112,22 @@
 std::optional<Vote> VotingMember::onClaim(Instant now, const std::string& id, const ClaimToken& token) {
   if (const auto found = claims_.find(id); found != claims_.end())
     return onRepeatedClaim(found->second, token);
-  // A claim that was released and claimed anew has its first place among the expiries still.
+  // Expiries are counted, not claims: one that was released and claimed again has its first expiry still.
   if (state_ != State::voting || expiries_.size() >= limits_.maxClaims ||
       pendingWrites_ >= limits_.maxPendingWrites)
     return Vote{};
   ++pendingWrites_;
-  const ClaimRecord record{id, token, false, ""};
-  claims_[id] = {record, false};
+  const ClaimRecord record{.id = id, .token = token, .isCommitted = false, .value = {}};
+  claims_[id] = {.record = record, .isDurable = false};
   scheduleExpiry(now, id);
-  writeClaim(record);
+  changes_.push_back(record);
   return std::nullopt;
 }
 
-std::optional<Vote> VotingMember::onRepeatedClaim(const HeldClaim& held, const ClaimToken& token) {
-  if (held.record.token != token) return takenBy(held.record);
+std::optional<Vote> VotingMember::onRepeatedClaim(const StoredClaim& stored, const ClaimToken& token) {
+  if (stored.record.token != token) return takenBy(stored.record);
   if (state_ != State::voting) return Vote{};
-  if (held.isDurable) return Vote{Vote::Kind::granted, false, ""};
+  if (stored.isDurable) return Vote{.kind = Vote::Kind::granted, .isCommitted = false, .value = {}};
   if (pendingWrites_ >= limits_.maxPendingWrites) return Vote{};
   ++pendingWrites_;
   return std::nullopt;
@@ -140,10 +137,11 @@
   if (pendingWrites_ > 0) --pendingWrites_;
   const auto found = claims_.find(id);
   if (found == claims_.end() || found->second.record.token != token) return std::nullopt;
-  // What could not be written stays held here: nobody else gets the vote, and it is not given either.
+  // A claim that could not be written stays here: no other claim gets the vote, and this one doesn't either.
   if (!isDurable) return Vote{};
   found->second.isDurable = true;
-  return Vote{state_ == State::voting ? Vote::Kind::granted : Vote::Kind::abstained, false, ""};
+  const auto kind = state_ == State::voting ? Vote::Kind::granted : Vote::Kind::abstained;
+  return Vote{.kind = kind, .isCommitted = false, .value = {}};
 }
 
 void VotingMember::onCommitted(Instant now, const std::string& id, const ClaimToken& token,
@@ -151,26 +149,29 @@
   if (value.size() > limits_.maxValueBytes) value.clear();
   const auto found = claims_.find(id);
   if (found == claims_.end()) {
-    // The claim did not reach this voter; that it was committed is a fact all the same.
+    // The claim did not reach this voter, but its commit counts all the same.
     if (expiries_.size() >= limits_.maxClaims) return;
-    claims_[id] = {ClaimRecord{id, token, true, std::move(value)}, false};
+    claims_[id] = {.record = {.id = id, .token = token, .isCommitted = true, .value = std::move(value)},
+                   .isDurable = false};
     scheduleExpiry(now, id);
-    return writeClaim(claims_.at(id).record);
+    changes_.push_back(claims_.at(id).record);
+    return;
   }
   ClaimRecord& record = found->second.record;
-  if (record.committed && record.token == token) return;
-  // Another claim's vote here never won: the one that did was committed.
+  if (record.isCommitted && record.token == token) return;
+  // Where another claim has the vote it lost: this one was committed.
   const bool isOtherClaim = record.token != token;
-  record = {id, token, true, std::move(value)};
-  writeClaim(record);
+  record = {.id = id, .token = token, .isCommitted = true, .value = std::move(value)};
+  changes_.push_back(record);
   if (isOtherClaim) scheduleExpiry(now, id);
 }
 
 void VotingMember::onReleased(const std::string& id, const ClaimToken& token) {
   const auto found = claims_.find(id);
-  if (found == claims_.end() || found->second.record.token != token || found->second.record.committed) return;
+  if (found == claims_.end() || found->second.record.token != token || found->second.record.isCommitted)
+    return;
   claims_.erase(found);
-  writeDrop(id);
+  changes_.push_back(ClaimRemoval{id});
 }
 
 // --- Time
@@ -179,7 +180,7 @@
   if (state_ == State::abstaining && now >= abstainsUntil_) {
     state_ = State::voting;
     isComplete_ = true;
-    writeVoting({newSince_, 0}, true);
+    changes_.push_back(VotingRecord{.isComplete = true, .newSince = newSince_});
   }
   dropExpired(now);
   const Instant nextExpiry = expiries_.empty() ? Instant() : expiries_.front().when;
@@ -188,7 +189,7 @@
 }
 
 void VotingMember::scheduleExpiry(Instant now, const std::string& id) {
-  expiries_.push_back({now + limits_.retention, id, claims_.at(id).record.token});
+  expiries_.push_back({.when = now + limits_.retention, .id = id, .token = claims_.at(id).record.token});
 }
 
 void VotingMember::dropExpired(Instant now) {
@@ -196,29 +197,11 @@
     const ClaimExpiry expired = std::move(expiries_.front());
     expiries_.pop_front();
     const auto found = claims_.find(expired.id);
-    // Claimed anew since it was released: that one has its own time.
+    // Released and claimed again since: the later claim has an expiry of its own.
     if (found == claims_.end() || found->second.record.token != expired.token) continue;
     claims_.erase(found);
-    writeDrop(expired.id);
+    changes_.push_back(ClaimRemoval{expired.id});
   }
 }
 
-// --- What is to be made durable
-
-void VotingMember::writeClaim(const ClaimRecord& record) {
-  changes_.push_back({DiskChange::Kind::put, record.id, record, {}, false});
-}
-
-void VotingMember::writeDrop(const std::string& id) {
-  changes_.push_back({DiskChange::Kind::drop, id, {}, {}, false});
-}
-
-void VotingMember::writeStart(const std::string& voter, const VoterIncarnation& start) {
-  changes_.push_back({DiskChange::Kind::start, voter, {}, start, false});
-}
-
-void VotingMember::writeVoting(const VoterIncarnation& newSince, bool isComplete) {
-  changes_.push_back({DiskChange::Kind::voting, "", {}, newSince, isComplete});
-}
-
 }  // namespace gulltrestle::idempotency
--- a/src/store/connection.cpp
+++ b/src/store/connection.cpp
@@ -11,11 +11,10 @@
 
 }  // namespace
 
-// A rollback journal that is truncated, with full synchronization: once a commit returns, all of it stands in
-// the one file, where the checksums see each byte. A write-ahead log would cost one sync instead of three,
-// but a flipped byte in its middle passes for the torn end of a power loss, and what was committed after is
-// gone without a sign.
-Connection::Connection(const std::string& path, OpenMode mode) {
+// A rollback journal that is truncated, with full synchronization: once a commit returns, all of it is in the
+// one file, where the checksums cover each byte. A write-ahead log would cost one sync instead of three, but
+// a flipped byte in its middle passes for the torn end of a power loss, and later commits are lost silently.
+Connection::Connection(const std::string& path, OpenMode mode) : path_(path) {
   const int access =
       mode == OpenMode::reading ? SQLITE_OPEN_READONLY : SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
   sqlite3* opened = nullptr;
@@ -43,17 +42,17 @@
   switch (code & kPrimaryCodeMask) {
     case SQLITE_CORRUPT:
     case SQLITE_NOTADB:
-    case SQLITE_ERROR:  // a table or column that isn't there
+    case SQLITE_ERROR:  // a missing table or column
     case SQLITE_FORMAT:
     case SQLITE_MISMATCH:
     case SQLITE_TOOBIG:
     case SQLITE_CONSTRAINT:
-      throw CorruptDatabase(message);
+      throw CorruptDatabase(message, path_);
     case SQLITE_BUSY:
     case SQLITE_LOCKED:
-      throw DiskError("another process has it");
+      throw LockedDatabase(path_);
     default:
-      throw DiskError(message);
+      throw DiskError(message, path_);
   }
 }
 
--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -1,5 +1,9 @@
 #include "store/database.h"
 
+#include <exception>
+#include <utility>
+#include <variant>
+
 #include "store/schema.h"
 
 namespace gulltrestle::store {
@@ -7,8 +11,18 @@
 namespace {
 
 using idempotency::ClaimRecord;
+using idempotency::ClaimRemoval;
+using idempotency::ClaimToken;
+using idempotency::MaintenanceRecord;
+using idempotency::NodeDrainRecord;
+using idempotency::PrimaryRecord;
+using idempotency::RouterStartRecord;
 using idempotency::StoredState;
 using idempotency::VoterIncarnation;
+using idempotency::VoterList;
+using idempotency::VoterListHistory;
+using idempotency::VoterStartRecord;
+using idempotency::VotingRecord;
 
 // Keys of the table `meta`.
 constexpr char kFormatKey[] = "format";
@@ -22,13 +36,23 @@
 
 // Starts of its own that a voting member remembers. One that others know of and that is older than these is
 // taken for another disk's: the member abstains once more, which is safe.
-constexpr std::uint64_t kOwnStarts = 64;
+constexpr std::uint64_t kMaxOwnStarts = 64;
 
 // The number below which starts of that voter are removed: of another voter only the newest counts.
-std::uint64_t oldestRememberedStart(const VoterStartRow& newest) {
+std::uint64_t oldestRememberedStart(const VoterStartRecord& newest) {
   const std::uint64_t number = newest.incarnation.number;
   if (!newest.voter.empty()) return number;
-  return number > kOwnStarts ? number - kOwnStarts : 0;
+  return number > kMaxOwnStarts ? number - kMaxOwnStarts : 0;
+}
+
+// From the column of its number and the next one, of its draw.
+VoterIncarnation incarnationAt(const Statement& row, int column) {
+  return {.number = row.number(column), .draw = row.number(column + 1)};
+}
+
+// From a row of place, version and keeper.
+VoterListRow voterListRowAt(const Statement& row) {
+  return {.position = row.number(0), .version = row.number(1), .voter = row.text(2)};
 }
 
 }  // namespace
@@ -37,14 +61,13 @@
   isNew_ = !Statement(connection_, "SELECT 1 FROM sqlite_schema").step();
   if (isNew_) return;
   const std::string format = meta(kFormatKey);
-  if (format.empty()) throw CorruptDatabase("it has no format");
-  if (!isReadableFormat(format)) throw DiskError("it has format " + format + ", this program " + kFormat);
+  if (format.empty()) throw CorruptDatabase("it has no format", path);
+  if (!isReadableFormat(format))
+    throw UnsupportedFormat("it has format " + format + ", this program " + kFormat, path);
   voter_ = meta(kVoterKey);
-} catch (const DiskError&) { throw; } catch (const CorruptDatabase&) {
-  throw;
-} catch (const std::exception& error) {
+} catch (const StoreError&) { throw; } catch (const std::exception& error) {
   // Whatever else goes wrong while a file is opened counts as damage of it.
-  throw CorruptDatabase(error.what());
+  throw CorruptDatabase(error.what(), path);
 }
 
 std::string Database::meta(const std::string& key) const {
@@ -60,15 +83,14 @@
       .step();
 }
 
-void Database::begin(const std::string& voter, bool isComplete) {
+void Database::initialize(const std::string& voter, const VotingRecord& voting) {
   connection_.execute("BEGIN IMMEDIATE");
   createTables(connection_);
   digest_ = 0;
   for (const char* key : kCheckedKeys) digest_ ^= checksumOf(MetaRow{key, ""});
   setMeta(kFormatKey, kFormat);
   setMeta(kVoterKey, voter);
-  setMeta(kCompleteKey, isComplete ? "1" : "0");
-  setMeta(kNewSinceKey, "0");
+  apply(voting);
   setMeta(kDigestKey, std::to_string(digest_));
   connection_.execute("COMMIT");
   voter_ = voter;
@@ -84,15 +106,15 @@
   loadMeta(state);
   loadClaims(state);
   loadVoterStarts(state);
-  loadNodes(state);
+  loadNodeDrains(state);
   const std::string format = meta(kFormatKey);
   if (hasPrimaries(format)) loadPrimaries(state);
   if (hasMembersAndLists(format)) {
-    loadMembers(state);
+    loadRouterStarts(state);
     loadVoterLists(state);
   }
   if (meta(kDigestKey) != std::to_string(digest_))
-    throw CorruptDatabase("its rows are not those that were written");
+    throw CorruptDatabase("its rows are not those that were written", connection_.path());
   state.newSince = std::stoull(meta(kNewSinceKey));
   if (format != kFormat && !connection_.isReadOnly()) upgrade(format);
   return state;
@@ -100,76 +122,79 @@
 
 void Database::checkStructure() const {
   Statement check(connection_, "PRAGMA quick_check(1)");
-  if (!check.step() || check.text(0) != "ok") throw CorruptDatabase("its structure is not sound");
+  if (!check.step() || check.text(0) != "ok")
+    throw CorruptDatabase("its structure is not sound", connection_.path());
 }
 
 void Database::loadMeta(StoredState& state) {
   for (const char* key : kCheckedKeys) digest_ ^= checksumOf(MetaRow{key, meta(key)});
   state.isComplete = meta(kCompleteKey) == "1";
-  state.maintenance = meta(kMaintenanceKey);
+  state.acceptorState = meta(kMaintenanceKey);
   // Older formats have no such row: an empty one counts for nothing in the digest.
   digest_ ^=
-      checksumOf(MetaRow{kMaintenanceKey, state.maintenance}) ^ checksumOf(MetaRow{kMaintenanceKey, ""});
+      checksumOf(MetaRow{kMaintenanceKey, state.acceptorState}) ^ checksumOf(MetaRow{kMaintenanceKey, ""});
 }
 
 void Database::loadClaims(StoredState& state) {
   Statement rows(connection_, "SELECT id, router, start, number, committed, value FROM claims");
   while (rows.step()) {
-    ClaimRecord claim{
-        rows.text(0), {rows.text(1), rows.number(2), rows.number(3)}, rows.flag(4), rows.text(5)};
+    const ClaimToken token{.router = rows.text(1), .start = rows.number(2), .number = rows.number(3)};
+    ClaimRecord claim{.id = rows.text(0), .token = token, .isCommitted = rows.flag(4), .value = rows.text(5)};
     digest_ ^= checksumOf(claim);
-    state.entries.push_back(std::move(claim));
+    state.claims.push_back(std::move(claim));
   }
 }
 
 void Database::loadVoterStarts(StoredState& state) {
   Statement rows(connection_, "SELECT keeper, number, draw FROM starts ORDER BY number");
   while (rows.step()) {
-    const VoterStartRow row{rows.text(0), {rows.number(1), rows.number(2)}};
-    digest_ ^= checksumOf(row);
-    if (row.voter.empty())
-      state.own.push_back(row.incarnation);
+    const VoterStartRecord start{.voter = rows.text(0), .incarnation = incarnationAt(rows, 1)};
+    digest_ ^= checksumOf(start);
+    if (start.voter.empty())
+      state.ownStarts.push_back(start.incarnation);
     else
-      state.starts[row.voter] = row.incarnation;
+      state.voterStarts[start.voter] = start.incarnation;
   }
 }
 
-void Database::loadNodes(StoredState& state) {
+void Database::loadNodeDrains(StoredState& state) {
   Statement rows(connection_, "SELECT id, version, leaving FROM nodes");
   while (rows.step()) {
-    const NodeRow row{rows.text(0), rows.number(1), rows.flag(2)};
-    digest_ ^= checksumOf(row);
-    state.nodes[row.node] = {row.listVersion, row.isDraining};
+    const NodeDrainRecord drain{
+        .node = rows.text(0), .listVersion = rows.number(1), .isDraining = rows.flag(2)};
+    digest_ ^= checksumOf(drain);
+    state.nodeDrains[drain.node] = drain;
   }
 }
 
 void Database::loadPrimaries(StoredState& state) {
   Statement rows(connection_, "SELECT grp, node, version FROM primaries");
   while (rows.step()) {
-    const PrimaryRow row{rows.number(0), rows.text(1), rows.number(2)};
-    digest_ ^= checksumOf(row);
-    state.primaries[row.group] = {row.node, row.listVersion};
+    const PrimaryRecord primary{.group = rows.number(0), .node = rows.text(1), .listVersion = rows.number(2)};
+    digest_ ^= checksumOf(primary);
+    state.primaries[primary.group] = primary;
   }
 }
 
-void Database::loadMembers(StoredState& state) {
+void Database::loadRouterStarts(StoredState& state) {
   Statement rows(connection_, "SELECT router, number, draw FROM members");
   while (rows.step()) {
-    const RouterStartRow row{rows.text(0), {rows.number(1), rows.number(2)}};
-    digest_ ^= checksumOf(row);
-    state.members[row.router] = row.incarnation;
+    const RouterStartRecord start{.router = rows.text(0), .incarnation = incarnationAt(rows, 1)};
+    digest_ ^= checksumOf(start);
+    state.routerStarts[start.router] = start.incarnation;
   }
 }
 
 void Database::loadVoterLists(StoredState& state) {
   Statement rows(connection_, "SELECT place, version, keeper FROM lists ORDER BY place");
-  auto& previous = state.lists.previous;
+  std::vector<VoterList>& previous = state.voterLists.previous;
   while (rows.step()) {
-    const VoterListRow row{rows.number(0), rows.number(1), rows.text(2)};
+    const VoterListRow row = voterListRowAt(rows);
     digest_ ^= checksumOf(row);
-    if (row.place > idempotency::kMaxVoterLists) throw CorruptDatabase("it holds too many lists");
-    if (row.place > previous.size()) previous.resize(row.place);
-    idempotency::VoterList& list = row.place == 0 ? state.lists.current : previous[row.place - 1];
+    if (row.position > idempotency::kMaxVoterLists)
+      throw CorruptDatabase("it holds too many lists", connection_.path());
+    if (row.position > previous.size()) previous.resize(row.position);
+    VoterList& list = row.position == 0 ? state.voterLists.current : previous[row.position - 1];
     list.version = row.version;
     list.names.insert(row.voter);
   }
@@ -188,141 +213,127 @@
 void Database::commit(const std::vector<const std::vector<DiskChange>*>& groups) {
   connection_.execute("BEGIN IMMEDIATE");
   for (const auto* changes : groups)
-    for (const DiskChange& change : *changes) apply(change);
+    for (const DiskChange& change : *changes)
+      std::visit([this](const auto& record) { apply(record); }, change);
   setMeta(kDigestKey, std::to_string(digest_));
   connection_.execute("COMMIT");
 }
 
-void Database::apply(const DiskChange& change) {
-  switch (change.kind) {
-    case DiskChange::Kind::put:
-      return putClaim(change);
-    case DiskChange::Kind::drop:
-      return dropClaim(change.id);
-    case DiskChange::Kind::start:
-      return putVoterStart({change.id, change.start});
-    case DiskChange::Kind::node:
-      return putNode({change.id, change.start.number, change.isComplete});
-    case DiskChange::Kind::primary:
-      return putPrimary({change.group, change.id, change.start.number});
-    case DiskChange::Kind::member:
-      return putMember({change.id, change.start});
-    case DiskChange::Kind::lists:
-      return putVoterLists(change.lists);
-    case DiskChange::Kind::work:
-      return setMeta(kMaintenanceKey, change.id);
-    case DiskChange::Kind::voting:
-      return putVoting(change.isComplete, change.start.number);
-  }
-}
-
-void Database::forgetClaimChecksum(const std::string& id) {
+void Database::removeClaimChecksum(const std::string& id) {
   Statement old(connection_, "SELECT router, start, number, committed, value FROM claims WHERE id = ?");
   if (!old.bind(id).step()) return;
+  const ClaimToken token{.router = old.text(0), .start = old.number(1), .number = old.number(2)};
   digest_ ^=
-      checksumOf(ClaimRecord{id, {old.text(0), old.number(1), old.number(2)}, old.flag(3), old.text(4)});
+      checksumOf(ClaimRecord{.id = id, .token = token, .isCommitted = old.flag(3), .value = old.text(4)});
 }
 
-void Database::putClaim(const DiskChange& change) {
-  forgetClaimChecksum(change.id);
-  const ClaimRecord& claim = change.entry;
+void Database::apply(const ClaimRecord& claim) {
+  removeClaimChecksum(claim.id);
   digest_ ^= checksumOf(claim);
   Statement(connection_, "INSERT OR REPLACE INTO claims VALUES (?, ?, ?, ?, ?, ?)")
       .bind(claim.id)
       .bind(claim.token.router)
       .bind(claim.token.start)
       .bind(claim.token.number)
-      .bind(std::uint64_t{claim.committed})
+      .bind(std::uint64_t{claim.isCommitted})
       .bind(claim.value)
       .step();
 }
 
-void Database::dropClaim(const std::string& id) {
-  forgetClaimChecksum(id);
-  Statement(connection_, "DELETE FROM claims WHERE id = ?").bind(id).step();
+void Database::apply(const ClaimRemoval& removal) {
+  removeClaimChecksum(removal.id);
+  Statement(connection_, "DELETE FROM claims WHERE id = ?").bind(removal.id).step();
 }
 
-void Database::putVoterStart(const VoterStartRow& row) {
-  const std::uint64_t oldest = oldestRememberedStart(row);
+void Database::apply(const VoterStartRecord& start) {
+  const std::uint64_t oldest = oldestRememberedStart(start);
   Statement old(connection_,
                 "SELECT number, draw FROM starts WHERE keeper = ? AND (number < ? OR number = ?)");
-  old.bind(row.voter).bind(oldest).bind(row.incarnation.number);
-  while (old.step()) digest_ ^= checksumOf(VoterStartRow{row.voter, {old.number(0), old.number(1)}});
+  old.bind(start.voter).bind(oldest).bind(start.incarnation.number);
+  while (old.step())
+    digest_ ^= checksumOf(VoterStartRecord{.voter = start.voter, .incarnation = incarnationAt(old, 0)});
   Statement(connection_, "DELETE FROM starts WHERE keeper = ? AND (number < ? OR number = ?)")
-      .bind(row.voter)
+      .bind(start.voter)
       .bind(oldest)
-      .bind(row.incarnation.number)
+      .bind(start.incarnation.number)
       .step();
-  digest_ ^= checksumOf(row);
+  digest_ ^= checksumOf(start);
   Statement(connection_, "INSERT INTO starts VALUES (?, ?, ?)")
-      .bind(row.voter)
-      .bind(row.incarnation.number)
-      .bind(row.incarnation.draw)
+      .bind(start.voter)
+      .bind(start.incarnation.number)
+      .bind(start.incarnation.draw)
       .step();
 }
 
-// A list version of 0 removes the row.
-void Database::putNode(const NodeRow& row) {
+void Database::apply(const NodeDrainRecord& drain) {
   Statement old(connection_, "SELECT version, leaving FROM nodes WHERE id = ?");
-  if (old.bind(row.node).step()) digest_ ^= checksumOf(NodeRow{row.node, old.number(0), old.flag(1)});
-  if (row.listVersion == 0) {
-    Statement(connection_, "DELETE FROM nodes WHERE id = ?").bind(row.node).step();
+  if (old.bind(drain.node).step())
+    digest_ ^= checksumOf(
+        NodeDrainRecord{.node = drain.node, .listVersion = old.number(0), .isDraining = old.flag(1)});
+  if (drain.listVersion == 0) {
+    Statement(connection_, "DELETE FROM nodes WHERE id = ?").bind(drain.node).step();
     return;
   }
-  digest_ ^= checksumOf(row);
+  digest_ ^= checksumOf(drain);
   Statement(connection_, "INSERT OR REPLACE INTO nodes VALUES (?, ?, ?)")
-      .bind(row.node)
-      .bind(row.listVersion)
-      .bind(std::uint64_t{row.isDraining})
+      .bind(drain.node)
+      .bind(drain.listVersion)
+      .bind(std::uint64_t{drain.isDraining})
       .step();
 }
 
-void Database::putPrimary(const PrimaryRow& row) {
+void Database::apply(const PrimaryRecord& primary) {
   Statement old(connection_, "SELECT node, version FROM primaries WHERE grp = ?");
-  if (old.bind(row.group).step()) digest_ ^= checksumOf(PrimaryRow{row.group, old.text(0), old.number(1)});
-  digest_ ^= checksumOf(row);
+  if (old.bind(primary.group).step())
+    digest_ ^=
+        checksumOf(PrimaryRecord{.group = primary.group, .node = old.text(0), .listVersion = old.number(1)});
+  digest_ ^= checksumOf(primary);
   Statement(connection_, "INSERT OR REPLACE INTO primaries VALUES (?, ?, ?)")
-      .bind(row.group)
-      .bind(row.node)
-      .bind(row.listVersion)
+      .bind(primary.group)
+      .bind(primary.node)
+      .bind(primary.listVersion)
       .step();
 }
 
-void Database::putMember(const RouterStartRow& row) {
+void Database::apply(const RouterStartRecord& start) {
   Statement old(connection_, "SELECT number, draw FROM members WHERE router = ?");
-  if (old.bind(row.router).step())
-    digest_ ^= checksumOf(RouterStartRow{row.router, {old.number(0), old.number(1)}});
-  digest_ ^= checksumOf(row);
+  if (old.bind(start.router).step())
+    digest_ ^= checksumOf(RouterStartRecord{.router = start.router, .incarnation = incarnationAt(old, 0)});
+  digest_ ^= checksumOf(start);
   Statement(connection_, "INSERT OR REPLACE INTO members VALUES (?, ?, ?)")
-      .bind(row.router)
-      .bind(row.incarnation.number)
-      .bind(row.incarnation.draw)
+      .bind(start.router)
+      .bind(start.incarnation.number)
+      .bind(start.incarnation.draw)
       .step();
 }
 
-void Database::putVoterLists(const idempotency::VoterListHistory& lists) {
+void Database::apply(const VoterListHistory& lists) {
   Statement old(connection_, "SELECT place, version, keeper FROM lists");
-  while (old.step()) digest_ ^= checksumOf(VoterListRow{old.number(0), old.number(1), old.text(2)});
+  while (old.step()) digest_ ^= checksumOf(voterListRowAt(old));
   connection_.execute("DELETE FROM lists");
-  std::uint64_t place = 0;
-  putVoterList(place, lists.current);
-  for (const idempotency::VoterList& previous : lists.previous) putVoterList(++place, previous);
+  std::uint64_t position = 0;
+  insertVoterList(position, lists.current);
+  for (const VoterList& previous : lists.previous) insertVoterList(++position, previous);
 }
 
-void Database::putVoterList(std::uint64_t place, const idempotency::VoterList& list) {
+void Database::insertVoterList(std::uint64_t position, const VoterList& list) {
   for (const std::string& voter : list.names) {
-    digest_ ^= checksumOf(VoterListRow{place, list.version, voter});
+    digest_ ^= checksumOf(VoterListRow{.position = position, .version = list.version, .voter = voter});
     Statement(connection_, "INSERT INTO lists VALUES (?, ?, ?)")
-        .bind(place)
+        .bind(position)
         .bind(list.version)
         .bind(voter)
         .step();
   }
 }
 
-void Database::putVoting(bool isComplete, std::uint64_t newSince) {
-  setMeta(kCompleteKey, isComplete ? "1" : "0");
-  setMeta(kNewSinceKey, std::to_string(newSince));
+void Database::apply(const VotingRecord& voting) {
+  setMeta(kCompleteKey, voting.isComplete ? "1" : "0");
+  setMeta(kNewSinceKey, std::to_string(voting.newSince));
+}
+
+void Database::apply(const MaintenanceRecord& maintenance) {
+  setMeta(kMaintenanceKey, maintenance.acceptorState);
 }
 
 }  // namespace gulltrestle::store
--- a/src/store/database.h
+++ b/src/store/database.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "idempotency/voting_member.h"
+#include "idempotency/stored_state.h"
 #include "store/connection.h"
 #include "store/row_checksums.h"
 
@@ -19,17 +19,16 @@
 class Database {
  public:
   using OpenMode = Connection::OpenMode;
-  using DiskChange = idempotency::VotingMember::DiskChange;
+  using DiskChange = idempotency::DiskChange;
 
-  // Opens the file; when writing, creates one that is missing. Throws CorruptDatabase, and DiskError also for
-  // a format that this version does not know.
+  // Opens the file; when writing, creates one that is missing. Throws CorruptDatabase, LockedDatabase,
+  // UnsupportedFormat, DiskError.
   Database(const std::string& path, OpenMode mode);
 
-  // Whether the file has no tables yet: begin() is to be called before anything else.
+  // Whether the file has no tables yet: initialize() is to be called before anything else.
   [[nodiscard]] bool isNew() const { return isNew_; }
-  // Creates the tables. `voter` is the voting member whose store it is; `isComplete`: its votes count at
-  // once, as there never were others. Throws DiskError.
-  void begin(const std::string& voter, bool isComplete);
+  // Creates the tables. `voter` is the voting member whose store it is. Throws DiskError.
+  void initialize(const std::string& voter, const idempotency::VotingRecord& voting);
   // The voting member whose store it is.
   [[nodiscard]] const std::string& voter() const { return voter_; }
   // All rows, checked against the digest; a file of an older format that is open for writing is brought up to
@@ -37,7 +36,7 @@
   idempotency::StoredState load();
   // All changes of all groups in one transaction: once it returns they are durable. Throws DiskError or
   // CorruptDatabase: they may be durable or not, all or none, and the connection is of no further use. After
-  // load() or begin() only.
+  // load() or initialize() only.
   void commit(const std::vector<const std::vector<DiskChange>*>& groups);
 
  private:
@@ -49,24 +48,25 @@
   void loadMeta(idempotency::StoredState& state);
   void loadClaims(idempotency::StoredState& state);
   void loadVoterStarts(idempotency::StoredState& state);
-  void loadNodes(idempotency::StoredState& state);
+  void loadNodeDrains(idempotency::StoredState& state);
   void loadPrimaries(idempotency::StoredState& state);
-  void loadMembers(idempotency::StoredState& state);
+  void loadRouterStarts(idempotency::StoredState& state);
   void loadVoterLists(idempotency::StoredState& state);
   void upgrade(const std::string& format);
 
-  void apply(const DiskChange& change);
-  void putClaim(const DiskChange& change);
-  void dropClaim(const std::string& id);
-  void putVoterStart(const VoterStartRow& row);
-  void putNode(const NodeRow& row);
-  void putPrimary(const PrimaryRow& row);
-  void putMember(const RouterStartRow& row);
-  void putVoterLists(const idempotency::VoterListHistory& lists);
-  void putVoterList(std::uint64_t place, const idempotency::VoterList& list);
-  void putVoting(bool isComplete, std::uint64_t newSince);
+  // One change of each kind, within a transaction.
+  void apply(const idempotency::ClaimRecord& claim);
+  void apply(const idempotency::ClaimRemoval& removal);
+  void apply(const idempotency::VoterStartRecord& start);
+  void apply(const idempotency::VotingRecord& voting);
+  void apply(const idempotency::NodeDrainRecord& drain);
+  void apply(const idempotency::PrimaryRecord& primary);
+  void apply(const idempotency::RouterStartRecord& start);
+  void apply(const idempotency::VoterListHistory& lists);
+  void apply(const idempotency::MaintenanceRecord& maintenance);
+  void insertVoterList(std::uint64_t position, const idempotency::VoterList& list);
   // Takes the claim of that id out of the digest, if there is one.
-  void forgetClaimChecksum(const std::string& id);
+  void removeClaimChecksum(const std::string& id);
 
   Connection connection_;
   std::string voter_;
--- a/src/store/row_checksums.cpp
+++ b/src/store/row_checksums.cpp
@@ -17,28 +17,28 @@
 
 std::uint64_t checksumOf(const idempotency::ClaimRecord& row) {
   return hashOf("claim " + column(row.id) + column(row.token.router) + column(row.token.start) +
-                column(row.token.number) + flag(row.committed) + column(row.value));
+                column(row.token.number) + flag(row.isCommitted) + column(row.value));
 }
 
-std::uint64_t checksumOf(const VoterStartRow& row) {
+std::uint64_t checksumOf(const idempotency::VoterStartRecord& row) {
   return hashOf("start " + column(row.voter) + column(row.incarnation.number) + column(row.incarnation.draw));
 }
 
-std::uint64_t checksumOf(const NodeRow& row) {
+std::uint64_t checksumOf(const idempotency::NodeDrainRecord& row) {
   return hashOf("node " + column(row.node) + column(row.listVersion) + flag(row.isDraining));
 }
 
-std::uint64_t checksumOf(const PrimaryRow& row) {
+std::uint64_t checksumOf(const idempotency::PrimaryRecord& row) {
   return hashOf("primary " + column(row.group) + column(row.node) + std::to_string(row.listVersion));
 }
 
-std::uint64_t checksumOf(const RouterStartRow& row) {
+std::uint64_t checksumOf(const idempotency::RouterStartRecord& row) {
   return hashOf("member " + column(row.router) + column(row.incarnation.number) +
                 column(row.incarnation.draw));
 }
 
 std::uint64_t checksumOf(const VoterListRow& row) {
-  return hashOf("list " + column(row.place) + column(row.version) + column(row.voter));
+  return hashOf("list " + column(row.position) + column(row.version) + column(row.voter));
 }
 
 std::uint64_t checksumOf(const MetaRow& row) { return hashOf("meta " + column(row.key) + column(row.value)); }
--- a/src/store/schema.h
+++ b/src/store/schema.h
@@ -1,6 +1,6 @@
 // The tables of a store's database, and the formats that they had in earlier versions.
 //
-//   format   what it added
+//   format   added
 //   1        meta, starts, claims, nodes
 //   2        primaries
 //   3        members, lists
@@ -23,9 +23,10 @@
 [[nodiscard]] bool hasPrimaries(const std::string& format);
 [[nodiscard]] bool hasMembersAndLists(const std::string& format);
 
-// All tables of the present format, in a file that has none. Within a transaction of the caller's.
+// Creates all tables of the present format in a file that has none, within the caller's transaction. Throws
+// as the connection does.
 void createTables(Connection& connection);
-// The tables that a readable, older format lacks. Within a transaction of the caller's.
+// Creates the tables that a readable, older format lacks, within the caller's transaction.
 void addMissingTables(Connection& connection, const std::string& format);
 
 }  // namespace gulltrestle::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -9,6 +9,7 @@
 #include <chrono>
 #include <cstdio>
 #include <cstring>
+#include <variant>
 
 #include "store/database.h"
 
@@ -18,9 +19,9 @@
 
 using Clock = std::chrono::steady_clock;
 
-// How long a disk that failed is left alone: what is queued meanwhile is reported as not durable.
+// Before a commit is retried on a disk that failed. Changes that are queued meanwhile wait for the retry.
 constexpr auto kPauseAfterFailure = std::chrono::milliseconds(500);
-// Damaged files that may stand beside the present one, before an operator has to remove some.
+// Damaged files beside the present one, before an operator has to remove some.
 constexpr int kMaxSetAside = 999;
 
 std::string fileIn(const std::string& folder) { return folder + "/claims.db"; }
@@ -46,7 +47,7 @@
   return Duration::micros(passed.count());
 }
 
-// The damaged file and its journal go out of the way, under a name that is free.
+// Renames the damaged file and its journal to a name that is free. Returns the file's.
 std::string moveAside(const std::string& path) {
   for (int n = 1; n <= kMaxSetAside; ++n) {
     const std::string aside = path + ".damaged" + std::to_string(n);
@@ -55,7 +56,7 @@
     std::rename((path + "-journal").c_str(), (aside + "-journal").c_str());
     return aside;
   }
-  throw UnusableFolder(path + " is damaged and can't be moved aside");
+  throw UnusableFolder(path + " is damaged and can't be moved aside", path);
 }
 
 }  // namespace
@@ -63,18 +64,18 @@
 Store::Store(const std::string& folder, const std::string& voter, std::uint64_t draw,
              const std::vector<idempotency::VoterList>& lists)
     : folder_(folder), voter_(voter) {
-  if (!isFolder(folder)) throw UnusableFolder(folder + " is no folder");
+  if (!isFolder(folder)) throw UnusableFolder(folder + " is no folder", folder);
   const std::string path = fileIn(folder);
   try {
     openOrSetAside(path);
     if (database_->voter() != voter)
-      throw UnusableFolder(path + " is the store of the keeper '" + database_->voter() + "'");
+      throw UnusableFolder(path + " is the store of the keeper '" + database_->voter() + "'", folder);
     recordStart(draw, lists);
   } catch (const UnusableFolder&) { throw; } catch (const RejectedVoterList&) {
     throw;
-  } catch (const std::exception& error) { throw UnusableFolder(path + ": " + error.what()); }
+  } catch (const std::exception& error) { throw UnusableFolder(path + ": " + error.what(), folder); }
   descriptor_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (descriptor_ < 0) throw UnusableFolder(std::string("eventfd: ") + std::strerror(errno));
+  if (descriptor_ < 0) throw UnusableFolder(std::string("eventfd: ") + std::strerror(errno), folder);
   thread_ = std::thread([this] { run(); });
 }
 
@@ -84,12 +85,12 @@
   for (int attempt = 1; attempt <= kAttempts; ++attempt) {
     try {
       database_ = std::make_unique<Database>(path, Database::OpenMode::writing);
-      if (database_->isNew()) database_->begin(voter_, false);
+      if (database_->isNew()) database_->initialize(voter_, {.isComplete = false, .newSince = 0});
       state_ = database_->load();
       return;
     } catch (const CorruptDatabase& damage) {
       database_.reset();
-      if (attempt == kAttempts) throw UnusableFolder(path + ": " + damage.what());
+      if (attempt == kAttempts) throw UnusableFolder(path + ": " + damage.what(), folder_);
       setAside_ = moveAside(path) + " (" + damage.what() + ")";
     }
   }
@@ -97,27 +98,22 @@
 
 // Makes this start durable, with the voter lists that it serves under, and whether earlier votes still count.
 void Store::recordStart(std::uint64_t draw, const std::vector<idempotency::VoterList>& lists) {
-  const idempotency::VoterIncarnation start{state_.own.empty() ? 1 : state_.own.back().number + 1, draw};
-  const idempotency::VoterListTransition transition = idempotency::transitionTo(state_.lists, lists, voter_);
-  if (!transition.rejectReason.empty()) throw RejectedVoterList(transition.rejectReason);
-  std::vector<DiskChange> changes(1);
-  changes[0].kind = DiskChange::Kind::start;
-  changes[0].start = start;
-  if (transition.changed) {
-    DiskChange& change = changes.emplace_back();
-    change.kind = DiskChange::Kind::lists;
-    change.lists = transition.lists;
-  }
-  if (!transition.diskCounts) {
+  const std::uint64_t previousNumber = state_.ownStarts.empty() ? 0 : state_.ownStarts.back().number;
+  const idempotency::VoterIncarnation start{.number = previousNumber + 1, .draw = draw};
+  const auto decision = idempotency::transitionTo(state_.voterLists, lists, voter_);
+  if (const auto* rejection = std::get_if<idempotency::VoterListRejection>(&decision))
+    throw RejectedVoterList(rejection->reason, folder_);
+  const auto& transition = std::get<idempotency::VoterListTransition>(decision);
+  std::vector<DiskChange> changes{idempotency::VoterStartRecord{.voter = {}, .incarnation = start}};
+  if (transition.hasChanged) changes.emplace_back(transition.lists);
+  if (!transition.isDiskTrusted) {
     state_.isComplete = false;
     state_.newSince = start.number;
-    DiskChange& change = changes.emplace_back();
-    change.kind = DiskChange::Kind::voting;
-    change.start = start;
+    changes.emplace_back(idempotency::VotingRecord{.isComplete = false, .newSince = start.number});
   }
   database_->commit({&changes});
-  state_.lists = transition.lists;
-  state_.own.push_back(start);
+  state_.voterLists = transition.lists;
+  state_.ownStarts.push_back(start);
 }
 
 Store::~Store() {
@@ -125,17 +121,17 @@
     const std::lock_guard lock(mutex_);
     isStopping_ = true;
   }
-  workQueued_.notify_all();
+  writeQueued_.notify_all();
   thread_.join();
   ::close(descriptor_);
 }
 
-Store::Ticket Store::write(std::vector<DiskChange> changes) {
+Store::WriteId Store::write(std::vector<DiskChange> changes) {
   const std::lock_guard lock(mutex_);
-  statistics_.queued += changes.size();
-  queue_.push_back({++lastTicket_, std::move(changes)});
-  workQueued_.notify_all();
-  return lastTicket_;
+  statistics_.queuedChanges += changes.size();
+  queue_.push_back({.id = ++lastWriteId_, .changes = std::move(changes)});
+  writeQueued_.notify_all();
+  return lastWriteId_;
 }
 
 std::vector<Store::CompletedWrite> Store::takeCompleted() {
@@ -148,42 +144,42 @@
 StoreStatistics Store::statistics() const {
   const std::lock_guard lock(mutex_);
   StoreStatistics statistics = statistics_;
-  statistics.durableAgo = since(lastDurable_);
+  statistics.sinceLastCommit = since(lastDurable_);
   return statistics;
 }
 
-// What is queued while one group is written makes up the next.
+// Changes that are queued while one group is written make up the next one.
 void Store::run() {
   std::vector<QueuedWrite> group;  // what is being written, with what failed before
-  bool lastFailed = false;
-  while (collect(group, lastFailed)) {
+  bool lastCommitFailed = false;
+  while (collect(group, lastCommitFailed)) {
     const auto began = Clock::now();
-    lastFailed = !commit(group);
-    report(group, !lastFailed, since(began));
-    if (!lastFailed) group.clear();
+    lastCommitFailed = !commit(group);
+    report(group, !lastCommitFailed, since(began));
+    if (!lastCommitFailed) group.clear();
     wakeOwner();
   }
 }
 
-bool Store::collect(std::vector<QueuedWrite>& group, bool lastFailed) {
+bool Store::collect(std::vector<QueuedWrite>& group, bool lastCommitFailed) {
   std::unique_lock lock(mutex_);
-  if (lastFailed)
-    workQueued_.wait_for(lock, kPauseAfterFailure, [&] { return isStopping_; });
+  if (lastCommitFailed)
+    writeQueued_.wait_for(lock, kPauseAfterFailure, [&] { return isStopping_; });
   else
-    workQueued_.wait(lock, [&] { return isStopping_ || !queue_.empty(); });
+    writeQueued_.wait(lock, [&] { return isStopping_ || !queue_.empty(); });
   for (QueuedWrite& queued : queue_) group.push_back(std::move(queued));
   queue_.clear();
-  return !isStopping_ || (!group.empty() && !lastFailed);
+  return !isStopping_ || (!group.empty() && !lastCommitFailed);
 }
 
-// A commit that failed leaves the connection with pages of its own that may or may not be on disk: it is
-// given up, and the file is read anew, as a sync that "succeeds" after one that failed proves nothing.
+// A commit that failed leaves the connection with pages that may or may not be on disk: it is closed, and the
+// file is read anew, as a sync that "succeeds" after one that failed proves nothing.
 bool Store::commit(const std::vector<QueuedWrite>& group) {
   std::string fault;
   try {
     if (!database_) {
       auto reopened = std::make_unique<Database>(fileIn(folder_), Database::OpenMode::writing);
-      if (reopened->isNew()) throw DiskError("the file is gone");
+      if (reopened->isNew()) throw DiskError("the file is gone", fileIn(folder_));
       reopened->load();
       database_ = std::move(reopened);
     }
@@ -194,27 +190,28 @@
   } catch (const std::exception& error) { fault = error.what(); }
   database_.reset();
   const std::lock_guard lock(mutex_);
-  statistics_.fault = fault;
+  statistics_.lastFault = fault;
   return false;
 }
 
 void Store::report(std::vector<QueuedWrite>& group, bool isDurable, Duration commitDuration) {
-  const std::uint64_t bytes = sizeOf(fileIn(folder_));
+  const std::uint64_t fileBytes = sizeOf(fileIn(folder_));
   const std::lock_guard lock(mutex_);
-  statistics_.longest = std::max(statistics_.longest, commitDuration);
-  statistics_.bytes = bytes;
+  statistics_.longestCommit = std::max(statistics_.longestCommit, commitDuration);
+  statistics_.fileBytes = fileBytes;
   for (QueuedWrite& queued : group)
-    if (!std::exchange(queued.isNotified, true)) completed_.push_back({queued.ticket, isDurable});
+    if (!std::exchange(queued.isReported, true))
+      completed_.push_back({.id = queued.id, .isDurable = isDurable});
   if (!isDurable) {
-    ++statistics_.failures;
+    ++statistics_.failedCommits;
     return;
   }
   ++statistics_.commits;
   for (const QueuedWrite& queued : group) {
-    statistics_.queued -= queued.changes.size();
-    statistics_.changes += queued.changes.size();
+    statistics_.queuedChanges -= queued.changes.size();
+    statistics_.durableChanges += queued.changes.size();
   }
-  statistics_.fault.clear();
+  statistics_.lastFault.clear();
   lastDurable_ = Clock::now();
 }
 
@@ -224,25 +221,28 @@
 }
 
 void create(const std::string& folder, const std::string& voter) {
-  if (exists(fileIn(folder))) throw UnusableFolder(fileIn(folder) + " is there already");
+  if (exists(fileIn(folder))) throw UnusableFolder(fileIn(folder) + " is there already", folder);
   if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST)
-    throw UnusableFolder(folder + ": " + std::strerror(errno));
+    throw UnusableFolder(folder + ": " + std::strerror(errno), folder);
   try {
-    Database(fileIn(folder), Database::OpenMode::writing).begin(voter, true);
-  } catch (const std::exception& error) { throw UnusableFolder(fileIn(folder) + ": " + error.what()); }
+    Database(fileIn(folder), Database::OpenMode::writing)
+        .initialize(voter, {.isComplete = true, .newSince = 0});
+  } catch (const std::exception& error) {
+    throw UnusableFolder(fileIn(folder) + ": " + error.what(), folder);
+  }
 }
 
-Contents read(const std::string& folder) {
-  Contents contents;
+FolderContents read(const std::string& folder) {
+  FolderContents contents;
   const std::string path = fileIn(folder);
-  if (!exists(path)) throw UnusableFolder(path + " is not there");
+  if (!exists(path)) throw UnusableFolder(path + " is not there", folder);
   try {
     Database database(path, Database::OpenMode::reading);
-    contents.keeper = database.voter();
-    contents.kept = database.load();
+    contents.voter = database.voter();
+    contents.state = database.load();
   } catch (const CorruptDatabase& damage) {
     contents.damage = damage.what();
-  } catch (const std::exception& error) { throw UnusableFolder(path + ": " + error.what()); }
+  } catch (const std::exception& error) { throw UnusableFolder(path + ": " + error.what(), folder); }
   return contents;
 }
 
--- a/tests/setups.cpp
+++ b/tests/setups.cpp
@@ -80,19 +80,15 @@
   tried({"store", "check", folder.c_str()});
   {
     store::Store store(folder, "r1", 5, {{1, {"r1"}}});
-    idempotency::VotingMember::DiskChange put;
-    put.id = put.entry.id = "b1";
-    put.entry.token.router = "r2";
-    put.entry.committed = true;
-    put.entry.value = "abc";
-    store.write({put});
-    put.id = put.entry.id = "b2";
-    put.entry.committed = false;
-    idempotency::VotingMember::DiskChange start;
-    start.kind = idempotency::VotingMember::DiskChange::Kind::start;
-    start.id = "r3";
-    start.start.number = 4;
-    store.write({put, start});
+    idempotency::ClaimRecord claim;
+    claim.id = "b1";
+    claim.token.router = "r2";
+    claim.isCommitted = true;
+    claim.value = "abc";
+    store.write({claim});
+    claim.id = "b2";
+    claim.isCommitted = false;
+    store.write({claim, idempotency::VoterStartRecord{.voter = "r3", .incarnation = {.number = 4}}});
   }
   tried({"store", "check", folder.c_str()});
   tried({"store", "show", folder.c_str(), "--most", "1"});
@@ -136,9 +132,9 @@
         R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2","c":"127.0.0.1:3"},"routers":["d"],"store":"/s"})",
         "a", ms(2000));
     idempotency::StoredState kept;
-    kept.own = {{1, 50}};
+    kept.ownStarts = {{1, 50}};
     kept.isComplete = true;
-    kept.lists.current = setup.voterLists.back();
+    kept.voterLists.current = setup.voterLists.back();
     dispatcher_ = std::make_unique<ClaimDispatcher>(ledger_, RoutingConfig{}, setup, "a", 99, kept, *this);
   }
   void say(StreamKey stream, const std::string& what, const std::string& bytes) {
@@ -152,8 +148,8 @@
   ClaimDispatcher& dispatcher() { return *dispatcher_; }
   std::string status() const {
     store::StoreStatistics disk;
-    disk.bytes = 20480;
-    disk.fault = "disk I/O error";
+    disk.fileBytes = 20480;
+    disk.lastFault = "disk I/O error";
     return statusOf(ledger_.now(), *dispatcher_, &disk, {});
   }
 
@@ -182,7 +178,7 @@
   void rejectStream(StreamKey stream, std::string_view why) override {
     std::cout << "  stream " << stream << " refused: " << why << "\n";
   }
-  Ticket write(std::vector<idempotency::VotingMember::DiskChange> changes) override {
+  Ticket write(std::vector<idempotency::DiskChange> changes) override {
     std::cout << "  to disk: " << changes.size() << "\n";
     tickets_.push_back(++last_);
     return last_;
--- a/tests/small.cpp
+++ b/tests/small.cpp
@@ -49,7 +49,7 @@
 };
 
 struct Write {
-  std::vector<VotingMember::DiskChange> changes;
+  std::vector<DiskChange> changes;
   bool vote = false;  // of this token, to that router
   ClaimToken token;
   std::size_t router = 0;
@@ -68,7 +68,7 @@
   std::uint64_t hash() const {
     std::uint64_t h = hashCombine(static_cast<std::uint64_t>(kind), router);
     h = hashCombine(h, start * 64 + number);
-    return hashCombine(h, static_cast<std::uint64_t>(vote.kind) * 2 + vote.committed);
+    return hashCombine(h, static_cast<std::uint64_t>(vote.kind) * 2 + vote.isCommitted);
   }
 };
 
@@ -194,13 +194,13 @@
   void boot(State& state, std::size_t k) {
     auto& at = state.voters[k];
     StoredState stored;
-    stored.own = at.disk.own;
+    stored.ownStarts = at.disk.own;
     stored.newSince = at.disk.newSince;
     stored.isComplete = at.disk.isComplete;
-    stored.starts = at.disk.starts;
-    for (std::size_t n = 0; n < kVoters; ++n) stored.lists.current.names.insert(name(n));
-    stored.lists.current.version = 1;
-    for (const auto& [id, entry] : at.disk.entries) stored.entries.push_back(entry);
+    stored.voterStarts = at.disk.starts;
+    for (std::size_t n = 0; n < kVoters; ++n) stored.voterLists.current.names.insert(name(n));
+    stored.voterLists.current.version = 1;
+    for (const auto& [id, entry] : at.disk.entries) stored.claims.push_back(entry);
     at.voter.emplace(kNow, name(k), VotingMemberLimits(), std::move(stored));
     // Twice: the number of its start may have to grow.
     for (int round = 0; round < 2; ++round)
@@ -224,18 +224,18 @@
       }
     at.history = hashCombine(at.history, 77);
   }
-  static void apply(Disk& disk, const std::vector<VotingMember::DiskChange>& changes) {
+  static void apply(Disk& disk, const std::vector<DiskChange>& changes) {
     for (const auto& change : changes) {
-      using Kind = VotingMember::DiskChange::Kind;
-      if (change.kind == Kind::put) disk.entries[change.id] = change.entry;
-      if (change.kind == Kind::drop) disk.entries.erase(change.id);
-      if (change.kind == Kind::voting)
-        disk.isComplete = change.isComplete, disk.newSince = change.start.number;
-      if (change.kind != Kind::start) continue;
-      if (change.id.empty())
-        disk.own.push_back(change.start);
+      if (const auto* claim = std::get_if<ClaimRecord>(&change)) disk.entries[claim->id] = *claim;
+      if (const auto* removal = std::get_if<ClaimRemoval>(&change)) disk.entries.erase(removal->id);
+      if (const auto* voting = std::get_if<VotingRecord>(&change))
+        disk.isComplete = voting->isComplete, disk.newSince = voting->newSince;
+      const auto* start = std::get_if<VoterStartRecord>(&change);
+      if (!start) continue;
+      if (start->voter.empty())
+        disk.own.push_back(start->incarnation);
       else
-        disk.starts[change.id] = change.start;
+        disk.starts[start->voter] = start->incarnation;
     }
   }
 
@@ -255,8 +255,9 @@
     }
     for (const auto& decision : router.coordinator->takeDecisions()) {
       using Kind = ClaimCoordinator::Decision::Kind;
-      if (decision.kind == Kind::committed && state.ran == 0) fault_ = "told as committed and never ran";
-      if (decision.kind == Kind::admit) {
+      if (decision.kind == Kind::alreadyCommitted && state.ran == 0)
+        fault_ = "told as committed and never ran";
+      if (decision.kind == Kind::admitted) {
         router.at = State::Router::At::admitted;
       } else {
         router.at = State::Router::At::over;
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -1,5 +1,6 @@
-// The store of claims: power lost at every operation on a simulated disk, files cut and flipped at every
-// byte, disks that fail and heal, folders that are not its own. Run as `store CASE`: prints the case's trace.
+// The store: power lost at every operation on a simulated disk, files cut and flipped at every byte, disks
+// that fail and recover, folders that can't be opened, files of an earlier release. Run as `store CASE`:
+// prints the case's trace.
 #include "store/store.h"
 
 #include <poll.h>
@@ -13,8 +14,10 @@
 #include <iostream>
 #include <map>
 #include <sstream>
+#include <tuple>
 
 #include "disk.h"
+#include "idempotency/voting_member.h"
 #include "maintenance/acceptor.h"
 #include "scratch.h"
 #include "store/database.h"
@@ -22,112 +25,112 @@
 using namespace gulltrestle;
 using namespace gulltrestle::store;
 using disk::Disk;
-using idempotency::VotingMember;
+using idempotency::ClaimRecord;
+using idempotency::ClaimRemoval;
+using idempotency::MaintenanceRecord;
+using idempotency::NodeDrainRecord;
+using idempotency::PrimaryRecord;
+using idempotency::RouterStartRecord;
+using idempotency::VoterListHistory;
+using idempotency::VoterStartRecord;
+using idempotency::VotingRecord;
 
 namespace {
 
-using Changes = std::vector<VotingMember::DiskChange>;
-using Kind = VotingMember::DiskChange::Kind;
+using Changes = std::vector<idempotency::DiskChange>;
 constexpr const char* kFile = "claims.db";
 
-VotingMember::DiskChange put(int id, int router, bool committed = false) {
-  const std::string name = "b" + std::to_string(id);
-  return {Kind::put,
-          name,
-          {name,
-           {"r" + std::to_string(router), 77, static_cast<std::uint64_t>(id)},
-           committed,
-           committed ? std::string(static_cast<std::size_t>(40 * id % 3000), 'v') : ""},
-          {},
-          false};
-}
-const idempotency::VoterList kFirst{1, {"k1", "k2"}}, kSecond{2, {"k1", "k4"}};
-VotingMember::DiskChange changed(Kind what, const std::string& id, idempotency::VoterIncarnation start,
-                                 bool isComplete = false) {
-  VotingMember::DiskChange made;
-  made.kind = what;
-  made.id = id;
-  made.start = start;
-  made.isComplete = isComplete;
-  return made;
-}
-VotingMember::DiskChange drop(int id) { return changed(Kind::drop, "b" + std::to_string(id), {}); }
-VotingMember::DiskChange lists(bool isSuperseded) {
-  VotingMember::DiskChange made = changed(Kind::lists, "", {});
-  made.lists.current = kSecond;
-  if (!isSuperseded) made.lists.previous.push_back(kFirst);
-  return made;
-}
-
-// What is committed one after the other; grows, drops, starts, and pages that split.
-std::vector<Changes> script() {
-  std::vector<Changes> all{{changed(Kind::start, "", {1, 5})}, {changed(Kind::start, "k2", {3, 9})}};
+const idempotency::VoterList kFirstVoterList{1, {"k1", "k2"}}, kSecondVoterList{2, {"k1", "k4"}};
+const VoterListHistory kBothVoterLists{.current = kSecondVoterList, .previous = {kFirstVoterList}};
+const VoterListHistory kSecondVoterListAlone{.current = kSecondVoterList, .previous = {}};
+
+std::string claimId(int id) { return "b" + std::to_string(id); }
+ClaimRecord openClaim(int id, int router) {
+  return {.id = claimId(id),
+          .token = {"r" + std::to_string(router), 77, static_cast<std::uint64_t>(id)},
+          .isCommitted = false,
+          .value = ""};
+}
+ClaimRecord committedClaim(int id, int router) {
+  ClaimRecord claim = openClaim(id, router);
+  claim.isCommitted = true;
+  claim.value = std::string(static_cast<std::size_t>(40 * id % 3000), 'v');
+  return claim;
+}
+
+// What is committed one after the other: inserts, removals, starts, and pages that split.
+std::vector<Changes> scriptOfCommits() {
+  std::vector<Changes> all{{VoterStartRecord{"", {1, 5}}}, {VoterStartRecord{"k2", {3, 9}}}};
   int next = 0;
   for (int group = 0; group < 10; ++group) {
     Changes changes;
-    for (int n = 0; n <= group % 4 * 6; ++n) changes.push_back(put(++next, group));
-    if (group % 3 == 1) changes.push_back(put(next - 1, group, true));
+    for (int n = 0; n <= group % 4 * 6; ++n) changes.push_back(openClaim(++next, group));
+    if (group % 3 == 1) changes.push_back(committedClaim(next - 1, group));
     if (group % 4 == 3)
-      for (int n = 1; n < 9; ++n) changes.push_back(drop(next - 2 * n));
-    if (group % 4 == 2)
-      changes.push_back(changed(Kind::node, "n" + std::to_string(group), {9, 0}, group == 2));
-    if (group == 3) changes.push_back(changed(Kind::member, "r4", {7, 70}));
-    if (group == 6) changes.push_back(lists(false));
-    if (group == 7) changes.push_back(changed(Kind::member, "r4", {8, 71}));
-    if (group == 8) changes.push_back(lists(true));
-    if (group == 9) changes.push_back(changed(Kind::node, "n2", {}));
-    if (group == 5) changes.push_back(changed(Kind::voting, "", {4, 0}));
+      for (int n = 1; n < 9; ++n) changes.push_back(ClaimRemoval{claimId(next - 2 * n)});
+    if (group % 4 == 2) changes.push_back(NodeDrainRecord{"n" + std::to_string(group), 9, group == 2});
+    if (group == 3) changes.push_back(RouterStartRecord{"r4", {7, 70}});
+    if (group == 6) changes.push_back(kBothVoterLists);
+    if (group == 7) changes.push_back(RouterStartRecord{"r4", {8, 71}});
+    if (group == 8) changes.push_back(kSecondVoterListAlone);
+    if (group == 9) changes.push_back(NodeDrainRecord{"n2", 0, false});
+    if (group == 5) changes.push_back(VotingRecord{.isComplete = false, .newSince = 4});
     all.push_back(changes);
   }
   return all;
 }
 
-const std::vector<idempotency::VoterList> kOne{{1, {"k1"}}};
+const std::vector<idempotency::VoterList> kOneVoter{{1, {"k1"}}};
 
-// All that is known, as one text: equal where the stores are.
+// The state as one text, equal where states are.
 std::string shown(const idempotency::StoredState& state) {
   std::map<std::string, std::string> rows;
-  for (const auto& e : state.entries)
-    rows[e.id] = e.token.router + "/" + std::to_string(e.token.number) + (e.committed ? "=" + e.value : "");
+  for (const auto& claim : state.claims)
+    rows[claim.id] = claim.token.router + "/" + std::to_string(claim.token.number) +
+                     (claim.isCommitted ? "=" + claim.value : "");
   std::string out = (state.isComplete ? "whole " : "silent ") + std::to_string(state.newSince);
-  for (const auto& s : state.own) out += " own" + std::to_string(s.number) + "/" + std::to_string(s.draw);
-  for (const auto& [name, s] : state.starts) out += " " + name + std::to_string(s.number);
-  for (const auto& [name, s] : state.members) out += " " + name + " speaks by " + std::to_string(s.number);
-  for (const auto& name : state.lists.current.names)
-    out += " list" + std::to_string(state.lists.current.version) + ":" + name;
-  for (const auto& list : state.lists.previous)
+  for (const auto& own : state.ownStarts)
+    out += " own" + std::to_string(own.number) + "/" + std::to_string(own.draw);
+  for (const auto& [name, start] : state.voterStarts) out += " " + name + std::to_string(start.number);
+  for (const auto& [name, start] : state.routerStarts)
+    out += " " + name + " speaks by " + std::to_string(start.number);
+  for (const auto& name : state.voterLists.current.names)
+    out += " list" + std::to_string(state.voterLists.current.version) + ":" + name;
+  for (const auto& list : state.voterLists.previous)
     for (const auto& name : list.names) out += " before" + std::to_string(list.version) + ":" + name;
-  for (const auto& [id, known] : state.nodes)
-    out += " " + id + (known.second ? " leaves by " : " stays by ") + std::to_string(known.first);
+  for (const auto& [id, drain] : state.nodeDrains)
+    out += " " + id + (drain.isDraining ? " leaves by " : " stays by ") + std::to_string(drain.listVersion);
   for (const auto& [id, row] : rows) out += " " + id + ":" + row;
   return out;
 }
 
-// Plays the script; returns how many commits were told as durable, 0 where the beginning was not.
-std::size_t play(const std::vector<Changes>& all) {
-  std::size_t done = 0;
+// Plays the script; returns how many commits were reported as durable, the creation of the tables included.
+std::size_t play(const std::vector<Changes>& script) {
+  std::size_t durable = 0;
   try {
     Database database(kFile, Database::OpenMode::writing);
-    if (database.isNew()) database.begin("k1", true);
+    if (database.isNew()) database.initialize("k1", {.isComplete = true, .newSince = 0});
     database.load();
-    done = 1;
-    for (const Changes& changes : all) {
+    durable = 1;
+    for (const Changes& changes : script) {
       database.commit({&changes});
-      ++done;
+      ++durable;
     }
-  } catch (const std::exception&) {}
-  return done;
+  } catch (const std::exception&) {
+    // The disk failed, which is what these cases are about.
+  }
+  return durable;
 }
 
-// After each commit, as it must be found again.
-std::vector<std::string> states(const std::vector<Changes>& all) {
-  std::vector<std::string> out{""};
-  for (std::size_t n = 0; n <= all.size(); ++n) {
+// By how many commits are durable: the state as it must be found again.
+std::vector<std::string> expectedStates(const std::vector<Changes>& script) {
+  std::vector<std::string> states{""};
+  for (std::size_t commits = 0; commits <= script.size(); ++commits) {
     Disk::the().reset();
-    play({all.begin(), all.begin() + static_cast<std::ptrdiff_t>(n)});
-    out.push_back(shown(Database(kFile, Database::OpenMode::writing).load()));
+    play({script.begin(), script.begin() + static_cast<std::ptrdiff_t>(commits)});
+    states.push_back(shown(Database(kFile, Database::OpenMode::writing).load()));
   }
-  return out;
+  return states;
 }
 
 std::string loaded() {
@@ -135,114 +138,127 @@
   return database.isNew() ? "" : shown(database.load());
 }
 
-struct Search {
-  std::uint64_t points = 0, again = 0;
-  std::string fault;
+// The state, or what is wrong with the file.
+std::string loadedOrDamage() {
+  try {
+    return loaded();
+  } catch (const std::exception& error) { return std::string("damaged: ") + error.what(); }
+}
+
+// What was reported as durable is there, and at most the commit under way beside it.
+bool isExpected(const std::string& found, const std::vector<std::string>& states, std::size_t durable) {
+  return found == states[durable] || (durable + 1 < states.size() && found == states[durable + 1]);
+}
+
+struct PowerLossResult {
+  std::uint64_t losses = 0, lossesInRecovery = 0;
+  std::string fault;  // empty: none was found
 };
 
+void losePowerInRecovery(std::mt19937& random) {
+  Disk::the().dieAt = Disk::the().operations + 1 + random() % 4;
+  try {
+    loaded();
+  } catch (const std::exception&) {
+    // The power is lost meanwhile.
+  }
+  Disk::the().restore(random);
+}
+
 // Power is lost at each operation of the script, several times with another part of what was not synced; and
 // once more at an operation of the recovery after that.
-Search search(int times, bool lies) {
-  const auto all = script();
-  const auto known = states(all);
-  Search out;
-  for (std::uint64_t at = 1;; ++at) {
-    std::uint64_t operations = 0;
-    for (int time = 0; time < times; ++time) {
-      std::mt19937 chance(static_cast<unsigned>(at * 1000 + static_cast<std::uint64_t>(time)));
+PowerLossResult losePowerEverywhere(int repetitions, bool liesAboutSyncs) {
+  const auto script = scriptOfCommits();
+  const auto states = expectedStates(script);
+  PowerLossResult result;
+  for (std::uint64_t operation = 1;; ++operation) {
+    for (int repetition = 0; repetition < repetitions; ++repetition) {
+      std::mt19937 random(static_cast<unsigned>(operation * 1000 + static_cast<std::uint64_t>(repetition)));
       Disk::the().reset();
-      Disk::the().liesAboutSyncs = lies;
-      Disk::the().dieAt = at;
-      const std::size_t done = play(all);
-      operations = Disk::the().operations;
-      if (!Disk::the().dead && at > operations) return out;
-      Disk::the().restore(chance);
-      ++out.points;
-      if (time % 2 == 1) {
-        Disk::the().dieAt = Disk::the().operations + 1 + chance() % 4;
-        try {
-          loaded();
-        } catch (const std::exception&) {}
-        Disk::the().restore(chance);
-        ++out.again;
-      }
-      std::string found;
-      try {
-        found = loaded();
-      } catch (const std::exception& bad) { found = std::string("damaged: ") + bad.what(); }
-      // What was reported as durable is there, and at most the commit under way beside it.
-      if (found != known[done] && (done + 1 >= known.size() || found != known[done + 1])) {
-        out.fault = "operation " + std::to_string(at) + ", time " + std::to_string(time) + ", after commit " +
-                    std::to_string(done) + ": " + found.substr(0, 60);
-        return out;
+      Disk::the().liesAboutSyncs = liesAboutSyncs;
+      Disk::the().dieAt = operation;
+      const std::size_t durable = play(script);
+      if (!Disk::the().dead && operation > Disk::the().operations) return result;
+      Disk::the().restore(random);
+      ++result.losses;
+      if (repetition % 2 == 1) {
+        losePowerInRecovery(random);
+        ++result.lossesInRecovery;
       }
+      const std::string found = loadedOrDamage();
+      if (isExpected(found, states, durable)) continue;
+      result.fault = "operation " + std::to_string(operation) + ", time " + std::to_string(repetition) +
+                     ", after commit " + std::to_string(durable) + ": " + found.substr(0, 60);
+      return result;
     }
   }
 }
 
-void power() {
+void losePower() {
+  constexpr int kRepetitions = 12;
   Disk::install();
-  const Search found = search(12, false);
-  std::cout << "power lost at " << found.points << " points, " << found.again
+  const PowerLossResult result = losePowerEverywhere(kRepetitions, false);
+  std::cout << "power lost at " << result.losses << " points, " << result.lossesInRecovery
             << " times again during recovery: "
-            << (found.fault.empty() ? "nothing invented, lost or doubled" : found.fault) << "\n";
-  const Search lying = search(12, true);
+            << (result.fault.empty() ? "nothing invented, lost or doubled" : result.fault) << "\n";
+  const PowerLossResult lying = losePowerEverywhere(kRepetitions, true);
   std::cout << "a disk that says that it synced and did not: "
             << (lying.fault.empty() ? "NOT FOUND" : "found after ")
-            << (lying.fault.empty() ? "" : std::to_string(lying.points)) << " points\n";
+            << (lying.fault.empty() ? "" : std::to_string(lying.losses)) << " points\n";
 }
 
-// Each byte of the file changed, and the file cut at each: found as it was, or known as damaged.
-void bytes() {
-  Disk::install();
-  const auto all = script();
-  Disk::the().reset();
-  play(all);
-  const std::string intact = Disk::the().files.at(kFile)->now, right = loaded();
-  std::uint64_t same = 0, damaged = 0, wrong = 0;
-  const auto look = [&](const std::string& file) {
+// How files were found that should be as they were or be noticed as damaged.
+struct DamageResult {
+  std::uint64_t intact = 0, damaged = 0, wrong = 0;
+
+  void add(const std::string& file, const std::string& intactState) {
     Disk::the().reset();
     Disk::the().files[kFile] = std::make_shared<disk::File>(disk::File{file, file, true});
     try {
-      ++(loaded() == right ? same : wrong);
+      ++(loaded() == intactState ? intact : wrong);
     } catch (const std::exception&) { ++damaged; }
-  };
-  for (std::size_t at = 0; at < intact.size(); ++at) {
-    std::string file = intact;
-    file[at] = static_cast<char>(file[at] ^ (1 << at % 8));
-    look(file);
   }
-  std::cout << intact.size() << " bytes flipped: as it was or known as damaged " << same + damaged
-            << ", wrong " << wrong << "; damaged " << (damaged > 1000 ? "many" : "FEW") << "\n";
-  same = damaged = wrong = 0;
-  for (std::size_t size = 1; size < intact.size(); ++size) look(intact.substr(0, size));
-  std::cout << "cut at each byte: damaged " << (damaged > intact.size() / 2 ? "most" : "FEW") << ", wrong "
-            << wrong << "\n";
+};
+
+// Each byte of the file changed, and the file cut at each: found as it was, or known as damaged.
+void damageEachByte() {
+  Disk::install();
+  Disk::the().reset();
+  play(scriptOfCommits());
+  const std::string file = Disk::the().files.at(kFile)->now, intactState = loaded();
+  DamageResult flipped;
+  for (std::size_t at = 0; at < file.size(); ++at) {
+    std::string changed = file;
+    changed[at] = static_cast<char>(changed[at] ^ (1 << at % 8));
+    flipped.add(changed, intactState);
+  }
+  std::cout << file.size() << " bytes flipped: as it was or known as damaged "
+            << flipped.intact + flipped.damaged << ", wrong " << flipped.wrong << "; damaged "
+            << (flipped.damaged > 1000 ? "many" : "FEW") << "\n";
+  DamageResult cut;
+  for (std::size_t size = 1; size < file.size(); ++size) cut.add(file.substr(0, size), intactState);
+  std::cout << "cut at each byte: damaged " << (cut.damaged > file.size() / 2 ? "most" : "FEW") << ", wrong "
+            << cut.wrong << "\n";
 }
 
 // Operations that fail with an error, a sync that fails once and then succeeds among them; the store opens
-// its file anew and goes on.
-void failing() {
+// its file again and goes on.
+void failEachOperation() {
   Disk::install();
-  const auto all = script();
-  const auto known = states(all);
+  const auto script = scriptOfCommits();
+  const auto states = expectedStates(script);
   Disk::the().reset();
-  play(all);
+  play(script);
   const std::uint64_t operations = Disk::the().operations;
-  std::uint64_t tried = 0, wrong = 0;
-  for (std::uint64_t at = 1; at <= operations; ++at) {
+  std::uint64_t wrong = 0;
+  for (std::uint64_t operation = 1; operation <= operations; ++operation) {
     Disk::the().reset();
-    Disk::the().failing = {at};
-    const std::size_t done = play(all);
+    Disk::the().failing = {operation};
+    const std::size_t durable = play(script);
     Disk::the().failing.clear();
-    ++tried;
-    std::string found;
-    try {
-      found = loaded();
-    } catch (const std::exception& bad) { found = bad.what(); }
-    if (found != known[done] && (done + 1 >= known.size() || found != known[done + 1])) ++wrong;
+    if (!isExpected(loadedOrDamage(), states, durable)) ++wrong;
   }
-  std::cout << tried << " operations failed, each once: wrong after it " << wrong << "\n";
+  std::cout << operations << " operations failed, each once: wrong after it " << wrong << "\n";
 }
 
 // A folder of its own, through the system's own files.
@@ -256,13 +272,14 @@
   std::string path_;
 };
 
-bool written(Store& store, Changes changes) {
-  const auto ticket = store.write(std::move(changes));
+// Whether they became durable.
+bool write(Store& store, Changes changes) {
+  const Store::WriteId id = store.write(std::move(changes));
   for (;;) {
     pollfd ready{store.descriptor(), POLLIN, 0};
     poll(&ready, 1, 10'000);
-    for (const auto& done : store.takeCompleted())
-      if (done.ticket == ticket) return done.durable;
+    for (const auto& completed : store.takeCompleted())
+      if (completed.id == id) return completed.isDurable;
   }
 }
 
@@ -271,31 +288,31 @@
   return text;
 }
 
-void folders() {
+void openFolders() {
   const Folder folder;
-  const auto tried = [&](const std::string& what, const std::function<void()>& call) {
+  const auto attempt = [&](const std::string& description, const std::function<void()>& call) {
     try {
       call();
-      std::cout << what << ": taken\n";
-    } catch (const UnusableFolder& bad) {
-      std::cout << what << ": " << without(bad.what(), folder.path()) << "\n";
+      std::cout << description << ": taken\n";
+    } catch (const UnusableFolder& error) {
+      std::cout << description << ": " << without(error.what(), folder.path()) << "\n";
     }
   };
-  tried("no folder", [&] { Store(folder.path() + "/none", "k1", 1, kOne); });
+  attempt("no folder", [&] { Store(folder.path() + "/none", "k1", 1, kOneVoter); });
   create(folder.path(), "k1");
-  tried("made twice", [&] { create(folder.path(), "k1"); });
-  tried("another's", [&] { Store(folder.path(), "k2", 1, kOne); });
+  attempt("made twice", [&] { create(folder.path(), "k1"); });
+  attempt("another's", [&] { Store(folder.path(), "k2", 1, kOneVoter); });
   {
-    Store store(folder.path(), "k1", 11, kOne);
+    Store store(folder.path(), "k1", 11, kOneVoter);
     std::cout << "new, by an operator's word: " << shown(store.storedState()) << "\n";
-    std::cout << "durable: " << written(store, {put(1, 4), put(2, 5)}) << "\n";
-    tried("in use", [&] { Store(folder.path(), "k1", 2, kOne); });
-    tried("a look while in use", [&] { read(folder.path()); });
-    store.write({put(2, 5, true)});
+    std::cout << "durable: " << write(store, {openClaim(1, 4), openClaim(2, 5)}) << "\n";
+    attempt("in use", [&] { Store(folder.path(), "k1", 2, kOneVoter); });
+    attempt("a look while in use", [&] { std::ignore = read(folder.path()); });
+    store.write({committedClaim(2, 5)});
   }
-  Store(folder.path(), "k1", 12, kOne);
-  const Contents contents = read(folder.path());
-  std::cout << "after two starts, " << contents.keeper << ": " << shown(contents.kept).substr(0, 70) << "\n";
+  Store(folder.path(), "k1", 12, kOneVoter);
+  const FolderContents contents = read(folder.path());
+  std::cout << "after two starts, " << contents.voter << ": " << shown(contents.state).substr(0, 70) << "\n";
   {
     std::fstream file(folder.path() + "/claims.db", std::ios::in | std::ios::out | std::ios::binary);
     for (std::streamoff page = 2; page <= 5; ++page) {  // rows stand at a page's end
@@ -303,31 +320,32 @@
       file << "something else";
     }
   }
-  std::cout << "damaged: " << (read(folder.path()).damage.empty() ? "NOT SEEN" : "seen") << "\n";
-  Store store(folder.path(), "k1", 13, kOne);
+  std::cout << "damaged: " << (read(folder.path()).damage ? "seen" : "NOT SEEN") << "\n";
+  Store store(folder.path(), "k1", 13, kOneVoter);
   std::cout << "started on it: " << shown(store.storedState()) << "; set aside: " << !store.setAside().empty()
             << "\n";
 }
 
-// The disk is full for a while, as no file of this process may grow: the store says so, and goes on by
+// The disk is full for a while, as no file of this process may grow: the store reports that, and recovers by
 // itself.
-void healing() {
+void recoverFromFullDisk() {
   const Folder folder;
   create(folder.path(), "k1");
-  Store store(folder.path(), "k1", 11, kOne);
-  std::cout << "durable: " << written(store, {put(1, 4)}) << "\n";
+  Store store(folder.path(), "k1", 11, kOneVoter);
+  std::cout << "durable: " << write(store, {openClaim(1, 4)}) << "\n";
   signal(SIGXFSZ, SIG_IGN);
   rlimit before{};
   getrlimit(RLIMIT_FSIZE, &before);
   const rlimit none{512, before.rlim_max};
   setrlimit(RLIMIT_FSIZE, &none);
-  std::cout << "full: " << written(store, {put(2, 4)}) << ", " << written(store, {put(3, 4)}) << "\n";
-  const StoreStatistics figures = store.statistics();
-  std::cout << "queued " << figures.queued << ", a fault is told " << !figures.fault.empty() << "\n";
+  std::cout << "full: " << write(store, {openClaim(2, 4)}) << ", " << write(store, {openClaim(3, 4)}) << "\n";
+  const StoreStatistics statistics = store.statistics();
+  std::cout << "queued " << statistics.queuedChanges << ", a fault is told " << !statistics.lastFault.empty()
+            << "\n";
   setrlimit(RLIMIT_FSIZE, &before);
   bool durable = false;
-  for (int n = 0; n < 40 && !durable; ++n) durable = written(store, {put(4, 4)});
-  std::cout << "healed: " << durable << ", queued " << store.statistics().queued << "\n";
+  for (int n = 0; n < 40 && !durable; ++n) durable = write(store, {openClaim(4, 4)});
+  std::cout << "healed: " << durable << ", queued " << store.statistics().queuedChanges << "\n";
 }
 
 // --- Files that an earlier release wrote: tests/store/stored_0_10/README.md
@@ -366,24 +384,25 @@
 
 void printClaims(const idempotency::StoredState& state) {
   std::map<std::string, const idempotency::ClaimRecord*> byId;
-  for (const auto& claim : state.entries) byId[claim.id] = &claim;
+  for (const auto& claim : state.claims) byId[claim.id] = &claim;
   for (const auto& [id, claim] : byId)
     std::cout << "  claim " << printable(id) << ": router " << claim->token.router << ", start "
               << claim->token.start << ", number " << claim->token.number
-              << (claim->committed ? ", committed with '" + printable(claim->value) + "'" : "") << "\n";
+              << (claim->isCommitted ? ", committed with '" + printable(claim->value) + "'" : "") << "\n";
 }
 
 void printPlan(const idempotency::StoredState& state) {
-  if (state.maintenance.empty()) {
+  if (state.acceptorState.empty()) {
     std::cout << "  maintenance: nothing was written\n";
     return;
   }
-  const maintenance::Acceptor acceptor(state.maintenance, state.isComplete);
+  const maintenance::Acceptor acceptor(state.acceptorState, state.isComplete);
   const maintenance::AcceptedValue& accepted = acceptor.accepted();
   std::cout << "  maintenance: " << (acceptor.isComplete() ? "complete" : "incomplete") << ", ballot "
             << accepted.ballot.number << " of " << accepted.ballot.draw << ", version "
             << accepted.version.version << " of " << accepted.version.draw << ", the text is "
-            << (acceptor.serialized() == state.maintenance ? "what" : "NOT WHAT") << " an acceptor writes\n";
+            << (acceptor.serialized() == state.acceptorState ? "what" : "NOT WHAT")
+            << " an acceptor writes\n";
   const maintenance::Plan plan = maintenance::readPlan(accepted.value);
   std::cout << "  plan " << plan.version << ", applied: " << joined(plan.appliedRequests) << "\n";
   for (const auto& machine : plan.machines)
@@ -398,19 +417,20 @@
 void printState(const idempotency::StoredState& state) {
   std::cout << "  " << (state.isComplete ? "complete" : "incomplete") << ", new since " << state.newSince
             << "\n";
-  for (const auto& own : state.own) printIncarnation("own", own);
-  for (const auto& [voter, incarnation] : state.starts) printIncarnation("voter " + voter, incarnation);
-  for (const auto& [router, incarnation] : state.members) printIncarnation("router " + router, incarnation);
-  std::cout << "  voter list " << state.lists.current.version << ": " << joined(state.lists.current.names)
-            << "\n";
-  for (const auto& list : state.lists.previous)
+  for (const auto& own : state.ownStarts) printIncarnation("own", own);
+  for (const auto& [voter, incarnation] : state.voterStarts) printIncarnation("voter " + voter, incarnation);
+  for (const auto& [router, incarnation] : state.routerStarts)
+    printIncarnation("router " + router, incarnation);
+  std::cout << "  voter list " << state.voterLists.current.version << ": "
+            << joined(state.voterLists.current.names) << "\n";
+  for (const auto& list : state.voterLists.previous)
     std::cout << "  earlier voter list " << list.version << ": " << joined(list.names) << "\n";
-  for (const auto& [node, drain] : state.nodes)
-    std::cout << "  node " << node << (drain.second ? " drains" : " stays") << " by version " << drain.first
-              << "\n";
+  for (const auto& [node, drain] : state.nodeDrains)
+    std::cout << "  node " << node << (drain.isDraining ? " drains" : " stays") << " by version "
+              << drain.listVersion << "\n";
   for (const auto& [group, primary] : state.primaries)
-    std::cout << "  primary of group " << group << ": " << primary.first << " by version " << primary.second
-              << "\n";
+    std::cout << "  primary of group " << group << ": " << primary.node << " by version "
+              << primary.listVersion << "\n";
   printClaims(state);
   printPlan(state);
 }
@@ -424,28 +444,28 @@
               << (!vote ? "NO VOTE"
                   : vote->kind != idempotency::Vote::Kind::takenByOther
                       ? "NOT TAKEN"
-                      : "taken" + (vote->committed ? ", committed with '" + vote->value + "'" : ""))
+                      : "taken" + (vote->isCommitted ? ", committed with '" + vote->value + "'" : ""))
               << "\n";
   }
 }
 
 // One change of each kind.
 Changes furtherChanges(const idempotency::StoredState& state) {
-  Changes changes{put(1, 1, true),
-                  changed(Kind::drop, "order-1001", {}),
-                  changed(Kind::start, "k2", {6, 60}),
-                  changed(Kind::node, "n1", {}),
-                  changed(Kind::node, "n2", {40, 0}, false),
-                  changed(Kind::primary, "n6", {41, 0}),
-                  changed(Kind::member, "r2", {4, 10})};
-  maintenance::Acceptor acceptor(state.maintenance, state.isComplete);
+  Changes changes{committedClaim(1, 1),
+                  ClaimRemoval{"order-1001"},
+                  VoterStartRecord{"k2", {6, 60}},
+                  NodeDrainRecord{.node = "n1", .listVersion = 0, .isDraining = false},
+                  NodeDrainRecord{.node = "n2", .listVersion = 40, .isDraining = false},
+                  PrimaryRecord{.group = 0, .node = "n6", .listVersion = 41},
+                  RouterStartRecord{"r2", {4, 10}}};
+  maintenance::Acceptor acceptor(state.acceptorState, state.isComplete);
   maintenance::AcceptedValue next = acceptor.accepted();
   next.ballot = {99, 7};
   ++next.version.version;
   std::optional<maintenance::Acceptor::AcceptorReply> rejected;
   std::cout << "the plan's next ballot is " << (acceptor.accept(next, rejected) ? "accepted" : "REJECTED")
             << "\n";
-  changes.push_back(changed(Kind::work, acceptor.serialized(), {}));
+  changes.push_back(MaintenanceRecord{acceptor.serialized()});
   return changes;
 }
 
@@ -453,19 +473,19 @@
   std::filesystem::copy_file(storedFile("claims.db"), folder.path() + "/" + kFile);
 }
 
-void storedByEarlierRelease() {
+void openEarlierRelease() {
   const Folder folder;
   copyStoredFile(folder);
-  const Contents contents = read(folder.path());
-  std::cout << "read, voter " << contents.keeper << ", damage '" << contents.damage << "'\n";
-  printState(contents.kept);
+  const FolderContents contents = read(folder.path());
+  std::cout << "read, voter " << contents.voter << ", damage '" << contents.damage.value_or("") << "'\n";
+  printState(contents.state);
   {
     Store store(folder.path(), "k1", 14, kStoredLists);
     std::cout << "opened, set aside '" << store.setAside() << "'\n";
     printState(store.storedState());
     printVotes(store.storedState());
     Changes changes = furtherChanges(store.storedState());
-    std::cout << "written on: durable " << written(store, std::move(changes)) << "\n";
+    std::cout << "written on: durable " << write(store, std::move(changes)) << "\n";
   }
   Store store(folder.path(), "k1", 15, kStoredLists);
   std::cout << "opened again, set aside '" << store.setAside() << "'\n";
@@ -476,12 +496,12 @@
   Store store(folder.path(), "k1", 14, kStoredLists);
   std::cout << "opened, set aside " << !store.setAside().empty() << "\n";
   printState(store.storedState());
-  std::cout << "written on: durable " << written(store, {put(1, 1, true)}) << "\n";
+  std::cout << "written on: durable " << write(store, {committedClaim(1, 1)}) << "\n";
 }
 
 // The last commit of the stored file, cut off: its process ended before the journal was truncated, so it is
 // rolled back; and the file lost its end, so it is set aside.
-void storedAndCutOff() {
+void openEarlierReleaseCutOff() {
   {
     const Folder folder;
     copyStoredFile(folder);
@@ -494,7 +514,7 @@
   const std::string path = folder.path() + "/" + kFile;
   std::filesystem::resize_file(path, std::filesystem::file_size(path) - 4096);
   std::cout << "a file without its last page: damage is "
-            << (read(folder.path()).damage.empty() ? "NOT SEEN" : "seen") << "\n";
+            << (read(folder.path()).damage ? "seen" : "NOT SEEN") << "\n";
   printOpened(folder);
   std::cout << "what was set aside is kept: " << std::filesystem::exists(path + ".damaged1") << "\n";
 }
@@ -502,15 +522,16 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::map<std::string, std::function<void()>> cases{{"power", power},
-                                                           {"bytes", bytes},
-                                                           {"failing", failing},
-                                                           {"folders", folders},
-                                                           {"healing", healing},
-                                                           {"stored", storedByEarlierRelease},
-                                                           {"stored-cut-off", storedAndCutOff}};
-  const auto at = cases.find(argc > 1 ? argv[1] : "");
-  if (at == cases.end()) return 2;
-  at->second();
+  const std::map<std::string, std::function<void()>> cases{
+      {"power-loss", losePower},
+      {"damaged-bytes", damageEachByte},
+      {"failing-operations", failEachOperation},
+      {"opening-folders", openFolders},
+      {"full-disk", recoverFromFullDisk},
+      {"earlier-release", openEarlierRelease},
+      {"earlier-release-cut-off", openEarlierReleaseCutOff}};
+  const auto found = cases.find(argc > 1 ? argv[1] : "");
+  if (found == cases.end()) return 2;
+  found->second();
   return 0;
 }
