--- a/src/cluster/membership_service.cpp
+++ b/src/cluster/membership_service.cpp
@@ -98,8 +98,8 @@
   for (const auto& transition : view_.takeTransitions())
     log_(transition.to == MembershipView::State::dead ? "members.out" : "members.back",
          "router=" + transition.router + " state=" + std::string(membership::nameOf(transition.to)) +
-             " incarnation=" + std::to_string(transition.incarnation) +
-             " silent_at=" + std::to_string(transition.silentVoterCount) + " of=" + std::to_string(voters_.size()));
+             " incarnation=" + std::to_string(transition.incarnation) + " silent_at=" +
+             std::to_string(transition.silentVoterCount) + " of=" + std::to_string(voters_.size()));
 }
 
 // --- At a voter
--- a/src/idempotency/claim_coordinator.cpp
+++ b/src/idempotency/claim_coordinator.cpp
@@ -37,7 +37,7 @@
     claim.withoutVote.insert(voter);
     waiting.push_back(number);
   }
-  for (const ClaimNumber number : waiting) decideIfPossible(number, false);
+  for (const ClaimNumber number : waiting) decideIfPossible(number, VoteWait::pending);
 }
 
 void ClaimCoordinator::beginClaim(Instant now, TxnKey txn, const std::string& id, Duration remaining) {
@@ -96,10 +96,11 @@
       claim.withoutVote.insert(voter);
       break;
   }
-  decideIfPossible(number, false);
+  decideIfPossible(number, VoteWait::pending);
 }
 
-void ClaimCoordinator::decideIfPossible(ClaimNumber number, bool isTimeOver) {
+void ClaimCoordinator::decideIfPossible(ClaimNumber number, VoteWait wait) {
+  const bool isTimeOver = wait == VoteWait::over;
   const Claim& claim = claims_.at(number);
   const std::size_t majority = majorityOf(limits_.voterCount);
   const std::size_t granted = claim.grantedBy.size();
@@ -181,7 +182,7 @@
     const ClaimNumber number = voteDeadlines_.begin()->second;
     voteDeadlines_.erase(voteDeadlines_.begin());
     const auto found = claims_.find(number);
-    if (found != claims_.end() && !found->second.isDecided) decideIfPossible(number, true);
+    if (found != claims_.end() && !found->second.isDecided) decideIfPossible(number, VoteWait::over);
   }
   return voteDeadlines_.empty() ? Instant() : voteDeadlines_.begin()->first;
 }
--- a/src/idempotency/claim_coordinator.h
+++ b/src/idempotency/claim_coordinator.h
@@ -110,8 +110,10 @@
   // Why no claim may begin now; none: it may.
   std::optional<std::string_view> rejectReason(const std::string& id, Duration remaining) const;
   void openClaim(Instant now, TxnKey txn, const std::string& id, Duration remaining);
-  // Decides the claim if its votes suffice or no longer can. `isTimeOver`: no further vote is waited for.
-  void decideIfPossible(ClaimNumber number, bool isTimeOver);
+  // Whether a claim waits for further votes.
+  enum class VoteWait { pending, over };
+  // Decides the claim if its votes suffice or no longer can.
+  void decideIfPossible(ClaimNumber number, VoteWait wait);
   void decide(ClaimNumber number, Decision::Kind kind, std::string value, std::string_view reason);
   void count(Decision::Kind kind);
   void sendToAll(ClaimMessage::Kind kind, const Claim& claim, ClaimNumber number,
--- a/src/idempotency/voting_member.cpp
+++ b/src/idempotency/voting_member.cpp
@@ -25,26 +25,26 @@
     const std::string id = record.id;
     claims_[id] = {.record = std::move(record), .isDurable = true};
   }
-  finishListChange(false);
+  finishListChangeIfSuperseded();
   finishVerification(now);
 }
 
 // --- Among voters
 
-// Lists that are superseded stay so: no disk returns to an earlier list.
-void VotingMember::finishListChange(bool isConfirmed) {
+void VotingMember::finishListChange() {
   if (state_ != State::changingLists) return;
-  const bool areSuperseded = isConfirmed || std::all_of(lists_.previous.begin(), lists_.previous.end(),
-                                                        [&](const VoterList& previous) {
-                                                          return isSuperseded(previous, onCurrentList_);
-                                                        });
-  if (!areSuperseded) return;
   state_ = State::verifyingDisk;
   if (lists_.previous.empty()) return;
   lists_.previous.clear();
   changes_.push_back(lists_);
 }
 
+// Lists that are superseded stay so: no disk returns to an earlier list.
+void VotingMember::finishListChangeIfSuperseded() {
+  const auto isListSuperseded = [&](const VoterList& list) { return isSuperseded(list, onCurrentList_); };
+  if (std::all_of(lists_.previous.begin(), lists_.previous.end(), isListSuperseded)) finishListChange();
+}
+
 void VotingMember::finishVerification(Instant now) {
   const std::size_t voters = otherVoters_.size() + 1;
   if (state_ != State::verifyingDisk || confirmedBy_.size() + 1 < majorityOf(voters)) return;
@@ -68,7 +68,7 @@
                                                          const VoterIncarnation& start) {
   if (!otherVoters_.contains(voter)) return VoterIncarnation();
   onCurrentList_.insert(voter);
-  finishListChange(false);
+  finishListChangeIfSuperseded();
   if (state_ == State::changingLists) return std::nullopt;
   VoterIncarnation& newest = otherStarts_[voter];
   const VoterIncarnation knownBefore = newest;
@@ -83,7 +83,7 @@
                                    const VoterIncarnation& knownStart) {
   // A reply to an older greeting says nothing about this start.
   if (!otherVoters_.contains(voter) || greetedStart != start().number) return false;
-  finishListChange(true);
+  finishListChange();  // the other voter replies only once earlier lists are superseded
   const bool isOurs = std::any_of(ownStarts_.begin(), ownStarts_.end(),
                                   [&](const auto& own) { return own.draw == knownStart.draw; });
   // A start that this disk has not seen: it was another disk's, or this one's after this copy was made.
--- a/src/idempotency/voting_member.h
+++ b/src/idempotency/voting_member.h
@@ -118,9 +118,11 @@
     ClaimToken token;
   };
 
-  // Leaves State::changingLists once earlier lists are superseded. `isConfirmed`: a voter that knows them to
-  // be has replied.
-  void finishListChange(bool isConfirmed);
+  // Leaves State::changingLists, if it is there.
+  void finishListChange();
+  // Likewise, if all earlier lists are superseded by the voters that are known to serve under the current
+  // one.
+  void finishListChangeIfSuperseded();
   // Leaves State::verifyingDisk once enough voters have confirmed this start.
   void finishVerification(Instant now);
   // Another voter knows a start that this disk does not: votes of it may be lost.
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -4,9 +4,9 @@
 #include "store/store.h"
 
 #include <poll.h>
-#include <signal.h>
 #include <sys/resource.h>
 
+#include <csignal>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -310,7 +310,7 @@
     attempt("a look while in use", [&] { std::ignore = read(folder.path()); });
     store.write({committedClaim(2, 5)});
   }
-  Store(folder.path(), "k1", 12, kOneVoter);
+  { const Store secondStart(folder.path(), "k1", 12, kOneVoter); }
   const FolderContents contents = read(folder.path());
   std::cout << "after two starts, " << contents.voter << ": " << shown(contents.state).substr(0, 70) << "\n";
   {
@@ -333,7 +333,7 @@
   create(folder.path(), "k1");
   Store store(folder.path(), "k1", 11, kOneVoter);
   std::cout << "durable: " << write(store, {openClaim(1, 4)}) << "\n";
-  signal(SIGXFSZ, SIG_IGN);
+  std::signal(SIGXFSZ, SIG_IGN);
   rlimit before{};
   getrlimit(RLIMIT_FSIZE, &before);
   const rlimit none{512, before.rlim_max};
