--- a/src/idempotency/claim_types.h
+++ b/src/idempotency/claim_types.h
@@ -19,7 +19,7 @@
 // Identifies one claim, over all routers and starts.
 struct ClaimToken {
   std::string router;
-  std::uint64_t start = 0;   // drawn anew at each start of the program, from all 64-bit numbers
+  std::uint64_t start = 0;   // a 64-bit random number of each start of the program
   std::uint64_t number = 0;  // of that start's claims, from 1
   auto operator<=>(const ClaimToken&) const = default;
 };
--- a/src/idempotency/voter_lists.cpp
+++ b/src/idempotency/voter_lists.cpp
@@ -19,12 +19,12 @@
 
 // Why the list may not follow its predecessor; none: it may.
 std::optional<std::string> faultOf(const VoterList& list, const VoterList& predecessor, std::size_t number) {
-  const auto place = "list " + std::to_string(number) + " (" + joinedNames(list) + ")";
+  const std::string label = "list " + std::to_string(number) + " (" + joinedNames(list) + ")";
   if (list.names.size() < predecessor.names.size())
-    return place +
+    return label +
            " is shorter than the one before: that takes a stop of all routers, for the time of retention";
   if (countIn(predecessor, list.names) < majorityOf(predecessor.names.size()))
-    return place + " keeps half or fewer of the one before: change fewer at a time";
+    return label + " keeps half or fewer of the one before: change fewer at a time";
   return std::nullopt;
 }
 
--- a/src/idempotency/voter_lists.h
+++ b/src/idempotency/voter_lists.h
@@ -1,5 +1,5 @@
-// Changing who the voters are while routers run, one restart after another. Decides what a disk's voter may
-// do under a list that is not the one that it last served under. No I/O, no clock.
+// Changing the list of voters while routers run, one restart after another. Decides what a voter may do when
+// its disk was last used under another list. No I/O, no clock.
 //
 // An operator's file names the present list and all that there were before it. Each follows its predecessor:
 // it is not shorter, and keeps more than half of its voters.
--- a/src/idempotency/voting_member.cpp
+++ b/src/idempotency/voting_member.cpp
@@ -87,7 +87,7 @@
   const bool isOurs = std::any_of(ownStarts_.begin(), ownStarts_.end(),
                                   [&](const auto& own) { return own.draw == knownStart.draw; });
   // A start that this disk has not seen: it was another disk's, or this one's after this copy was made.
-  // Numbers alone don't show that: starts that nobody was notified of count up, too.
+  // Numbers alone don't show that: starts that no other voter was notified of are counted, too.
   if (knownStart.number > 0 && knownStart.number >= newSince_ && !isOurs) {
     restartVerification(knownStart);
     return true;
--- a/src/idempotency/voting_member.h
+++ b/src/idempotency/voting_member.h
@@ -49,7 +49,7 @@
 
 // From the settings.
 struct VotingMemberLimits {
-  // How long a vote counts, by the voter's monotonic clock and anew from each start, as no wall clock can be
+  // How long a vote counts, by the voter's monotonic clock and again from each start, as no wall clock can be
   // trusted over a power loss. Longer than any transaction or client's repeat can take.
   Duration retention = Duration::millis(600'000);
   std::size_t maxClaims = 1'000'000;       // stored ids; beyond that it abstains
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -173,7 +173,7 @@
 }
 
 // A commit that failed leaves the connection with pages that may or may not be on disk: it is closed, and the
-// file is read anew, as a sync that "succeeds" after one that failed proves nothing.
+// file is read again, as a sync that "succeeds" after one that failed proves nothing.
 bool Store::commit(const std::vector<QueuedWrite>& group) {
   std::string fault;
   try {
--- a/tests/claims/simulated_fleet.h
+++ b/tests/claims/simulated_fleet.h
@@ -77,7 +77,7 @@
     Instant diskLostAt;                                // never: its disk was not touched
     std::map<std::size_t, std::uint64_t> connections;  // to each voter: its generation; odd: up
     std::map<std::size_t, Instant> lastArrival;        // of the messages on each, by direction
-    std::map<TxnKey, std::string> waiting;             // ids of txns that wait for a decision
+    std::map<TxnKey, std::string> waiting;             // ids of transactions without a decision
   };
   struct Event {
     Instant at;
