--- a/src/cluster/status_document.cpp
+++ b/src/cluster/status_document.cpp
@@ -18,7 +18,7 @@
     Json group{
         {"group", id}, {"stage", recovery::nameOf(status.stage)}, {"for_ms", millis(now - status.since)}};
     if (!status.awaits.empty()) group["awaits"] = status.awaits;
-    if (!status.claimed.empty()) group["contested_by"] = status.claimed;
+    if (!status.contenders.empty()) group["contested_by"] = status.contenders;
     if (const auto known = recovery.knownPrimaries().find(id); known != recovery.knownPrimaries().end())
       group["primary"] = known->second.node;
     groups.push_back(std::move(group));
@@ -41,7 +41,7 @@
                 {"state", membership::nameOf(state.state)},
                 {"start", state.incarnation},
                 {"stage", stageNameOf(state.progress.recoveryStage)}};
-    for (const auto voter : state.silent) member["silent_at"].push_back(membership.voters().at(voter));
+    for (const auto voter : state.silentVoters) member["silent_at"].push_back(membership.voters().at(voter));
     members.push_back(std::move(member));
   }
   return members;
@@ -67,20 +67,20 @@
 }
 
 Json votingMemberOf(const idempotency::VotingMember& votingMember) {
-  Json status{{"state", nameOf(votingMember.state())}, {"ids", votingMember.size()}};
+  Json status{{"state", nameOf(votingMember.state())}, {"ids", votingMember.claimCount()}};
   if (const auto unverified = votingMember.unverifiedVoters(); !unverified.empty())
     status["waits_for"] = unverified;
   return status;
 }
 
 Json storeOf(const store::StoreStatistics& store) {
-  Json status{{"bytes", store.bytes},
-              {"queued", store.queued},
+  Json status{{"bytes", store.fileBytes},
+              {"queued", store.queuedChanges},
               {"commits", store.commits},
-              {"failures", store.failures},
-              {"longest_ms", millis(store.longest)},
-              {"durable_ms_ago", millis(store.durableAgo)}};
-  if (!store.fault.empty()) status["fault"] = store.fault;
+              {"failures", store.failedCommits},
+              {"longest_ms", millis(store.longestCommit)},
+              {"durable_ms_ago", millis(store.sinceLastCommit)}};
+  if (!store.lastFault.empty()) status["fault"] = store.lastFault;
   return status;
 }
 
