--- a/src/cluster/messages.cpp
+++ b/src/cluster/messages.cpp
@@ -4,48 +4,57 @@
 
 namespace gulltrestle::cluster {
 
+using idempotency::Vote;
+using idempotency::VoterIncarnation;
+using maintenance::Acceptor;
+using membership::Incarnation;
+using Fault = MalformedMessage::Fault;
+
 namespace {
 
 // --- Parts of messages: set() encodes, read() decodes
 
-void set(wire::Start& to, const idempotency::VoterIncarnation& incarnation) {
+void set(wire::Incarnation& to, const VoterIncarnation& incarnation) {
   to.set_number(incarnation.number);
   to.set_draw(incarnation.draw);
 }
-idempotency::VoterIncarnation read(const wire::Start& from) { return {from.number(), from.draw()}; }
-void set(wire::Start& to, const membership::Incarnation& incarnation) {
+VoterIncarnation readVoterIncarnation(const wire::Incarnation& from) { return {from.number(), from.draw()}; }
+
+void set(wire::Incarnation& to, const Incarnation& incarnation) {
   to.set_number(incarnation.number);
   to.set_draw(incarnation.draw);
 }
-membership::Incarnation readIncarnation(const wire::Start& from) { return {from.number(), from.draw()}; }
+Incarnation readIncarnation(const wire::Incarnation& from) { return {from.number(), from.draw()}; }
 
-void set(wire::Reports& to, const HeartbeatReply& reports) {
-  for (const auto& report : reports.reports) {
-    auto& one = *to.add_reports();
-    one.set_router(report.router);
-    set(*one.mutable_incarnation(), report.incarnation);
-    // Both enums have the same values.
-    one.set_hearing(static_cast<wire::Report::Liveness>(report.liveness));
-    one.set_progress(report.progress.recoveryStage);
-    one.set_known(report.progress.planVersion);
-    one.set_clear(report.progress.drainedVersion);
-  }
-  to.set_beat(reports.heartbeatNumber);
-  to.set_counts(reports.grantsLease);
-}
-HeartbeatReply read(const wire::Reports& from) {
-  HeartbeatReply reports;
-  for (const auto& one : from.reports()) {
-    if (one.hearing() < wire::Report::AWAITED || one.hearing() > wire::Report::LEFT)
-      throw MalformedMessage("a hearing that is not known");
-    reports.reports.push_back({one.router(),
-                               readIncarnation(one.incarnation()),
-                               static_cast<membership::Liveness>(one.hearing()),
-                               {one.progress(), one.known(), one.clear()}});
-  }
-  reports.heartbeatNumber = from.beat();
-  reports.grantsLease = from.counts();
-  return reports;
+void set(wire::LivenessReport& to, const membership::LivenessReport& report) {
+  to.set_router(report.router);
+  set(*to.mutable_incarnation(), report.incarnation);
+  // Both enums have the same values.
+  to.set_liveness(static_cast<wire::LivenessReport::Liveness>(report.liveness));
+  to.set_recovery_stage(report.progress.recoveryStage);
+  to.set_plan_version(report.progress.planVersion);
+  to.set_drained_version(report.progress.drainedVersion);
+}
+membership::LivenessReport read(const wire::LivenessReport& from) {
+  if (from.liveness() < wire::LivenessReport::AWAITED || from.liveness() > wire::LivenessReport::REMOVED)
+    throw MalformedMessage(Fault::unknownEnumValue, "a hearing that is not known");
+  return {from.router(),
+          readIncarnation(from.incarnation()),
+          static_cast<membership::Liveness>(from.liveness()),
+          {from.recovery_stage(), from.plan_version(), from.drained_version()}};
+}
+
+void set(wire::HeartbeatReply& to, const HeartbeatReply& reply) {
+  for (const auto& report : reply.reports) set(*to.add_reports(), report);
+  to.set_heartbeat_number(reply.heartbeatNumber);
+  to.set_grants_lease(reply.grantsLease);
+}
+HeartbeatReply read(const wire::HeartbeatReply& from) {
+  HeartbeatReply reply;
+  for (const auto& report : from.reports()) reply.reports.push_back(read(report));
+  reply.heartbeatNumber = from.heartbeat_number();
+  reply.grantsLease = from.grants_lease();
+  return reply;
 }
 
 void set(wire::Ballot& to, const maintenance::Ballot& ballot) {
@@ -53,226 +62,296 @@
   to.set_draw(ballot.draw);
 }
 maintenance::Ballot read(const wire::Ballot& from) { return {from.number(), from.draw()}; }
-void set(wire::Held& to, const maintenance::AcceptedValue& held) {
-  set(*to.mutable_ballot(), held.ballot);
-  to.set_version(held.version.version);
-  to.set_draw(held.version.draw);
-  to.set_value(held.value);
+
+void set(wire::AcceptedValue& to, const maintenance::AcceptedValue& accepted) {
+  set(*to.mutable_ballot(), accepted.ballot);
+  to.set_version(accepted.version.version);
+  to.set_draw(accepted.version.draw);
+  to.set_value(accepted.value);
 }
-maintenance::AcceptedValue read(const wire::Held& from) {
+maintenance::AcceptedValue read(const wire::AcceptedValue& from) {
   return {read(from.ballot()), {from.version(), from.draw()}, from.value()};
 }
-void set(wire::AcceptorReply& to, const maintenance::Acceptor::AcceptorReply& answer) {
+
+void set(wire::AcceptorReply& to, const Acceptor::AcceptorReply& reply) {
   // Both enums have the same values.
-  to.set_what(static_cast<wire::AcceptorReply::Kind>(answer.kind));
-  set(*to.mutable_ballot(), answer.ballot);
-  set(*to.mutable_promised(), answer.promised);
-  if (answer.kind == maintenance::Acceptor::AcceptorReply::Kind::promised)
-    set(*to.mutable_held(), answer.accepted);
-}
-maintenance::Acceptor::AcceptorReply read(const wire::AcceptorReply& from) {
-  if (from.what() < wire::AcceptorReply::PROMISED || from.what() > wire::AcceptorReply::REFUSED)
-    throw MalformedMessage("an answer that is not known");
-  return {static_cast<maintenance::Acceptor::AcceptorReply::Kind>(from.what()), read(from.ballot()),
-          read(from.promised()), read(from.held())};
+  to.set_kind(static_cast<wire::AcceptorReply::Kind>(reply.kind));
+  set(*to.mutable_ballot(), reply.ballot);
+  set(*to.mutable_promised(), reply.promised);
+  if (reply.kind == Acceptor::AcceptorReply::Kind::promised) set(*to.mutable_accepted(), reply.accepted);
+}
+Acceptor::AcceptorReply read(const wire::AcceptorReply& from) {
+  if (from.kind() < wire::AcceptorReply::PROMISED || from.kind() > wire::AcceptorReply::REJECTED)
+    throw MalformedMessage(Fault::unknownEnumValue, "an answer that is not known");
+  return {static_cast<Acceptor::AcceptorReply::Kind>(from.kind()), read(from.ballot()), read(from.promised()),
+          read(from.accepted())};
 }
 
-void set(wire::Nodes& to, const DrainUpdates& nodes) {
-  for (const auto& update : nodes) {
-    auto& node = *to.add_nodes();
-    node.set_id(update.node);
-    node.set_version(update.version);
-    node.set_leaving(update.isDraining);
+void set(wire::DrainUpdates& to, const DrainUpdates& updates) {
+  for (const auto& update : updates) {
+    auto& encodedUpdate = *to.add_updates();
+    encodedUpdate.set_node(update.node);
+    encodedUpdate.set_version(update.version);
+    encodedUpdate.set_is_draining(update.isDraining);
   }
 }
-DrainUpdates read(const wire::Nodes& from) {
-  DrainUpdates nodes;
-  for (const auto& node : from.nodes()) nodes.push_back({node.id(), node.version(), node.leaving()});
-  return nodes;
+DrainUpdates read(const wire::DrainUpdates& from) {
+  DrainUpdates updates;
+  for (const auto& update : from.updates())
+    updates.push_back({update.node(), update.version(), update.is_draining()});
+  return updates;
 }
 
-void set(wire::Primaries& to, const PrimaryUpdates& primaries) {
-  for (const auto& update : primaries) {
-    auto& primary = *to.add_primaries();
-    primary.set_group(update.group);
-    primary.set_node(update.primary.node);
-    primary.set_version(update.primary.version);
+void set(wire::PrimaryUpdates& to, const PrimaryUpdates& updates) {
+  for (const auto& update : updates) {
+    auto& encodedUpdate = *to.add_updates();
+    encodedUpdate.set_group(update.group);
+    encodedUpdate.set_node(update.primary.node);
+    encodedUpdate.set_version(update.primary.version);
   }
 }
-PrimaryUpdates read(const wire::Primaries& from) {
-  PrimaryUpdates primaries;
-  for (const auto& one : from.primaries()) primaries.push_back({one.group(), {one.node(), one.version()}});
-  return primaries;
+PrimaryUpdates read(const wire::PrimaryUpdates& from) {
+  PrimaryUpdates updates;
+  for (const auto& update : from.updates())
+    updates.push_back({update.group(), {update.node(), update.version()}});
+  return updates;
 }
 
-void set(wire::Seen& to, const ObservationReport& report) {
-  to.set_serves(report.hasRecovered);
-  for (const auto& observation : report.nodes) {
-    auto& one = *to.add_sightings();
-    one.set_node(observation.node);
-    one.set_node_start_us(observation.nodeStart.inMicros());
-    one.set_role(observation.role == Role::primary   ? wire::Observation::PRIMARY
-                 : observation.role == Role::replica ? wire::Observation::REPLICA
-                                                     : wire::Observation::UNKNOWN);
-    one.set_has_position(observation.position.has_value());
-    if (observation.position) one.set_position_us(observation.position->inMicros());
-    one.set_age_us(observation.age.inMicros());
+wire::Observation::Role encodedRole(Role role) {
+  switch (role) {
+    case Role::primary:
+      return wire::Observation::PRIMARY;
+    case Role::replica:
+      return wire::Observation::REPLICA;
+    case Role::unknown:
+      break;
   }
+  return wire::Observation::UNKNOWN;
 }
-ObservationReport read(const wire::Seen& from) {
-  ObservationReport report;
-  report.hasRecovered = from.serves();
-  for (const auto& one : from.sightings()) {
-    recovery::Observation observation;
-    observation.node = one.node();
-    observation.nodeStart = Instant::atMicros(one.node_start_us());
-    observation.role = one.role() == wire::Observation::PRIMARY   ? Role::primary
-                       : one.role() == wire::Observation::REPLICA ? Role::replica
-                                                                  : Role::unknown;
-    if (one.has_position()) observation.position = Instant::atMicros(one.position_us());
-    observation.age = Duration::micros(one.age_us());
-    report.nodes.push_back(std::move(observation));
+Role readRole(wire::Observation::Role role) {
+  switch (role) {
+    case wire::Observation::PRIMARY:
+      return Role::primary;
+    case wire::Observation::REPLICA:
+      return Role::replica;
+    default:  // a router of a later version may know more
+      return Role::unknown;
   }
+}
+
+void set(wire::Observation& to, const recovery::Observation& observation) {
+  to.set_node(observation.node);
+  to.set_node_start_us(observation.nodeStart.inMicros());
+  to.set_role(encodedRole(observation.role));
+  to.set_has_position(observation.position.has_value());
+  if (observation.position) to.set_position_us(observation.position->inMicros());
+  to.set_age_us(observation.age.inMicros());
+}
+recovery::Observation read(const wire::Observation& from) {
+  recovery::Observation observation;
+  observation.node = from.node();
+  observation.nodeStart = Instant::atMicros(from.node_start_us());
+  observation.role = readRole(from.role());
+  if (from.has_position()) observation.position = Instant::atMicros(from.position_us());
+  observation.age = Duration::micros(from.age_us());
+  return observation;
+}
+
+void set(wire::ObservationReport& to, const ObservationReport& report) {
+  to.set_has_recovered(report.hasRecovered);
+  for (const auto& observation : report.nodes) set(*to.add_observations(), observation);
+}
+ObservationReport read(const wire::ObservationReport& from) {
+  ObservationReport report;
+  report.hasRecovered = from.has_recovered();
+  for (const auto& observation : from.observations()) report.nodes.push_back(read(observation));
   return report;
 }
 
+wire::Vote::Kind encodedKind(Vote::Kind kind) {
+  switch (kind) {
+    case Vote::Kind::granted:
+      return wire::Vote::GRANTED;
+    case Vote::Kind::takenByOther:
+      return wire::Vote::TAKEN_BY_OTHER;
+    case Vote::Kind::abstained:
+      break;
+  }
+  return wire::Vote::ABSTAINED;
+}
+Vote::Kind readKind(wire::Vote::Kind kind) {
+  switch (kind) {
+    case wire::Vote::GRANTED:
+      return Vote::Kind::granted;
+    case wire::Vote::TAKEN_BY_OTHER:
+      return Vote::Kind::takenByOther;
+    default:  // what a voter of a later version means by it is not known: no vote
+      return Vote::Kind::abstained;
+  }
+}
+
+// --- Messages of routers
+
+void set(wire::PeerMessage& to, const Greeting& greeting) {
+  auto& encodedGreeting = *to.mutable_greeting();
+  encodedGreeting.set_router(greeting.router);
+  encodedGreeting.set_voter_list(greeting.voterList);
+  encodedGreeting.set_draw(greeting.draw);
+  if (greeting.voterIncarnation.number > 0)
+    set(*encodedGreeting.mutable_voter_incarnation(), greeting.voterIncarnation);
+}
+void set(wire::PeerMessage& to, const Claim& claim) {
+  to.mutable_claim()->set_id(claim.id);
+  to.mutable_claim()->set_number(claim.number);
+}
+void set(wire::PeerMessage& to, const Release& release) {
+  to.mutable_release()->set_id(release.id);
+  to.mutable_release()->set_number(release.number);
+}
+void set(wire::PeerMessage& to, const Committed& committed) {
+  to.mutable_committed()->set_id(committed.id);
+  to.mutable_committed()->set_number(committed.number);
+  to.mutable_committed()->set_value(committed.value);
+}
+void set(wire::PeerMessage& to, const DrainUpdates& updates) { set(*to.mutable_drain_updates(), updates); }
+void set(wire::PeerMessage& to, const PrimaryUpdates& updates) {
+  set(*to.mutable_primary_updates(), updates);
+}
+void set(wire::PeerMessage& to, const JoinRequest& request) {
+  to.mutable_join_request()->set_number(request.number);
+}
+void set(wire::PeerMessage& to, const Heartbeat& heartbeat) {
+  auto& encodedHeartbeat = *to.mutable_heartbeat();
+  encodedHeartbeat.set_number(heartbeat.number);
+  encodedHeartbeat.set_recovery_stage(heartbeat.progress.recoveryStage);
+  encodedHeartbeat.set_plan_version(heartbeat.progress.planVersion);
+  encodedHeartbeat.set_drained_version(heartbeat.progress.drainedVersion);
+}
+void set(wire::PeerMessage& to, const PrepareRequest& request) {
+  set(*to.mutable_prepare_request(), request.ballot);
+}
+void set(wire::PeerMessage& to, const AcceptRequest& request) {
+  set(*to.mutable_accept_request(), request.proposed);
+}
+
+Greeting read(const wire::Greeting& from) {
+  return {from.router(), from.voter_list(), from.draw(), readVoterIncarnation(from.voter_incarnation())};
+}
+Heartbeat read(const wire::Heartbeat& from) {
+  return {from.number(), {from.recovery_stage(), from.plan_version(), from.drained_version()}};
+}
+
+// --- Replies of voters
+
+void set(wire::PeerReply& to, const GreetingReply& reply) {
+  auto& encodedReply = *to.mutable_greeting_reply();
+  encodedReply.set_number(reply.number);
+  set(*encodedReply.mutable_previous_voter_incarnation(), reply.previousVoterIncarnation);
+  set(*encodedReply.mutable_joined_incarnation(), reply.joinedIncarnation);
+}
+void set(wire::PeerReply& to, const VoteReply& reply) {
+  auto& vote = *to.mutable_vote();
+  vote.set_number(reply.number);
+  vote.set_kind(encodedKind(reply.vote.kind));
+  vote.set_committed(reply.vote.committed);
+  vote.set_value(reply.vote.value);
+}
+void set(wire::PeerReply& to, const DrainUpdates& updates) { set(*to.mutable_drain_updates(), updates); }
+void set(wire::PeerReply& to, const PrimaryUpdates& updates) { set(*to.mutable_primary_updates(), updates); }
+void set(wire::PeerReply& to, const ObservationReport& report) {
+  set(*to.mutable_observation_report(), report);
+}
+void set(wire::PeerReply& to, const JoinReply& reply) {
+  set(*to.mutable_join_reply()->mutable_newest(), reply.newest);
+}
+void set(wire::PeerReply& to, const HeartbeatReply& reply) { set(*to.mutable_heartbeat_reply(), reply); }
+void set(wire::PeerReply& to, const ProposalReply& reply) { set(*to.mutable_proposal_reply(), reply.reply); }
+void set(wire::PeerReply& to, const PlanUpdate& update) { set(*to.mutable_plan_update(), update.accepted); }
+
+GreetingReply read(const wire::GreetingReply& from) {
+  return {from.number(), readVoterIncarnation(from.previous_voter_incarnation()),
+          readIncarnation(from.joined_incarnation())};
+}
+VoteReply read(const wire::Vote& from) {
+  return {from.number(), {readKind(from.kind()), from.committed(), from.value()}};
+}
+
 template <typename Message>
 Message parsed(std::string_view bytes) {
   Message message;
   if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-    throw MalformedMessage("a message that can't be read");
+    throw MalformedMessage(Fault::unparsable, "a message that can't be read");
   return message;
 }
 
-// The visitor made of one lambda for each message type.
-template <typename... Cases>
-struct Overloaded : Cases... {
-  using Cases::operator()...;
-};
-template <typename... Cases>
-Overloaded(Cases...) -> Overloaded<Cases...>;
-
 }  // namespace
 
-std::string encoded(const PeerMessage& peerMessage) {
-  wire::Word wireMessage;
-  std::visit(
-      Overloaded{[&](const Greeting& message) {
-                   auto& hello = *wireMessage.mutable_hello();
-                   hello.set_router(message.router);
-                   hello.set_keepers(message.voterList);
-                   hello.set_draw(message.draw);
-                   if (message.voterIncarnation.number > 0)
-                     set(*hello.mutable_keeper(), message.voterIncarnation);
-                 },
-                 [&](const Claim& message) {
-                   wireMessage.mutable_claim()->set_id(message.id);
-                   wireMessage.mutable_claim()->set_number(message.number);
-                 },
-                 [&](const Release& message) {
-                   wireMessage.mutable_release()->set_id(message.id);
-                   wireMessage.mutable_release()->set_number(message.number);
-                 },
-                 [&](const Committed& message) {
-                   auto& committed = *wireMessage.mutable_committed();
-                   committed.set_id(message.id);
-                   committed.set_number(message.number);
-                   committed.set_value(message.value);
-                 },
-                 [&](const DrainUpdates& message) { set(*wireMessage.mutable_nodes(), message); },
-                 [&](const PrimaryUpdates& message) { set(*wireMessage.mutable_primaries(), message); },
-                 [&](const JoinRequest& message) { wireMessage.mutable_enter()->set_number(message.number); },
-                 [&](const Heartbeat& message) {
-                   auto& beat = *wireMessage.mutable_beat();
-                   beat.set_number(message.number);
-                   beat.set_progress(message.progress.recoveryStage);
-                   beat.set_known(message.progress.planVersion);
-                   beat.set_clear(message.progress.drainedVersion);
-                 },
-                 [&](const PrepareRequest& message) { set(*wireMessage.mutable_read(), message.ballot); },
-                 [&](const AcceptRequest& message) { set(*wireMessage.mutable_write(), message.proposed); }},
-      peerMessage);
-  return wireMessage.SerializeAsString();
+std::string encoded(const PeerMessage& message) {
+  wire::PeerMessage encodedMessage;
+  std::visit([&](const auto& typed) { set(encodedMessage, typed); }, message);
+  return encodedMessage.SerializeAsString();
 }
 
-std::string encoded(const PeerReply& peerReply) {
-  wire::Reply wireReply;
-  std::visit(
-      Overloaded{
-          [&](const GreetingReply& reply) {
-            wireReply.mutable_heard()->set_number(reply.number);
-            set(*wireReply.mutable_heard()->mutable_knew(), reply.previousVoterIncarnation);
-            set(*wireReply.mutable_heard()->mutable_speaks(), reply.joinedIncarnation);
-          },
-          [&](const VoteReply& reply) {
-            auto& vote = *wireReply.mutable_vote();
-            vote.set_number(reply.number);
-            vote.set_what(reply.vote.kind == idempotency::Vote::Kind::granted        ? wire::Vote::YOURS
-                          : reply.vote.kind == idempotency::Vote::Kind::takenByOther ? wire::Vote::TAKEN
-                                                                                     : wire::Vote::SILENT);
-            vote.set_committed(reply.vote.committed);
-            vote.set_value(reply.vote.value);
-          },
-          [&](const DrainUpdates& reply) { set(*wireReply.mutable_nodes(), reply); },
-          [&](const PrimaryUpdates& reply) { set(*wireReply.mutable_primaries(), reply); },
-          [&](const ObservationReport& reply) { set(*wireReply.mutable_seen(), reply); },
-          [&](const JoinReply& reply) { set(*wireReply.mutable_entered()->mutable_newest(), reply.newest); },
-          [&](const HeartbeatReply& reply) { set(*wireReply.mutable_reports(), reply); },
-          [&](const ProposalReply& reply) { set(*wireReply.mutable_answer(), reply.reply); },
-          [&](const PlanUpdate& reply) { set(*wireReply.mutable_holds(), reply.accepted); }},
-      peerReply);
-  return wireReply.SerializeAsString();
+std::string encoded(const PeerReply& reply) {
+  wire::PeerReply encodedReply;
+  std::visit([&](const auto& typed) { set(encodedReply, typed); }, reply);
+  return encodedReply.SerializeAsString();
 }
 
 PeerMessage readMessage(std::string_view bytes) {
-  const auto message = parsed<wire::Word>(bytes);
-  switch (message.word_case()) {
-    case wire::Word::kHello:
-      return Greeting{message.hello().router(), message.hello().keepers(), message.hello().draw(),
-                      read(message.hello().keeper())};
-    case wire::Word::kClaim:
+  const auto message = parsed<wire::PeerMessage>(bytes);
+  switch (message.message_case()) {
+    case wire::PeerMessage::kGreeting:
+      return read(message.greeting());
+    case wire::PeerMessage::kClaim:
       return Claim{message.claim().id(), message.claim().number()};
-    case wire::Word::kRelease:
+    case wire::PeerMessage::kRelease:
       return Release{message.release().id(), message.release().number()};
-    case wire::Word::kCommitted:
+    case wire::PeerMessage::kCommitted:
       return Committed{message.committed().id(), message.committed().number(), message.committed().value()};
-    case wire::Word::kNodes:
-      return read(message.nodes());
-    case wire::Word::kPrimaries:
-      return read(message.primaries());
-    case wire::Word::kEnter:
-      return JoinRequest{message.enter().number()};
-    case wire::Word::kBeat:
-      return Heartbeat{message.beat().number(),
-                       {message.beat().progress(), message.beat().known(), message.beat().clear()}};
-    case wire::Word::kRead:
-      return PrepareRequest{read(message.read())};
-    case wire::Word::kWrite:
-      return AcceptRequest{read(message.write())};
-    case wire::Word::WORD_NOT_SET:
+    case wire::PeerMessage::kDrainUpdates:
+      return read(message.drain_updates());
+    case wire::PeerMessage::kPrimaryUpdates:
+      return read(message.primary_updates());
+    case wire::PeerMessage::kJoinRequest:
+      return JoinRequest{message.join_request().number()};
+    case wire::PeerMessage::kHeartbeat:
+      return read(message.heartbeat());
+    case wire::PeerMessage::kPrepareRequest:
+      return PrepareRequest{read(message.prepare_request())};
+    case wire::PeerMessage::kAcceptRequest:
+      return AcceptRequest{read(message.accept_request())};
+    case wire::PeerMessage::MESSAGE_NOT_SET:
       break;
   }
-  throw MalformedMessage("a word that is not known");
+  throw MalformedMessage(Fault::unknownType, "a word that is not known");
 }
 
 PeerReply readReply(std::string_view bytes) {
-  const auto reply = parsed<wire::Reply>(bytes);
-  if (reply.has_heard())
-    return GreetingReply{reply.heard().number(), read(reply.heard().knew()),
-                         readIncarnation(reply.heard().speaks())};
-  if (reply.has_nodes()) return read(reply.nodes());
-  if (reply.has_primaries()) return read(reply.primaries());
-  if (reply.has_seen()) return read(reply.seen());
-  if (reply.has_entered()) return JoinReply{readIncarnation(reply.entered().newest())};
-  if (reply.has_reports()) return read(reply.reports());
-  if (reply.has_answer()) return ProposalReply{read(reply.answer())};
-  if (reply.has_holds()) return PlanUpdate{read(reply.holds())};
-  if (!reply.has_vote()) throw MalformedMessage("a reply that is not known");
-  VoteReply vote{reply.vote().number(),
-                 {idempotency::Vote::Kind::abstained, reply.vote().committed(), reply.vote().value()}};
-  if (reply.vote().what() == wire::Vote::YOURS) vote.vote.kind = idempotency::Vote::Kind::granted;
-  if (reply.vote().what() == wire::Vote::TAKEN) vote.vote.kind = idempotency::Vote::Kind::takenByOther;
-  return vote;
+  const auto reply = parsed<wire::PeerReply>(bytes);
+  switch (reply.reply_case()) {
+    case wire::PeerReply::kGreetingReply:
+      return read(reply.greeting_reply());
+    case wire::PeerReply::kVote:
+      return read(reply.vote());
+    case wire::PeerReply::kDrainUpdates:
+      return read(reply.drain_updates());
+    case wire::PeerReply::kPrimaryUpdates:
+      return read(reply.primary_updates());
+    case wire::PeerReply::kObservationReport:
+      return read(reply.observation_report());
+    case wire::PeerReply::kJoinReply:
+      return JoinReply{readIncarnation(reply.join_reply().newest())};
+    case wire::PeerReply::kHeartbeatReply:
+      return read(reply.heartbeat_reply());
+    case wire::PeerReply::kProposalReply:
+      return ProposalReply{read(reply.proposal_reply())};
+    case wire::PeerReply::kPlanUpdate:
+      return PlanUpdate{read(reply.plan_update())};
+    case wire::PeerReply::REPLY_NOT_SET:
+      break;
+  }
+  throw MalformedMessage(Fault::unknownType, "a reply that is not known");
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/messages.h
+++ b/src/cluster/messages.h
@@ -19,10 +19,21 @@
 // The gRPC method whose bidirectional stream carries them.
 constexpr std::string_view kMethod = "/gulltrestle.peers.Keeper/Talk";
 
-// Bytes that are no message, or one of an unknown type.
+// Bytes that are no valid message. The same bytes will fail again: the stream that they came on is ended, and
+// what() tells its other end why.
 class MalformedMessage : public std::runtime_error {
  public:
-  using std::runtime_error::runtime_error;
+  enum class Fault {
+    unparsable,        // no protobuf message, or cut off
+    unknownType,       // none of the types of messages, or empty
+    unknownEnumValue,  // a field has a value that stands for nothing here
+  };
+  MalformedMessage(Fault fault, const std::string& description)
+      : std::runtime_error(description), fault_(fault) {}
+  [[nodiscard]] Fault fault() const { return fault_; }
+
+ private:
+  Fault fault_;
 };
 
 // --- In both directions
@@ -86,10 +97,10 @@
 using PeerReply = std::variant<GreetingReply, VoteReply, DrainUpdates, PrimaryUpdates, ObservationReport,
                                JoinReply, HeartbeatReply, ProposalReply, PlanUpdate>;
 
-std::string encoded(const PeerMessage& message);
-std::string encoded(const PeerReply& reply);
+[[nodiscard]] std::string encoded(const PeerMessage& message);
+[[nodiscard]] std::string encoded(const PeerReply& reply);
 // Throw MalformedMessage.
-PeerMessage readMessage(std::string_view bytes);
-PeerReply readReply(std::string_view bytes);
+[[nodiscard]] PeerMessage readMessage(std::string_view bytes);
+[[nodiscard]] PeerReply readReply(std::string_view bytes);
 
 }  // namespace gulltrestle::cluster
--- a/tests/peer_messages.cpp
+++ b/tests/peer_messages.cpp
@@ -114,9 +114,11 @@
   showRejection("a message of an unknown type", "5a00", asMessage);
   showRejection("a claim without its fields", "1200", asMessage);
   showRejection("a claim with a field of a later version", "1205ba01020102", asMessage);
+  showRejection("a greeting whose router's name is no UTF-8", "0a030a01ff", asMessage);
   showRejection("a reply of no bytes", "", asReply);
   showRejection("a reply that is cut off", "0a05", asReply);
   showRejection("a reply of an unknown type", "5a00", asReply);
+  showRejection("a report of a router whose name is no UTF-8", "3a050a030a01ff", asReply);
   showRejection("a report of the last known liveness", "3a040a021803", asReply);
   showRejection("a report of an unknown liveness", "3a040a021804", asReply);
   showRejection("a report of a negative liveness", "3a0d0a0b18ffffffffffffffffff01", asReply);
