--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -1,36 +1,46 @@
 #include "cli/command_line.h"
 
 #include <CLI/CLI.hpp>
-#include <functional>
 #include <ostream>
 
+#include "cli/command.h"
 #include "cli/status_command.h"
 #include "cli/store_command.h"
 #include "cli/work_command.h"
 
 namespace gulltrestle::cli {
 
-int run(int argumentCount, const char* const* arguments, std::ostream& out, std::ostream& errors) {
+namespace {
+
+ExitCode parseAndRun(int argumentCount, const char* const* arguments, std::ostream& out,
+                     std::ostream& errors) {
   CLI::App app("gulltrestle: without a command it serves, as the file that BALANCER_CONFIG names says",
                "gulltrestle");
   app.require_subcommand(1);
-  std::function<int()> action;
+  Action action;
   addStore(app, out, action);
   addStatus(app, out, action);
   addWork(app, out, action);
   try {
     app.parse(argumentCount, arguments);
-    return action ? action() : 2;
+    return action ? action() : ExitCode::invalidArguments;
   } catch (const CLI::CallForHelp&) {
     out << app.help();
-    return 0;
+    return ExitCode::success;
   } catch (const CLI::ParseError& bad) {
     errors << "gulltrestle: " << bad.what() << "\nSee gulltrestle --help.\n";
-    return 2;
+    return ExitCode::invalidArguments;
   } catch (const std::exception& bad) {
+    // Whichever layer it comes from, its text is for the operator.
     errors << "gulltrestle: " << bad.what() << "\n";
-    return 1;
+    return ExitCode::failure;
   }
 }
 
+}  // namespace
+
+int run(int argumentCount, const char* const* arguments, std::ostream& out, std::ostream& errors) {
+  return static_cast<int>(parseAndRun(argumentCount, arguments, out, errors));
+}
+
 }  // namespace gulltrestle::cli
--- a/src/cli/status_command.cpp
+++ b/src/cli/status_command.cpp
@@ -11,12 +11,9 @@
 
 using Json = nlohmann::json;
 
-// The exit code where a group does not admit everything yet.
-constexpr int kPending = 3;
-
 struct Options {
   std::string file;
-  bool asJson = false, all = false;
+  bool asJson = false, showsAll = false;
 };
 
 // The names in an array of the document, each after a space.
@@ -53,7 +50,7 @@
   out << "\n";
 }
 
-void printMembership(const Json& status, bool all, std::ostream& out) {
+void printMembership(const Json& status, const Options& options, std::ostream& out) {
   const auto& entry = status.at("entry");
   out << "entry: " << entry.at("state").get<std::string>() << ", start "
       << entry.at("start").get<std::uint64_t>() << "\n";
@@ -61,7 +58,7 @@
   for (const auto& member : status.at("members")) {
     const bool isAlive = member.at("state").get<std::string>() == "lives";
     alive += isAlive;
-    if (!isAlive || all) printMember(member, out);
+    if (!isAlive || options.showsAll) printMember(member, out);
   }
   out << alive << " of " << status.at("members").size() << " routers live\n";
 }
@@ -84,43 +81,40 @@
   out << "\n";
 }
 
-// Returns the exit code.
-int print(const Json& status, const Options& options, std::ostream& out) {
+ExitCode print(const Json& status, const Options& options, std::ostream& out) {
   const auto& groups = status.at("groups");
   std::size_t pending = 0;
   for (const auto& group : groups) pending += group.contains("awaits");
   if (options.asJson) {
     out << status.dump(2) << "\n";
-    return pending > 0 ? kPending : 0;
+    return pending > 0 ? ExitCode::pending : ExitCode::success;
   }
   printRecovery(status, out);
   for (const auto& group : groups)
-    if (group.contains("awaits") || options.all) printGroup(group, out);
-  printMembership(status, options.all, out);
+    if (group.contains("awaits") || options.showsAll) printGroup(group, out);
+  printMembership(status, options, out);
   if (status.contains("keeper")) printVotingMember(status["keeper"], out);
   if (status.contains("store")) printStore(status["store"], out);
   out << groups.size() - pending << " of " << groups.size() << " groups let all in\n";
-  return pending > 0 || groups.empty() ? kPending : 0;
+  return pending > 0 || groups.empty() ? ExitCode::pending : ExitCode::success;
 }
 
-int show(const Options& options, std::ostream& out) {
+ExitCode show(const Options& options, std::ostream& out) {
   std::ifstream file(options.file);
-  if (!file) throw std::runtime_error("'" + options.file + "' can't be read");
+  if (!file) throw CommandError(options.file, " can't be read");
   try {
     return print(Json::parse(file), options, out);
-  } catch (const Json::exception&) {
-    throw std::runtime_error("'" + options.file + "' is no status document");
-  }
+  } catch (const Json::exception&) { throw CommandError(options.file, " is no status document"); }
 }
 
 }  // namespace
 
-void addStatus(CLI::App& app, std::ostream& out, std::function<int()>& action) {
+void addStatus(CLI::App& app, std::ostream& out, Action& action) {
   const auto options = std::make_shared<Options>();
   CLI::App* command = app.add_subcommand("status", "What a running router's status document says");
   command->add_option("file", options->file, "the fleet file's status_file")->required();
   command->add_flag("--json", options->asJson, "the document itself");
-  command->add_flag("--all", options->all, "groups that let all in, too");
+  command->add_flag("--all", options->showsAll, "groups that let all in, too");
   command->callback([options, &out, &action] { action = [options, &out] { return show(*options, out); }; });
 }
 
--- a/src/cli/store_command.cpp
+++ b/src/cli/store_command.cpp
@@ -14,12 +14,12 @@
   std::size_t maxShown = 20;
 };
 
-int check(const Options& options, std::ostream& out) {
+ExitCode check(const Options& options, std::ostream& out) {
   const auto contents = store::read(options.folder);
   if (!contents.damage.empty()) {
     out << "damaged: " << contents.damage << "\n"
         << "A router that starts on it sets the file aside and gives no votes for the time of retention.\n";
-    return 1;
+    return ExitCode::failure;
   }
   std::size_t committed = 0;
   for (const auto& entry : contents.kept.entries) committed += entry.committed;
@@ -29,14 +29,14 @@
       << (contents.kept.isComplete ? "count from the next start on"
                                    : "wait out the time of retention at the next start")
       << "\n";
-  return 0;
+  return ExitCode::success;
 }
 
-int show(const Options& options, std::ostream& out) {
+ExitCode show(const Options& options, std::ostream& out) {
   const auto contents = store::read(options.folder);
   if (!contents.damage.empty()) {
     out << "damaged: " << contents.damage << "\n";
-    return 1;
+    return ExitCode::failure;
   }
   std::size_t shown = 0;
   for (const auto& entry : contents.kept.entries) {
@@ -48,16 +48,16 @@
   if (shown > options.maxShown) out << "and " << contents.kept.entries.size() - options.maxShown << " more\n";
   for (const auto& [name, start] : contents.kept.starts)
     out << "keeper " << name << " was heard at start " << start.number << "\n";
-  return 0;
+  return ExitCode::success;
 }
 
 }  // namespace
 
-void addStore(CLI::App& app, std::ostream& out, std::function<int()>& action) {
+void addStore(CLI::App& app, std::ostream& out, Action& action) {
   auto* command = app.add_subcommand("store", "A keeper's folder of votes for txns that may run only once");
   command->require_subcommand(1);
   const auto options = std::make_shared<Options>();
-  const auto add = [&](const char* name, const char* description, std::function<int()> run) {
+  const auto add = [&](const char* name, const char* description, Action run) {
     auto* subcommand = command->add_subcommand(name, description);
     subcommand->add_option("FOLDER", options->folder, "The folder that the fleet's file names as store")
         ->required();
@@ -68,7 +68,7 @@
       [options, &out] {
         store::create(options->folder, options->voter);
         out << "made for the keeper " << options->voter << "\n";
-        return 0;
+        return ExitCode::success;
       })
       ->add_option("--keeper", options->voter, "The name of its router")
       ->required();
--- a/src/cli/store_command.h
+++ b/src/cli/store_command.h
@@ -2,12 +2,13 @@
 #pragma once
 
 #include <CLI/CLI.hpp>
-#include <functional>
 #include <iosfwd>
 
+#include "cli/command.h"
+
 namespace gulltrestle::cli {
 
 // Adds the sub-command; once it is parsed, `action` runs it and returns the exit code.
-void addStore(CLI::App& app, std::ostream& out, std::function<int()>& action);
+void addStore(CLI::App& app, std::ostream& out, Action& action);
 
 }  // namespace gulltrestle::cli
--- a/src/cli/work_command.cpp
+++ b/src/cli/work_command.cpp
@@ -18,8 +18,6 @@
 
 // How often the answer is looked for.
 constexpr auto kPollInterval = std::chrono::milliseconds(50);
-// The exit code where there is no answer yet, or a machine is not finished.
-constexpr int kPending = 3;
 
 struct Options {
   std::string folder, file, machine, requestedBy;
@@ -29,7 +27,7 @@
 
 std::string contentOf(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw std::runtime_error("'" + path + "' can't be read");
+  if (!file) throw CommandError(path, " can't be read");
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
@@ -47,20 +45,19 @@
   file << encoded(request) << "\n";
   file.close();
   if (!file || std::rename((base + ".new").c_str(), (base + ".ask.json").c_str()) != 0)
-    throw std::runtime_error("'" + options.folder + "': the request can't be put there");
+    throw CommandError(options.folder, ": the request can't be put there");
 }
 
-// Returns the exit code.
-int printAnswer(const nlohmann::json& answer, const std::string& requestId, std::ostream& out) {
+ExitCode printAnswer(const nlohmann::json& answer, const std::string& requestId, std::ostream& out) {
   if (answer.at("done").get<bool>()) {
     out << "done: request " << requestId << "\n";
-    return 0;
+    return ExitCode::success;
   }
   out << "refused: " << answer.at("why").get<std::string>() << "\n";
-  return 1;
+  return ExitCode::failure;
 }
 
-int send(const Options& options, const maintenance::OperatorRequest& request, std::ostream& out) {
+ExitCode send(const Options& options, const maintenance::OperatorRequest& request, std::ostream& out) {
   const std::string requestId = newRequestId();
   const std::string base = options.folder + "/" + requestId;
   writeRequest(options, base, request);
@@ -72,7 +69,7 @@
   }
   out << "no answer yet: request " << requestId << " waits in " << options.folder
       << "; is a keeper running there that reaches more than half of the others?\n";
-  return kPending;
+  return ExitCode::pending;
 }
 
 void printMachine(const nlohmann::json& machine, std::ostream& out) {
@@ -85,8 +82,7 @@
   out << "\n";
 }
 
-// Returns the exit code.
-int printPlan(const nlohmann::json& work, std::ostream& out) {
+ExitCode printPlan(const nlohmann::json& work, std::ostream& out) {
   std::size_t open = 0;
   for (const auto& machine : work.at("machines")) {
     open += machine.at("phase").get<std::string>() != "over";
@@ -95,65 +91,103 @@
   out << "plan " << work.at("version").get<std::uint64_t>() << ", " << open << " machines open; this router "
       << (work.at("foreman").get<bool>() ? "carries it on" : "does not carry it on") << ", lease "
       << work.at("lease_ms").get<std::int64_t>() << " ms\n";
-  return open > 0 ? kPending : 0;
+  return open > 0 ? ExitCode::pending : ExitCode::success;
 }
 
-int list(const Options& options, std::ostream& out) {
+ExitCode list(const Options& options, std::ostream& out) {
   try {
     const auto status = nlohmann::json::parse(contentOf(options.file));
     const auto& work = status.at("work");
     if (!options.asJson) return printPlan(work, out);
     out << work.dump(2) << "\n";
-    return 0;
+    return ExitCode::success;
   } catch (const nlohmann::json::exception&) {
-    throw std::runtime_error("'" + options.file + "' is no status document of a router that knows of work");
+    throw CommandError(options.file, " is no status document of a router that knows of work");
   }
 }
 
-}  // namespace
+// --- Sub-commands
+
+// What they are added to.
+struct CommandContext {
+  CLI::App& work;
+  std::shared_ptr<Options> options;
+  std::ostream& out;
+  Action& action;
+};
+
+// A sub-command that puts a request into a keeper's folder.
+CLI::App& addRequest(const CommandContext& context, const char* name, const char* description,
+                     std::function<maintenance::OperatorRequest()> makeRequest) {
+  const auto& options = context.options;
+  CLI::App& command = *context.work.add_subcommand(name, description);
+  command.add_option("FOLDER", options->folder, "A keeper's work.folder")->required();
+  command.add_option("--by", options->requestedBy, "Whose word it is, for the log")->required();
+  command.add_option("--wait", options->waitSeconds, "Seconds to wait for the answer");
+  command.callback(
+      [options, &out = context.out, &action = context.action, makeRequest = std::move(makeRequest)] {
+        action = [options, &out, makeRequest] { return send(*options, makeRequest(), out); };
+      });
+  return command;
+}
 
-void addWork(CLI::App& app, std::ostream& out, std::function<int()>& action) {
-  auto* command = app.add_subcommand("work", "Machines that are to be taken out for work, one after another");
-  command->require_subcommand(1);
-  const auto options = std::make_shared<Options>();
-  const auto add = [&](const char* name, const char* description,
-                       std::function<maintenance::OperatorRequest()> makeRequest) {
-    auto* subcommand = command->add_subcommand(name, description);
-    subcommand->add_option("FOLDER", options->folder, "A keeper's work.folder")->required();
-    subcommand->add_option("--by", options->requestedBy, "Whose word it is, for the log")->required();
-    subcommand->add_option("--wait", options->waitSeconds, "Seconds to wait for the answer");
-    subcommand->callback([options, &out, &action, makeRequest = std::move(makeRequest)] {
-      action = [options, &out, makeRequest] { return send(*options, makeRequest(), out); };
-    });
-    return subcommand;
-  };
-  add("ask", "Asks for work on the machines that a file names",
-      [options] {
-        // Validated here first: a fault is reported at once, with its key.
-        maintenance::OperatorRequest request = maintenance::readOperatorRequest(contentOf(options->file));
-        if (request.kind != maintenance::OperatorRequest::Kind::plan)
-          throw std::runtime_error("'" + options->file + "' asks for no work");
-        request.requestedBy = options->requestedBy;
-        return request;
-      })
-      ->add_option("FILE", options->file, "The machines, as JSON")
+// Validated here first: a fault is reported at once, with its key.
+maintenance::OperatorRequest readPlanRequest(const Options& options) {
+  maintenance::OperatorRequest request = maintenance::readOperatorRequest(contentOf(options.file));
+  if (request.kind != maintenance::OperatorRequest::Kind::plan)
+    throw CommandError(options.file, " asks for no work");
+  request.requestedBy = options.requestedBy;
+  return request;
+}
+
+maintenance::OperatorRequest requestOn(const Options& options, maintenance::OperatorRequest::Kind kind) {
+  return {kind, options.requestedBy, {}, options.machine};
+}
+
+void addAsk(const CommandContext& context) {
+  const auto& options = context.options;
+  addRequest(context, "ask", "Asks for work on the machines that a file names",
+             [options] { return readPlanRequest(*options); })
+      .add_option("FILE", options->file, "The machines, as JSON")
       ->required();
-  add("stop", "Stops the work on a machine, or on all", [options] {
-    return maintenance::OperatorRequest{
-        maintenance::OperatorRequest::Kind::stop, options->requestedBy, {}, options->machine};
-  })->add_option("MACHINE", options->machine, "Without: all");
-  add("done", "Gives back a machine that was told free",
-      [options] {
-        return maintenance::OperatorRequest{
-            maintenance::OperatorRequest::Kind::done, options->requestedBy, {}, options->machine};
-      })
-      ->add_option("MACHINE", options->machine, "Which")
+}
+
+void addStop(const CommandContext& context) {
+  const auto& options = context.options;
+  addRequest(context, "stop", "Stops the work on a machine, or on all", [options] {
+    return requestOn(*options, maintenance::OperatorRequest::Kind::stop);
+  }).add_option("MACHINE", options->machine, "Without: all");
+}
+
+void addDone(const CommandContext& context) {
+  const auto& options = context.options;
+  addRequest(context, "done", "Gives back a machine that was told free",
+             [options] { return requestOn(*options, maintenance::OperatorRequest::Kind::done); })
+      .add_option("MACHINE", options->machine, "Which")
       ->required();
-  auto* listCommand = command->add_subcommand("list", "What is out, what waits for what, and for whom");
-  listCommand->add_option("FILE", options->file, "A keeper's status_file")->required();
-  listCommand->add_flag("--json", options->asJson, "As JSON");
-  listCommand->callback(
-      [options, &out, &action] { action = [options, &out] { return list(*options, out); }; });
+}
+
+void addList(const CommandContext& context) {
+  const auto& options = context.options;
+  CLI::App& command = *context.work.add_subcommand("list", "What is out, what waits for what, and for whom");
+  command.add_option("FILE", options->file, "A keeper's status_file")->required();
+  command.add_flag("--json", options->asJson, "As JSON");
+  command.callback([options, &out = context.out, &action = context.action] {
+    action = [options, &out] { return list(*options, out); };
+  });
+}
+
+}  // namespace
+
+void addWork(CLI::App& app, std::ostream& out, Action& action) {
+  CLI::App& work =
+      *app.add_subcommand("work", "Machines that are to be taken out for work, one after another");
+  work.require_subcommand(1);
+  const CommandContext context{work, std::make_shared<Options>(), out, action};
+  addAsk(context);
+  addStop(context);
+  addDone(context);
+  addList(context);
 }
 
 }  // namespace gulltrestle::cli
