--- a/src/cluster/claim_dispatcher.cpp
+++ b/src/cluster/claim_dispatcher.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "cluster/chunks.h"
+#include "cluster/due_time.h"
 
 namespace gulltrestle::cluster {
 
@@ -22,6 +23,10 @@
   return std::nullopt;
 }
 
+RouterIdentity identityOf(const ClusterConfig& config, const LocalRouter& router) {
+  return {router.name, router.draw, namesOf(config), indexOf(config, router.name)};
+}
+
 std::map<std::string, membership::Incarnation> membersOf(
     const std::optional<idempotency::StoredState>& stored) {
   std::map<std::string, membership::Incarnation> members;
@@ -70,40 +75,32 @@
   return Claim{message.id, message.number};
 }
 
-Instant earlier(Instant a, Instant b) {
-  if (a == Instant()) return b;
-  return b == Instant() ? a : std::min(a, b);
-}
-
 }  // namespace
 
 ClaimDispatcher::ClaimDispatcher(transactions::TransactionTable& transactions, const RoutingConfig& routing,
-                                 const ClusterConfig& config, const std::string& name, std::uint64_t draw,
-                                 std::optional<idempotency::StoredState> stored, Effects& effects)
+                                 const ClusterConfig& config, LocalRouter localRouter, Effects& effects)
     : transactions_(transactions),
       config_(config),
-      name_(name),
-      draw_(draw),
+      identity_(identityOf(config, localRouter)),
       effects_(effects),
-      coordinator_(config.coordinator, draw),
+      coordinator_(config.coordinator, identity_.draw),
       recovery_(transactions, withRouterCount(routing, config.routers.size()), config.initialRatePerNode,
-                draw,
+                identity_.draw,
                 [this](std::string_view event, const std::string& fields) { effects_.log(event, fields); }),
-      ownIndex_(indexOf(config, name)),
-      membership_(transactions.now(), config.routers, name, draw, namesOf(config), ownIndex_,
-                  membersOf(stored),
+      membership_(transactions.now(), config.routers, identity_, membersOf(localRouter.stored),
                   [this](std::string_view event, const std::string& fields) { effects_.log(event, fields); }),
-      maintenance_(
-          transactions, {name, namesOf(config), ownIndex_}, draw, config.maintenance, config.proposalTimeout,
-          acceptorOf(stored),
-          [this](std::string_view event, const std::string& fields) { effects_.log(event, fields); }) {
+      maintenance_(transactions, identity_, {config.maintenance, config.proposalTimeout},
+                   acceptorOf(localRouter.stored), [this](std::string_view event, const std::string& fields) {
+                     effects_.log(event, fields);
+                   }) {
   applyForcedStage();
-  if (!stored) return;
+  if (!localRouter.stored) return;
+  auto& stored = localRouter.stored;
   for (const auto& [group, primary] : stored->primaries)
     recovery_.onPrimaryUpdate({group, {primary.first, primary.second}});
   for (const auto& [node, drain] : stored->nodes) drains_.learn({node, drain.first, drain.second});
   storeDrains({});
-  votingMember_.emplace(transactions_.now(), name, config.votingMember, std::move(*stored));
+  votingMember_.emplace(transactions_.now(), identity_.name, config.votingMember, std::move(*stored));
   // A disk that was lost is marked as incomplete from its first start on, also for the next one.
   if (!maintenance_.isComplete()) markAcceptorIncomplete();
 }
@@ -144,7 +141,7 @@
 // --- Streams to voters
 
 PeerMessage ClaimDispatcher::greeting() const {
-  return Greeting{name_, config_.voterListText(), draw_,
+  return Greeting{identity_.name, config_.voterListText(), identity_.draw,
                   votingMember_ ? votingMember_->start() : idempotency::VoterIncarnation{}};
 }
 
@@ -189,7 +186,7 @@
     effects_.log("claims.disk_is_not_ours",
                  "told_by=" + name + " knew_start=" + std::to_string(reply.previousVoterIncarnation.number));
     markAcceptorIncomplete();
-    writeChanges(PendingWrite{PendingWrite::Kind::regreet, kOwnStream, 0, "", {}, {}});
+    writeChanges(PendingRegreeting{});
   }
   logVotingState();
 }
@@ -208,21 +205,21 @@
 }
 
 void ClaimDispatcher::logQuorum(std::string_view event, const std::string& voter) {
-  effects_.log(event, "keeper=" + voter +
-                          " reached=" + std::to_string(greetedVoters_.size() + ownIndex_.has_value()) +
+  effects_.log(event, "keeper=" + voter + " reached=" +
+                          std::to_string(greetedVoters_.size() + identity_.ownIndex.has_value()) +
                           " of=" + std::to_string(config_.voters.size()));
 }
 
 void ClaimDispatcher::sendOrHandle(idempotency::VoterIndex voter, const PeerMessage& message) {
-  if (voter == ownIndex_)
-    onPeerMessage(kOwnStream, {name_, draw_}, message);
+  if (voter == identity_.ownIndex)
+    onPeerMessage(kOwnStream, {identity_.name, identity_.draw}, message);
   else
     effects_.sendToVoter(voter, message);
 }
 
 void ClaimDispatcher::sendToOtherVoters(const PeerMessage& message) {
   for (idempotency::VoterIndex voter = 0; voter < config_.voters.size(); ++voter)
-    if (voter != ownIndex_) effects_.sendToVoter(voter, message);
+    if (voter != identity_.ownIndex) effects_.sendToVoter(voter, message);
 }
 
 // This router's own voting member may reply at once, and the coordinator may then have more to send.
@@ -259,10 +256,10 @@
                                  " left=" + std::to_string(removed));
   config_.routers = std::move(routers);
   membership_.setMembers(transactions_.now(), config_.routers);
-  std::vector<StreamKey> rejected;
+  std::vector<PeerStreamId> rejected;
   for (const auto& [stream, peer] : greetedStreams_)
     if (!config_.routers.contains(peer.router)) rejected.push_back(stream);
-  for (const StreamKey stream : rejected)
+  for (const PeerStreamId stream : rejected)
     effects_.rejectStream(stream, "this router is not on the list any more");
 }
 
@@ -273,14 +270,14 @@
   Instant due = coordinator_.runTimers(now);
   sendMembershipMessages(now);
   if (votingMember_) {
-    due = earlier(due, votingMember_->runTimers(now));
+    due = earlierDue(due, votingMember_->runTimers(now));
     writeChanges();
     logVotingState();
   }
   advanceRecovery();
   endMaintenanceTurn(now);
   for (const Instant other : {recovery_.nextDue(), membership_.nextDue(), maintenance_.nextDue()})
-    due = earlier(due, other);
+    due = earlierDue(due, other);
   nextDue_ = due;
   sendClaimMessages();
   applyDecisions();
--- a/src/cluster/claim_dispatcher.h
+++ b/src/cluster/claim_dispatcher.h
@@ -6,18 +6,21 @@
 //   claim_dispatcher.cpp              the router's side: construction, transactions, replies, turns
 //   claim_dispatcher_voter.cpp        the voter's side: messages on other routers' streams, and the store
 //   claim_dispatcher_maintenance.cpp  proposals on the maintenance plan
-//   gossip.cpp                        updates on draining nodes and on primaries
+//   claim_dispatcher_updates.cpp      updates on draining nodes and on primaries
 #pragma once
 
 #include <map>
 #include <memory>
 #include <optional>
 #include <string>
+#include <variant>
 #include <vector>
 
 #include "cluster/cluster_config.h"
+#include "cluster/identifiers.h"
 #include "cluster/maintenance_service.h"
 #include "cluster/messages.h"
+#include "cluster/router_identity.h"
 #include "idempotency/claim_coordinator.h"
 #include "idempotency/voting_member.h"
 #include "transactions/execution_gate.h"
@@ -25,9 +28,12 @@
 
 namespace gulltrestle::cluster {
 
-using StreamKey = std::uint64_t;     // of another router's stream to this voter
-constexpr StreamKey kOwnStream = 0;  // of this router's messages to itself as a voter
-using Ticket = std::uint64_t;        // of a write to the store
+// What this router is when it starts.
+struct LocalRouter {
+  std::string name;
+  std::uint64_t draw = 0;                          // random, of this incarnation
+  std::optional<idempotency::StoredState> stored;  // what its store holds, where it is a voter
+};
 
 // What the dispatcher has done: by the cluster server on sockets and a disk, by tests otherwise.
 class Effects {
@@ -35,11 +41,11 @@
   virtual ~Effects() = default;
   // To another voter; dropped while there is no stream to it.
   virtual void sendToVoter(idempotency::VoterIndex voter, const PeerMessage& message) = 0;
-  virtual void reply(StreamKey stream, const PeerReply& reply) = 0;
+  virtual void reply(PeerStreamId stream, const PeerReply& reply) = 0;
   // Ends a stream whose router is no member, or whose messages are invalid.
-  virtual void rejectStream(StreamKey stream, std::string_view reason) = 0;
+  virtual void rejectStream(PeerStreamId stream, std::string_view reason) = 0;
   // Begins to make the changes durable; onWritten() reports the end.
-  virtual Ticket write(std::vector<idempotency::VotingMember::DiskChange> changes) = 0;
+  virtual StoreWriteId write(std::vector<idempotency::VotingMember::DiskChange> changes) = 0;
   virtual void log(std::string_view event, const std::string& fields) = 0;
   // This router runs on a machine whose maintenance begins.
   virtual void terminate() = 0;
@@ -50,20 +56,18 @@
 // One for each router, owned by the cluster server. It is the transaction table's execution gate.
 class ClaimDispatcher final : public transactions::ExecutionGate {
  public:
-  // `stored`: what the store holds, where this router is a voter. `draw`: random, of this incarnation.
   ClaimDispatcher(transactions::TransactionTable& transactions, const RoutingConfig& routing,
-                  const ClusterConfig& config, const std::string& name, std::uint64_t draw,
-                  std::optional<idempotency::StoredState> stored, Effects& effects);
+                  const ClusterConfig& config, LocalRouter localRouter, Effects& effects);
 
   // --- Streams of other routers to this voter
-  void onMessage(StreamKey stream, std::string_view bytes);
-  void onStreamEnded(StreamKey stream);
+  void onMessage(PeerStreamId stream, std::string_view bytes);
+  void onStreamEnded(PeerStreamId stream);
   // --- This router's streams to other voters
   PeerMessage greeting() const;
   void onReply(idempotency::VoterIndex voter, std::string_view bytes);  // throws MalformedMessage
   void onVoterLost(idempotency::VoterIndex voter);
-  // --- The store
-  void onWritten(Ticket ticket, bool durable);
+  // --- The store. `durable`: the changes of that write, and all before it, are; else the disk failed.
+  void onWritten(StoreWriteId write, bool durable);
 
   // --- The transaction table. Decisions are delivered to it by endTurn().
   void requestExecution(TxnId txn, std::string_view id, Duration remainingTime) override;
@@ -88,7 +92,7 @@
   const MembershipService& membership() const { return membership_; }
   // Null: this router is no voter.
   const idempotency::VotingMember* votingMember() const { return votingMember_ ? &*votingMember_ : nullptr; }
-  std::optional<idempotency::VoterIndex> ownIndex() const { return ownIndex_; }
+  std::optional<idempotency::VoterIndex> ownIndex() const { return identity_.ownIndex; }
 
  private:
   // The router incarnation behind a stream.
@@ -96,32 +100,52 @@
     std::string router;
     std::uint64_t draw = 0;
   };
-  // What is done once a write to the store has ended.
-  struct PendingWrite {
-    enum class Kind {
-      greetingReply,  // reply to a greeting
-      vote,           // deliver a vote
-      join,           // reply to a join request
-      proposal,       // deliver the acceptor's reply
-      regreet,        // greet all voters by this router's new voter incarnation
-    } kind = Kind::vote;
-    StreamKey stream = kOwnStream;
-    std::uint64_t number = 0;       // greetingReply: of the voter incarnation; vote: of the claim
-    std::string id;                 // greetingReply, join: the router; vote: the idempotency key
-    idempotency::ClaimToken token;  // vote
-    idempotency::VoterIncarnation previousVoterIncarnation;  // greetingReply
+
+  // --- What is done once a write to the store has ended
+  // Reply to a greeting.
+  struct PendingGreetingReply {
+    PeerStreamId stream;
+    std::string router;
+    std::uint64_t number;  // of the voter incarnation that was greeted with
+    idempotency::VoterIncarnation previousVoterIncarnation;
+  };
+  // Deliver a vote.
+  struct PendingVote {
+    PeerStreamId stream;
+    std::uint64_t claimNumber;
+    std::string id;  // the idempotency key
+    idempotency::ClaimToken token;
+  };
+  // Reply to a join request.
+  struct PendingJoinReply {
+    PeerStreamId stream;
+    std::string router;
+  };
+  // Deliver the acceptor's reply.
+  struct PendingAcceptorReply {
+    PeerStreamId stream;
   };
+  // Greet all voters by this router's new voter incarnation.
+  struct PendingRegreeting {};
+  using PendingWrite = std::variant<PendingGreetingReply, PendingVote, PendingJoinReply, PendingAcceptorReply,
+                                    PendingRegreeting>;
 
   // --- The voter's side
-  void onGreeting(StreamKey stream, const Greeting& greeting);
-  void onPeerMessage(StreamKey stream, const PeerIdentity& sender, const PeerMessage& message);
-  void onJoinRequest(StreamKey stream, const PeerIdentity& sender, std::uint64_t number);
-  void onHeartbeat(StreamKey stream, const Heartbeat& heartbeat);
-  void onClaim(StreamKey stream, const PeerIdentity& sender, const Claim& claim);
-  void deliverVote(StreamKey stream, std::uint64_t claimNumber, const idempotency::Vote& vote);
-  void deliverJoinReply(StreamKey stream, const std::string& router);
+  void onGreeting(PeerStreamId stream, const Greeting& greeting);
+  void onPeerMessage(PeerStreamId stream, const PeerIdentity& sender, const PeerMessage& message);
+  void onJoinRequest(PeerStreamId stream, const PeerIdentity& sender, std::uint64_t number);
+  void onHeartbeat(PeerStreamId stream, const Heartbeat& heartbeat);
+  void onClaim(PeerStreamId stream, const PeerIdentity& sender, const Claim& claim);
+  void deliverVote(PeerStreamId stream, std::uint64_t claimNumber, const idempotency::Vote& vote);
+  void deliverJoinReply(PeerStreamId stream, const std::string& router);
   // Makes durable what has changed at this voter; `pending` is done once all changes up to now are.
   void writeChanges(std::optional<PendingWrite> pending = {});
+  // `durable`: as for onWritten().
+  void finishWrite(const PendingGreetingReply& pending, bool durable);
+  void finishWrite(const PendingVote& pending, bool durable);
+  void finishWrite(const PendingJoinReply& pending, bool durable);
+  void finishWrite(const PendingAcceptorReply& pending, bool durable);
+  void finishWrite(const PendingRegreeting& pending, bool durable);
   void logVotingState();
 
   // --- The router's side
@@ -140,14 +164,13 @@
   void sendToOtherVoters(const PeerMessage& message);
 
   // --- Maintenance
-  void onProposal(StreamKey stream, const PeerMessage& message);
-  void onProposalWritten(StreamKey stream, bool durable);
-  void deliverAcceptorReply(StreamKey stream, const maintenance::Acceptor::AcceptorReply& reply);
+  void onProposal(PeerStreamId stream, const PeerMessage& message);
+  void deliverAcceptorReply(PeerStreamId stream, const maintenance::Acceptor::AcceptorReply& reply);
   void endMaintenanceTurn(Instant now);
   void markAcceptorIncomplete();
   bool mayVote() const;
 
-  // --- Gossip. New updates are stored and take effect.
+  // --- Updates on draining nodes and on primaries. New ones are stored and take effect.
   void onDrainUpdates(const DrainUpdates& updates, std::string_view from);
   void storeDrains(const DrainUpdates& updates);
   void onPrimaryUpdates(const PrimaryUpdates& updates);
@@ -155,18 +178,16 @@
 
   transactions::TransactionTable& transactions_;
   ClusterConfig config_;
-  std::string name_;
-  std::uint64_t draw_;
+  RouterIdentity identity_;
   Effects& effects_;
   idempotency::ClaimCoordinator coordinator_;
   std::optional<idempotency::VotingMember> votingMember_;
   recovery::DrainRegistry drains_;
   RecoveryService recovery_;
-  std::optional<idempotency::VoterIndex> ownIndex_;  // among the voters
   MembershipService membership_;
   MaintenanceService maintenance_;
-  std::map<StreamKey, PeerIdentity> greetedStreams_;
-  std::map<Ticket, PendingWrite> pendingWrites_;
+  std::map<PeerStreamId, PeerIdentity> greetedStreams_;
+  std::map<StoreWriteId, PendingWrite> pendingWrites_;
   std::map<idempotency::VoterIndex, std::string> greetedVoters_;  // that have replied to a greeting
   Instant nextDue_;
   Instant rejectionLoggedAt_;
--- a/src/cluster/claim_dispatcher_maintenance.cpp
+++ b/src/cluster/claim_dispatcher_maintenance.cpp
@@ -10,26 +10,28 @@
   return votingMember_ && votingMember_->state() == VotingMember::State::voting;
 }
 
-void ClaimDispatcher::onProposal(StreamKey stream, const PeerMessage& message) {
-  const auto outcome = maintenance_.onProposal(message, mayVote());
-  if (outcome.reply) deliverAcceptorReply(stream, *outcome.reply);
+void ClaimDispatcher::onProposal(PeerStreamId stream, const PeerMessage& message) {
+  if (!mayVote()) return;
+  const auto outcome = maintenance_.onProposal(message);
+  if (outcome.rejection) deliverAcceptorReply(stream, *outcome.rejection);
   if (!outcome.needsWrite) return;
-  writeChanges(PendingWrite{PendingWrite::Kind::proposal, stream, 0, "", {}, {}});
+  writeChanges(PendingAcceptorReply{stream});
 }
 
-void ClaimDispatcher::onProposalWritten(StreamKey stream, bool durable) {
+void ClaimDispatcher::finishWrite(const PendingAcceptorReply& pending, bool durable) {
   const maintenance::AcceptedValue before = maintenance_.accepted();
   const auto reply = maintenance_.onWritten(durable);
   // All routers learn of it ahead of the reply to any message that they send from here on.
   if (maintenance_.accepted() != before)
     for (const auto& [other, peer] : greetedStreams_)
       effects_.reply(other, PlanUpdate{maintenance_.accepted()});
-  if (reply) deliverAcceptorReply(stream, *reply);
+  if (reply) deliverAcceptorReply(pending.stream, *reply);
 }
 
-void ClaimDispatcher::deliverAcceptorReply(StreamKey stream,
+void ClaimDispatcher::deliverAcceptorReply(PeerStreamId stream,
                                            const maintenance::Acceptor::AcceptorReply& reply) {
-  if (stream == kOwnStream) return maintenance_.onAcceptorReply(transactions_.now(), *ownIndex_, reply);
+  if (stream == kOwnStream)
+    return maintenance_.onAcceptorReply(transactions_.now(), *identity_.ownIndex, reply);
   effects_.reply(stream, ProposalReply{reply});
 }
 
@@ -43,7 +45,8 @@
   // The reply of this router's own voting member needs no stream.
   if (mayVote() && maintenance_.isComplete()) maintenance_.renewOwnLease(now);
   const bool isDegraded = transactions_.isDegraded() || !recovery_.hasReturned();
-  for (const PeerMessage& message : maintenance_.endTurn(now, membership_, recovery_, isDegraded, mayVote()))
+  const MaintenanceService::TurnInput input{membership_, recovery_, isDegraded, mayVote()};
+  for (const PeerMessage& message : maintenance_.endTurn(now, input))
     for (idempotency::VoterIndex voter = 0; voter < config_.voters.size(); ++voter)
       sendOrHandle(voter, message);
   if (const auto announcement = maintenance_.takeAnnouncement())
--- a/src/cluster/claim_dispatcher_voter.cpp
+++ b/src/cluster/claim_dispatcher_voter.cpp
@@ -14,12 +14,14 @@
 constexpr Duration kRejectionLogInterval = Duration::millis(1000);
 // Of what a rejected greeting says, so much is logged.
 constexpr std::size_t kMaxLoggedName = 40, kMaxLoggedList = 200;
+// Why a stream is rejected whose message could not be made durable.
+constexpr std::string_view kDiskFails = "the disk of this keeper fails";
 
 }  // namespace
 
 // --- Streams of other routers
 
-void ClaimDispatcher::onMessage(StreamKey stream, std::string_view bytes) {
+void ClaimDispatcher::onMessage(PeerStreamId stream, std::string_view bytes) {
   try {
     const PeerMessage message = readMessage(bytes);
     if (!votingMember_) return effects_.rejectStream(stream, "this router is no keeper");
@@ -30,12 +32,12 @@
   } catch (const MalformedMessage& bad) { effects_.rejectStream(stream, bad.what()); }
 }
 
-void ClaimDispatcher::onStreamEnded(StreamKey stream) {
+void ClaimDispatcher::onStreamEnded(PeerStreamId stream) {
   greetedStreams_.erase(stream);
   membership_.onStreamEnded(stream);
 }
 
-void ClaimDispatcher::onGreeting(StreamKey stream, const Greeting& greeting) {
+void ClaimDispatcher::onGreeting(PeerStreamId stream, const Greeting& greeting) {
   if (!config_.routers.contains(greeting.router)) {
     logRateLimited("peers.stranger", "router=\"" + greeting.router.substr(0, kMaxLoggedName) + "\"");
     return effects_.rejectStream(stream, "this router is not on the list");
@@ -54,8 +56,7 @@
   if (maintenance_.accepted().version.version > 0)
     effects_.reply(stream, PlanUpdate{maintenance_.accepted()});
   const auto& incarnation = greeting.voterIncarnation;
-  PendingWrite pending{
-      PendingWrite::Kind::greetingReply, stream, incarnation.number, greeting.router, {}, {}};
+  PendingGreetingReply pending{stream, greeting.router, incarnation.number, {}};
   if (incarnation.number > 0) {
     const auto previous = votingMember_->onGreeting(greeting.router, incarnation);
     if (!previous)
@@ -74,7 +75,7 @@
 
 // --- Messages
 
-void ClaimDispatcher::onPeerMessage(StreamKey stream, const PeerIdentity& sender,
+void ClaimDispatcher::onPeerMessage(PeerStreamId stream, const PeerIdentity& sender,
                                     const PeerMessage& message) {
   const auto tokenOf = [&](std::uint64_t number) {
     return idempotency::ClaimToken{sender.router, sender.draw, number};
@@ -102,33 +103,33 @@
   writeChanges();
 }
 
-void ClaimDispatcher::onJoinRequest(StreamKey stream, const PeerIdentity& sender, std::uint64_t number) {
+void ClaimDispatcher::onJoinRequest(PeerStreamId stream, const PeerIdentity& sender, std::uint64_t number) {
   membership_.failureDetector()->onJoinRequest(transactions_.now(), sender.router, {number, sender.draw});
-  writeChanges(PendingWrite{PendingWrite::Kind::join, stream, 0, sender.router, {}, {}});
+  writeChanges(PendingJoinReply{stream, sender.router});
 }
 
-void ClaimDispatcher::onHeartbeat(StreamKey stream, const Heartbeat& heartbeat) {
+void ClaimDispatcher::onHeartbeat(PeerStreamId stream, const Heartbeat& heartbeat) {
   HeartbeatReply reply = membership_.reportsFor(stream);
   reply.heartbeatNumber = heartbeat.number;
   reply.grantsLease = maintenance_.isComplete() && mayVote();
   effects_.reply(stream, reply);
 }
 
-void ClaimDispatcher::onClaim(StreamKey stream, const PeerIdentity& sender, const Claim& claim) {
+void ClaimDispatcher::onClaim(PeerStreamId stream, const PeerIdentity& sender, const Claim& claim) {
   const idempotency::ClaimToken token{sender.router, sender.draw, claim.number};
   const auto vote = votingMember_->onClaim(transactions_.now(), claim.id, token);
   if (vote) return deliverVote(stream, claim.number, *vote);
-  writeChanges(PendingWrite{PendingWrite::Kind::vote, stream, claim.number, claim.id, token, {}});
+  writeChanges(PendingVote{stream, claim.number, claim.id, token});
 }
 
-void ClaimDispatcher::deliverVote(StreamKey stream, std::uint64_t claimNumber, const Vote& vote) {
-  if (stream == kOwnStream) return coordinator_.onVote(*ownIndex_, claimNumber, vote);
+void ClaimDispatcher::deliverVote(PeerStreamId stream, std::uint64_t claimNumber, const Vote& vote) {
+  if (stream == kOwnStream) return coordinator_.onVote(*identity_.ownIndex, claimNumber, vote);
   effects_.reply(stream, VoteReply{claimNumber, vote});
 }
 
-void ClaimDispatcher::deliverJoinReply(StreamKey stream, const std::string& router) {
+void ClaimDispatcher::deliverJoinReply(PeerStreamId stream, const std::string& router) {
   const auto newest = membership_.failureDetector()->newestIncarnation(router);
-  if (stream == kOwnStream) return onJoinReply(*ownIndex_, newest);
+  if (stream == kOwnStream) return onJoinReply(*identity_.ownIndex, newest);
   effects_.reply(stream, JoinReply{newest});
 }
 
@@ -139,42 +140,43 @@
   for (const auto& [router, incarnation] : membership_.failureDetector()->takeChanges())
     changes.push_back(
         {VotingMember::DiskChange::Kind::member, router, {}, {incarnation.number, incarnation.draw}, false});
-  if (pending && pending->kind == PendingWrite::Kind::proposal)
+  if (pending && std::holds_alternative<PendingAcceptorReply>(*pending))
     changes.push_back(
         {VotingMember::DiskChange::Kind::work, maintenance_.serializedAcceptor(), {}, {}, false});
   if (changes.empty() && !pending) return;
-  const Ticket ticket = effects_.write(std::move(changes));
-  if (pending) pendingWrites_[ticket] = std::move(*pending);
+  const StoreWriteId write = effects_.write(std::move(changes));
+  if (pending) pendingWrites_[write] = std::move(*pending);
 }
 
-void ClaimDispatcher::onWritten(Ticket ticket, bool durable) {
-  const auto found = pendingWrites_.find(ticket);
+void ClaimDispatcher::onWritten(StoreWriteId write, bool durable) {
+  const auto found = pendingWrites_.find(write);
   if (found == pendingWrites_.end()) return;
   const PendingWrite pending = std::move(found->second);
   pendingWrites_.erase(found);
-  switch (pending.kind) {
-    case PendingWrite::Kind::greetingReply: {
-      // An incarnation that is not durable here was not greeted: its router greets again on its next stream.
-      if (!durable) return effects_.rejectStream(pending.stream, "the disk of this keeper fails");
-      const auto joined = membership_.failureDetector()->newestIncarnation(pending.id);
-      return effects_.reply(pending.stream,
-                            GreetingReply{pending.number, pending.previousVoterIncarnation, joined});
-    }
-    case PendingWrite::Kind::vote: {
-      const auto vote = votingMember_->onWritten(pending.id, pending.token, durable);
-      if (vote) deliverVote(pending.stream, pending.number, *vote);
-      return;
-    }
-    case PendingWrite::Kind::join:
-      if (durable) return deliverJoinReply(pending.stream, pending.id);
-      if (pending.stream == kOwnStream) return writeChanges(pending);
-      return effects_.rejectStream(pending.stream, "the disk of this keeper fails");
-    case PendingWrite::Kind::proposal:
-      return onProposalWritten(pending.stream, durable);
-    case PendingWrite::Kind::regreet:
-      if (!durable) return writeChanges(pending);
-      sendToOtherVoters(greeting());
-  }
+  std::visit([&](const auto& typed) { finishWrite(typed, durable); }, pending);
+}
+
+// An incarnation that is not durable here was not greeted: its router greets again on its next stream.
+void ClaimDispatcher::finishWrite(const PendingGreetingReply& pending, bool durable) {
+  if (!durable) return effects_.rejectStream(pending.stream, kDiskFails);
+  const auto joined = membership_.failureDetector()->newestIncarnation(pending.router);
+  effects_.reply(pending.stream, GreetingReply{pending.number, pending.previousVoterIncarnation, joined});
+}
+
+void ClaimDispatcher::finishWrite(const PendingVote& pending, bool durable) {
+  const auto vote = votingMember_->onWritten(pending.id, pending.token, durable);
+  if (vote) deliverVote(pending.stream, pending.claimNumber, *vote);
+}
+
+void ClaimDispatcher::finishWrite(const PendingJoinReply& pending, bool durable) {
+  if (durable) return deliverJoinReply(pending.stream, pending.router);
+  if (pending.stream == kOwnStream) return writeChanges(pending);
+  effects_.rejectStream(pending.stream, kDiskFails);
+}
+
+void ClaimDispatcher::finishWrite(const PendingRegreeting& pending, bool durable) {
+  if (!durable) return writeChanges(pending);
+  sendToOtherVoters(greeting());
 }
 
 void ClaimDispatcher::logVotingState() {
--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -27,7 +27,7 @@
 // A router opens one; the others are for streams that end.
 constexpr std::size_t kMaxStreamsPerConnection = 4;
 
-std::uint64_t drawn() {
+std::uint64_t randomDraw() {
   std::random_device device;
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
@@ -82,15 +82,15 @@
     : loop_(loop),
       transactions_(transactions),
       config_(config),
-      random_(drawn()),
+      random_(randomDraw()),
       readConfig_(std::move(readConfig)) {
-  const std::uint64_t draw = drawn();
+  const std::uint64_t draw = randomDraw();
   auto stored = openStore(name, draw);
   config_.maintenance.fenceDuration = maintenance::fenceDurationFor(longestDeadlineOf(routing));
   if (!config_.requestFolder.empty()) requests_.emplace(config_.requestFolder);
   Effects& effects = *this;
-  dispatcher_ = std::make_unique<ClaimDispatcher>(transactions_, routing, config_, name, draw,
-                                                  std::move(stored), effects);
+  dispatcher_ = std::make_unique<ClaimDispatcher>(transactions_, routing, config_,
+                                                  LocalRouter{name, draw, std::move(stored)}, effects);
   startStreams();
   if (store_) loop_.spawn(watchStore());
   transactions_.setExecutionGate(dispatcher_.get());
@@ -143,12 +143,12 @@
   stream->second->send(message);
 }
 
-void ClusterServer::reply(StreamKey stream, const PeerReply& reply) {
+void ClusterServer::reply(PeerStreamId stream, const PeerReply& reply) {
   ++streamStatistics_.repliesSent;
   listener_->send(stream, encoded(reply));
 }
 
-void ClusterServer::rejectStream(StreamKey stream, std::string_view reason) {
+void ClusterServer::rejectStream(PeerStreamId stream, std::string_view reason) {
   listener_->finish(stream, grpc::Status::invalidArgument, reason);
 }
 
@@ -194,7 +194,10 @@
 void ClusterServer::reloadConfig() {
   try {
     dispatcher_->reloadConfig(readConfig_());
-  } catch (const std::exception& bad) { spdlog::error("event=peers.not_taken why=\"{}\"", bad.what()); }
+  } catch (const std::exception& bad) {
+    // Whatever is wrong with the file, the router goes on with the configuration that it has.
+    spdlog::error("event=peers.not_taken why=\"{}\"", bad.what());
+  }
 }
 
 // --- Operators
@@ -291,6 +294,7 @@
         }
       }
     } catch (const std::exception& bad) {
+      // Whatever made the stream unusable, malformed replies or the system, another one is opened below.
       spdlog::warn("event=peers.talk_failed keeper={} why=\"{}\"", name, bad.what());
     }
     transactions_.advanceTo(loop_.now());
--- a/src/cluster/cluster_server.h
+++ b/src/cluster/cluster_server.h
@@ -58,9 +58,9 @@
 
   // --- Effects
   void sendToVoter(idempotency::VoterIndex voter, const PeerMessage& message) override;
-  void reply(StreamKey stream, const PeerReply& reply) override;
-  void rejectStream(StreamKey stream, std::string_view reason) override;
-  Ticket write(std::vector<idempotency::VotingMember::DiskChange> changes) override {
+  void reply(PeerStreamId stream, const PeerReply& reply) override;
+  void rejectStream(PeerStreamId stream, std::string_view reason) override;
+  StoreWriteId write(std::vector<idempotency::VotingMember::DiskChange> changes) override {
     return store_->write(std::move(changes));
   }
   void log(std::string_view event, const std::string& fields) override;
--- a/src/cluster/maintenance_service.cpp
+++ b/src/cluster/maintenance_service.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "cluster/due_time.h"
 #include "maintenance/scheduling.h"
 
 namespace gulltrestle::cluster {
@@ -19,21 +20,18 @@
 
 }  // namespace
 
-MaintenanceService::MaintenanceService(transactions::TransactionTable& transactions, Identity identity,
-                                       std::uint64_t draw, const maintenance::Bounds& bounds,
-                                       Duration proposalTimeout, std::optional<StoredAcceptor> stored,
-                                       Log log)
+MaintenanceService::MaintenanceService(transactions::TransactionTable& transactions, RouterIdentity identity,
+                                       const Limits& limits, std::optional<StoredAcceptor> stored, Log log)
     : transactions_(transactions),
       identity_(std::move(identity)),
-      draw_(draw),
       log_(std::move(log)),
       planView_(identity_.voters.size()),
       lease_(identity_.voters.size()),
-      leader_(bounds),
+      leader_(limits.bounds),
       now_(transactions.now()) {
   if (!stored) return;
   acceptor_.emplace(stored->text, stored->isComplete);
-  round_.emplace(identity_.voters.size(), draw, proposalTimeout);
+  round_.emplace(identity_.voters.size(), identity_.draw, limits.proposalTimeout);
   onAccepted(*identity_.ownIndex, acceptor_->accepted());
 }
 
@@ -58,7 +56,7 @@
   const maintenance::Plan before = planView_.chosen();
   try {
     planView_.onAccepted(voter, accepted);
-  } catch (const std::exception& bad) {
+  } catch (const maintenance::MalformedPlan& bad) {
     return log_("work.unreadable", "keeper=" + identity_.voters.at(voter) + " why=\"" + bad.what() + "\"");
   }
   const std::string version = " version=" + std::to_string(planView_.chosen().version);
@@ -78,14 +76,11 @@
 
 // --- At a voter
 
-MaintenanceService::RequestOutcome MaintenanceService::onProposal(const PeerMessage& message, bool mayVote) {
-  RequestOutcome outcome;
-  if (!acceptor_ || !mayVote) return outcome;
-  if (const auto* prepare = std::get_if<PrepareRequest>(&message))
-    outcome.needsWrite = acceptor_->prepare(prepare->ballot, outcome.reply);
-  else if (const auto* accept = std::get_if<AcceptRequest>(&message))
-    outcome.needsWrite = acceptor_->accept(accept->proposed, outcome.reply);
-  return outcome;
+Acceptor::RequestOutcome MaintenanceService::onProposal(const PeerMessage& message) {
+  if (!acceptor_) return {};
+  if (const auto* prepare = std::get_if<PrepareRequest>(&message)) return acceptor_->prepare(prepare->ballot);
+  if (const auto* accept = std::get_if<AcceptRequest>(&message)) return acceptor_->accept(accept->proposed);
+  return {};
 }
 
 std::optional<Acceptor::AcceptorReply> MaintenanceService::onWritten(bool durable) {
@@ -117,13 +112,11 @@
 
 // --- The fleet's state
 
-maintenance::FleetState MaintenanceService::fleetState(const MembershipService& membership,
-                                                       const RecoveryService& recovery,
-                                                       bool isDegraded) const {
+maintenance::FleetState MaintenanceService::fleetState(const TurnInput& input) const {
   maintenance::FleetState fleet;
-  fleet.isDegraded = isDegraded;
-  addNodeStates(recovery, fleet);
-  addRouterStates(membership, fleet);
+  fleet.isDegraded = input.isDegraded;
+  addNodeStates(input.recovery, fleet);
+  addRouterStates(input.membership, fleet);
   return fleet;
 }
 
@@ -216,7 +209,8 @@
   proposedChange_.version = plan.version;
   if (!wasRequested && proposedChange_.transitions.empty())
     return {round_->propose(accepted.version, accepted.value)};
-  return {round_->propose(maintenance::ValueVersion{plan.version, draw_}, maintenance::encoded(plan))};
+  return {
+      round_->propose(maintenance::ValueVersion{plan.version, identity_.draw}, maintenance::encoded(plan))};
 }
 
 // What this router's round got chosen: logs it, and answers the requests.
@@ -241,10 +235,6 @@
 
 // --- Turns
 
-void MaintenanceService::bringForward(Instant due) {
-  if (due != Instant() && (nextDue_ == Instant() || due < nextDue_)) nextDue_ = due;
-}
-
 void MaintenanceService::excludeNodes(Instant now) {
   const bool hasLeaseChanged = !leaseRequiredNodes_.empty() && lease_.until() != leaseUntil_;
   if (planView_.excludedNodes() != excludedNodes_ || planView_.leaseRequiredNodes() != leaseRequiredNodes_ ||
@@ -261,42 +251,39 @@
 }
 
 // Not in each of a busy voter's many turns.
-void MaintenanceService::observeFleet(Instant now, const MembershipService& membership,
-                                      const RecoveryService& recovery, bool isDegraded) {
+void MaintenanceService::observeFleet(Instant now, const TurnInput& input) {
   if (observedAt_ != Instant() && now - observedAt_ < kObservationInterval) return;
   observedAt_ = now;
-  fleet_ = fleetState(membership, recovery, isDegraded);
+  fleet_ = fleetState(input);
   leader_.observe(now, planView_.chosen(), fleet_);
   isDue_ = leader_.isDue(now, planView_.chosen(), fleet_);
-  isLeader_ = leader_.shouldLead(now, isDue_, aliveAhead(membership));
+  isLeader_ = leader_.shouldLead(now, isDue_, aliveAhead(input.membership));
   if (isLeader_) requestLoadReports(now);
 }
 
-std::vector<PeerMessage> MaintenanceService::endTurn(Instant now, const MembershipService& membership,
-                                                     const RecoveryService& recovery, bool isDegraded,
-                                                     bool mayVote) {
+std::vector<PeerMessage> MaintenanceService::endTurn(Instant now, const TurnInput& input) {
   now_ = now;
   std::vector<PeerMessage> messages;
   excludeNodes(now);
   if (!round_) return messages;
   if (const auto prepared = round_->takePrepared()) messages.push_back(propose(now, *prepared));
   applyChosen();
-  bringForward(round_->runTimers(now));
+  nextDue_ = earlierDue(nextDue_, round_->runTimers(now));
   const auto& machines = planView_.chosen().machines;
   const bool isOpen = std::any_of(machines.begin(), machines.end(),
                                   [](const auto& machine) { return machine.phase != Phase::finished; });
   // An incomplete acceptor is completed by a round of its own: two that lost their state one after the other
   // would be too many.
-  const bool mustComplete = mayVote && !acceptor_->isComplete();
+  const bool mustComplete = input.mayVote && !acceptor_->isComplete();
   if (!isOpen && pendingRequests_.empty() && !mustComplete) {
     isLeader_ = isDue_ = false;
     return messages;
   }
-  observeFleet(now, membership, recovery, isDegraded);
+  observeFleet(now, input);
   if (((isDue_ && isLeader_) || !pendingRequests_.empty() || mustComplete) && round_->begin(now))
     messages.push_back(PrepareRequest{round_->ballot()});
-  bringForward(round_->runTimers(now));
-  bringForward(observedAt_ + kObservationInterval);
+  nextDue_ = earlierDue(nextDue_, round_->runTimers(now));
+  nextDue_ = earlierDue(nextDue_, observedAt_ + kObservationInterval);
   return messages;
 }
 
--- a/src/cluster/maintenance_service.h
+++ b/src/cluster/maintenance_service.h
@@ -17,6 +17,7 @@
 #include "cluster/membership_service.h"
 #include "cluster/messages.h"
 #include "cluster/recovery_service.h"
+#include "cluster/router_identity.h"
 #include "maintenance/lease.h"
 #include "maintenance/maintenance_leader.h"
 #include "maintenance/operator_requests.h"
@@ -30,11 +31,9 @@
 class MaintenanceService {
  public:
   using Log = std::function<void(std::string_view event, const std::string& fields)>;
-  // This router, and the voters of the cluster.
-  struct Identity {
-    std::string name;
-    std::vector<std::string> voters;
-    std::optional<maintenance::VoterIndex> ownIndex;  // among the voters; none: it is no voter
+  struct Limits {
+    maintenance::Bounds bounds;
+    Duration proposalTimeout;  // how long a proposal round may last
   };
   // What a voter's store holds of its acceptor.
   struct StoredAcceptor {
@@ -42,9 +41,8 @@
     bool isComplete = false;  // that is all that it ever promised
   };
   // `stored`: where this router is a voter.
-  MaintenanceService(transactions::TransactionTable& transactions, Identity identity, std::uint64_t draw,
-                     const maintenance::Bounds& bounds, Duration proposalTimeout,
-                     std::optional<StoredAcceptor> stored, Log log);
+  MaintenanceService(transactions::TransactionTable& transactions, RouterIdentity identity,
+                     const Limits& limits, std::optional<StoredAcceptor> stored, Log log);
 
   // --- At each router
   void onHeartbeatSent(Instant now, maintenance::VoterIndex voter, std::uint64_t number);
@@ -62,13 +60,9 @@
   bool takeTermination();
 
   // --- At a voter
-  // What a prepare or an accept request led to.
-  struct RequestOutcome {
-    bool needsWrite = false;  // serializedAcceptor() is to be made durable; onWritten() returns the reply
-    std::optional<maintenance::Acceptor::AcceptorReply> reply;  // to be sent at once
-  };
-  // `mayVote`: this voter may take part in rounds now.
-  RequestOutcome onProposal(const PeerMessage& message, bool mayVote);
+  // A prepare or an accept request, while this voter may take part in rounds. The outcome's write is that of
+  // serializedAcceptor().
+  [[nodiscard]] maintenance::Acceptor::RequestOutcome onProposal(const PeerMessage& message);
   std::optional<maintenance::Acceptor::AcceptorReply> onWritten(bool durable);
   std::string serializedAcceptor() const { return acceptor_->serialized(); }
   // The accepted value that is durable here.
@@ -87,10 +81,15 @@
   };
   std::vector<Answer> takeAnswers() { return std::exchange(answers_, {}); }
 
-  // Before the router's own turn ends. Returns messages to all voters, this one included. `mayVote`: as for
-  // onProposal().
-  std::vector<PeerMessage> endTurn(Instant now, const MembershipService& membership,
-                                   const RecoveryService& recovery, bool isDegraded, bool mayVote);
+  // What a turn goes by.
+  struct TurnInput {
+    const MembershipService& membership;
+    const RecoveryService& recovery;
+    bool isDegraded = false;  // a degradation level is in force, or recovery has not finished
+    bool mayVote = false;     // this router is a voter that may take part in rounds now
+  };
+  // Before the router's own turn ends. Returns messages to all voters, this one included.
+  std::vector<PeerMessage> endTurn(Instant now, const TurnInput& input);
   Instant nextDue() const { return nextDue_; }
   // The nodes that a plan excludes, for whoever feeds discovery; none: the plan is the same as last time.
   struct Announcement {
@@ -117,24 +116,20 @@
     std::uint64_t version = 0;
   };
 
-  maintenance::FleetState fleetState(const MembershipService& membership, const RecoveryService& recovery,
-                                     bool isDegraded) const;
+  maintenance::FleetState fleetState(const TurnInput& input) const;
   void addNodeStates(const RecoveryService& recovery, maintenance::FleetState& fleet) const;
   void addRouterStates(const MembershipService& membership, maintenance::FleetState& fleet) const;
   // Voters ahead of this one that are alive.
   std::size_t aliveAhead(const MembershipService& membership) const;
   void requestLoadReports(Instant now);
   void excludeNodes(Instant now);
-  void observeFleet(Instant now, const MembershipService& membership, const RecoveryService& recovery,
-                    bool isDegraded);
+  void observeFleet(Instant now, const TurnInput& input);
   // The accept request that follows a majority of promises.
   AcceptRequest propose(Instant now, const maintenance::ProposalRound::PreparedValue& prepared);
   void applyChosen();
-  void bringForward(Instant due);  // nextDue_
 
   transactions::TransactionTable& transactions_;
-  Identity identity_;
-  std::uint64_t draw_;
+  RouterIdentity identity_;
   Log log_;
   maintenance::PlanView planView_;
   maintenance::Lease lease_;
--- a/src/cluster/membership_service.cpp
+++ b/src/cluster/membership_service.cpp
@@ -1,5 +1,7 @@
 #include "cluster/membership_service.h"
 
+#include "cluster/due_time.h"
+
 namespace gulltrestle::cluster {
 
 using membership::FailureDetector;
@@ -12,27 +14,19 @@
 // In one heartbeat reply, well below what a message may hold; the rest follows with the next ones.
 constexpr std::size_t kMaxReports = 256;
 
-Instant earlier(Instant a, Instant b) {
-  if (a == Instant()) return b;
-  return b == Instant() ? a : std::min(a, b);
-}
-
 }  // namespace
 
-MembershipService::MembershipService(Instant now, const std::set<std::string>& routers, std::string name,
-                                     std::uint64_t draw, std::vector<std::string> voters,
-                                     std::optional<VoterIndex> ownIndex,
+MembershipService::MembershipService(Instant now, const std::set<std::string>& routers,
+                                     RouterIdentity identity,
                                      std::map<std::string, membership::Incarnation> stored, Log log)
-    : name_(std::move(name)),
-      voters_(std::move(voters)),
-      ownIndex_(ownIndex),
+    : identity_(std::move(identity)),
       log_(std::move(log)),
-      joinProtocol_(voters_.size(), draw),
-      heartbeatTimer_(now, draw),
-      view_(voters_.size()) {
-  if (!ownIndex_) return;
+      joinProtocol_(identity_.voters.size(), identity_.draw),
+      heartbeatTimer_(now, identity_.draw),
+      view_(identity_.voters.size()) {
+  if (!identity_.ownIndex) return;
   failureDetector_.emplace(now, routers, std::move(stored));
-  onGreetingReply(now, *ownIndex_, failureDetector_->newestIncarnation(name_));
+  onGreetingReply(now, *identity_.ownIndex, failureDetector_->newestIncarnation(identity_.name));
 }
 
 // --- At each router
@@ -64,8 +58,8 @@
 
 void MembershipService::detectFailures(Instant now, const membership::MemberProgress& progress) {
   failureDetector_->checkTimeouts(now);
-  failureDetector_->onHeartbeat(now, name_, joinProtocol_.incarnation().draw, progress);
-  view_.onReports(*ownIndex_, failureDetector_->reportsSince(ownReportedVersion_, kMaxReports));
+  failureDetector_->onHeartbeat(now, identity_.name, joinProtocol_.incarnation().draw, progress);
+  view_.onReports(*identity_.ownIndex, failureDetector_->reportsSince(ownReportedVersion_, kMaxReports));
   logTransitions();
 }
 
@@ -80,10 +74,10 @@
   if (heartbeatTimer_.isDue(now)) {
     ++heartbeatNumber_;
     for (const VoterIndex voter : greetedVoters_)
-      if (voter != ownIndex_) messages.push_back({voter, Heartbeat{heartbeatNumber_, progress}});
+      if (voter != identity_.ownIndex) messages.push_back({voter, Heartbeat{heartbeatNumber_, progress}});
   }
-  nextDue_ = earlier(heartbeatTimer_.next(), joinDue);
-  if (failureDetector_) nextDue_ = earlier(nextDue_, now + FailureDetector::kCheckInterval);
+  nextDue_ = earlierDue(heartbeatTimer_.next(), joinDue);
+  if (failureDetector_) nextDue_ = earlierDue(nextDue_, now + FailureDetector::kCheckInterval);
   return messages;
 }
 
@@ -98,13 +92,13 @@
   for (const auto& transition : view_.takeTransitions())
     log_(transition.to == MembershipView::State::dead ? "members.out" : "members.back",
          "router=" + transition.router + " state=" + std::string(membership::nameOf(transition.to)) +
-             " incarnation=" + std::to_string(transition.incarnation) +
-             " silent_at=" + std::to_string(transition.silentAt) + " of=" + std::to_string(voters_.size()));
+             " incarnation=" + std::to_string(transition.incarnation) + " silent_at=" +
+             std::to_string(transition.silentAt) + " of=" + std::to_string(identity_.voters.size()));
 }
 
 // --- At a voter
 
-HeartbeatReply MembershipService::reportsFor(std::uint64_t stream) {
+HeartbeatReply MembershipService::reportsFor(PeerStreamId stream) {
   return HeartbeatReply{failureDetector_->reportsSince(reportedVersions_[stream], kMaxReports), 0, false};
 }
 
--- a/src/cluster/membership_service.h
+++ b/src/cluster/membership_service.h
@@ -12,6 +12,8 @@
 #include <variant>
 #include <vector>
 
+#include "cluster/identifiers.h"
+#include "cluster/router_identity.h"
 #include "membership/failure_detector.h"
 #include "membership/heartbeat_timer.h"
 #include "membership/join_protocol.h"
@@ -48,10 +50,9 @@
   using Log = std::function<void(std::string_view event, const std::string& fields)>;
   // What this router sends to a voter.
   using Message = std::variant<JoinRequest, Heartbeat>;
-  // `routers`: all members; `ownIndex`: this router's own place among the voters, if it is one; `stored`: the
-  // newest incarnation of each router on this voter's disk.
-  MembershipService(Instant now, const std::set<std::string>& routers, std::string name, std::uint64_t draw,
-                    std::vector<std::string> voters, std::optional<membership::VoterIndex> ownIndex,
+  // `routers`: all members; `stored`: where this router is a voter, the newest incarnation of each router on
+  // its disk.
+  MembershipService(Instant now, const std::set<std::string>& routers, RouterIdentity identity,
                     std::map<std::string, membership::Incarnation> stored, Log log);
 
   // --- At each router: replies of voters, its own among them
@@ -77,29 +78,27 @@
     return failureDetector_ ? &*failureDetector_ : nullptr;
   }
   // The reply to a heartbeat on that stream, without the heartbeat's number and the lease.
-  HeartbeatReply reportsFor(std::uint64_t stream);
-  void onStreamEnded(std::uint64_t stream) { reportedVersions_.erase(stream); }
+  HeartbeatReply reportsFor(PeerStreamId stream);
+  void onStreamEnded(PeerStreamId stream) { reportedVersions_.erase(stream); }
   // The configuration was reloaded.
   void setMembers(Instant now, const std::set<std::string>& routers);
 
   const membership::JoinProtocol& joinProtocol() const { return joinProtocol_; }
   const membership::MembershipView& view() const { return view_; }
-  const std::vector<std::string>& voters() const { return voters_; }
+  const std::vector<std::string>& voters() const { return identity_.voters; }
 
  private:
   void detectFailures(Instant now, const membership::MemberProgress& progress);
   void logJoinState();
   void logTransitions();
 
-  std::string name_;
-  std::vector<std::string> voters_;
-  std::optional<membership::VoterIndex> ownIndex_;
+  RouterIdentity identity_;
   Log log_;
   membership::JoinProtocol joinProtocol_;
   membership::HeartbeatTimer heartbeatTimer_;
   membership::MembershipView view_;
   std::optional<membership::FailureDetector> failureDetector_;
-  std::map<std::uint64_t, std::uint64_t> reportedVersions_;  // the failure detector's, by stream
+  std::map<PeerStreamId, std::uint64_t> reportedVersions_;  // the failure detector's
   std::uint64_t ownReportedVersion_ = 0, heartbeatNumber_ = 0;
   std::set<membership::VoterIndex> greetedVoters_;  // that have replied to a greeting
   membership::JoinProtocol::State loggedState_ = membership::JoinProtocol::State::discovering;
--- a/src/maintenance/acceptor.cpp
+++ b/src/maintenance/acceptor.cpp
@@ -36,31 +36,28 @@
       .dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-void Acceptor::replyWhenDurable(AcceptorReply reply) {
+Acceptor::RequestOutcome Acceptor::replyWhenDurable(AcceptorReply reply) {
   pendingWrites_.push_back(PendingWrite{std::move(reply), accepted_});
+  return {true, std::nullopt};
 }
 
-bool Acceptor::prepare(const Ballot& ballot, std::optional<AcceptorReply>& rejection) {
-  if (!isComplete_) return false;
-  if (ballot <= promised_) {
-    rejection = AcceptorReply{Kind::rejected, ballot, promised_, AcceptedValue()};
-    return false;
-  }
+Acceptor::RequestOutcome Acceptor::rejected(const Ballot& ballot) const {
+  return {false, AcceptorReply{Kind::rejected, ballot, promised_, AcceptedValue()}};
+}
+
+Acceptor::RequestOutcome Acceptor::prepare(const Ballot& ballot) {
+  if (!isComplete_) return {};
+  if (ballot <= promised_) return rejected(ballot);
   promised_ = ballot;
-  replyWhenDurable(AcceptorReply{Kind::promised, ballot, Ballot(), accepted_});
-  return true;
+  return replyWhenDurable(AcceptorReply{Kind::promised, ballot, Ballot(), accepted_});
 }
 
-bool Acceptor::accept(const AcceptedValue& proposed, std::optional<AcceptorReply>& rejection) {
-  if (proposed.ballot < promised_) {
-    rejection = AcceptorReply{Kind::rejected, proposed.ballot, promised_, AcceptedValue()};
-    return false;
-  }
+Acceptor::RequestOutcome Acceptor::accept(const AcceptedValue& proposed) {
+  if (proposed.ballot < promised_) return rejected(proposed.ballot);
   promised_ = proposed.ballot;
   accepted_ = proposed;
   isComplete_ = true;
-  replyWhenDurable(AcceptorReply{Kind::accepted, proposed.ballot, Ballot(), AcceptedValue()});
-  return true;
+  return replyWhenDurable(AcceptorReply{Kind::accepted, proposed.ballot, Ballot(), AcceptedValue()});
 }
 
 std::optional<Acceptor::AcceptorReply> Acceptor::onWritten(bool durable) {
--- a/src/maintenance/acceptor.h
+++ b/src/maintenance/acceptor.h
@@ -41,11 +41,15 @@
     AcceptedValue accepted;  // promised: the value that was accepted here last
   };
 
-  // Phase 1. True: serialized() is to be made durable, and onWritten() returns the reply. False: either
-  // `rejection` is the reply, to be sent at once, or there is none.
-  bool prepare(const Ballot& ballot, std::optional<AcceptorReply>& rejection);
-  // Phase 2; returns as prepare() does.
-  bool accept(const AcceptedValue& proposed, std::optional<AcceptorReply>& rejection);
+  // What a request led to. Neither: there is no reply.
+  struct RequestOutcome {
+    bool needsWrite = false;  // serialized() is to be made durable; onWritten() returns the reply
+    std::optional<AcceptorReply> rejection;  // the reply, to be sent at once
+  };
+  // Phase 1.
+  [[nodiscard]] RequestOutcome prepare(const Ballot& ballot);
+  // Phase 2.
+  [[nodiscard]] RequestOutcome accept(const AcceptedValue& proposed);
   // The oldest write that has not been reported yet is durable, or has failed. Returns the reply to the
   // request behind it; none where it failed: the proposer begins another round.
   std::optional<AcceptorReply> onWritten(bool durable);
@@ -64,7 +68,8 @@
     AcceptorReply reply;
     AcceptedValue accepted;  // the accepted value with that write
   };
-  void replyWhenDurable(AcceptorReply reply);
+  RequestOutcome replyWhenDurable(AcceptorReply reply);
+  RequestOutcome rejected(const Ballot& ballot) const;
 
   bool isComplete_, isDurablyComplete_;
   Ballot promised_;
--- a/src/maintenance/maintenance_plan.cpp
+++ b/src/maintenance/maintenance_plan.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
-#include <stdexcept>
 
 namespace gulltrestle::maintenance {
 
@@ -41,7 +40,9 @@
   machine.wantedWithin = Duration::micros(object.at("within_us"));
   machine.request = object.at("order");
   machine.requestedBy = object.at("by");
-  if (!parsePhase(object.at("phase").get<std::string>(), machine.phase)) throw std::runtime_error("a phase");
+  const auto phase = phaseNamed(object.at("phase").get<std::string>());
+  if (!phase) throw MalformedPlan("a phase");
+  machine.phase = *phase;
   machine.phaseVersion = object.at("since");
   machine.attempts = object.at("tries");
   machine.reason = object.at("why");
@@ -52,11 +53,10 @@
 
 std::string_view nameOf(Phase phase) { return kPhaseNames[static_cast<int>(phase)]; }
 
-bool parsePhase(std::string_view name, Phase& phase) {
+std::optional<Phase> phaseNamed(std::string_view name) {
   const auto found = std::find(std::begin(kPhaseNames), std::end(kPhaseNames), name);
-  if (found == std::end(kPhaseNames)) return false;
-  phase = static_cast<Phase>(found - std::begin(kPhaseNames));
-  return true;
+  if (found == std::end(kPhaseNames)) return std::nullopt;
+  return static_cast<Phase>(found - std::begin(kPhaseNames));
 }
 
 const Machine* Plan::find(const std::string& machine) const {
@@ -91,7 +91,7 @@
     plan.version = object.at("version");
     plan.appliedRequests = object.at("taken").get<std::vector<std::string>>();
     for (const Json& machine : object.at("machines")) plan.machines.push_back(readMachine(machine));
-  } catch (const std::exception& bad) { throw std::runtime_error(std::string("no plan: ") + bad.what()); }
+  } catch (const Json::exception& bad) { throw MalformedPlan(bad.what()); }
   return plan;
 }
 
--- a/src/maintenance/maintenance_plan.h
+++ b/src/maintenance/maintenance_plan.h
@@ -4,7 +4,8 @@
 
 #include <cstddef>
 #include <cstdint>
-#include <set>
+#include <optional>
+#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -54,9 +55,9 @@
 // to returning.
 enum class Phase { waiting, next, draining, released, returning, finished };
 
-// The phase's name in stored plans, logs and status documents, and back; false: no phase has that name.
-std::string_view nameOf(Phase phase);
-bool parsePhase(std::string_view name, Phase& phase);
+// The phase's name in stored plans, logs and status documents, and back; none: no phase has that name.
+[[nodiscard]] std::string_view nameOf(Phase phase);
+[[nodiscard]] std::optional<Phase> phaseNamed(std::string_view name);
 
 // One machine of the plan.
 struct Machine {
@@ -94,9 +95,14 @@
 // Moves a machine of the plan to a phase, as of the plan's version. Long reasons are truncated.
 PhaseTransition moveToPhase(const Plan& plan, Machine& machine, Phase to, std::string reason);
 
-// The plan as text (a JSON object), and back. Empty text is the empty plan; readPlan throws
-// std::runtime_error where the text is no plan.
-std::string encoded(const Plan& plan);
-Plan readPlan(const std::string& text);
+// A text that is no plan; what() says which of its keys is at fault. The same text fails again.
+class MalformedPlan : public std::runtime_error {
+ public:
+  explicit MalformedPlan(const std::string& fault) : std::runtime_error("no plan: " + fault) {}
+};
+
+// The plan as text (a JSON object), and back. Empty text is the empty plan. readPlan() throws MalformedPlan.
+[[nodiscard]] std::string encoded(const Plan& plan);
+[[nodiscard]] Plan readPlan(const std::string& text);
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/operator_requests.h
+++ b/src/maintenance/operator_requests.h
@@ -12,10 +12,15 @@
 
 namespace gulltrestle::maintenance {
 
-// A request that is no valid one; the text names the key at fault.
+// A request that is no valid one; the text names the key at fault. The same request fails again.
 class InvalidRequest : public std::runtime_error {
  public:
-  InvalidRequest(const std::string& key, const std::string& fault) : std::runtime_error(key + ": " + fault) {}
+  InvalidRequest(const std::string& key, const std::string& fault)
+      : std::runtime_error(key + ": " + fault), key_(key) {}
+  [[nodiscard]] const std::string& key() const { return key_; }
+
+ private:
+  std::string key_;
 };
 
 // One request, as the command line or an operator's file makes it.
@@ -27,13 +32,14 @@
 };
 
 // Throws InvalidRequest. A key that is not known is a fault, too.
-OperatorRequest readOperatorRequest(std::string_view text);
-std::string encoded(const OperatorRequest& request);
+[[nodiscard]] OperatorRequest readOperatorRequest(std::string_view text);
+[[nodiscard]] std::string encoded(const OperatorRequest& request);
 
 // Applies the request to a plan. `requestId` identifies it: one that was applied before is successful and
 // changes nothing. Returns why it was rejected; empty: it was applied.
-std::string applyRequest(Plan& plan, const std::string& requestId, const OperatorRequest& request,
-                         const FleetState& fleet, const Bounds& bounds);
+[[nodiscard]] std::string applyRequest(Plan& plan, const std::string& requestId,
+                                       const OperatorRequest& request, const FleetState& fleet,
+                                       const Bounds& bounds);
 
 // The requests of each kind, with applyRequest()'s guarantees.
 std::string addMachines(Plan& plan, const std::string& requestId, const std::vector<Machine>& machines,
--- a/src/maintenance/plan_view.h
+++ b/src/maintenance/plan_view.h
@@ -20,7 +20,7 @@
   explicit PlanView(std::size_t voters) : voters_(voters) {}
 
   // A voter reports the value that it has accepted. True: it is newer than that voter's last one. Throws
-  // std::runtime_error where it is no plan.
+  // MalformedPlan.
   bool onAccepted(VoterIndex voter, const AcceptedValue& accepted);
 
   const Plan& chosen() const { return chosen_; }
--- a/src/maintenance/proposal_round.h
+++ b/src/maintenance/proposal_round.h
@@ -8,8 +8,7 @@
 //                                                              proposed a value made from the newest one
 //   accepting  all voters have been asked to accept the value  idle, chosen: a majority has it durable
 //   either     a voter has promised a higher ballot, or the    idle, with a backoff that is random and
-//   doubles
-//              round timed out
+//              round timed out                                 doubles
 //
 // Two proposers that compete end each other's rounds; the random backoff separates them. A round has a
 // timeout since the value that it learned may be outdated later, and since acceptors that lost their state
--- a/src/maintenance/scheduling.cpp
+++ b/src/maintenance/scheduling.cpp
@@ -1,8 +1,8 @@
 #include "maintenance/scheduling.h"
 
 #include <algorithm>
+#include <compare>
 #include <set>
-#include <tuple>
 
 namespace gulltrestle::maintenance {
 
@@ -95,8 +95,15 @@
   return "";
 }
 
-// The order of machines that may begin; the least is first.
-using Rank = std::tuple<std::int64_t, bool, std::int64_t, std::int64_t, std::string>;
+// The order of machines that may begin, by the first field in which they differ; the least is first.
+struct Rank {
+  std::int64_t slackMicros = 0;  // until the work has to begin, to be done by when it is wanted
+  bool hasRouters = false;
+  std::int64_t negatedLagSeconds = 0;  // in whole seconds: smaller differences are noise
+  std::int64_t negatedWorkMicros = 0;
+  std::string name;
+  auto operator<=>(const Rank&) const = default;
+};
 Rank rankOf(const Machine& machine, const FleetState& fleet, const std::map<std::string, Duration>& waited) {
   const auto sinceRequest = waited.find(machine.name);
   const std::int64_t slackMicros =
@@ -108,7 +115,6 @@
   for (const auto& name : machine.nodes)
     if (const auto node = fleet.nodes.find(name); node != fleet.nodes.end())
       lag = std::max(lag, node->second.replicationLag);
-  // In whole seconds: smaller differences are noise.
   const std::int64_t lagSeconds = lag.inMicros() / 1'000'000;
   return {slackMicros, !machine.routers.empty(), -lagSeconds, -machine.expectedDuration.inMicros(),
           machine.name};
--- a/tests/setups.cpp
+++ b/tests/setups.cpp
@@ -139,15 +139,16 @@
     kept.own = {{1, 50}};
     kept.isComplete = true;
     kept.lists.current = setup.voterLists.back();
-    dispatcher_ = std::make_unique<ClaimDispatcher>(ledger_, RoutingConfig{}, setup, "a", 99, kept, *this);
+    dispatcher_ =
+        std::make_unique<ClaimDispatcher>(ledger_, RoutingConfig{}, setup, LocalRouter{"a", 99, kept}, *this);
   }
-  void say(StreamKey stream, const std::string& what, const std::string& bytes) {
+  void say(PeerStreamId stream, const std::string& what, const std::string& bytes) {
     std::cout << what << "\n";
     dispatcher_->onMessage(stream, bytes);
   }
   void durable(bool is) {
     std::cout << (is ? "durable\n" : "the disk fails\n");
-    for (const Ticket ticket : std::exchange(tickets_, {})) dispatcher_->onWritten(ticket, is);
+    for (const StoreWriteId ticket : std::exchange(tickets_, {})) dispatcher_->onWritten(ticket, is);
   }
   ClaimDispatcher& dispatcher() { return *dispatcher_; }
   std::string status() const {
@@ -161,7 +162,7 @@
   void sendToVoter(idempotency::VoterIndex keeper, const PeerMessage&) override {
     std::cout << "  to keeper " << keeper << "\n";
   }
-  void reply(StreamKey stream, const PeerReply& reply) override {
+  void reply(PeerStreamId stream, const PeerReply& reply) override {
     std::cout << "  to stream " << stream << ": ";
     if (const auto* heard = std::get_if<GreetingReply>(&reply))
       std::cout << "heard " << heard->number << ", knew " << heard->previousVoterIncarnation.number << "\n";
@@ -179,10 +180,10 @@
       std::cout << "vote on " << std::get<VoteReply>(reply).number << ": "
                 << static_cast<int>(std::get<VoteReply>(reply).vote.kind) << "\n";
   }
-  void rejectStream(StreamKey stream, std::string_view why) override {
+  void rejectStream(PeerStreamId stream, std::string_view why) override {
     std::cout << "  stream " << stream << " refused: " << why << "\n";
   }
-  Ticket write(std::vector<idempotency::VotingMember::DiskChange> changes) override {
+  StoreWriteId write(std::vector<idempotency::VotingMember::DiskChange> changes) override {
     std::cout << "  to disk: " << changes.size() << "\n";
     tickets_.push_back(++last_);
     return last_;
@@ -196,8 +197,8 @@
   }
   transactions::TransactionTable ledger_;
   std::unique_ptr<ClaimDispatcher> dispatcher_;
-  std::vector<Ticket> tickets_;
-  Ticket last_ = 0;
+  std::vector<StoreWriteId> tickets_;
+  StoreWriteId last_ = 0;
 };
 
 void strangers() {
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -442,8 +442,7 @@
   maintenance::AcceptedValue next = acceptor.accepted();
   next.ballot = {99, 7};
   ++next.version.version;
-  std::optional<maintenance::Acceptor::AcceptorReply> rejected;
-  std::cout << "the plan's next ballot is " << (acceptor.accept(next, rejected) ? "accepted" : "REJECTED")
+  std::cout << "the plan's next ballot is " << (acceptor.accept(next).needsWrite ? "accepted" : "REJECTED")
             << "\n";
   changes.push_back(changed(Kind::work, acceptor.serialized(), {}));
   return changes;
--- a/tests/work.cpp
+++ b/tests/work.cpp
@@ -363,15 +363,13 @@
   }
   void onPrepare(std::size_t k, std::size_t by, const Ballot& ballot) {
     if (!votes(k)) return;
-    std::optional<Acceptor::AcceptorReply> refused;
-    const bool disk = routers_[k].acceptor->prepare(ballot, refused);
-    answer(k, by, disk, refused);
+    const auto outcome = routers_[k].acceptor->prepare(ballot);
+    answer(k, by, outcome.needsWrite, outcome.rejection);
   }
   void onAccept(std::size_t k, std::size_t by, const AcceptedValue& held) {
     if (!votes(k)) return;
-    std::optional<Acceptor::AcceptorReply> refused;
-    const bool disk = routers_[k].acceptor->accept(held, refused);
-    answer(k, by, disk, refused);
+    const auto outcome = routers_[k].acceptor->accept(held);
+    answer(k, by, outcome.needsWrite, outcome.rejection);
   }
   void answer(std::size_t k, std::size_t by, bool disk,
               const std::optional<Acceptor::AcceptorReply>& refused) {
@@ -814,9 +812,10 @@
     const auto answerOf = [&](const Acceptor::AcceptorReply& answer) {
       if (!isLost) answered(state, Word::back(k, word.changer, answer));
     };
-    std::optional<Acceptor::AcceptorReply> refused;
-    const bool toDisk = word.writes ? state.keepers[k].accept(word.held, refused)
-                                    : state.keepers[k].prepare(word.held.ballot, refused);
+    const auto outcome =
+        word.writes ? state.keepers[k].accept(word.held) : state.keepers[k].prepare(word.held.ballot);
+    const auto& refused = outcome.rejection;
+    const bool toDisk = outcome.needsWrite;
     if (toDisk && isDurable) state.disks[k] = state.keepers[k].serialized();
     const bool tells = toDisk && (isDurable || fault_ == Fault::ahead);
     const auto said = tells ? told(state, k) : refused;
