--- a/tests/order.cpp
+++ b/tests/order.cpp
@@ -6,6 +6,7 @@
 #include <iomanip>
 #include <iostream>
 #include <map>
+#include <numeric>
 #include <random>
 
 #include "maintenance/scheduling.h"
@@ -17,6 +18,7 @@
 
 // What a machine costs beside the work: notifying all routers, draining, and warming up afterwards.
 constexpr double kOverheadSeconds = 25;
+constexpr double kSecondsPerHour = 3600;
 
 struct World {
   Plan plan;
@@ -24,44 +26,54 @@
   Bounds bounds;
 };
 
-World drawn(std::uint64_t seed, std::size_t machines, std::size_t groups, std::size_t zones) {
+struct FleetSize {
+  std::size_t machines = 0, groups = 0, zones = 0;
+};
+
+NodeState& addServingNode(FleetState& fleet, const std::string& name, std::uint64_t group) {
+  NodeState& node = fleet.nodes[name];
+  node.group = group;
+  node.isLive = node.isServing = true;
+  return node;
+}
+
+// With up to three nodes of different groups.
+Machine randomMachine(std::mt19937_64& random, std::size_t index, const FleetSize& size, FleetState& fleet) {
+  Machine machine;
+  machine.name = "m" + std::to_string(100 + index);
+  machine.zone = "z" + std::to_string(index % size.zones);
+  machine.expectedDuration = Duration::millis(static_cast<std::int64_t>(60'000 + random() % 840'000));
+  for (std::size_t n = 0; n < 1 + random() % 3; ++n) {
+    const std::string name = machine.name + "n" + std::to_string(n);
+    const std::uint64_t group = random() % size.groups;
+    const bool isTwice = std::any_of(machine.nodes.begin(), machine.nodes.end(),
+                                     [&](const auto& other) { return fleet.nodes.at(other).group == group; });
+    if (isTwice) continue;
+    addServingNode(fleet, name, group);
+    machine.nodes.push_back(name);
+  }
+  return machine;
+}
+
+World randomWorld(std::uint64_t seed, const FleetSize& size) {
   std::mt19937_64 random(seed);
   World world;
-  for (std::size_t m = 0; m < machines; ++m) {
-    Machine machine;
-    machine.name = "m" + std::to_string(100 + m);
-    machine.zone = "z" + std::to_string(m % zones);
-    machine.expectedDuration = Duration::millis(static_cast<std::int64_t>(60'000 + random() % 840'000));
-    for (std::size_t n = 0; n < 1 + random() % 3; ++n) {
-      const std::string node = machine.name + "n" + std::to_string(n);
-      auto& state = world.fleet.nodes[node];
-      state.group = random() % groups;
-      state.isLive = state.isServing = true;
-      const bool isTwice = std::any_of(machine.nodes.begin(), machine.nodes.end(), [&](auto& other) {
-        return world.fleet.nodes.at(other).group == state.group;
-      });
-      if (isTwice)
-        world.fleet.nodes.erase(node);
-      else
-        machine.nodes.push_back(node);
-    }
-    world.plan.machines.push_back(machine);
-  }
+  for (std::size_t index = 0; index < size.machines; ++index)
+    world.plan.machines.push_back(randomMachine(random, index, size, world.fleet));
   // Each group has a primary on a machine that is not in the plan, and another replica.
-  for (std::size_t g = 0; g < groups; ++g)
-    for (const char* name : {"p", "x"}) {
-      auto& state = world.fleet.nodes[name + std::to_string(g)];
-      state.group = g;
-      state.isLive = state.isServing = true;
-      state.isPrimary = *name == 'p';
-    }
+  for (std::size_t group = 0; group < size.groups; ++group) {
+    addServingNode(world.fleet, "p" + std::to_string(group), group).isPrimary = true;
+    addServingNode(world.fleet, "x" + std::to_string(group), group);
+  }
   world.fleet.routers["r0"].isAlive = true;
   return world;
 }
 
-// Seconds until all machines are finished; `choose` says which begins next, if any.
+// Returns which machine begins next; null: none now.
 using Chooser = std::function<const Machine*(const Plan&)>;
-double secondsOf(World world, const Chooser& choose) {
+
+// Seconds until all machines are finished, in the order of the chooser; -1: some never are.
+double totalSeconds(World world, const Chooser& choose) {
   double now = 0;
   std::map<std::string, double> endsAt;
   for (;;) {
@@ -76,74 +88,88 @@
     world.plan.find(first->first)->phase = Phase::finished;
     endsAt.erase(first);
   }
-  for (const auto& m : world.plan.machines)
-    if (m.phase != Phase::finished) return -1;  // never: each group keeps two
-  return now;
+  const bool isFinished =
+      std::all_of(world.plan.machines.begin(), world.plan.machines.end(),
+                  [](const Machine& machine) { return machine.phase == Phase::finished; });
+  return isFinished ? now : -1;
 }
+
 Chooser byScheduling(const World& world) {
   return [&world](const Plan& plan) { return nextMachine(plan, world.fleet, world.bounds, {}); };
 }
+
+// One at a time.
 Chooser byName() {
   return [](const Plan& plan) -> const Machine* {
-    for (const auto& m : plan.machines)
-      if (m.phase == Phase::released) return nullptr;
-    for (const auto& m : plan.machines)
-      if (m.phase == Phase::waiting) return &m;
+    for (const auto& machine : plan.machines)
+      if (machine.phase == Phase::released) return nullptr;
+    for (const auto& machine : plan.machines)
+      if (machine.phase == Phase::waiting) return &machine;
     return nullptr;
   };
 }
+
 // The first in this order that nothing blocks.
 Chooser inOrder(const World& world, const std::vector<std::size_t>& order) {
   return [&world, &order](const Plan& plan) -> const Machine* {
-    std::size_t out = 0;
+    std::size_t inProgress = 0;
     std::string zone;
-    for (const auto& m : plan.machines)
-      if (m.phase == Phase::released) ++out, zone = m.zone;
-    if (out >= world.bounds.maxMachinesInProgress) return nullptr;
-    for (const std::size_t i : order) {
-      const Machine& m = plan.machines[i];
-      if (m.phase == Phase::waiting && (zone.empty() || m.zone == zone) &&
-          startBlockingReason(plan, m, world.fleet, world.bounds).empty())
-        return &m;
+    for (const auto& machine : plan.machines) {
+      if (machine.phase != Phase::released) continue;
+      ++inProgress;
+      zone = machine.zone;
+    }
+    if (inProgress >= world.bounds.maxMachinesInProgress) return nullptr;
+    for (const std::size_t index : order) {
+      const Machine& machine = plan.machines[index];
+      if (machine.phase == Phase::waiting && (zone.empty() || machine.zone == zone) &&
+          startBlockingReason(plan, machine, world.fleet, world.bounds).empty())
+        return &machine;
     }
     return nullptr;
   };
 }
 
-void small() {
-  double sum = 0, worst = 1, plain = 0;
+double secondsOfBestOrder(const World& world) {
+  std::vector<std::size_t> order(world.plan.machines.size());
+  std::iota(order.begin(), order.end(), 0);
+  double best = 1e18;
+  do best = std::min(best, totalSeconds(world, inOrder(world, order)));
+  while (std::next_permutation(order.begin(), order.end()));
+  return best;
+}
+
+void nearBestOnSmallFleets() {
   constexpr std::size_t kFleets = 20, kMachines = 7;
+  double scheduledSum = 0, scheduledWorst = 1, byNameSum = 0;
   for (std::uint64_t seed = 1; seed <= kFleets; ++seed) {
-    World world = drawn(seed, kMachines, 5, 1);
+    World world = randomWorld(seed, {kMachines, 5, 1});
     world.bounds.maxMachinesInProgress = 3;
-    std::vector<std::size_t> order(kMachines);
-    for (std::size_t i = 0; i < kMachines; ++i) order[i] = i;
-    double best = 1e18;
-    do best = std::min(best, secondsOf(world, inOrder(world, order)));
-    while (std::next_permutation(order.begin(), order.end()));
-    const double ours = secondsOf(world, byScheduling(world)) / best;
-    sum += ours;
-    worst = std::max(worst, ours);
-    plain += secondsOf(world, byName()) / best;
+    const double best = secondsOfBestOrder(world);
+    const double scheduled = totalSeconds(world, byScheduling(world)) / best;
+    scheduledSum += scheduled;
+    scheduledWorst = std::max(scheduledWorst, scheduled);
+    byNameSum += totalSeconds(world, byName()) / best;
   }
   std::cout << std::fixed << std::setprecision(3) << kFleets << " fleets of " << kMachines
             << " machines in one zone, three at once, time of the whole by the best of all orders: taken "
-            << sum / kFleets << ", at worst " << worst << "; by name, one at a time " << plain / kFleets
-            << "\n";
+            << scheduledSum / kFleets << ", at worst " << scheduledWorst << "; by name, one at a time "
+            << byNameSum / kFleets << "\n";
 }
 
-void large() {
+void totalTimeOnLargeFleets() {
+  constexpr std::size_t kFleets = 10;
   for (const unsigned atOnce : {2u, 4u, 8u}) {
-    double ours = 0, plain = 0;
-    for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-      World world = drawn(seed, 60, 30, 3);
+    double scheduledHours = 0, byNameHours = 0;
+    for (std::uint64_t seed = 1; seed <= kFleets; ++seed) {
+      World world = randomWorld(seed, {60, 30, 3});
       world.bounds.maxMachinesInProgress = atOnce;
-      ours += secondsOf(world, byScheduling(world)) / 36000;
-      plain += secondsOf(world, byName()) / 36000;
+      scheduledHours += totalSeconds(world, byScheduling(world)) / kSecondsPerHour / kFleets;
+      byNameHours += totalSeconds(world, byName()) / kSecondsPerHour / kFleets;
     }
     std::cout << std::fixed << std::setprecision(2)
               << "60 machines with about 120 nodes of 30 groups in 3 zones, " << atOnce
-              << " at once: " << ours << " hours; by name, one at a time " << plain << "\n";
+              << " at once: " << scheduledHours << " hours; by name, one at a time " << byNameHours << "\n";
   }
 }
 
@@ -151,10 +177,10 @@
 
 int main(int argumentCount, char** arguments) {
   const std::string name = argumentCount > 1 ? arguments[1] : "";
-  if (name == "small")
-    small();
-  else if (name == "large")
-    large();
+  if (name == "near-best-on-small-fleets")
+    nearBestOnSmallFleets();
+  else if (name == "total-time-on-large-fleets")
+    totalTimeOnLargeFleets();
   else
     return 2;
 }
