--- a/tests/fleet/cases.h
+++ b/tests/fleet/cases.h
@@ -11,50 +11,60 @@
 
 constexpr Duration kTick = Duration::millis(2);
 // Nothing takes so long unless it is wedged.
-constexpr Duration kBound = Duration::millis(60'000);
+constexpr Duration kScenarioTimeout = Duration::millis(60'000);
 
-// What plays on a loop of its own, and the first thing that broke in it.
-class Scene {
+// What plays on a loop of its own, and the first thing that broke in it. Its main task may be parted into
+// steps: tasks of their own, one at a time. Each ends with endStep(); the main task waits for isStepOver_.
+class Scenario {
  protected:
-  void broken(const std::string& what) {
+  void fail(const std::string& what) {
     if (fault_.empty()) fault_ = what;
   }
+  void beginStep(event_loop::Task step) {
+    isStepOver_ = false;
+    loop_.spawn(std::move(step));
+  }
+  void endStep() { isStepOver_ = true; }
   auto tick() { return loop_.sleepUntil(loop_.now() + kTick); }
-  // True once it has come to this; nothing may wait for ever.
-  bool waited(bool come, Instant by, const char* what) {
-    if (!come && loop_.now() >= by) broken(std::string("waited in vain: ") + what);
-    return come || !fault_.empty();
+  // Of what is waited for from now on.
+  Instant deadline() const { return loop_.now() + kScenarioTimeout; }
+  // True once the condition holds, or something broke; nothing may wait for ever.
+  bool isDone(bool condition, Instant deadline, const char* what) {
+    if (!condition && loop_.now() >= deadline) fail(std::string("waited in vain: ") + what);
+    return condition || !fault_.empty();
   }
   void run() {
     loop_.run([](Instant) { return Instant(); },
               [this](std::exception_ptr failure) {
                 try {
                   std::rethrow_exception(failure);
-                } catch (const std::exception& bad) { broken(std::string("the rig: ") + bad.what()); }
+                } catch (const std::exception& bad) { fail(std::string("the rig: ") + bad.what()); }
                 loop_.stop();
               });
   }
 
   event_loop::EventLoop loop_;
   std::string fault_;
+  bool isStepOver_ = false;
 };
 
 // An old primary that comes back first, and an older list that names it. Each returns the exit code.
-int returns();
+int oldPrimaryReturns();
 
 // The only replica that proves a session's position is the last to come back.
-int last();
+int lastReplicaReturns();
 // Who belongs, who lives, which start speaks, and who keeps.
 int members();
-// Machines taken out for work while parts of the fleet fail: one trouble, with as many seeds; built-in
+// Machines taken out for work while parts of the fleet fail: one fault, with as many seeds; built-in
 // faults.
-int workKinds();
-int work(int kind, std::uint64_t seeds, std::uint64_t from);
-int workBugs();
+int maintenanceKinds();
+int maintenance(int kind, std::uint64_t seeds, std::uint64_t from);
+int maintenanceBugs();
 // A measurement and no test: words a second and router, and CPU, of so many that are idle.
-int talk(std::size_t routers);
+int idleTraffic(std::size_t routers);
 
-// The same id at two external processors; and, a measurement and no test, the time of a once-only txn.
+// The same id at two external processors; and, a measurement and no test, the time of a once-only
+// transaction.
 int grants();
 int price();
 
--- a/tests/fleet/grants.cpp
+++ b/tests/fleet/grants.cpp
@@ -12,33 +12,36 @@
 namespace {
 
 // The same id asked at two routers that are external processors, with nothing told of the first grant's end.
-class Grants {
+class RepeatedRequests {
  public:
-  explicit Grants(bool settles)
-      : discovery_(loop_), node_(loop_, "p", true), rig_(loop_, 1, shape(settles)), settles_(settles) {
+  explicit RepeatedRequests(bool usesVoters)
+      : discovery_(loop_),
+        node_(loop_, "p", true),
+        rig_(loop_, 1, options(usesVoters)),
+        usesVoters_(usesVoters) {
     discovery_.set({node_.id(), node_.address(), "up", true, 1});
     for (std::size_t i = 0; i < 2; ++i) {
       fake_servers::FakeProxyConfig setup;
       setup.processor = rig_.processor(i);
       setup.messageTimeout = Duration::millis(2000);
       proxies_.push_back(std::make_unique<fake_servers::FakeProxy>(loop_, setup));
-      proxies_[i]->faults.neverReport = [this] { return quiet_; };
+      proxies_[i]->faults.neverReport = [this] { return areOutcomesHidden_; };
     }
   }
   void play() {
-    loop_.spawn(scene());
+    loop_.spawn(scenario());
     loop_.run([](Instant) { return Instant(); }, [this](std::exception_ptr) { loop_.stop(); });
   }
 
  private:
   static constexpr int kCases = 20;
-  Shape shape(bool settles) const {
-    Shape made;
-    made.settles = settles;
+  FleetOptions options(bool usesVoters) const {
+    FleetOptions made;
+    made.usesVoters = usesVoters;
     made.discovery = discovery_.address();
     return made;
   }
-  void ask(std::size_t router, const std::string& id) {
+  void sendRequest(std::size_t router, const std::string& id) {
     ++open_;
     proxies_[router]->ask(
         {{":method", "POST"}, {"x-txn-id", id}, {"x-txn-type", "book-charge"}, {"x-txn-group", "1"}}, true,
@@ -48,46 +51,46 @@
         });
   }
   // Asked until one is granted: the router serves.
-  event_loop::Task scene() {
+  event_loop::Task scenario() {
     rig_.startAll();
     for (const std::string way :
          {"at the second after the first", "at both at once", "at the first after kill -9"}) {
       for (std::size_t router = 0; router < 2; ++router)
         for (const auto before = committed_; committed_ == before;) {
-          ask(router, "serves" + std::to_string(++probes_));
+          sendRequest(router, "serves" + std::to_string(++probes_));
           while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
         }
-      quiet_ = true;
+      areOutcomesHidden_ = true;
       std::vector<std::string> ids;
       for (int n = 0; n < kCases; ++n)
         ids.push_back(way.substr(0, 7) + way.substr(way.size() - 3) + std::to_string(n));
       for (const auto& id : ids) {
-        ask(0, id);
-        if (way == "at both at once") ask(1, id);
+        sendRequest(0, id);
+        if (way == "at both at once") sendRequest(1, id);
         while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
-        if (way == "at the second after the first") ask(1, id);
+        if (way == "at the second after the first") sendRequest(1, id);
         while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
       }
       if (way == "at the first after kill -9") {
         rig_.kill(0);
         rig_.start(0);
-        quiet_ = false;
+        areOutcomesHidden_ = false;
         for (const auto before = committed_; committed_ == before;) {
-          ask(0, "serves" + std::to_string(++probes_));
+          sendRequest(0, "serves" + std::to_string(++probes_));
           while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
         }
-        quiet_ = true;
+        areOutcomesHidden_ = true;
         for (const auto& id : ids) {
-          ask(0, id);
+          sendRequest(0, id);
           while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
         }
       }
-      quiet_ = false;
+      areOutcomesHidden_ = false;
       int ran = 0, twice = 0;
       for (const auto& id : ids) ran += node_.runs[id] > 0, twice += node_.runs[id] > 1;
-      std::cout << way << (settles_ ? "" : ", nothing settled") << ": ran "
+      std::cout << way << (usesVoters_ ? "" : ", nothing settled") << ": ran "
                 << (ran * 2 > kCases ? "most" : "FEW") << ", twice "
-                << (settles_    ? std::to_string(twice)
+                << (usesVoters_ ? std::to_string(twice)
                     : twice > 0 ? "some"
                                 : "NONE")
                 << "\n";
@@ -100,79 +103,81 @@
   fake_servers::FakeDiscovery discovery_;
   fake_servers::FakeNode node_;
   Rig rig_;
-  bool settles_;
+  bool usesVoters_;
   std::vector<std::unique_ptr<fake_servers::FakeProxy>> proxies_;
-  bool quiet_ = false;  // proxies tell nothing of what became of a grant
+  bool areOutcomesHidden_ = false;  // proxies tell nothing of what became of a grant
   std::size_t open_ = 0;
   std::uint64_t committed_ = 0, probes_ = 0;
 };
 
-// What settling costs: the time of a once-only txn, connection included, alone and at several at a time,
-// spread over three routers. A measurement, no test.
+// What settling costs: the time of a once-only transaction, connection included, alone and at several at a
+// time, spread over three routers. A measurement, no test.
 class Price {
  public:
-  Price(bool settles, std::size_t keepers) : rig_(loop_, 1, shape(settles, keepers)), settles_(settles) {}
+  Price(bool usesVoters, std::size_t voters)
+      : rig_(loop_, 1, options(usesVoters, voters)), usesVoters_(usesVoters) {}
   void play() {
-    loop_.spawn(scene());
+    loop_.spawn(scenario());
     loop_.run([](Instant) { return Instant(); }, [this](std::exception_ptr) { loop_.stop(); });
   }
 
  private:
-  static Shape shape(bool settles, std::size_t keepers) {
-    Shape made;
-    made.settles = settles;
-    made.routers = std::max<std::size_t>(3, keepers);
-    made.keepers = keepers;
+  static FleetOptions options(bool usesVoters, std::size_t voters) {
+    FleetOptions made;
+    made.usesVoters = usesVoters;
+    made.routers = std::max<std::size_t>(3, voters);
+    made.voters = voters;
     return made;
   }
-  event_loop::Task scene() {
+  event_loop::Task scenario() {
     rig_.startAll();
-    for (std::size_t row = rig_.ask(0, "first");; row = rig_.ask(0, "first" + std::to_string(row))) {
-      while (!rig_.asked(row).over) co_await loop_.sleepUntil(loop_.now() + kTick);
-      if (rig_.asked(row).outcome == FinalOutcome::committed && row > 300) break;
+    for (std::size_t row = rig_.sendRequest(0, "first");;
+         row = rig_.sendRequest(0, "first" + std::to_string(row))) {
+      while (!rig_.clientRequest(row).isOver) co_await loop_.sleepUntil(loop_.now() + kTick);
+      if (rig_.clientRequest(row).outcome == FinalOutcome::committed && row > 300) break;
     }
     for (const std::size_t together : {1, 10, 50}) {
-      const std::size_t from = rig_.rows(), count = together == 1 ? 1000 : 5000;
+      const std::size_t from = rig_.requestCount(), count = together == 1 ? 1000 : 5000;
       const Instant began = loop_.now();
       for (std::size_t n = 0; n < count || rig_.open() > 0;) {
         while (n < count && rig_.open() < together) {
-          rig_.ask(n % 3, "t" + std::to_string(together) + "n" + std::to_string(n));
+          rig_.sendRequest(n % 3, "t" + std::to_string(together) + "n" + std::to_string(n));
           ++n;
         }
         co_await loop_.sleepUntil(loop_.now() + Duration::micros(200));
       }
       const double seconds = (loop_.now() - began).inSeconds();
-      std::vector<double> took;
+      std::vector<double> duration;
       std::size_t committed = 0;
-      for (std::size_t row = from; row < rig_.rows(); ++row) {
-        took.push_back(rig_.asked(row).took.inSeconds() * 1000);
-        committed += rig_.asked(row).outcome == FinalOutcome::committed;
+      for (std::size_t row = from; row < rig_.requestCount(); ++row) {
+        duration.push_back(rig_.clientRequest(row).duration.inSeconds() * 1000);
+        committed += rig_.clientRequest(row).outcome == FinalOutcome::committed;
       }
-      std::sort(took.begin(), took.end());
-      std::cout << (settles_ ? std::to_string(rig_.keepers()) + " keepers" : "nothing settled") << ", "
-                << together << " at a time: p50 " << took[took.size() / 2] << " ms, p99 "
-                << took[took.size() * 99 / 100] << " ms, " << static_cast<double>(committed) / seconds
-                << " committed a second, " << committed << " of " << took.size() << std::endl;
+      std::sort(duration.begin(), duration.end());
+      std::cout << (usesVoters_ ? std::to_string(rig_.voters()) + " keepers" : "nothing settled") << ", "
+                << together << " at a time: p50 " << duration[duration.size() / 2] << " ms, p99 "
+                << duration[duration.size() * 99 / 100] << " ms, " << static_cast<double>(committed) / seconds
+                << " committed a second, " << committed << " of " << duration.size() << std::endl;
     }
     loop_.stop();
   }
 
   event_loop::EventLoop loop_;
   Rig rig_;
-  bool settles_;
+  bool usesVoters_;
 };
 
 }  // namespace
 
 int grants() {
-  Grants(false).play();
-  Grants(true).play();
+  RepeatedRequests(false).play();
+  RepeatedRequests(true).play();
   return 0;
 }
 
 int price() {
   Price(false, 3).play();
-  for (const std::size_t keepers : {1, 3, 5}) Price(true, keepers).play();
+  for (const std::size_t voters : {1, 3, 5}) Price(true, voters).play();
   return 0;
 }
 
--- a/tests/fleet/last.cpp
+++ b/tests/fleet/last.cpp
@@ -14,18 +14,18 @@
 namespace {
 
 // Asked while only the replica that is behind is there: session reads at all routers in turn.
-constexpr int kAskedMeanwhile = 30;
+constexpr int kRequestsMeanwhile = 30;
 
-class Last : private Scene {
+class LastReplicaReturns : private Scenario {
  public:
-  // `tells`: the replica that is behind tells that it is not, a built-in fault.
-  explicit Last(bool tells)
+  // `liesAboutLag`: the replica that is behind reports that it is not, an injected fault.
+  explicit LastReplicaReturns(bool liesAboutLag)
       : discovery_(loop_),
         primary_(loop_, "p", true),
         behind_(loop_, "q", false),
         caughtUp_(loop_, "s", false),
-        rig_(loop_, 1, shape()),
-        tells_(tells) {
+        rig_(loop_, 1, options()),
+        liesAboutLag_(liesAboutLag) {
     behind_.lag = Duration::millis(3'600'000);
     for (std::size_t i = 0; i < rig_.routers(); ++i) {
       fake_servers::FakeProxyConfig setup;
@@ -37,9 +37,9 @@
       discovery_.set({node->id(), node->address(), "up", node == &primary_, 1});
   }
   bool play() {
-    loop_.spawn(scene());
+    loop_.spawn(scenario());
     run();
-    if (!fault_.empty() && !tells_) {
+    if (!fault_.empty() && !liesAboutLag_) {
       rig_.keep();
       std::cerr << fault_ << "; logs in " << rig_.path() << "\n";
     }
@@ -47,62 +47,62 @@
   }
 
  private:
-  Shape shape() const {
-    Shape made;
+  FleetOptions options() const {
+    FleetOptions made;
     made.discovery = discovery_.address();
     return made;
   }
-  void ask(std::size_t router, bool ofSession) {
+  void sendRequest(std::size_t router, bool isSessionRead) {
     ++open_;
     ext_proc::Headers headers{{":method", "GET"},
-                              {"x-txn-id", (ofSession ? "s" : "a") + std::to_string(++ids_)},
-                              {"x-txn-type", ofSession ? "own-booking" : "route-lookup"},
+                              {"x-txn-id", (isSessionRead ? "s" : "a") + std::to_string(++ids_)},
+                              {"x-txn-type", isSessionRead ? "own-booking" : "route-lookup"},
                               {"x-txn-group", "1"}};
-    if (ofSession) {
+    if (isSessionRead) {
       headers.push_back({"x-txn-session", "driver-7"});
       headers.push_back({"x-txn-write-age-ms", "5000"});
     }
     proxies_[router]->ask(
-        headers, false, Duration::millis(900), [this, ofSession](fake_servers::Answer answer) {
+        headers, false, Duration::millis(900), [this, isSessionRead](fake_servers::Answer answer) {
           --open_;
-          (ofSession ? ofSession_ : any_) += answer.outcome == "committed" || answer.status == 200;
+          (isSessionRead ? ofSession_ : any_) += answer.outcome == "committed" || answer.status == 200;
         });
   }
   std::size_t ranBehind() const {
     return static_cast<std::size_t>(std::count_if(behind_.runs.begin(), behind_.runs.end(),
                                                   [](const auto& run) { return run.first[0] == 's'; }));
   }
-  event_loop::Task scene() {
+  event_loop::Task scenario() {
     rig_.startAll();
-    Instant by = loop_.now() + kBound;
+    Instant by = loop_.now() + kScenarioTimeout;
     for (std::size_t i = 0; i < rig_.routers(); ++i)
-      for (const auto before = ofSession_; !waited(ofSession_ > before, by, "a session's read");) {
-        ask(i, true);
+      for (const auto before = ofSession_; !isDone(ofSession_ > before, by, "a session's read");) {
+        sendRequest(i, true);
         while (open_ > 0) co_await tick();
       }
-    if (ranBehind() > 0) broken("a session's read ran where its write is not");
+    if (ranBehind() > 0) fail("a session's read ran where its write is not");
     std::cout << "all are there: each router serves the session\n";
 
     std::vector<std::size_t> all;
     for (std::size_t i = 0; i < rig_.routers(); ++i) all.push_back(i);
     rig_.losePower(all);
     primary_.down = caughtUp_.down = true;
-    if (tells_) behind_.lag = Duration::millis(2);
+    if (liesAboutLag_) behind_.lag = Duration::millis(2);
     rig_.startAll();
-    by = loop_.now() + kBound;
+    by = loop_.now() + kScenarioTimeout;
     const auto anyBefore = any_, sessionBefore = ofSession_;
-    for (int n = 0; n < kAskedMeanwhile * 2 || !waited(any_ > anyBefore + 5, by, "any reads"); ++n) {
-      ask(static_cast<std::size_t>(n / 2) % rig_.routers(), n % 2 == 0);
+    for (int n = 0; n < kRequestsMeanwhile * 2 || !isDone(any_ > anyBefore + 5, by, "any reads"); ++n) {
+      sendRequest(static_cast<std::size_t>(n / 2) % rig_.routers(), n % 2 == 0);
       while (open_ > 0) co_await tick();
     }
-    if (ranBehind() > 0 || ofSession_ > sessionBefore) broken("a session's read ran where its write is not");
+    if (ranBehind() > 0 || ofSession_ > sessionBefore) fail("a session's read ran where its write is not");
     std::cout << "only the one that is behind is back: any reads are served, "
               << (fault_.empty() ? "the session's are not" : fault_) << "\n";
     caughtUp_.down = false;
-    by = loop_.now() + kBound;
+    by = loop_.now() + kScenarioTimeout;
     for (std::size_t i = 0; i < rig_.routers() && fault_.empty(); ++i)
-      for (const auto before = ofSession_; !waited(ofSession_ > before, by, "a session's read again");) {
-        ask(i, true);
+      for (const auto before = ofSession_; !isDone(ofSession_ > before, by, "a session's read again");) {
+        sendRequest(i, true);
         while (open_ > 0) co_await tick();
       }
     if (fault_.empty() && ranBehind() == 0)
@@ -113,7 +113,7 @@
   fake_servers::FakeDiscovery discovery_;
   fake_servers::FakeNode primary_, behind_, caughtUp_;
   Rig rig_;
-  bool tells_;
+  bool liesAboutLag_;
   std::vector<std::unique_ptr<fake_servers::FakeProxy>> proxies_;
   std::size_t open_ = 0;
   std::uint64_t any_ = 0, ofSession_ = 0, ids_ = 0;
@@ -121,10 +121,10 @@
 
 }  // namespace
 
-int last() {
-  const bool holds = Last(false).play();
+int lastReplicaReturns() {
+  const bool holds = LastReplicaReturns(false).play();
   std::cout << "-- a replica that tells falsely\n";
-  Last(true).play();
+  LastReplicaReturns(true).play();
   return holds ? 0 : 1;
 }
 
--- a/tests/fleet/pg_node.h
+++ b/tests/fleet/pg_node.h
@@ -1,4 +1,5 @@
-// A stand-in node of the PostgreSQL protocol, with a log of what ran: a line a txn, synced before its answer.
+// A stand-in node of the PostgreSQL protocol, with a log of what ran: a line a transaction, synced before its
+// answer.
 #pragma once
 
 #include <functional>
@@ -12,6 +13,7 @@
 // What a disk does with a log: `lies` says that it synced and did not.
 enum class Syncs { never, always, lies };
 
+// The node, on an event loop. It accepts connections for as long as it lives.
 class PgNode {
  public:
   // What the log holds already has run; a line that is torn at its end is cut off. FILE.synced tells how far
--- a/tests/fleet/returns.cpp
+++ b/tests/fleet/returns.cpp
@@ -14,17 +14,17 @@
 namespace {
 
 // Asked while only the old primary is there: at all routers in turn.
-constexpr int kAskedMeanwhile = 60;
+constexpr int kRequestsMeanwhile = 60;
 
-class Returns : private Scene {
+class OldPrimaryReturns : private Scenario {
  public:
   // `forced`: an operator says that the one that the list names is to be written to.
-  Returns(bool settles, bool forced)
+  OldPrimaryReturns(bool usesVoters, bool forced)
       : discovery_(loop_),
         old_(loop_, "p", true),
         new_(loop_, "q", false),
-        rig_(loop_, 1, shape(settles)),
-        settles_(settles),
+        rig_(loop_, 1, options(usesVoters)),
+        usesVoters_(usesVoters),
         forced_(forced) {
     for (std::size_t i = 0; i < rig_.routers(); ++i) {
       fake_servers::FakeProxyConfig setup;
@@ -34,9 +34,9 @@
     }
   }
   bool play() {
-    loop_.spawn(scene());
+    loop_.spawn(scenario());
     run();
-    if (!fault_.empty() && settles_) {
+    if (!fault_.empty() && usesVoters_) {
       rig_.keep();
       std::cerr << fault_ << "; logs in " << rig_.path() << "\n";
     }
@@ -44,13 +44,13 @@
   }
 
  private:
-  Shape shape(bool settles) const {
-    Shape made;
-    made.settles = settles;
+  FleetOptions options(bool usesVoters) const {
+    FleetOptions made;
+    made.usesVoters = usesVoters;
     made.discovery = discovery_.address();
     return made;
   }
-  void ask(std::size_t router, bool isWrite) {
+  void sendRequest(std::size_t router, bool isWrite) {
     ++open_;
     const std::string id = (isWrite ? "w" : "r") + std::to_string(++ids_);
     proxies_[router]->ask({{":method", isWrite ? "POST" : "GET"},
@@ -73,59 +73,88 @@
     return true;
   }
 
-  event_loop::Task scene() {
-    const auto commits = [](std::uint64_t& counted, std::uint64_t before) { return counted > before; };
+  event_loop::Task scenario() {
     list(false);
     rig_.startAll();
     // Each commits a write at the first primary, then at the next.
-    for (const bool changed : {false, true}) {
-      if (changed) {
-        old_.primary = false;
-        new_.primary = true;
-        list(true);
-      }
-      const Instant by = loop_.now() + kBound;
-      for (std::size_t i = 0; i < rig_.routers(); ++i)
-        for (const auto w = writes_; !waited(commits(writes_, w), by, "a write");) {
-          ask(i, true);
-          while (open_ > 0) co_await tick();
-        }
-    }
-    const Instant by = loop_.now() + kBound;
-    while (settles_ && !waited(allLogged("primary=q"), by, "the new primary, known to all")) co_await tick();
+    beginStep(writeAtEach("a write"));
+    while (!isStepOver_) co_await tick();
+    old_.primary = false;
+    new_.primary = true;
+    list(true);
+    beginStep(writeAtEach("a write"));
+    while (!isStepOver_) co_await tick();
+    const Instant by = deadline();
+    while (usesVoters_ && !isDone(allLogged("primary=q"), by, "the new primary, known to all"))
+      co_await tick();
     std::cout << "the primary changes: " << (fault_.empty() ? "each router writes to the new one" : fault_)
               << "\n";
+    for (const bool isListFirst : {true, false}) {
+      if (!usesVoters_) break;
+      beginStep(startAlone(isListFirst));
+      while (!isStepOver_) co_await tick();
+    }
+    beginStep(startWithOldPrimary());
+    while (!isStepOver_) co_await tick();
+    if (forced_) {
+      rig_.force("writes");
+      for (std::size_t i = 0; i < rig_.routers(); ++i) rig_.reloadConfig(i);
+    } else {
+      new_.down = false;
+      old_.primary = false;
+    }
+    beginStep(writeAtEach(forced_ ? "a write as forced" : "a write again"));
+    while (!isStepOver_) co_await tick();
+    printEnd();
+    loop_.stop();
+  }
 
-    if (settles_) {
-      // One starts alone, and is told by the two others what nodes said to them: once it has a list, and
-      // before.
-      for (const bool listFirst : {true, false}) {
-        rig_.kill(2);
-        const std::size_t until = rig_.log(2).size();
-        const auto logged = [&](const char* line) {
-          return rig_.log(2).find(line, until) != std::string::npos;
-        };
-        for (std::size_t k = 0; k < 2; ++k) rig_.flow(2, k, listFirst ? Flow::cut : Flow::open);
-        discovery_.silent = !listFirst;
-        rig_.start(2);
-        const Instant soon = loop_.now() + kBound;
-        const auto first = [&] {
-          return listFirst ? logged("list version") : logged("told by=r0") && logged("told by=r1");
-        };
-        while (!waited(first(), soon, listFirst ? "a list" : "two witnesses")) co_await tick();
-        if (logged("proven=1") || logged("proven=2")) broken("proven by one side alone");
-        for (std::size_t k = 0; k < 2; ++k) rig_.flow(2, k, Flow::open);
-        discovery_.silent = false;
-        const auto proven = [&] { return logged("proven=1") || logged("proven=2"); };
-        while (
-            !waited(proven(), soon, listFirst ? "two witnesses" : "what they told, once the list is there"))
-          co_await tick();
-        if (fault_.empty())
-          std::cout << "one starts alone, " << (listFirst ? "first with a list" : "first with two others")
-                    << ": they prove to it what nodes have reached\n";
+  // Each router commits a write.
+  event_loop::Task writeAtEach(const char* what) {
+    const Instant by = deadline();
+    for (std::size_t i = 0; i < rig_.routers(); ++i)
+      for (const auto before = writes_; !isDone(writes_ > before, by, what);) {
+        sendRequest(i, true);
+        while (open_ > 0) co_await tick();
       }
-    }
+    endStep();
+  }
+
+  // One starts alone, and the two others report to it what nodes reported to them: once it has an endpoint
+  // list, and before.
+  event_loop::Task startAlone(bool isListFirst) {
+    constexpr std::size_t kRouter = 2;
+    rig_.kill(kRouter);
+    const std::size_t before = rig_.log(kRouter).size();
+    const auto logged = [&](const char* line) {
+      return rig_.log(kRouter).find(line, before) != std::string::npos;
+    };
+    const auto isProven = [&] { return logged("proven=1") || logged("proven=2"); };
+    setLinks(kRouter, isListFirst ? Flow::cut : Flow::open);
+    discovery_.silent = !isListFirst;
+    rig_.start(kRouter);
+    const Instant by = deadline();
+    const auto hasFirst = [&] {
+      return isListFirst ? logged("list version") : logged("told by=r0") && logged("told by=r1");
+    };
+    while (!isDone(hasFirst(), by, isListFirst ? "a list" : "two witnesses")) co_await tick();
+    if (isProven()) fail("proven by one side alone");
+    setLinks(kRouter, Flow::open);
+    discovery_.silent = false;
+    while (!isDone(isProven(), by, isListFirst ? "two witnesses" : "what they told, once the list is there"))
+      co_await tick();
+    if (fault_.empty())
+      std::cout << "one starts alone, " << (isListFirst ? "first with a list" : "first with two others")
+                << ": they prove to it what nodes have reached\n";
+    endStep();
+  }
+  void setLinks(std::size_t router, Flow flow) {
+    for (std::size_t voter = 0; voter < 2; ++voter) rig_.flow(router, voter, flow);
+  }
 
+  // All lose power, and the old primary is there with an older list. Reads are served; a write is asked for
+  // all the while.
+  event_loop::Task startWithOldPrimary() {
     std::vector<std::size_t> all;
     for (std::size_t i = 0; i < rig_.routers(); ++i) all.push_back(i);
     rig_.losePower(all);
@@ -133,47 +162,32 @@
     new_.down = true;
     discovery_.beginAnew();
     list(false);
-    const auto before = writtenToOld();
+    const auto writtenBefore = writtenToOld();
     rig_.startAll();
-    // Reads are served; a write is asked for all the while.
-    const Instant until = loop_.now() + kBound;
+    const Instant by = deadline();
     const auto readsBefore = reads_;
-    for (int n = 0; n < kAskedMeanwhile || !waited(commits(reads_, readsBefore + 5), until, "reads"); ++n) {
-      ask(static_cast<std::size_t>(n) % rig_.routers(), n % 2 == 0);
+    for (int n = 0; n < kRequestsMeanwhile || !isDone(reads_ > readsBefore + 5, by, "reads"); ++n) {
+      sendRequest(static_cast<std::size_t>(n) % rig_.routers(), n % 2 == 0);
       while (open_ > 0) co_await tick();
     }
-    const bool written = writtenToOld() > before;
+    const bool isWritten = writtenToOld() > writtenBefore;
     std::cout << "the old one is back first: reads are served, "
-              << (written ? "writes go to it and are lost" : "nothing is written to it") << "\n";
-    if (written == settles_) broken("written to the old primary or not, as it should not be");
-    if (forced_) {
-      rig_.force("writes");
-      for (std::size_t i = 0; i < rig_.routers(); ++i) rig_.readAnew(i);
-      const Instant late = loop_.now() + kBound;
-      for (std::size_t i = 0; i < rig_.routers(); ++i)
-        for (const auto w = writes_; !waited(commits(writes_, w), late, "a write as forced");) {
-          ask(i, true);
-          while (open_ > 0) co_await tick();
-        }
-      const bool said = allLogged("recovery.forced stage=writes by=\"kim\"");
-      std::cout << "an operator says that it is the one: "
-                << (said && fault_.empty() ? "each router writes to it, and says on whose word" : fault_)
-                << "\n";
-      loop_.stop();
-      co_return;
-    }
+              << (isWritten ? "writes go to it and are lost" : "nothing is written to it") << "\n";
+    if (isWritten == usesVoters_) fail("written to the old primary or not, as it should not be");
+    endStep();
+  }
 
-    new_.down = false;
-    old_.primary = false;
-    const Instant late = loop_.now() + kBound;
-    for (std::size_t i = 0; i < rig_.routers(); ++i)
-      for (const auto w = writes_; !waited(commits(writes_, w), late, "a write again");) {
-        ask(i, true);
-        while (open_ > 0) co_await tick();
-      }
-    std::cout << "the new one is back: " << (fault_.empty() ? "each router writes to it" : fault_) << "\n";
-    loop_.stop();
+  void printEnd() const {
+    if (!forced_) {
+      std::cout << "the new one is back: " << (fault_.empty() ? "each router writes to it" : fault_) << "\n";
+      return;
+    }
+    const bool isLogged = allLogged("recovery.forced stage=writes by=\"kim\"");
+    std::cout << "an operator says that it is the one: "
+              << (isLogged && fault_.empty() ? "each router writes to it, and says on whose word" : fault_)
+              << "\n";
   }
+
   std::size_t writtenToOld() const {
     return static_cast<std::size_t>(std::count_if(old_.runs.begin(), old_.runs.end(),
                                                   [](const auto& run) { return run.first[0] == 'w'; }));
@@ -182,7 +196,7 @@
   fake_servers::FakeDiscovery discovery_;
   fake_servers::FakeNode old_, new_;
   Rig rig_;
-  bool settles_, forced_;
+  bool usesVoters_, forced_;
   std::vector<std::unique_ptr<fake_servers::FakeProxy>> proxies_;
   std::size_t open_ = 0;
   std::uint64_t writes_ = 0, reads_ = 0, ids_ = 0;
@@ -190,13 +204,13 @@
 
 }  // namespace
 
-int returns() {
+int oldPrimaryReturns() {
   std::cout << "-- routers that settle nothing\n";
-  Returns(false, false).play();
+  OldPrimaryReturns(false, false).play();
   std::cout << "-- routers that know the primary from before\n";
-  const bool holds = Returns(true, false).play();
+  const bool holds = OldPrimaryReturns(true, false).play();
   std::cout << "-- and an operator\n";
-  return Returns(true, true).play() && holds ? 0 : 1;
+  return OldPrimaryReturns(true, true).play() && holds ? 0 : 1;
 }
 
 }  // namespace gulltrestle::fleet
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -40,7 +40,7 @@
 constexpr std::size_t kSector = 512;
 // A client waits for its answer for so long in the protocol; far longer here, so that a busy machine is not
 // taken for a lost answer.
-constexpr int kPatienceMs = 1000;
+constexpr int kClientTimeoutMs = 1000;
 constexpr Duration kWedged = Duration::millis(20'000);
 
 unsigned short portOf(int descriptor) {
@@ -69,19 +69,19 @@
 struct Rig::Process {
   pid_t id = -1;
   std::size_t name = 0;  // the number in its name
-  std::string front, keeper, processor;
-  bool stopped = false;
+  std::string front, voter, processor;
+  bool isStopped = false;
 };
 
 struct Rig::Relay {
-  std::size_t router = 0, keeper = 0;
+  std::size_t router = 0, voter = 0;
   std::string address;
   Flow flow = Flow::open;
   std::vector<event_loop::Stream*> streams;  // to wake when the flow changes
 };
 
-Rig::Rig(event_loop::EventLoop& loop, std::uint64_t seed, Shape shape)
-    : chance(seed), loop_(loop), shape_(shape) {
+Rig::Rig(event_loop::EventLoop& loop, std::uint64_t seed, FleetOptions options)
+    : chance(seed), loop_(loop), options_(options) {
   path_ = scratchFolder("fleet");
   const auto listen = [&](auto serve) {
     event_loop::Descriptor made = event_loop::listenOn(kHost, 0);
@@ -89,45 +89,46 @@
     loop_.spawn(acceptAll(std::move(made), serve));
     return at;
   };
-  if (shape_.node == Syncs::never) {
+  if (options_.node == Syncs::never) {
     inner_ = std::make_unique<PgNode>(loop_, kHost, 0, path_ + "/node.log", Syncs::never);
     node_ = inner_->address();
   } else {
     node_ = freeAddress();
     startNode();
   }
-  discovery_ = listen([this](event_loop::Descriptor taken) { return serveDiscovery(std::move(taken)); });
-  if (!shape_.discovery.empty()) discovery_ = shape_.discovery;
-  const std::size_t mayKeep = shape_.keepers + shape_.spares;
-  for (std::size_t i = 0; i < shape_.routers; ++i) {
+  discovery_ =
+      listen([this](event_loop::Descriptor accepted) { return serveDiscovery(std::move(accepted)); });
+  if (!options_.discovery.empty()) discovery_ = options_.discovery;
+  const std::size_t voterCandidates = options_.voters + options_.spareVoters;
+  for (std::size_t i = 0; i < options_.routers; ++i) {
     processes_.push_back(std::make_unique<Process>());
     processes_[i]->name = i;
-    belong_.insert(i);
-    if (i < mayKeep) {
-      processes_[i]->keeper = freeAddress();
+    members_.insert(i);
+    if (i < voterCandidates) {
+      processes_[i]->voter = freeAddress();
       std::filesystem::create_directory(folder(i));
       std::filesystem::create_directory(work(i));
     }
-    if (i < shape_.keepers) {
+    if (i < options_.voters) {
       store::create(folder(i), "r" + std::to_string(i));
       std::filesystem::copy_file(folder(i) + "/claims.db", folder(i) + "/claims.db.synced");
     }
   }
-  lists_.emplace_back();
-  for (std::size_t k = 0; k < shape_.keepers; ++k) lists_[0].insert(k);
-  for (std::size_t i = 0; i < shape_.routers; ++i)
-    for (std::size_t k = 0; k < mayKeep; ++k) {
+  voterLists_.emplace_back();
+  for (std::size_t k = 0; k < options_.voters; ++k) voterLists_[0].insert(k);
+  for (std::size_t i = 0; i < options_.routers; ++i)
+    for (std::size_t k = 0; k < voterCandidates; ++k) {
       auto relay = std::make_unique<Relay>();
       relay->router = i;
-      relay->keeper = k;
-      relay->address = i == k || shape_.direct
-                           ? processes_[k]->keeper
-                           : listen([this, at = relay.get()](event_loop::Descriptor taken) {
-                               return serveRelay(*at, std::move(taken));
+      relay->voter = k;
+      relay->address = i == k || options_.direct
+                           ? processes_[k]->voter
+                           : listen([this, at = relay.get()](event_loop::Descriptor accepted) {
+                               return serveRelay(*at, std::move(accepted));
                              });
       relays_.push_back(std::move(relay));
     }
-  for (std::size_t i = 0; i < shape_.routers; ++i) configure(i);
+  for (std::size_t i = 0; i < options_.routers; ++i) configure(i);
 }
 
 void Rig::configure(std::size_t i) {
@@ -150,39 +151,41 @@
   writeFleet(i);
 }
 
-// As the keepers and routers are now, which is counted from when the file is read.
+// As the voters and routers are now, which is counted from when the file is read.
 void Rig::writeFleet(std::size_t i) {
-  const std::size_t name = processes_[i]->name, mayKeep = shape_.keepers + shape_.spares;
+  const std::size_t name = processes_[i]->name, voterCandidates = options_.voters + options_.spareVoters;
   const auto named = [](const std::set<std::size_t>& routers) {
     std::string names;
     for (const std::size_t r : routers) names += (names.empty() ? "\"r" : ",\"r") + std::to_string(r) + "\"";
     return "[" + names + "]";
   };
-  std::string keepers, before;
-  for (const std::size_t k : lists_.back())
-    keepers += (keepers.empty() ? "\"r" : ",\"r") + std::to_string(k) + "\":\"" +
-               relays_[name * mayKeep + k]->address + "\"";
-  for (std::size_t n = 0; n + 1 < lists_.size(); ++n) before += (n ? "," : "") + named(lists_[n]);
+  std::string voters, before;
+  for (const std::size_t k : voterLists_.back())
+    voters += (voters.empty() ? "\"r" : ",\"r") + std::to_string(k) + "\":\"" +
+              relays_[name * voterCandidates + k]->address + "\"";
+  for (std::size_t n = 0; n + 1 < voterLists_.size(); ++n) before += (n ? "," : "") + named(voterLists_[n]);
   std::ofstream(path_ + "/r" + std::to_string(i) + ".fleet.json")
-      << "{\"keepers\":{" << keepers << "},\"keepers_before\":[" << before
-      << "],\"routers\":" << named(belong_)
+      << "{\"keepers\":{" << voters << "},\"keepers_before\":[" << before
+      << "],\"routers\":" << named(members_)
       << (forced_.empty() ? "" : ",\"force\":{\"stage\":\"" + forced_ + "\",\"by\":\"kim\"}")
       << ",\"store\":\"" << folder(name) << "\",\"status_file\":\"" << path_ << "/r" << i
       << ".status.json\",\"retention_ms\":4000,\"longest_wait_ms\":800,\"first_txns\":1000,\"work\":{"
-      << (name < mayKeep ? "\"folder\":\"" + work(name) + "\"," : "")
-      << (shape_.announces ? "\"announce_file\":\"" + path_ + "/r" + std::to_string(i) + ".out.json\"," : "")
+      << (name < voterCandidates ? "\"folder\":\"" + work(name) + "\"," : "")
+      << (options_.announcesExclusions
+              ? "\"announce_file\":\"" + path_ + "/r" + std::to_string(i) + ".out.json\","
+              : "")
       << "\"warm_ms\":300,\"rest_ms\":1000,\"announce_ms\":9000,\"leave_ms\":20000,\"tries\":9}}";
 }
 
-std::string Rig::request(std::size_t keeper, const std::string& text) {
-  const std::string name = "q" + std::to_string(++requests_);
-  const std::string base = work(keeper) + "/" + name;
+std::string Rig::putOperatorRequest(std::size_t voter, const std::string& text) {
+  const std::string name = "q" + std::to_string(++operatorRequestCount_);
+  const std::string base = work(voter) + "/" + name;
   std::ofstream(base + ".new") << text;
   std::filesystem::rename(base + ".new", base + ".ask.json");
   return name;
 }
-std::string Rig::answered(std::size_t keeper, const std::string& name) const {
-  return contentOf(work(keeper) + "/" + name + ".answer.json");
+std::string Rig::operatorAnswer(std::size_t voter, const std::string& name) const {
+  return contentOf(work(voter) + "/" + name + ".answer.json");
 }
 
 std::size_t Rig::twin(std::size_t router) {
@@ -192,7 +195,7 @@
   return processes_.size() - 1;
 }
 
-void Rig::readAnew(std::size_t i) {
+void Rig::reloadConfig(std::size_t i) {
   writeFleet(i);
   if (processes_[i]->id > 0) ::kill(processes_[i]->id, SIGHUP);
 }
@@ -212,18 +215,18 @@
   const std::string base = path_ + "/r" + std::to_string(i);
   std::cout.flush();
   // Drawn anew for each start: it jumps, too.
-  const long shift = shape_.clocksDiffer ? static_cast<long>(pick(1201)) - 600 : 0;
+  const long shift = options_.clocksDiffer ? static_cast<long>(pick(1201)) - 600 : 0;
   const pid_t parent = getpid();
   process.id = fork();
   if (process.id != 0) return;
   prctl(PR_SET_PDEATHSIG, SIGKILL);  // it has one owner, and ends with it
   if (getppid() != parent) _exit(127);
   setenv("BALANCER_CONFIG", (base + ".json").c_str(), 1);
-  if (shape_.settles) setenv("GULLTRESTLE_FLEET", (base + ".fleet.json").c_str(), 1);
-  if (!shape_.discovery.empty()) setenv("GULLTRESTLE_EXT_PROC", (base + ".ext.json").c_str(), 1);
+  if (options_.usesVoters) setenv("GULLTRESTLE_FLEET", (base + ".fleet.json").c_str(), 1);
+  if (!options_.discovery.empty()) setenv("GULLTRESTLE_EXT_PROC", (base + ".ext.json").c_str(), 1);
   if (shift != 0) setenv("RIG_CLOCK_SHIFT", std::to_string(shift).c_str(), 1);
-  if (shape_.slowClock == i) setenv("RIG_CLOCK_STANDS", (path_ + "/stands").c_str(), 1);
-  if (shape_.lyingDisk) setenv("RIG_LYING_DISK", "1", 1);
+  if (options_.slowClockRouter == i) setenv("RIG_CLOCK_STANDS", (path_ + "/stands").c_str(), 1);
+  if (options_.hasLyingDisk) setenv("RIG_LYING_DISK", "1", 1);
   const int out = ::open((base + ".log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   if (out < 0 || dup2(out, 1) < 0 || dup2(out, 2) < 0) _exit(127);
   const char* other = std::getenv("RIG_PROGRAM");  // another build than the one beside this rig
@@ -239,8 +242,8 @@
 }
 
 void Rig::excuse(std::size_t i) {
-  for (const auto& asked : book_)
-    if (!asked->over && asked->router == i) asked->excused = true;
+  for (const auto& clientRequest : clientRequests_)
+    if (!clientRequest->isOver && clientRequest->router == i) clientRequest->isExcused = true;
 }
 
 void Rig::kill(std::size_t i) {
@@ -249,7 +252,7 @@
   ::kill(process.id, SIGKILL);
   waitpid(process.id, nullptr, 0);
   process.id = -1;
-  process.stopped = false;
+  process.isStopped = false;
   excuse(i);
 }
 
@@ -257,20 +260,20 @@
   Process& process = *processes_[i];
   if (process.id <= 0) return;
   ::kill(process.id, SIGSTOP);
-  process.stopped = true;
+  process.isStopped = true;
   excuse(i);
 }
 
-void Rig::goOn(std::size_t i) {
+void Rig::resume(std::size_t i) {
   Process& process = *processes_[i];
-  if (process.id <= 0 || !std::exchange(process.stopped, false)) return;
+  if (process.id <= 0 || !std::exchange(process.isStopped, false)) return;
   excuse(i);
   ::kill(process.id, SIGCONT);
 }
 
-bool Rig::isUp(std::size_t i) const { return processes_[i]->id > 0 && !processes_[i]->stopped; }
+bool Rig::isUp(std::size_t i) const { return processes_[i]->id > 0 && !processes_[i]->isStopped; }
 
-int Rig::endsWith(std::size_t i) {
+int Rig::exitCode(std::size_t i) {
   Process& process = *processes_[i];
   for (int n = 0; n < 1000; ++n) {
     int how = 0;
@@ -309,7 +312,7 @@
 void Rig::tear(const std::string& file) {
   const std::string now = contentOf(file), synced = contentOf(file + ".synced");
   std::filesystem::remove(file + ".syncing");
-  const std::size_t mode = shape_.lyingDisk ? 1 : pick(4);  // all of it, nothing, any part, any part
+  const std::size_t mode = options_.hasLyingDisk ? 1 : pick(4);  // all of it, nothing, any part, any part
   std::string made = mode == 0 ? now : synced;
   if (mode > 1) {
     made.resize(pick(2) ? now.size() : synced.size());
@@ -332,8 +335,8 @@
           tear(folder(i) + name);
 }
 
-void Rig::clockStands() {
-  if (shape_.slowClock < routers()) std::ofstream(path_ + "/stands") << "from here on\n";
+void Rig::stallClock() {
+  if (options_.slowClockRouter < routers()) std::ofstream(path_ + "/stands") << "from here on\n";
 }
 
 void Rig::loseDisk(std::size_t router) {
@@ -343,24 +346,24 @@
 
 // --- Links
 
-void Rig::flow(std::size_t router, std::size_t keeper, Flow how) {
-  Relay& relay = *relays_[router * (shape_.keepers + shape_.spares) + keeper];
+void Rig::flow(std::size_t router, std::size_t voter, Flow how) {
+  Relay& relay = *relays_[router * (options_.voters + options_.spareVoters) + voter];
   relay.flow = how;
   for (event_loop::Stream* stream : relay.streams) stream->wake();
 }
 
 void Rig::flowAll(Flow how) {
   for (std::size_t i = 0; i < routers(); ++i)
-    for (std::size_t k = 0; k < keepers(); ++k) flow(i, k, how);
+    for (std::size_t k = 0; k < voters(); ++k) flow(i, k, how);
 }
 
 template <typename Serve>
 event_loop::Task Rig::acceptAll(event_loop::Descriptor descriptor, Serve serve) {
   event_loop::Stream listener(loop_, std::move(descriptor));
   for (;;) {
-    event_loop::Descriptor taken;
-    if (listener.accept(taken) == Io::some)
-      loop_.spawn(serve(std::move(taken)));
+    event_loop::Descriptor accepted;
+    if (listener.accept(accepted) == Io::some)
+      loop_.spawn(serve(std::move(accepted)));
     else
       co_await listener.changed();
   }
@@ -369,7 +372,7 @@
 event_loop::Task Rig::serveRelay(Relay& relay, event_loop::Descriptor descriptor) {
   if (relay.flow == Flow::cut) co_return;
   event_loop::Stream here(loop_, std::move(descriptor));
-  const auto at = config::readAddress("keeper", processes_[relay.keeper]->keeper);
+  const auto at = config::readAddress("keeper", processes_[relay.voter]->voter);
   event_loop::Stream there(loop_, event_loop::startConnecting(at.host, at.port));
   struct Listed {
     Relay& relay;
@@ -387,8 +390,8 @@
   for (;;) {
     if (relay.flow == Flow::cut) co_return;
     const bool ends = !readAll(here, out) || !readAll(there, back);
-    if (relay.flow != Flow::deafThere && !write(there, out)) co_return;
-    if (relay.flow != Flow::deafBack && !write(here, back)) co_return;
+    if (relay.flow != Flow::blockedToVoter && !write(there, out)) co_return;
+    if (relay.flow != Flow::blockedFromVoter && !write(here, back)) co_return;
     if (ends) co_return;
     co_await loop_.sleepUntil(loop_.now() + Duration::millis(1));
   }
@@ -413,7 +416,7 @@
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (getppid() != parent) _exit(127);
   execl(GULLTRESTLE_NODE, GULLTRESTLE_NODE, at.host.c_str(), std::to_string(at.port).c_str(),
-        (path_ + "/node.log").c_str(), shape_.node == Syncs::lies ? "lies" : "always",
+        (path_ + "/node.log").c_str(), options_.node == Syncs::lies ? "lies" : "always",
         static_cast<char*>(nullptr));
   _exit(127);
 }
@@ -428,10 +431,11 @@
 // Of what was not synced any part from the front is on disk, also half a line.
 void Rig::losePowerOfNode() {
   killNode();
-  const std::string file = path_ + "/node.log", now = contentOf(file), told = contentOf(file + ".synced");
-  const std::size_t synced = told.empty() ? 0 : std::stoul(told);
-  const std::size_t kept = synced + pick(now.size() - synced + 1);
-  std::ofstream(file, std::ios::binary | std::ios::trunc) << now.substr(0, kept);
+  const std::string file = path_ + "/node.log", now = contentOf(file),
+                    reportedVersion = contentOf(file + ".synced");
+  const std::size_t synced = reportedVersion.empty() ? 0 : std::stoul(reportedVersion);
+  const std::size_t received = synced + pick(now.size() - synced + 1);
+  std::ofstream(file, std::ios::binary | std::ios::trunc) << now.substr(0, received);
 }
 
 void Rig::list(std::uint64_t version, const std::string& state) {
@@ -448,9 +452,9 @@
     ~Listed() { std::erase(all, stream); }
   } listed{watchers_, &stream};
   watchers_.push_back(&stream);
-  std::string kept, unsent;
-  bool watching = false;
-  std::uint64_t told = 0;
+  std::string received, unsent;
+  bool isWatching = false;
+  std::uint64_t reportedVersion = 0;
   const auto body = [this](bool whole) {
     return R"({"version":)" + std::to_string(version_) + R"(,"full":)" + (whole ? "true" : "false") +
            R"(,"servers":[{"id":"p1","addr":")" + node_ + R"(","zone":"a","kind":"m","cell":1,"state":")" +
@@ -461,19 +465,19 @@
     size << std::hex << text.size();
     return size.str() + "\r\n" + text + "\r\n";
   };
-  while (readAll(stream, kept)) {
-    if (const auto end = kept.find("\r\n\r\n"); end != std::string::npos && !watching) {
-      watching = kept.find("stream=1") < kept.find("\r\n");
-      kept.erase(0, end + 4);
+  while (readAll(stream, received)) {
+    if (const auto end = received.find("\r\n\r\n"); end != std::string::npos && !isWatching) {
+      isWatching = received.find("stream=1") < received.find("\r\n");
+      received.erase(0, end + 4);
       const std::string whole = body(true);
-      unsent += watching ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(whole + "\n")
-                         : "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(whole.size()) + "\r\n\r\n" +
-                               whole;
-      told = version_;
+      unsent += isWatching ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(whole + "\n")
+                           : "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(whole.size()) +
+                                 "\r\n\r\n" + whole;
+      reportedVersion = version_;
     }
-    if (watching && version_ > told) {
+    if (isWatching && version_ > reportedVersion) {
       unsent += chunk(body(false) + "\n");
-      told = version_;
+      reportedVersion = version_;
     }
     if (!write(stream, unsent)) co_return;
     co_await stream.changed();
@@ -482,90 +486,94 @@
 
 // --- Clients
 
-std::size_t Rig::ask(std::size_t router, const std::string& id) {
-  auto asked = std::make_shared<Asked>();
-  asked->id = id;
-  asked->router = router;
-  asked->excused = !isUp(router);
-  book_.push_back(asked);
+std::size_t Rig::sendRequest(std::size_t router, const std::string& id) {
+  auto clientRequest = std::make_shared<ClientRequest>();
+  clientRequest->id = id;
+  clientRequest->router = router;
+  clientRequest->isExcused = !isUp(router);
+  clientRequests_.push_back(clientRequest);
   ++open_;
-  loop_.spawn(askAt(asked));
-  return book_.size() - 1;
+  loop_.spawn(runClientRequest(clientRequest));
+  return clientRequests_.size() - 1;
 }
 
-event_loop::Task Rig::askAt(std::shared_ptr<Asked> asked) {
+event_loop::Task Rig::runClientRequest(std::shared_ptr<ClientRequest> clientRequest) {
   const Instant began = loop_.now();
   {
-    const auto at = config::readAddress("front", processes_[asked->router]->front);
+    const auto at = config::readAddress("front", processes_[clientRequest->router]->front);
     event_loop::Stream stream(loop_, event_loop::startConnecting(at.host, at.port));
     const Instant by = loop_.now() + kWedged;
     stream.wakeAt(by);
     std::string unsent =
         postgres::startup("worker", "catalog") +
         postgres::message('Q', "INSERT INTO objects (oid, body) VALUES ('k', '\\x9f') RETURNING body /* id=" +
-                                   asked->id + ",c=book-charge,t=a,d=" + std::to_string(kPatienceMs) +
-                                   ",cluster=1 */" + std::string(1, '\0'));
-    std::string kept;
-    bool connected = false, welcomed = false, answered = false;
-    while (!answered && loop_.now() < by) {
-      if (!connected && stream.canWrite()) {
-        connected = event_loop::isConnected(stream.descriptor());
-        if (!connected) {  // nobody took it
-          asked->excused = true;
+                                   clientRequest->id + ",c=book-charge,t=a,d=" +
+                                   std::to_string(kClientTimeoutMs) + ",cluster=1 */" + std::string(1, '\0'));
+    std::string received;
+    bool isConnected = false, isReady = false, operatorAnswer = false;
+    while (!operatorAnswer && loop_.now() < by) {
+      if (!isConnected && stream.canWrite()) {
+        isConnected = event_loop::isConnected(stream.descriptor());
+        if (!isConnected) {  // nobody took it
+          clientRequest->isExcused = true;
           break;
         }
       }
-      if (connected && !write(stream, unsent)) break;
-      const bool on = readAll(stream, kept);
-      std::string_view bytes = kept;
+      if (isConnected && !write(stream, unsent)) break;
+      const bool on = readAll(stream, received);
+      std::string_view bytes = received;
       while (const auto message = postgres::takeMessage(bytes, kLongest)) {
-        if (message->type == 'Z' && !std::exchange(welcomed, true)) continue;
-        if (message->type == 'D') asked->value = std::string(message->body.substr(6));
-        if (message->type == 'C') asked->outcome = FinalOutcome::committed;
+        if (message->type == 'Z' && !std::exchange(isReady, true)) continue;
+        if (message->type == 'D') clientRequest->value = std::string(message->body.substr(6));
+        if (message->type == 'C') clientRequest->outcome = FinalOutcome::committed;
         if (message->type == 'E') {
           const std::string code(postgres::readError(message->body).code);
-          asked->outcome =
+          clientRequest->outcome =
               code == "53300" || code == "57P03" ? FinalOutcome::refused : FinalOutcome::rolledBack;
         }
-        answered = asked->outcome != FinalOutcome::none && (message->type == 'Z' || message->type == 'E');
-        if (answered) break;
+        operatorAnswer =
+            clientRequest->outcome != FinalOutcome::none && (message->type == 'Z' || message->type == 'E');
+        if (operatorAnswer) break;
       }
-      kept.erase(0, kept.size() - bytes.size());
-      if (!on && !answered) break;
-      if (!answered) co_await stream.changed();
+      received.erase(0, received.size() - bytes.size());
+      if (!on && !operatorAnswer) break;
+      if (!operatorAnswer) co_await stream.changed();
     }
   }
-  asked->over = true;
-  asked->took = loop_.now() - began;
+  clientRequest->isOver = true;
+  clientRequest->duration = loop_.now() - began;
   --open_;
   constexpr const char* kOutcomes[] = {"committed", "refused", "rolled back", "no answer"};
   std::ofstream(path_ + "/clients.log", std::ios::app)
-      << asked->id << " at r" << asked->router << ": " << kOutcomes[static_cast<int>(asked->outcome)]
-      << (asked->excused ? " (excused)" : "") << "\n";
+      << clientRequest->id << " at r" << clientRequest->router << ": "
+      << kOutcomes[static_cast<int>(clientRequest->outcome)] << (clientRequest->isExcused ? " (excused)" : "")
+      << "\n";
 }
 
 // --- The verdict
 
-std::string Rig::judge() const {
+std::string Rig::verdict() const {
   std::map<std::string, int> runs;
   for (const auto& id : ranAll()) ++runs[id];
   for (const auto& [id, times] : runs)
     if (times > 1) return "ran twice: " + id;
   std::map<std::string, bool> mayHaveRun;  // by an answer, or by none
-  for (const auto& asked : book_) {
-    if (asked->outcome == FinalOutcome::none && !asked->excused) return "no final answer: " + asked->id;
-    if (asked->outcome == FinalOutcome::committed && !runs.contains(asked->id))
-      return "told as committed and not in the node's log: " + asked->id;
-    if (asked->outcome == FinalOutcome::committed && asked->value != "value of " + asked->id)
-      return "a wrong value: " + asked->id;
-    if (asked->outcome != FinalOutcome::refused) mayHaveRun[asked->id] = true;
+  for (const auto& clientRequest : clientRequests_) {
+    if (clientRequest->outcome == FinalOutcome::none && !clientRequest->isExcused)
+      return "no final answer: " + clientRequest->id;
+    if (clientRequest->outcome == FinalOutcome::committed && !runs.contains(clientRequest->id))
+      return "told as committed and not in the node's log: " + clientRequest->id;
+    if (clientRequest->outcome == FinalOutcome::committed &&
+        clientRequest->value != "value of " + clientRequest->id)
+      return "a wrong value: " + clientRequest->id;
+    if (clientRequest->outcome != FinalOutcome::refused) mayHaveRun[clientRequest->id] = true;
   }
   for (const auto& [id, times] : runs)
     if (!mayHaveRun[id]) return "ran, and all were told that it did not: " + id;
-  return died();
+  return crashedRouter();
 }
 
-std::string Rig::died() const {
+std::string Rig::crashedRouter() const {
   for (std::size_t i = 0; i < processes_.size(); ++i)
     if (processes_[i]->id > 0 && waitpid(processes_[i]->id, nullptr, WNOHANG) == processes_[i]->id) {
       processes_[i]->id = -1;
--- a/tests/fleet/synced.cpp
+++ b/tests/fleet/synced.cpp
@@ -24,7 +24,7 @@
 File& of(sqlite3_file* f) { return *reinterpret_cast<File*>(f); }
 
 int sync(sqlite3_file* f, int) {
-  // A built-in fault: a disk that says that it synced and did not.
+  // An injected fault: a disk that says that it synced and did not.
   if (std::getenv("RIG_LYING_DISK")) return SQLITE_OK;
   File& file = of(f);
   const std::string made = std::string(file.path) + ".syncing";
@@ -75,14 +75,14 @@
   return code;
 }
 
-// By how much this process's clock of the day is off, in seconds: machines differ by minutes after a loss of
-// power. The running clock is left as it is.
+// By how much this process's wall clock is off, in seconds: machines differ by minutes after a loss of
+// power. The monotonic clock is left as it is.
 const long kClockShift = [] {
   const char* shift = std::getenv("RIG_CLOCK_SHIFT");
   return shift ? std::strtol(shift, nullptr, 10) : 0;
 }();
 
-// A built-in fault: a running clock that all but stands still once this file is there.
+// An injected fault: a monotonic clock that all but stalls once this file is there.
 const char* const kClockStands = std::getenv("RIG_CLOCK_STANDS");
 constexpr long long kSlower = 100, kNanos = 1'000'000'000;
 void slow(timespec* at) {
