--- a/tests/fleet/grants.cpp
+++ b/tests/fleet/grants.cpp
@@ -1,4 +1,4 @@
-// The same id asked at two routers with nothing told between, and what settling costs.
+// The same request at two routers with nothing reported between, and what agreeing on it costs.
 #include <algorithm>
 #include <iostream>
 
@@ -11,8 +11,9 @@
 
 namespace {
 
-// The same id asked at two routers that are external processors, with nothing told of the first grant's end.
-class RepeatedRequests {
+// The same request at two routers that are external processors, with nothing reported of the first lease's
+// end.
+class RepeatedRequests : private Scenario {
  public:
   explicit RepeatedRequests(bool usesVoters)
       : discovery_(loop_),
@@ -30,7 +31,8 @@
   }
   void play() {
     loop_.spawn(scenario());
-    loop_.run([](Instant) { return Instant(); }, [this](std::exception_ptr) { loop_.stop(); });
+    run();
+    if (!fault_.empty()) std::cerr << fault_ << "\n";
   }
 
  private:
@@ -50,62 +52,79 @@
           committed_ += answer.outcome == "committed" || answer.status == 200;
         });
   }
-  // Asked until one is granted: the router serves.
   event_loop::Task scenario() {
     rig_.startAll();
     for (const std::string way :
          {"at the second after the first", "at both at once", "at the first after kill -9"}) {
-      for (std::size_t router = 0; router < 2; ++router)
-        for (const auto before = committed_; committed_ == before;) {
-          sendRequest(router, "serves" + std::to_string(++probes_));
-          while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
-        }
+      for (const std::size_t router : {0, 1}) {
+        beginStep(untilServing(router));
+        while (!isStepOver_) co_await tick();
+      }
       areOutcomesHidden_ = true;
       std::vector<std::string> ids;
       for (int n = 0; n < kCases; ++n)
         ids.push_back(way.substr(0, 7) + way.substr(way.size() - 3) + std::to_string(n));
-      for (const auto& id : ids) {
-        sendRequest(0, id);
-        if (way == "at both at once") sendRequest(1, id);
-        while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
-        if (way == "at the second after the first") sendRequest(1, id);
-        while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
-      }
-      if (way == "at the first after kill -9") {
-        rig_.kill(0);
-        rig_.start(0);
-        areOutcomesHidden_ = false;
-        for (const auto before = committed_; committed_ == before;) {
-          sendRequest(0, "serves" + std::to_string(++probes_));
-          while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
-        }
-        areOutcomesHidden_ = true;
-        for (const auto& id : ids) {
-          sendRequest(0, id);
-          while (open_ > 0) co_await loop_.sleepUntil(loop_.now() + kTick);
-        }
-      }
+      beginStep(sendTwice(ids, way));
+      while (!isStepOver_) co_await tick();
       areOutcomesHidden_ = false;
-      int ran = 0, twice = 0;
-      for (const auto& id : ids) ran += node_.runs[id] > 0, twice += node_.runs[id] > 1;
-      std::cout << way << (usesVoters_ ? "" : ", nothing settled") << ": ran "
-                << (ran * 2 > kCases ? "most" : "FEW") << ", twice "
-                << (usesVoters_ ? std::to_string(twice)
-                    : twice > 0 ? "some"
-                                : "NONE")
-                << "\n";
-      std::cerr << way << ": ran " << ran << ", twice " << twice << " of " << kCases << "\n";
+      printRuns(ids, way);
     }
     loop_.stop();
   }
 
-  event_loop::EventLoop loop_;
+  // Sends requests until one is granted.
+  event_loop::Task untilServing(std::size_t router) {
+    for (const auto before = committed_; committed_ == before;) {
+      sendRequest(router, "serves" + std::to_string(++probes_));
+      while (open_ > 0) co_await tick();
+    }
+    endStep();
+  }
+  event_loop::Task sendTwice(std::vector<std::string> ids, std::string way) {
+    for (const auto& id : ids) {
+      sendRequest(0, id);
+      if (way == "at both at once") sendRequest(1, id);
+      while (open_ > 0) co_await tick();
+      if (way == "at the second after the first") sendRequest(1, id);
+      while (open_ > 0) co_await tick();
+    }
+    if (way != "at the first after kill -9") {
+      endStep();
+      co_return;
+    }
+    rig_.kill(0);
+    rig_.start(0);
+    areOutcomesHidden_ = false;
+    for (const auto before = committed_; committed_ == before;) {
+      sendRequest(0, "serves" + std::to_string(++probes_));
+      while (open_ > 0) co_await tick();
+    }
+    areOutcomesHidden_ = true;
+    for (const auto& id : ids) {
+      sendRequest(0, id);
+      while (open_ > 0) co_await tick();
+    }
+    endStep();
+  }
+  void printRuns(const std::vector<std::string>& ids, const std::string& way) {
+    int ran = 0, twice = 0;
+    for (const auto& id : ids) {
+      ran += node_.runs[id] > 0;
+      twice += node_.runs[id] > 1;
+    }
+    const std::string withoutVoters = twice > 0 ? "some" : "NONE";
+    std::cout << way << (usesVoters_ ? "" : ", nothing settled") << ": ran "
+              << (ran * 2 > kCases ? "most" : "FEW") << ", twice "
+              << (usesVoters_ ? std::to_string(twice) : withoutVoters) << "\n";
+    std::cerr << way << ": ran " << ran << ", twice " << twice << " of " << kCases << "\n";
+  }
+
   fake_servers::FakeDiscovery discovery_;
   fake_servers::FakeNode node_;
   Rig rig_;
   bool usesVoters_;
   std::vector<std::unique_ptr<fake_servers::FakeProxy>> proxies_;
-  bool areOutcomesHidden_ = false;  // proxies tell nothing of what became of a grant
+  bool areOutcomesHidden_ = false;  // proxies report nothing of what became of a lease
   std::size_t open_ = 0;
   std::uint64_t committed_ = 0, probes_ = 0;
 };
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -2,13 +2,13 @@
 
 #include <arpa/inet.h>
 #include <fcntl.h>
-#include <signal.h>
 #include <sys/prctl.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <csignal>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -497,6 +497,31 @@
   return clientRequests_.size() - 1;
 }
 
+namespace {
+
+// Reads the messages that have come. `isReady`: the router has been ready for the first request. True: the
+// request is answered.
+bool takeAnswer(std::string& received, bool& isReady, ClientRequest& request) {
+  std::string_view bytes = received;
+  bool isAnswered = false;
+  while (!isAnswered) {
+    const auto message = postgres::takeMessage(bytes, kLongest);
+    if (!message) break;
+    if (message->type == 'Z' && !std::exchange(isReady, true)) continue;
+    if (message->type == 'D') request.value = std::string(message->body.substr(6));
+    if (message->type == 'C') request.outcome = FinalOutcome::committed;
+    if (message->type == 'E') {
+      const std::string code(postgres::readError(message->body).code);
+      request.outcome = code == "53300" || code == "57P03" ? FinalOutcome::refused : FinalOutcome::rolledBack;
+    }
+    isAnswered = request.outcome != FinalOutcome::none && (message->type == 'Z' || message->type == 'E');
+  }
+  received.erase(0, received.size() - bytes.size());
+  return isAnswered;
+}
+
+}  // namespace
+
 event_loop::Task Rig::runClientRequest(std::shared_ptr<ClientRequest> clientRequest) {
   const Instant began = loop_.now();
   {
@@ -510,8 +535,8 @@
                                    clientRequest->id + ",c=book-charge,t=a,d=" +
                                    std::to_string(kClientTimeoutMs) + ",cluster=1 */" + std::string(1, '\0'));
     std::string received;
-    bool isConnected = false, isReady = false, operatorAnswer = false;
-    while (!operatorAnswer && loop_.now() < by) {
+    bool isConnected = false, isReady = false, isAnswered = false;
+    while (!isAnswered && loop_.now() < by) {
       if (!isConnected && stream.canWrite()) {
         isConnected = event_loop::isConnected(stream.descriptor());
         if (!isConnected) {  // nobody took it
@@ -521,23 +546,9 @@
       }
       if (isConnected && !write(stream, unsent)) break;
       const bool on = readAll(stream, received);
-      std::string_view bytes = received;
-      while (const auto message = postgres::takeMessage(bytes, kLongest)) {
-        if (message->type == 'Z' && !std::exchange(isReady, true)) continue;
-        if (message->type == 'D') clientRequest->value = std::string(message->body.substr(6));
-        if (message->type == 'C') clientRequest->outcome = FinalOutcome::committed;
-        if (message->type == 'E') {
-          const std::string code(postgres::readError(message->body).code);
-          clientRequest->outcome =
-              code == "53300" || code == "57P03" ? FinalOutcome::refused : FinalOutcome::rolledBack;
-        }
-        operatorAnswer =
-            clientRequest->outcome != FinalOutcome::none && (message->type == 'Z' || message->type == 'E');
-        if (operatorAnswer) break;
-      }
-      received.erase(0, received.size() - bytes.size());
-      if (!on && !operatorAnswer) break;
-      if (!operatorAnswer) co_await stream.changed();
+      isAnswered = takeAnswer(received, isReady, *clientRequest);
+      if (!on && !isAnswered) break;
+      if (!isAnswered) co_await stream.changed();
     }
   }
   clientRequest->isOver = true;
