--- a/src/cluster/gossip.cpp
+++ b/src/cluster/gossip.cpp
@@ -48,7 +48,7 @@
                                          " leaving=" + std::to_string(draining.size()) +
                                          " staying=" + std::to_string(newUpdates.size() - draining.size()));
   storeDrains(newUpdates);
-  transactions_.leave(draining);
+  transactions_.markDraining(draining);
 }
 
 void ClaimDispatcher::storeDrains(const DrainUpdates& updates) {
--- a/src/cluster/recovery_service.cpp
+++ b/src/cluster/recovery_service.cpp
@@ -43,7 +43,8 @@
 }
 
 void RecoveryService::onTransactionEnded(GroupId, std::size_t, const AdmittedResult& result) {
-  ramp_.onTransactionEnded(transactions_.now(), result.sent, result.committed && result.share <= 1);
+  ramp_.onTransactionEnded(transactions_.now(), result.wasSent,
+                           result.isCommitted && result.latencyTargetFraction <= 1);
 }
 
 void RecoveryService::onLoadReport(const NodeId& node, const LoadReport& report) {
@@ -130,7 +131,7 @@
 std::vector<PrimaryUpdate> RecoveryService::endTurn(bool isQuorumReached) {
   const Instant now = transactions_.now();
   for (const auto& [node, loadReport] : std::exchange(learntReports_, {}))
-    transactions_.learnLoadReport(node, loadReport);
+    transactions_.onPeerLoadReport(node, loadReport);
   stages_.setQuorumReached(isQuorumReached);
   logStageTransitions(stages_.decide(now, observations_));
   for (const auto& node : stages_.takeReportRequests()) transactions_.requestLoadReport(node);
--- a/src/downstream/ext_proc/request_streams.cpp
+++ b/src/downstream/ext_proc/request_streams.cpp
@@ -125,7 +125,7 @@
   if (stream.txn == 0) return;
   owners_.erase(stream.txn);
   transport_.unreported(stream.txn);
-  transactions_.leave(stream.txn);
+  transactions_.onClientLeft(stream.txn);
 }
 
 // --- Asking
@@ -352,7 +352,7 @@
   // waits for another one is unknown to them. Guards the one final answer: the proxy stops waiting a moment
   // later.
   if (due < stream.hold.answerBy) return;
-  if (stream.txn != 0) transactions_.leave(stream.txn);
+  if (stream.txn != 0) transactions_.onClientLeft(stream.txn);
   waiting_.erase(key);
   sendImmediate(key, stream, FinalOutcome::rejected, {}, "no node was free in time");
 }
--- a/src/downstream/postgres/client_sessions.cpp
+++ b/src/downstream/postgres/client_sessions.cpp
@@ -124,7 +124,7 @@
   setDeadline(id, client, {});
   if (client.isActive) --activeClients_;
   clients_.erase(found);
-  transactions_.leave(txn);
+  transactions_.onClientLeft(txn);
 }
 
 // A client that sends no more may still await its answer, or may be gone: both look alike. A notice, which
--- a/src/tools/fleet_model/fleet_router.h
+++ b/src/tools/fleet_model/fleet_router.h
@@ -62,7 +62,8 @@
     return ramp->rejectsWithRetryAfter(fleet.now_);
   }
   void onTransactionEnded(GroupId, std::size_t, const AdmittedResult& result) override {
-    ramp->onTransactionEnded(fleet.now_, result.sent, result.committed && result.share <= 1);
+    ramp->onTransactionEnded(fleet.now_, result.wasSent,
+                             result.isCommitted && result.latencyTargetFraction <= 1);
   }
   void onLoadReport(const NodeId&, const LoadReport&) override {}
   void onNodeDisconnected(const NodeId&) override {}
--- a/src/transactions/admission_controller.h
+++ b/src/transactions/admission_controller.h
@@ -14,14 +14,17 @@
  public:
   virtual ~AdmissionController() = default;
   // None: the transaction is admitted. Else it is rejected at once, and its client may retry after this.
-  virtual std::optional<Duration> rejectsWithRetryAfter(GroupId group, std::size_t type) = 0;
-  // `sent`: at least one attempt of it started; `share`: the fraction of its latency target that it took.
+  // `transactionClass`: row in RoutingConfig::transactionClasses.
+  virtual std::optional<Duration> rejectsWithRetryAfter(GroupId group, std::size_t transactionClass) = 0;
+  // How an admitted transaction ended.
   struct AdmittedResult {
-    bool sent = false, committed = false;
-    double share = 0;
+    bool wasSent = false;  // at least one attempt of it started
+    bool isCommitted = false;
+    double latencyTargetFraction = 0;  // the time that it took, as a fraction of its latency target
   };
   // Notified once per admitted transaction, when it has its final answer or its client left.
-  virtual void onTransactionEnded(GroupId group, std::size_t type, const AdmittedResult& result) = 0;
+  virtual void onTransactionEnded(GroupId group, std::size_t transactionClass,
+                                  const AdmittedResult& result) = 0;
   // A node reported this of itself, with an answer or to a health check.
   virtual void onLoadReport(const NodeId& node, const LoadReport& report) = 0;
   // The node took no connection, or ended the last one: it may have been down, and have lost the end of its
--- a/src/transactions/transaction_admission.cpp
+++ b/src/transactions/transaction_admission.cpp
@@ -80,12 +80,13 @@
 
 void TransactionTable::notifyAdmissionController(OpenTransaction& open, bool isCommitted) {
   if (!admissionController_ || !std::exchange(open.isAdmitted, false)) return;
-  admissionController_->onTransactionEnded(
-      open.group, open.transactionClass,
-      {.sent = !open.attempts.empty(), .committed = isCommitted, .share = open.elapsedTargetFraction(now_)});
+  admissionController_->onTransactionEnded(open.group, open.transactionClass,
+                                           {.wasSent = !open.attempts.empty(),
+                                            .isCommitted = isCommitted,
+                                            .latencyTargetFraction = open.elapsedTargetFraction(now_)});
 }
 
-void TransactionTable::learnLoadReport(const NodeId& node, const LoadReport& report) {
+void TransactionTable::onPeerLoadReport(const NodeId& node, const LoadReport& report) {
   enqueue([=](Router& router) { router.onHealthCheckEnded(node, AttemptOutcome::committed, report); });
 }
 
--- a/src/transactions/transaction_rounds.cpp
+++ b/src/transactions/transaction_rounds.cpp
@@ -34,7 +34,7 @@
   applyChangedEndpoints(exclusions_.exclude(std::move(current), std::move(upcoming), startsAt, now_));
 }
 
-void TransactionTable::leave(const std::vector<NodeId>& nodes) {
+void TransactionTable::markDraining(const std::vector<NodeId>& nodes) {
   applyChangedEndpoints(exclusions_.markDraining(nodes));
 }
 
@@ -96,7 +96,7 @@
   OpenTransaction* open = findAwaitingAnswer(txn);
   if (!open) return;
   const AttemptId attemptId{txn, static_cast<unsigned>(open->attempts.size())};
-  open->attempts.push_back({node, now_, sendBy, abandonAt});
+  open->attempts.push_back({.node = node, .sentAt = now_, .sendBy = sendBy, .abandonAt = abandonAt});
   traceAttemptStarted(trace_, *open, now_);
   // Guards against a decision made before the exclusion reached the router: nothing at all may go to the
   // node. May hurt a transaction that no other node can take: it is decided anew, and may be rejected.
@@ -108,7 +108,7 @@
   const AttemptId attemptId{txn, number};
   const AttemptRecord* attempt = this->attempt(attemptId);
   if (!attempt || attempt->hasEnded) return;
-  // A copy of the node's name: the attempt may end, and its record go, during the call.
+  // The node's name is copied: the attempt may end, and its record be dropped, during the call.
   openTransactions_.at(txn).transport->cancelAttempt(attemptId, NodeId(attempt->node));
 }
 
--- a/src/transactions/transaction_table.cpp
+++ b/src/transactions/transaction_table.cpp
@@ -64,7 +64,7 @@
   return transaction.id;
 }
 
-void TransactionTable::leave(TxnId txn) {
+void TransactionTable::onClientLeft(TxnId txn) {
   OpenTransaction* open = findAwaitingAnswer(txn);
   if (!open) return;
   traceAnswer(txn, "none, its client left");
@@ -138,7 +138,7 @@
 
 void TransactionTable::onAttemptEnded(AttemptId attemptId, const NodeId& node, AttemptOutcome outcome,
                                       const LoadReport& answerReport, const LoadReport& report) {
-  const bool isHealthCheck = attemptId.txn == 0;
+  const bool isHealthCheck = attemptId.isHealthCheck();
   if (admissionController_ && outcome == AttemptOutcome::committed)
     admissionController_->onLoadReport(node, isHealthCheck ? report : answerReport);
   if (isHealthCheck)
--- a/src/transactions/transaction_table.h
+++ b/src/transactions/transaction_table.h
@@ -69,8 +69,8 @@
   // Sends a health check to the node; its report goes to the router and the admission controller. Must not
   // be called from within a call of either.
   void requestLoadReport(const NodeId& node) { sendHealthCheck(node); }
-  // Gives the router a report that another router has got, as if the node had sent it here.
-  void learnLoadReport(const NodeId& node, const LoadReport& report);
+  // Gives the router a report that another router has received, as if the node had sent it here.
+  void onPeerLoadReport(const NodeId& node, const LoadReport& report);
 
   // --- For the execution gate, outside its own calls. Ignored for a transaction that does not wait for it.
 
@@ -90,7 +90,7 @@
   TxnId openTransaction(DownstreamHandler& handler, OwnerId owner, UpstreamTransport& transport,
                         Transaction transaction, RequestMessage message, std::string_view id = {});
   // Its client left: it gets no answer, and no further attempt starts.
-  void leave(TxnId txn);
+  void onClientLeft(TxnId txn);
 
   // --- For upstream transports
 
@@ -99,8 +99,8 @@
   const AttemptRecord* attempt(AttemptId attemptId) const;
   // Whether the transaction still awaits its final answer.
   bool isAnswerPending(TxnId txn) const;
-  // Called right before an attempt is sent to its node, which is told to take no longer than `timeoutSent`.
-  // False: it must not be sent, and has to end as notSent.
+  // Called right before an attempt is sent to its node with `timeoutSent` as its time limit. False: it must
+  // not be sent, and has to end as notSent.
   [[nodiscard]] bool maySend(AttemptId attemptId, const NodeId& node, Duration timeoutSent);
   // Gives the transaction its final answer. Call it ahead of onAttemptEnded().
   void commit(TxnId txn, const ResultValue& value);
@@ -119,7 +119,7 @@
   void onEndpointListFailed();
   // The next three are for installations with an execution gate.
   // These nodes are draining, whatever the last list said.
-  void leave(const std::vector<NodeId>& nodes);
+  void markDraining(const std::vector<NodeId>& nodes);
   // Nothing new goes to the nodes of `current` nor, from `startsAt` on, to those of `upcoming`, whatever the
   // lists say, until the next call. Never: both at once.
   void excludeNodes(std::set<NodeId> current, std::set<NodeId> upcoming, Instant startsAt);
--- a/src/transactions/upstream_transport.h
+++ b/src/transactions/upstream_transport.h
@@ -18,6 +18,7 @@
 struct AttemptId {
   TxnId txn = 0;  // 0: a health check
   unsigned attempt = 0;
+  bool isHealthCheck() const { return txn == 0; }
   bool operator==(const AttemptId&) const = default;
 };
 
--- a/src/upstream/postgres/connection_pool.cpp
+++ b/src/upstream/postgres/connection_pool.cpp
@@ -79,7 +79,7 @@
 // --- Writing
 
 void ConnectionPool::carry(NodeConnectionId id, NodeConnection& connection, AttemptId attemptId) {
-  const bool isHealthCheck = attemptId.txn == 0;
+  const bool isHealthCheck = attemptId.isHealthCheck();
   // The node is told how long this router will wait, in whole milliseconds.
   const auto* attempt = transactions_.attempt(attemptId);
   const Duration remaining = attempt ? attempt->abandonAt - transactions_.now() : Duration();
@@ -126,7 +126,7 @@
   NodeConnection& connection = found->second;
   connection.isFullyWritten = true;
   // One that answers already has less time than that.
-  if (connection.stage == Stage::busy && connection.attemptId.txn != 0 && !connection.isAnswerPartial)
+  if (connection.stage == Stage::busy && !connection.attemptId.isHealthCheck() && !connection.isAnswerPartial)
     setDeadline(id, connection, transactions_.attempt(connection.attemptId)->abandonAt);
 }
 
@@ -138,7 +138,7 @@
     const AttemptId attemptId = state.waiting.front();
     state.waiting.pop_front();
     const auto* attempt = transactions_.attempt(attemptId);
-    const bool isHealthCheck = attemptId.txn == 0;
+    const bool isHealthCheck = attemptId.isHealthCheck();
     if (isHealthCheck || (attempt && attempt->sendBy > transactions_.now()))
       return carry(id, connection, attemptId);
     transactions_.onAttemptEnded(attemptId, connection.node, AttemptOutcome::notSent);
--- a/src/upstream/postgres/node_answers.cpp
+++ b/src/upstream/postgres/node_answers.cpp
@@ -120,7 +120,7 @@
 void ConnectionPool::endCarried(NodeConnectionId id, NodeConnection& connection, const wire::Answer& answer,
                                 bool hasMoreBytes) {
   const AttemptId attemptId = connection.attemptId;
-  const bool isHealthCheck = attemptId.txn == 0;
+  const bool isHealthCheck = attemptId.isHealthCheck();
   const NodeId node = connection.node;
   const AttemptOutcome outcome = attemptOutcomeOf(answer.kind);
   // Ahead of the commit, which withdraws the attempts that are carried: the transaction's others.
--- a/tests/guard.cpp
+++ b/tests/guard.cpp
@@ -143,13 +143,13 @@
 void left() {
   World world;
   const TxnId waiting = world.take(0, "b1");
-  world.ledger().leave(waiting);
+  world.ledger().onClientLeft(waiting);
   world.ledger().admit(waiting);
   world.turn();
   const TxnId out = world.take(0, "b2");
   world.ledger().admit(out);
   world.turn();
-  world.ledger().leave(out);
+  world.ledger().onClientLeft(out);
   world.end(out, AttemptOutcome::cancelled);
   std::cout << "tried elsewhere before\n";
   const TxnId again = world.take(0, "b3", true);
@@ -162,7 +162,7 @@
 void lists() {
   World world;
   world.list(7);
-  world.ledger().leave({"p", "nobody"});
+  world.ledger().markDraining({"p", "nobody"});
   world.turn();
   std::cout << "learnt: p is leaving: " << world.ledger().endpoints().isDraining("p") << "\n";
   world.list(8);
@@ -186,7 +186,7 @@
     if (attempt && !attempt->hasEnded)
       world.end(txn, AttemptOutcome::committed);
     else
-      world.ledger().leave(txn);
+      world.ledger().onClientLeft(txn);
     world.turn(5000);
   };
   asks("as ever");
