--- a/src/downstream/ext_proc/header_mapping.cpp
+++ b/src/downstream/ext_proc/header_mapping.cpp
@@ -7,6 +7,8 @@
 
 namespace gulltrestle::downstream::ext_proc {
 
+using endpoint_leases::WriteProgress;
+
 namespace {
 
 // An id is kept for as long as its txn is remembered; a UUID has 36.
@@ -43,10 +45,9 @@
   return *value;
 }
 
-endpoint_leases::Written writtenOf(std::string_view word) {
-  if (word == "none") return endpoint_leases::Written::nothing;
-  return word == "some" || word == "whole" ? endpoint_leases::Written::something
-                                           : endpoint_leases::Written::unknown;
+WriteProgress writeProgressOf(std::string_view value) {
+  if (value == "none") return WriteProgress::none;
+  return value == "some" || value == "whole" ? WriteProgress::some : WriteProgress::unknown;
 }
 
 }  // namespace
@@ -66,7 +67,7 @@
   if (row == rows_.end())
     throw InvalidHeader(names_.type, "txn type '" + typeName.substr(0, 64) + "' is not known");
   const TransactionClass& type = types_[row->second];
-  asked.txn.type = asked.ask.type = row->second;
+  asked.txn.type = asked.ask.transactionClass = row->second;
   asked.txn.group = number(names_.group, need(headers, names_.group), kMostGroup);
   const auto patience = number(names_.patience, need(headers, names_.patience), kMostMs);
   asked.txn.remainingTime = asked.ask.remainingTime =
@@ -85,7 +86,8 @@
   if (const auto* attempt = find(headers, names_.attempt))
     asked.ask.attempt =
         static_cast<unsigned>(std::max<std::uint64_t>(1, number(names_.attempt, *attempt, kMostTries)));
-  if (const auto* written = find(headers, names_.written)) asked.ask.written = writtenOf(*written);
+  if (const auto* written = find(headers, names_.written))
+    asked.ask.writeProgress = writeProgressOf(*written);
   if (const auto* token = find(headers, names_.token)) asked.ask.token = token->substr(0, kLongestId);
   return asked;
 }
@@ -93,11 +95,12 @@
 endpoint_leases::ProxyReport HeaderMapping::report(const wire::Headers& headers) const {
   endpoint_leases::ProxyReport report;
   if (const auto* status = find(headers, ":status"))
-    report.status = static_cast<int>(whole(*status, 999).value_or(0));
-  if (const auto* written = find(headers, names_.written)) report.written = writtenOf(*written);
-  if (const auto* said = find(headers, names_.nodeOutcome)) report.said = *said;
-  if (const auto* sentTo = find(headers, names_.sentTo)) report.sentTo = *sentTo;
-  for (const auto& [name, value] : headers) load_report::readField(names_.node, name, value, report.standing);
+    report.httpStatus = static_cast<int>(whole(*status, 999).value_or(0));
+  if (const auto* written = find(headers, names_.written)) report.writeProgress = writeProgressOf(*written);
+  if (const auto* outcome = find(headers, names_.nodeOutcome)) report.nodeOutcome = *outcome;
+  if (const auto* sentTo = find(headers, names_.sentTo)) report.sentToAddress = *sentTo;
+  for (const auto& [name, value] : headers)
+    load_report::readField(names_.node, name, value, report.loadReport);
   return report;
 }
 
--- a/src/downstream/ext_proc/request_streams.cpp
+++ b/src/downstream/ext_proc/request_streams.cpp
@@ -82,7 +82,7 @@
     case wire::Phase::responseHeaders:
       if (stream.stage == Stage::granted) return report(key, stream, request.headers);
       // Of a grant that counts as ended since another try of its txn came: it passes, and changes nothing.
-      if (stream.stage == Stage::answered && stream.grant.within > Duration() &&
+      if (stream.stage == Stage::answered && stream.grant.duration > Duration() &&
           !std::exchange(stream.hasReportedEnd, true))
         return effects_.send(key, wire::continued(request.phase));
       return rejectMessage(key, stream.stage == Stage::answered ? "response_headers came twice"
@@ -121,10 +121,10 @@
   if (stream.stage == Stage::opened || stream.stage == Stage::answered) return;
   if (stream.stage == Stage::granted) ++counts_.unreported;
   stream.stage = Stage::answered;
-  leaseRegistry_.left(transactions_.now(), stream.asked.ask.id, key);
+  leaseRegistry_.onStreamCancelled(transactions_.now(), stream.asked.ask.id, key);
   if (stream.txn == 0) return;
   owners_.erase(stream.txn);
-  transport_.unreported(stream.txn);
+  transport_.onReporterLost(stream.txn);
   transactions_.onClientLeft(stream.txn);
 }
 
@@ -133,12 +133,12 @@
 void RequestStreams::ask(StreamKey key, Stream& stream) {
   if (stream.stage == Stage::opened)
     stream.hold = endpoint_leases::holdDeadlines(transactions_.now(), stream.asked.txn.remainingTime,
-                                                 bounds_.messageTime);
-  const LeaseDecision decision = leaseRegistry_.asked(transactions_.now(), key, stream.asked.ask);
+                                                 bounds_.messageTimeout);
+  const LeaseDecision decision = leaseRegistry_.requestLease(transactions_.now(), key, stream.asked.ask);
   if (decision.action == LeaseDecision::Action::wait) {
     stream.stage = Stage::waiting;
     waiting_.insert(key);
-    return setDue(key, stream, std::min(decision.until, stream.hold.answerBy));
+    return setDue(key, stream, std::min(decision.waitUntil, stream.hold.answerBy));
   }
   waiting_.erase(key);
   stream.stage = Stage::asking;
@@ -149,7 +149,7 @@
     return sendImmediate(key, stream, decision.outcome, {}, decision.reason);
   }
   // Another stream of the same txn: whoever sent it has given it up.
-  for (const StreamKey other : {decision.endsUnreported, decision.supersedes}) {
+  for (const StreamKey other : {decision.unreportedStream, decision.supersededStream}) {
     const auto at = streams_.find(other);
     if (other == 0 || at == streams_.end()) continue;
     if (at->second.stage == Stage::granted) {
@@ -161,12 +161,13 @@
     }
   }
   Transaction txn = stream.asked.txn;
-  txn.priorAttempts = decision.earlier;
+  txn.priorAttempts = decision.priorAttempts;
   txn.maxLocalAttempts = 1;
   txn.maxHold = stream.hold.answerBy - transactions_.now();
   stream.txn = transactions_.openTransaction(*this, key, transport_, txn, {}, stream.asked.ask.id);
   owners_[stream.txn] = key;
-  setDue(key, stream, stream.hold.askAt != Instant() ? stream.hold.askAt : stream.hold.answerBy);
+  setDue(key, stream,
+         stream.hold.extensionRequestAt != Instant() ? stream.hold.extensionRequestAt : stream.hold.answerBy);
 }
 
 bool RequestStreams::onLeaseGranted(TxnId txn, const upstream::delegated::EndpointLease& grant) {
@@ -175,7 +176,8 @@
   const StreamKey key = owner->second;
   Stream& stream = streams_.at(key);
   if (stream.stage != Stage::asking) return false;
-  const std::string token = leaseRegistry_.granted(transactions_.now(), stream.asked.ask.id, key, grant.node);
+  const std::string token =
+      leaseRegistry_.onLeaseGranted(transactions_.now(), stream.asked.ask.id, key, grant.node);
   if (token.empty()) return false;
   ++counts_.granted;
   stream.stage = Stage::granted;
@@ -185,7 +187,7 @@
   effects_.send(key, wire::continued(wire::Phase::requestHeaders,
                                      {{names.destination, grant.address},
                                       {names.token, token},
-                                      {names.sendWithin, std::to_string(grant.within.inMicros() / 1000)}}));
+                                      {names.sendWithin, std::to_string(grant.duration.inMicros() / 1000)}}));
   if (stream.halfClosed) {  // it can't tell the end
     releaseTransaction(key, stream);
     effects_.close(key, StreamCloseReason::done, "");
@@ -197,17 +199,18 @@
 
 void RequestStreams::report(StreamKey key, Stream& stream, const wire::Headers& headers) {
   const endpoint_leases::ProxyReport report = mapping_.report(headers);
-  if (report.sentTo && *report.sentTo != stream.grant.address) {
+  if (report.sentToAddress && *report.sentToAddress != stream.grant.address) {
     ++counts_.misused;
-    logBounded("ext_proc.misused", "told=" + stream.grant.address + " sent_to=" + quoted(*report.sentTo));
+    logBounded("ext_proc.misused",
+               "told=" + stream.grant.address + " sent_to=" + quoted(*report.sentToAddress));
   }
   stream.stage = Stage::reported;
   stream.hasReportedEnd = true;
   setDue(key, stream, {});
   const AttemptOutcome attemptOutcome = endpoint_leases::outcomeOf(report, stream.grant.address);
-  leaseRegistry_.ended(transactions_.now(), stream.asked.ask.id, key, attemptOutcome);
+  leaseRegistry_.onAttemptEnded(transactions_.now(), stream.asked.ask.id, key, attemptOutcome);
   const bool owed = transactions_.isAnswerPending(stream.txn);
-  transport_.reported(stream.txn, report);
+  transport_.onReport(stream.txn, report);
   if (owed) return;  // the module's answer is there by the end of the turn
   // The module gave it up before; nothing was told to anyone yet, and a commit is the truth.
   deliverAnswer(key,
@@ -244,7 +247,7 @@
   ++counts_.committed;
   owners_.erase(stream.txn);
   stream.stage = Stage::answered;
-  leaseRegistry_.answered(transactions_.now(), stream.asked.ask.id, key, outcome);
+  leaseRegistry_.onAnswered(transactions_.now(), stream.asked.ask.id, key, outcome);
   effects_.send(key, wire::continued(wire::Phase::responseHeaders,
                                      {{mapping_.names().outcome, std::string(nameOf(outcome))}}));
   if (stream.halfClosed) effects_.close(key, StreamCloseReason::done, "");
@@ -257,7 +260,7 @@
   stream.stage = Stage::answered;
   setDue(key, stream, {});
   if (!stream.asked.ask.id.empty())
-    leaseRegistry_.answered(transactions_.now(), stream.asked.ask.id, key, outcome);
+    leaseRegistry_.onAnswered(transactions_.now(), stream.asked.ask.id, key, outcome);
   const auto& names = mapping_.names();
   wire::Immediate answer;
   answer.status = outcome == FinalOutcome::rejected ? 503 : 500;
@@ -310,7 +313,7 @@
 
 void RequestStreams::endTurn() {
   transport_.endTurn();
-  leaseRegistry_.forget(transactions_.now());
+  leaseRegistry_.dropExpired(transactions_.now());
   // The end that they wait for may have come.
   for (const StreamKey key : std::vector<StreamKey>(waiting_.begin(), waiting_.end()))
     if (const auto at = streams_.find(key); at != streams_.end() && at->second.stage == Stage::waiting)
@@ -343,8 +346,8 @@
 
 // A stream that waits for its decision asks for more time, or gets its rejection.
 void RequestStreams::onHoldDue(StreamKey key, Stream& stream, Instant due) {
-  if (due == stream.hold.askAt) {
-    effects_.send(key, wire::wait(stream.hold.ask));
+  if (due == stream.hold.extensionRequestAt) {
+    effects_.send(key, wire::wait(stream.hold.extension));
     setDue(key, stream, stream.hold.answerBy);
     return;
   }
--- a/src/downstream/ext_proc/request_streams.h
+++ b/src/downstream/ext_proc/request_streams.h
@@ -39,7 +39,7 @@
 struct Bounds {
   std::size_t mostStreams = 1000;
   Duration openLimit = Duration::millis(2000);  // a stream must have asked by then
-  endpoint_leases::MessageTime messageTime;
+  endpoint_leases::MessageTimeout messageTimeout;
 };
 
 class RequestStreams final : private transactions::DownstreamHandler,
@@ -54,7 +54,8 @@
   void message(StreamKey stream, std::string_view bytes);
   void halfClosed(StreamKey stream);
   void ended(StreamKey stream);
-  void listHeard() { transport_.listHeard(); }
+  // Discovery sent something, be it nothing new.
+  void onDiscoveryActivity() { transport_.onDiscoveryActivity(); }
 
   void endTurn();
   Instant nextDue() const;
@@ -68,8 +69,8 @@
                   unreported = 0, misused = 0, malformed = 0;
   };
   const Counts& counts() const { return counts_; }
-  std::size_t remembered() const { return leaseRegistry_.size(); }
-  std::size_t grantsOut() const { return transport_.out(); }
+  std::size_t rememberedTransactionCount() const { return leaseRegistry_.size(); }
+  std::size_t outstandingLeaseCount() const { return transport_.outstandingLeaseCount(); }
 
  private:
   enum class Stage {
--- a/src/endpoint_leases/attempt_outcome.cpp
+++ b/src/endpoint_leases/attempt_outcome.cpp
@@ -1,49 +1,66 @@
 #include "endpoint_leases/attempt_outcome.h"
 
+#include <string_view>
+
 namespace gulltrestle::endpoint_leases {
 
 namespace {
 
+// The values of the node's outcome header.
+constexpr std::string_view kCommitted = "committed", kWrongNode = "miss", kRejected = "turned-away";
+
+// Statuses of HTTP (RFC 9110, RFC 6585).
+constexpr int kFirstSuccess = 200, kMisdirectedRequest = 421, kTooManyRequests = 429, kFirstServerError = 500,
+              kGatewayTimeout = 504;
+
 bool wasSentElsewhere(const ProxyReport& report, const std::string& leasedAddress) {
-  return report.sentTo && *report.sentTo != leasedAddress;
+  return report.sentToAddress && *report.sentToAddress != leasedAddress;
 }
 
-}  // namespace
+// A node that was sent nothing has run nothing; what is known is why.
+AttemptOutcome outcomeOfUnwritten(const ProxyReport& report) {
+  if (report.nodeOutcome == kRejected) return AttemptOutcome::rejected;
+  return isFromNode(report) ? AttemptOutcome::notSent : AttemptOutcome::noConnection;
+}
 
-bool fromNode(const ProxyReport& report) {
-  return report.said || report.standing.role != Role::unknown || report.standing.position;
+AttemptOutcome outcomeOfNode(std::string_view nodeOutcome) {
+  if (nodeOutcome == kCommitted) return AttemptOutcome::committed;
+  if (nodeOutcome == kWrongNode) return AttemptOutcome::wrongNode;
+  return nodeOutcome == kRejected ? AttemptOutcome::rejected : AttemptOutcome::error;
 }
 
-// The outcome that the node reported takes precedence. Else the status decides, read so that nothing that may
-// have run counts as never run: a 503 or 429 may come from a proxy or node that had started, unless the
-// report says that nothing was written. By 421 (misdirected) a node states that it is the wrong one, and did
-// nothing. Guards rule 2 against statuses that promise more than is known; may hurt at-most-once transactions
-// at nodes that reject with a bare 503: they are rolled back, where a node that reports `turned-away` lets
-// them be retried elsewhere.
-AttemptOutcome outcomeOf(const ProxyReport& report, const std::string& leasedAddress) {
-  if (report.written == Written::nothing) {
-    if (report.said == "turned-away") return AttemptOutcome::rejected;
-    return fromNode(report) ? AttemptOutcome::notSent : AttemptOutcome::noConnection;
-  }
-  if (wasSentElsewhere(report, leasedAddress)) return AttemptOutcome::cancelled;
-  if (report.said == "committed") return AttemptOutcome::committed;
-  if (report.said == "miss") return AttemptOutcome::wrongNode;
-  if (report.said == "turned-away") return AttemptOutcome::rejected;
-  if (report.said) return AttemptOutcome::error;
-  if (report.status == 421 && fromNode(report)) return AttemptOutcome::wrongNode;
-  if (report.status >= 200 && report.status < 500 && report.status != 429 && report.status != 421)
+// Read so that nothing that may have run counts as never run: a 503 or 429 may come from a proxy or node that
+// had started, unless the report says that nothing was written. By 421 a node states that it is the wrong
+// one, and did nothing. Guards rule 2 against statuses that promise more than is known; may hurt at-most-once
+// transactions at nodes that reject with a bare 503: they are rolled back, where a node that reports
+// `turned-away` lets them be retried elsewhere.
+AttemptOutcome outcomeOfStatus(const ProxyReport& report) {
+  const int status = report.httpStatus;
+  if (status == kMisdirectedRequest && isFromNode(report)) return AttemptOutcome::wrongNode;
+  if (status >= kFirstSuccess && status < kFirstServerError && status != kTooManyRequests &&
+      status != kMisdirectedRequest)
     return AttemptOutcome::committed;
-  if (report.status == 504) return AttemptOutcome::timeout;
-  return fromNode(report) ? AttemptOutcome::error : AttemptOutcome::connectionLost;
+  if (status == kGatewayTimeout) return AttemptOutcome::timeout;
+  return isFromNode(report) ? AttemptOutcome::error : AttemptOutcome::connectionLost;
 }
 
-AttemptOutcome outcomeWithoutReport(bool hasTimedOut) {
-  return hasTimedOut ? AttemptOutcome::timeout : AttemptOutcome::cancelled;
+}  // namespace
+
+bool isFromNode(const ProxyReport& report) {
+  return report.nodeOutcome || report.loadReport.role != Role::unknown || report.loadReport.position;
+}
+
+// The outcome that the node reported takes precedence over the status.
+AttemptOutcome outcomeOf(const ProxyReport& report, const std::string& leasedAddress) {
+  if (report.writeProgress == WriteProgress::none) return outcomeOfUnwritten(report);
+  if (wasSentElsewhere(report, leasedAddress)) return AttemptOutcome::cancelled;
+  return report.nodeOutcome ? outcomeOfNode(*report.nodeOutcome) : outcomeOfStatus(report);
 }
 
-LoadReport learnt(const ProxyReport& report, const std::string& leasedAddress) {
-  return wasSentElsewhere(report, leasedAddress) || report.written == Written::nothing ? LoadReport()
-                                                                                       : report.standing;
+LoadReport loadReportOf(const ProxyReport& report, const std::string& leasedAddress) {
+  const bool isOfLeasedNode =
+      report.writeProgress != WriteProgress::none && !wasSentElsewhere(report, leasedAddress);
+  return isOfLeasedNode ? report.loadReport : LoadReport();
 }
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/lease_duration.cpp
+++ b/src/endpoint_leases/lease_duration.cpp
@@ -30,29 +30,31 @@
 
 }  // namespace
 
-// Guards against drains that are announced late: a list that was silent for longer than its pulse may hold
-// back a drain that counts as announced `toldWithin` after it was due. From then on the grace period is
-// running, and a lease must be used before it can be over. May hurt while discovery is unavailable for long:
-// where the rule counts what was never received, no lease is granted in the end, and requests are rejected.
-Duration sendWithin(Instant now, Instant sendBy, const DrainRule& rule, const ListAge& list) {
+// Guards against drains that are announced late: a list that was silent for longer than its keepalive
+// interval may hold back a drain that counts as announced `notifiedWithin` after it was due. From then on the
+// grace period is running, and a lease must be used before it can be over. May hurt while discovery is
+// unavailable for long: where the rule counts what was never received, no lease is granted in the end, and
+// requests are rejected.
+Duration leaseDuration(Instant now, Instant sendBy, const DrainRule& rule, const EndpointListAge& list) {
   const Duration graceForLease = rule.grace * kGraceFraction;
-  Duration within = std::min(graceForLease, sendBy - now);
-  const bool isListOverdue = list.heardAt != Instant() && now - list.heardAt > list.pulse;
-  if (rule.toldWithin > Duration() && isListOverdue)
-    within = std::min(within, list.heardAt + rule.toldWithin + graceForLease - now);
-  return within < kMinLease ? Duration() : within;
+  Duration duration = std::min(graceForLease, sendBy - now);
+  const bool isListOverdue =
+      list.lastActivityAt != Instant() && now - list.lastActivityAt > list.keepaliveInterval;
+  if (rule.notifiedWithin > Duration() && isListOverdue)
+    duration = std::min(duration, list.lastActivityAt + rule.notifiedWithin + graceForLease - now);
+  return duration < kMinLease ? Duration() : duration;
 }
 
-HoldDeadlines holdDeadlines(Instant now, Duration remainingTime, const MessageTime& time) {
+HoldDeadlines holdDeadlines(Instant now, Duration remainingTime, const MessageTimeout& message) {
   HoldDeadlines hold;
-  hold.answerBy = now + std::min(remainingTime, time.timeout - answerMargin(time.timeout));
+  hold.answerBy = now + std::min(remainingTime, message.timeout - answerMargin(message.timeout));
   // No extension exceeds what the client waits, and none is requested if it gains nothing.
-  const Duration untilRequest = time.timeout * kExtensionRequestFraction;
-  const Duration extension = std::min(time.most, remainingTime - untilRequest);
-  if (remainingTime <= time.timeout || untilRequest + extension <= time.timeout) return hold;
-  hold.askAt = now + untilRequest;
-  hold.ask = extension;
-  hold.answerBy = hold.askAt + (extension - answerMargin(extension));
+  const Duration untilRequest = message.timeout * kExtensionRequestFraction;
+  const Duration extension = std::min(message.maxExtension, remainingTime - untilRequest);
+  if (remainingTime <= message.timeout || untilRequest + extension <= message.timeout) return hold;
+  hold.extensionRequestAt = now + untilRequest;
+  hold.extension = extension;
+  hold.answerBy = hold.extensionRequestAt + (extension - answerMargin(extension));
   return hold;
 }
 
--- a/src/endpoint_leases/lease_duration.h
+++ b/src/endpoint_leases/lease_duration.h
@@ -16,34 +16,34 @@
   Duration grace = Duration::millis(1000);
   // An endpoint list counts as received this long after it was due, whether it came or not; zero: only what
   // was received counts.
-  Duration toldWithin;
+  Duration notifiedWithin;
 };
 
-// The age of the endpoint list. `heardAt`: when discovery last sent anything, an empty line included.
-// `pulse`: the interval at which a watch sends something.
-struct ListAge {
-  Instant heardAt;
-  Duration pulse = Duration::millis(2000);
+// The age of the endpoint list.
+struct EndpointListAge {
+  Instant lastActivityAt;                               // when discovery last sent anything, an empty line
+                                                        // included; never: it has sent nothing
+  Duration keepaliveInterval = Duration::millis(2000);  // at which a watch sends something
 };
 
-// How long from `now` a lease is valid; zero or less: it is useless and must not be granted. `sendBy`: by
-// when the router wants the attempt sent.
-Duration sendWithin(Instant now, Instant sendBy, const DrainRule& rule, const ListAge& list);
+// How long from `now` a lease is valid; zero: it would be useless and must not be granted. `sendBy`: by when
+// the router wants the attempt sent.
+Duration leaseDuration(Instant now, Instant sendBy, const DrainRule& rule, const EndpointListAge& list);
 
-// The time limits of a proxy's request: the proxy waits for `timeout`, which may be extended once, by `most`
-// at the longest (zero: it may not).
-struct MessageTime {
+// How long a proxy waits for an answer to its message.
+struct MessageTimeout {
   Duration timeout = Duration::millis(200);
-  Duration most;
+  Duration maxExtension;  // what it may be asked to wait instead, once; zero: it may not
 };
 
 // What to do while a proxy's request is held.
 struct HoldDeadlines {
-  Instant askAt;     // when an extension is requested, unless it is answered by then; never: none is
-  Duration ask;      // the extension
+  Instant
+      extensionRequestAt;  // when an extension is requested, unless it is answered by then; never: none is
+  Duration extension;
   Instant answerBy;  // when it is answered in any case
 };
 // `remainingTime`: how long the client waits from `now`.
-HoldDeadlines holdDeadlines(Instant now, Duration remainingTime, const MessageTime& time);
+HoldDeadlines holdDeadlines(Instant now, Duration remainingTime, const MessageTimeout& message);
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/lease_registry.cpp
+++ b/src/endpoint_leases/lease_registry.cpp
@@ -9,7 +9,7 @@
 
 // How long a retry waits for the end of the attempt before it, which the proxy has abandoned already: the
 // reset and the retry cross in transit, milliseconds apart. After that the earlier attempt may have run.
-constexpr Duration kMaxCrossing = Duration::millis(50);
+constexpr Duration kMaxResetDelay = Duration::millis(50);
 
 LeaseDecision answerWith(FinalOutcome outcome, std::string_view reason) {
   LeaseDecision decision;
@@ -19,10 +19,10 @@
   return decision;
 }
 
-LeaseDecision waitUntil(Instant until) {
+LeaseDecision waitUntil(Instant time) {
   LeaseDecision decision;
   decision.action = LeaseDecision::Action::wait;
-  decision.until = until;
+  decision.waitUntil = time;
   return decision;
 }
 
@@ -34,9 +34,12 @@
 
 }  // namespace
 
-LeaseRegistry::LeaseRegistry(std::vector<TransactionClass> classes, ProxyPlacement placement, Bounds bounds,
-                             std::string start)
-    : classes_(std::move(classes)), placement_(placement), bounds_(bounds), start_(std::move(start)) {}
+LeaseRegistry::LeaseRegistry(std::vector<TransactionClass> classes, ProxyPlacement placement,
+                             RegistryBounds bounds, std::string incarnation)
+    : classes_(std::move(classes)),
+      placement_(placement),
+      bounds_(bounds),
+      incarnation_(std::move(incarnation)) {}
 
 LeaseRegistry::Entry* LeaseRegistry::find(const std::string& id, StreamKey stream) {
   const auto found = entries_.find(id);
@@ -46,40 +49,41 @@
 LeaseRegistry::Entry& LeaseRegistry::startEntry(Instant now, StreamKey stream, const LeaseRequest& request) {
   Entry& entry = entries_[request.id];
   entry = {};
-  entry.type = request.type;
+  entry.transactionClass = request.transactionClass;
   entry.stream = stream;
   entry.attempt = request.attempt;
-  entry.firstAt = now;
+  entry.firstRequestedAt = now;
   return entry;
 }
 
 // --- Requests
 
-LeaseDecision LeaseRegistry::asked(Instant now, StreamKey stream, const LeaseRequest& request) {
-  forget(now);
+LeaseDecision LeaseRegistry::requestLease(Instant now, StreamKey stream, const LeaseRequest& request) {
+  dropExpired(now);
   const auto found = entries_.find(request.id);
-  if (found == entries_.end()) return takeUnknown(now, stream, request);
+  if (found == entries_.end()) return routeUnknown(now, stream, request);
   Entry& entry = found->second;
-  if (entry.type != request.type && entry.state != State::over)
+  if (entry.transactionClass != request.transactionClass && entry.state != State::finished)
     return deny(entry, "the id names an open txn of another type");
   const bool isWaitingRetry = entry.waitingRetry && entry.waitingRetry->stream == stream;
   const bool isRetry = request.attempt > entry.attempt || isWaitingRetry;
-  if (entry.state == State::over) {
+  if (entry.state == State::finished) {
     const auto denial = isRetry ? denyRetryOfFinished(entry) : denyReuseOfFinished(entry);
-    return denial ? *denial : takeUnknown(now, stream, request);
+    return denial ? *denial : routeUnknown(now, stream, request);
   }
-  if (isRetry) return takeRetry(now, stream, request, entry);
-  const bool wasNeverGranted = entry.state == State::between && entry.leases == 0;
-  if (wasNeverGranted) return takeUnknown(now, stream, request);
+  if (isRetry) return routeRetry(now, stream, request, entry);
+  const bool wasNeverGranted = entry.state == State::betweenAttempts && entry.leaseCount == 0;
+  if (wasNeverGranted) return routeUnknown(now, stream, request);
   return deny(entry, "the id names an open txn");
 }
 
 // Passes the transaction to the router with what is known of its earlier attempts.
-LeaseDecision LeaseRegistry::take(Instant now, const Entry& entry) const {
+LeaseDecision LeaseRegistry::route(Instant now, const Entry& entry) const {
   LeaseDecision decision;
-  PriorAttempts& prior = decision.earlier;
-  prior.attempts = entry.leases;
-  if (entry.firstAt != Instant() && entry.firstAt < now) prior.firstAttemptAge = now - entry.firstAt;
+  PriorAttempts& prior = decision.priorAttempts;
+  prior.attempts = entry.leaseCount;
+  if (entry.firstRequestedAt != Instant() && entry.firstRequestedAt < now)
+    prior.firstAttemptAge = now - entry.firstRequestedAt;
   if (entry.mayHaveRunAt != Instant()) prior.ambiguousAttemptAge = now - entry.mayHaveRunAt;
   prior.attemptedNodes = entry.attemptedNodes;
   return decision;
@@ -89,44 +93,48 @@
 // and the proxy retries. Also covers ids that were forgotten, and proxies that moved here from another
 // instance. May hurt at-most-once transactions whose proxy does not report that nothing was written: they are
 // rolled back.
-LeaseDecision LeaseRegistry::takeUnknown(Instant now, StreamKey stream, const LeaseRequest& request) {
+LeaseDecision LeaseRegistry::routeUnknown(Instant now, StreamKey stream, const LeaseRequest& request) {
   // Guards against an unbounded number of ids: what is not idempotent must be remembered to be denied.
-  if (!isIdempotent(request.type) && otherExpiries_.size() >= bounds_.most)
+  if (!isIdempotent(request.transactionClass) && otherExpiries_.size() >= bounds_.maxTransactionsPerKind)
     return answerWith(FinalOutcome::rejected, "too many txns are remembered");
   Entry& entry = startEntry(now, stream, request);
   const bool hasEarlierAttempts = request.attempt > 1 || !request.token.empty();
-  if (hasEarlierAttempts && request.written != Written::nothing) {
+  if (hasEarlierAttempts && request.writeProgress != WriteProgress::none) {
     // Its first attempt can't have come longer ago than its client waits in all.
     const Duration maxAge =
-        std::max(classes_[request.type].deadline - request.remainingTime, Duration::millis(1));
+        std::max(classes_[request.transactionClass].deadline - request.remainingTime, Duration::millis(1));
     entry.mayHaveRunAt = now - maxAge;
-    entry.firstAt = Instant();  // not known either
-    entry.leases = std::max(1u, request.attempt - 1);
+    entry.firstRequestedAt = Instant();  // not known either
+    entry.leaseCount = std::max(1u, request.attempt - 1);
   }
-  return take(now, entry);
+  return route(now, entry);
 }
 
-LeaseDecision LeaseRegistry::takeRetry(Instant now, StreamKey stream, const LeaseRequest& request,
-                                       Entry& entry) {
+LeaseDecision LeaseRegistry::routeRetry(Instant now, StreamKey stream, const LeaseRequest& request,
+                                        Entry& entry) {
   // That nothing was written refers to the leases that the requester has seen. Guards rule 2 against two
   // clients that use one id: what one did not write the other may have. May hurt a proxy that cancelled just
   // as it got a lease: it has not seen that lease, and its at-most-once transaction is rolled back.
-  const bool wroteNothing = request.written == Written::nothing && request.token == entry.token;
-  const bool wasGranted = entry.state == State::granted;
+  const bool wroteNothing = request.writeProgress == WriteProgress::none && request.token == entry.token;
+  const bool wasGranted = entry.state == State::leased;
   if (wasGranted) {
-    if (!entry.waitingRetry) entry.waitingRetry = {stream, now + kMaxCrossing};
+    if (!entry.waitingRetry) entry.waitingRetry = {stream, now + kMaxResetDelay};
     // A third stream that comes meanwhile replaces the second.
     entry.waitingRetry->stream = stream;
     if (now < entry.waitingRetry->until && !wroteNothing) return waitUntil(entry.waitingRetry->until);
     if (!wroteNothing && entry.mayHaveRunAt == Instant()) entry.mayHaveRunAt = entry.grantedAt;
   }
   const StreamKey previousStream = entry.stream;
-  entry.state = State::asked;
+  entry.state = State::requested;
   entry.stream = stream;
   entry.attempt = std::max(request.attempt, entry.attempt);
   entry.waitingRetry.reset();
-  LeaseDecision decision = take(now, entry);
-  (wasGranted ? decision.endsUnreported : decision.supersedes) = previousStream;
+  LeaseDecision decision = route(now, entry);
+  if (wasGranted) {
+    decision.unreportedStream = previousStream;
+  } else {
+    decision.supersededStream = previousStream;
+  }
   return decision;
 }
 
@@ -134,12 +142,13 @@
 
 // For a stream beside another one of the same transaction. A retry is harmless only if it is idempotent.
 LeaseDecision LeaseRegistry::deny(const Entry& entry, std::string_view reason) const {
-  return answerWith(isIdempotent(entry.type) ? FinalOutcome::rejected : FinalOutcome::rolledBack, reason);
+  return answerWith(isIdempotent(entry.transactionClass) ? FinalOutcome::rejected : FinalOutcome::rolledBack,
+                    reason);
 }
 
 // The proxy goes on after the final answer, which it gets again. None: it may be executed again.
 std::optional<LeaseDecision> LeaseRegistry::denyRetryOfFinished(const Entry& entry) const {
-  if (entry.outcome == FinalOutcome::committed && isIdempotent(entry.type)) return std::nullopt;
+  if (entry.outcome == FinalOutcome::committed && isIdempotent(entry.transactionClass)) return std::nullopt;
   const FinalOutcome outcome =
       entry.outcome == FinalOutcome::rejected ? FinalOutcome::rejected : FinalOutcome::rolledBack;
   return answerWith(outcome, "the txn had its final answer");
@@ -148,75 +157,76 @@
 // Another client, or another request, has the id of a finished transaction. None: it is a new transaction.
 std::optional<LeaseDecision> LeaseRegistry::denyReuseOfFinished(const Entry& entry) const {
   const bool neverRan = entry.outcome == FinalOutcome::rejected && entry.mayHaveRunAt == Instant();
-  if (isIdempotent(entry.type) || neverRan) return std::nullopt;
+  if (isIdempotent(entry.transactionClass) || neverRan) return std::nullopt;
   return deny(entry, "the id names a txn that may have run");
 }
 
-// --- What becomes of leases and streams
+// --- Ends of leases and streams
 
-std::string LeaseRegistry::granted(Instant now, const std::string& id, StreamKey stream, const NodeId& node) {
+std::string LeaseRegistry::onLeaseGranted(Instant now, const std::string& id, StreamKey stream,
+                                          const NodeId& node) {
   Entry* entry = find(id, stream);
   if (!entry) return {};
-  entry->state = State::granted;
+  entry->state = State::leased;
   entry->grantedAt = now;
-  ++entry->leases;
+  ++entry->leaseCount;
   entry->attemptedNodes.push_back(node);
-  entry->token = start_ + "-" + std::to_string(stream) + "-" + std::to_string(entry->leases);
+  entry->token = incarnation_ + "-" + std::to_string(stream) + "-" + std::to_string(entry->leaseCount);
   return entry->token;
 }
 
-void LeaseRegistry::ended(Instant now, const std::string& id, StreamKey stream,
-                          AttemptOutcome attemptOutcome) {
+void LeaseRegistry::onAttemptEnded(Instant now, const std::string& id, StreamKey stream,
+                                   AttemptOutcome outcome) {
   Entry* entry = find(id, stream);
-  if (!entry || entry->state != State::granted) return;
-  if (mayHaveRun(attemptOutcome) && entry->mayHaveRunAt == Instant()) entry->mayHaveRunAt = entry->grantedAt;
-  remember(now, id, *entry, State::between);
+  if (!entry || entry->state != State::leased) return;
+  if (mayHaveRun(outcome) && entry->mayHaveRunAt == Instant()) entry->mayHaveRunAt = entry->grantedAt;
+  remember(now, id, *entry, State::betweenAttempts);
 }
 
-void LeaseRegistry::answered(Instant now, const std::string& id, StreamKey stream, FinalOutcome outcome) {
+void LeaseRegistry::onAnswered(Instant now, const std::string& id, StreamKey stream, FinalOutcome outcome) {
   Entry* entry = find(id, stream);
   if (!entry) return;
   entry->outcome = outcome;
   // An attempt that had a lease and was rejected for its outcome may be followed by another: the proxy is
   // configured so. A rejection without a lease is final.
-  const bool mayGoOn = placement_ == ProxyPlacement::attempts && outcome == FinalOutcome::rejected &&
-                       entry->state != State::asked;
-  remember(now, id, *entry, mayGoOn ? State::between : State::over);
+  const bool mayBeRetried = placement_ == ProxyPlacement::perAttempt && outcome == FinalOutcome::rejected &&
+                            entry->state != State::requested;
+  remember(now, id, *entry, mayBeRetried ? State::betweenAttempts : State::finished);
 }
 
-void LeaseRegistry::left(Instant now, const std::string& id, StreamKey stream) {
+void LeaseRegistry::onStreamCancelled(Instant now, const std::string& id, StreamKey stream) {
   Entry* entry = find(id, stream);
-  if (!entry || entry->state == State::over) return;
-  if (entry->state == State::granted) ended(now, id, stream, outcomeWithoutReport(false));
-  remember(now, id, *entry, State::between);
+  if (!entry || entry->state == State::finished) return;
+  if (entry->state == State::leased) onAttemptEnded(now, id, stream, kUnreportedOutcome);
+  remember(now, id, *entry, State::betweenAttempts);
 }
 
 // --- Expiry
 
-// Stores an entry in state between or over for as long as its client may retry. Idempotent ones beyond the
-// bound drop the oldest; the others are bounded by takeUnknown().
+// Stores an entry in state betweenAttempts or finished for as long as its client may retry. Idempotent ones
+// beyond the bound drop the oldest; the others are bounded by routeUnknown().
 void LeaseRegistry::remember(Instant now, const std::string& id, Entry& entry, State state) {
   entry.state = state;
-  const Instant expiresAt = now + classes_[entry.type].deadline;
+  const Instant expiresAt = now + classes_[entry.transactionClass].deadline;
   if (entry.expiresAt == expiresAt) return;
   entry.expiresAt = expiresAt;
-  const bool isBoundedHere = isIdempotent(entry.type);
+  const bool isBoundedHere = isIdempotent(entry.transactionClass);
   ExpiryQueue& queue = isBoundedHere ? idempotentExpiries_ : otherExpiries_;
   queue.push_back({expiresAt, id});
-  if (!isBoundedHere || queue.size() <= bounds_.most) return;
+  if (!isBoundedHere || queue.size() <= bounds_.maxTransactionsPerKind) return;
   const auto oldest = entries_.find(queue.front().id);
   if (oldest != entries_.end() && oldest->second.expiresAt == queue.front().at) entries_.erase(oldest);
   queue.pop_front();
 }
 
-Instant LeaseRegistry::forget(Instant now) {
+Instant LeaseRegistry::dropExpired(Instant now) {
   Instant next;
   for (ExpiryQueue* queue : {&idempotentExpiries_, &otherExpiries_}) {
     while (!queue->empty() && queue->front().at <= now) {
       const auto found = entries_.find(queue->front().id);
       // It may have been renewed, or be open again, since.
       if (found != entries_.end() && found->second.expiresAt == queue->front().at &&
-          (found->second.state == State::between || found->second.state == State::over))
+          (found->second.state == State::betweenAttempts || found->second.state == State::finished))
         entries_.erase(found);
       queue->pop_front();
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -18,10 +18,14 @@
     : bounds_(bounds),
       effects_(effects),
       transactions_(config, seed, bounds.maxBufferedBytes, [&effects] { effects.requestEndpointList(); }),
-      connectionPool_(transactions_, {bounds.idleLimit, bounds.connectLimit, bounds.maxNodeConnections},
+      connectionPool_(transactions_,
+                      {.idleLimit = bounds.idleLimit,
+                       .connectLimit = bounds.connectLimit,
+                       .maxConnections = bounds.maxNodeConnections},
                       effects),
       clientSessions_(transactions_, connectionPool_, config, classNames,
-                      {bounds.connectLimit, bounds.maxActiveClients}, effects) {
+                      {.connectLimit = bounds.connectLimit, .maxActiveClients = bounds.maxActiveClients},
+                      effects) {
   transactions_.addTransport(connectionPool_);
   transactions_.invariants().setListener(
       [&effects](const invariants::Violation& violation, std::uint64_t count) {
--- a/src/runtime/ext_proc_server/ext_proc_config.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_config.cpp
@@ -29,11 +29,11 @@
   const std::string placement = top.text("placement", "try");
   if (placement != "try" && placement != "request")
     throw ConfigError("placement", "'" + placement + "' is neither try nor request");
-  setup.placement = placement == "try" ? endpoint_leases::ProxyPlacement::attempts
-                                       : endpoint_leases::ProxyPlacement::request;
-  auto& time = setup.streams.messageTime;
-  time.timeout = top.millis("message_timeout_ms", time.timeout, 20, 600'000);
-  time.most = top.millis("max_message_timeout_ms", time.most, 0, 600'000);
+  setup.placement = placement == "try" ? endpoint_leases::ProxyPlacement::perAttempt
+                                       : endpoint_leases::ProxyPlacement::perRequest;
+  auto& messageTimeout = setup.streams.messageTimeout;
+  messageTimeout.timeout = top.millis("message_timeout_ms", messageTimeout.timeout, 20, 600'000);
+  messageTimeout.maxExtension = top.millis("max_message_timeout_ms", messageTimeout.maxExtension, 0, 600'000);
   setup.probePath = top.text("probe_path", "");
   if (!setup.probePath.empty() &&
       (setup.probePath[0] != '/' || setup.probePath.find_first_of(" \r\n") != std::string::npos))
@@ -42,7 +42,8 @@
   setup.mostConnections = bounds.whole("connections", setup.mostConnections, 1, 10'000);
   setup.streams.mostStreams = bounds.whole("streams", setup.streams.mostStreams, 1, 100'000);
   setup.longestMessage = bounds.whole("message_bytes", setup.longestMessage, 1024, 4 * 1024 * 1024);
-  setup.remembered.most = bounds.whole("remembered", setup.remembered.most, 100, 10'000'000);
+  setup.remembered.maxTransactionsPerKind =
+      bounds.whole("remembered", setup.remembered.maxTransactionsPerKind, 100, 10'000'000);
   bounds.end();
   ConfigSection names = top.section("headers");
   auto& headers = setup.headers;
--- a/src/runtime/ext_proc_server/ext_proc_config.h
+++ b/src/runtime/ext_proc_server/ext_proc_config.h
@@ -13,8 +13,8 @@
 // Configuration of the external processor.
 struct ExtProcConfig {
   config::Address listen;
-  endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::attempts;
-  endpoint_leases::Bounds remembered;
+  endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::perAttempt;
+  endpoint_leases::RegistryBounds remembered;
   downstream::ext_proc::Bounds streams;
   downstream::ext_proc::HeaderNames headers;
   std::string probePath;  // of nodes that tell their standing over HTTP; empty: they are probed as always
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -63,7 +63,7 @@
   }
   spdlog::info("event=ext_proc.listening address={}:{} placement={} start={}", config.listen.host,
                config.listen.port,
-               config.placement == endpoint_leases::ProxyPlacement::attempts ? "try" : "request", start);
+               config.placement == endpoint_leases::ProxyPlacement::perAttempt ? "try" : "request", start);
 }
 
 // Its connections' coroutines refer to it.
@@ -98,7 +98,8 @@
         "event=ext_proc.counts asked={} granted={} committed={} refused={} rolled_back={} denied={} "
         "unreported={} misused={} malformed={} remembered={} grants_out={}",
         counts.asked, counts.granted, counts.committed, counts.refused, counts.rolledBack, counts.denied,
-        counts.unreported, counts.misused, counts.malformed, streams_.remembered(), streams_.grantsOut());
+        counts.unreported, counts.misused, counts.malformed, streams_.rememberedTransactionCount(),
+        streams_.outstandingLeaseCount());
   countsLoggedAt_ = transactions_.now();
   loggedCounts_ = counts;
 }
@@ -167,9 +168,9 @@
   transactions_.advanceTo(loop_.now());
   if (healthCheckStreams_.erase(id) == 0) co_return;  // nobody waits for it
   if (status != 0)
-    healthChecker_.answered(id, status, said);
+    healthChecker_.onAnswered(id, status, said);
   else
-    healthChecker_.failed(id);
+    healthChecker_.onFailed(id);
 }
 
 }  // namespace gulltrestle::ext_proc_server
--- a/src/runtime/ext_proc_server/ext_proc_server.h
+++ b/src/runtime/ext_proc_server/ext_proc_server.h
@@ -28,7 +28,7 @@
                 const std::string& start);
   ~ExtProcServer() override;
 
-  void onDiscoveryActivity() override { streams_.listHeard(); }
+  void onDiscoveryActivity() override { streams_.onDiscoveryActivity(); }
   void endTurn() override;
   void flush() override { grpcServer_.flush(); }
   Instant nextDue() const override;
--- a/src/transactions/connection_close.h
+++ b/src/transactions/connection_close.h
@@ -27,6 +27,8 @@
 // The outcome of an attempt whose connection ended for that reason. `isFullyWritten`: its last byte had been
 // written, so that the node may have run it.
 AttemptOutcome outcomeOf(ConnectionCloseReason reason, bool isFullyWritten);
+// The same for an attempt that was not written, or in part only.
+inline AttemptOutcome outcomeOfUnwritten(ConnectionCloseReason reason) { return outcomeOf(reason, false); }
 
 // Whether a node may have run an attempt with that outcome.
 bool mayHaveRun(AttemptOutcome outcome);
--- a/src/upstream/delegated/delegated_transport.cpp
+++ b/src/upstream/delegated/delegated_transport.cpp
@@ -11,14 +11,16 @@
   if (!attempt || !endpoint || transactions_.endpoints().isDraining(node) || leases_.contains(attemptId.txn))
     return transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
   const Instant now = transactions_.now(), reportBy = attempt->abandonAt;
-  const Duration within = endpoint_leases::sendWithin(now, attempt->sendBy, drainRule_, listAge_);
-  if (within == Duration() || !transactions_.maySend(attemptId, node, reportBy - now))
+  const Duration duration = endpoint_leases::leaseDuration(now, attempt->sendBy, drainRule_, listAge_);
+  if (duration == Duration() || !transactions_.maySend(attemptId, node, reportBy - now))
     return transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
   // Stored ahead of the call: the lease may be reported from within it.
   const std::string address = endpoint->address;
   leases_.emplace(attemptId.txn, OutstandingLease{attemptId, node, address, reportBy});
   deadlines_.insert({reportBy, attemptId.txn});
-  if (leaseHandler_.onLeaseGranted(attemptId.txn, {node, address, within, reportBy})) return;
+  if (leaseHandler_.onLeaseGranted(
+          attemptId.txn, {.node = node, .address = address, .duration = duration, .reportBy = reportBy}))
+    return;
   remove(attemptId.txn);
   transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
 }
@@ -38,7 +40,7 @@
   transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::cancelled);
 }
 
-std::optional<AttemptOutcome> DelegatedTransport::reported(TxnId txn,
+std::optional<AttemptOutcome> DelegatedTransport::onReport(TxnId txn,
                                                            const endpoint_leases::ProxyReport& report) {
   const auto lease = remove(txn);
   if (!lease) return std::nullopt;
@@ -48,13 +50,13 @@
   if (outcome == AttemptOutcome::noConnection || outcome == AttemptOutcome::connectionLost)
     transactions_.onNodeDisconnected(lease->node);
   transactions_.onAttemptEnded(lease->attemptId, lease->node, outcome,
-                               endpoint_leases::learnt(report, lease->address));
+                               endpoint_leases::loadReportOf(report, lease->address));
   return outcome;
 }
 
-void DelegatedTransport::unreported(TxnId txn) {
+void DelegatedTransport::onReporterLost(TxnId txn) {
   if (const auto lease = remove(txn))
-    transactions_.onAttemptEnded(lease->attemptId, lease->node, endpoint_leases::outcomeWithoutReport(false));
+    transactions_.onAttemptEnded(lease->attemptId, lease->node, endpoint_leases::kUnreportedOutcome);
 }
 
 // Guards the node's capacity against proxies that never report. May hurt where an answer is still in transit:
@@ -62,7 +64,7 @@
 void DelegatedTransport::endTurn() {
   while (!deadlines_.empty() && deadlines_.begin()->reportBy <= transactions_.now()) {
     const auto lease = remove(TxnId(deadlines_.begin()->txn));
-    transactions_.onAttemptEnded(lease->attemptId, lease->node, endpoint_leases::outcomeWithoutReport(true));
+    transactions_.onAttemptEnded(lease->attemptId, lease->node, endpoint_leases::kReportTimeoutOutcome);
   }
 }
 
--- a/src/upstream/delegated/delegated_transport.h
+++ b/src/upstream/delegated/delegated_transport.h
@@ -19,7 +19,7 @@
 struct EndpointLease {
   NodeId node;
   std::string address;  // of the node, as address:port
-  Duration within;      // how long it is valid
+  Duration duration;    // how long it is valid
   Instant reportBy;     // silence until then ends the attempt
 };
 
@@ -44,19 +44,20 @@
   void forgetNode(const NodeId&) override {}
 
   // --- Each of the next two ends the transaction's lease; no effect where it has none.
-  // Returns the outcome that the report stands for.
-  std::optional<AttemptOutcome> reported(TxnId txn, const endpoint_leases::ProxyReport& report);
+
+  // Returns the outcome that the report stands for; none: there was no lease.
+  std::optional<AttemptOutcome> onReport(TxnId txn, const endpoint_leases::ProxyReport& report);
   // Nobody is left who could report.
-  void unreported(TxnId txn);
+  void onReporterLost(TxnId txn);
 
   // Discovery sent something, be it nothing new.
-  void listHeard() { listAge_.heardAt = transactions_.now(); }
+  void onDiscoveryActivity() { listAge_.lastActivityAt = transactions_.now(); }
   // Ends the leases whose time to report is over.
   void endTurn();
+  // When endTurn() has something to do; never: nothing is due.
   Instant nextDue() const { return deadlines_.empty() ? Instant() : deadlines_.begin()->reportBy; }
 
-  // The number of leases out.
-  std::size_t out() const { return leases_.size(); }
+  std::size_t outstandingLeaseCount() const { return leases_.size(); }
 
  private:
   struct OutstandingLease {
@@ -75,7 +76,7 @@
   transactions::TransactionTable& transactions_;
   endpoint_leases::DrainRule drainRule_;
   LeaseHandler& leaseHandler_;
-  endpoint_leases::ListAge listAge_;
+  endpoint_leases::EndpointListAge listAge_;
   std::map<TxnId, OutstandingLease> leases_;
   std::set<ReportDeadline> deadlines_;  // of leases_
 };
--- a/src/upstream/http/health_checker.cpp
+++ b/src/upstream/http/health_checker.cpp
@@ -5,59 +5,67 @@
 
 namespace gulltrestle::upstream::http {
 
-// Guards the descriptors: beyond the bound a probe counts as not sent, and the module asks again later.
-void HealthChecker::startAttempt(transactions::AttemptId job, const NodeId& id) {
-  const auto* node = transactions_.endpoints().find(id);
-  if (job.txn != 0 || !node || inFlight_.size() >= maxInFlight_)
-    return transactions_.onAttemptEnded(job, id, AttemptOutcome::notSent);
-  const HealthCheckId probe = ++lastId_;
-  const Instant due = transactions_.now() + timeout_;
-  inFlight_.emplace(probe, HealthCheck{id, due});
-  due_.insert({due, probe});
-  effects_.requestLoadReport(probe, node->address);
+namespace {
+
+constexpr int kOk = 200;  // status of HTTP
+
+}  // namespace
+
+// Guards the descriptors: beyond the bound a health check counts as not sent, and the router requests it
+// again later.
+void HealthChecker::startAttempt(transactions::AttemptId attemptId, const NodeId& node) {
+  const auto* endpoint = transactions_.endpoints().find(node);
+  if (!attemptId.isHealthCheck() || !endpoint || inFlight_.size() >= maxInFlight_)
+    return transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
+  const HealthCheckId id = ++lastId_;
+  const Instant deadline = transactions_.now() + timeout_;
+  inFlight_.emplace(id, HealthCheck{node, deadline});
+  deadlines_.insert({deadline, id});
+  effects_.requestLoadReport(id, endpoint->address);
 }
 
-void HealthChecker::end(HealthCheckId probe, AttemptOutcome outcome, const LoadReport& report) {
-  const auto at = inFlight_.find(probe);
-  if (at == inFlight_.end()) return;
-  const HealthCheck out = at->second;
-  due_.erase({out.due, probe});
-  inFlight_.erase(at);
-  transactions_.onAttemptEnded({}, out.node, outcome, {}, report);
+void HealthChecker::end(HealthCheckId id, AttemptOutcome outcome, const LoadReport& report) {
+  const auto found = inFlight_.find(id);
+  if (found == inFlight_.end()) return;
+  const HealthCheck ended = found->second;
+  deadlines_.erase({ended.deadline, id});
+  inFlight_.erase(found);
+  transactions_.onAttemptEnded({}, ended.node, outcome, {}, report);
 }
 
-void HealthChecker::answered(HealthCheckId probe, int status, const LoadReport& report) {
-  end(probe, status == 200 ? AttemptOutcome::committed : AttemptOutcome::error, report);
+void HealthChecker::onAnswered(HealthCheckId id, int status, const LoadReport& report) {
+  end(id, status == kOk ? AttemptOutcome::committed : AttemptOutcome::error, report);
 }
 
-void HealthChecker::failed(HealthCheckId probe) { end(probe, AttemptOutcome::connectionLost, {}); }
+void HealthChecker::onFailed(HealthCheckId id) { end(id, AttemptOutcome::connectionLost); }
 
 void HealthChecker::endTurn() {
-  while (!due_.empty() && due_.begin()->first <= transactions_.now()) {
-    const HealthCheckId probe = due_.begin()->second;
-    effects_.cancelHealthCheck(probe);
-    end(probe, AttemptOutcome::timeout, {});
+  while (!deadlines_.empty() && deadlines_.begin()->at <= transactions_.now()) {
+    const HealthCheckId id = deadlines_.begin()->id;
+    effects_.cancelHealthCheck(id);
+    end(id, AttemptOutcome::timeout);
   }
 }
 
-template <typename Which>
-void HealthChecker::cancelIf(Which which) {
-  std::vector<HealthCheckId> left;
-  for (const auto& [probe, out] : inFlight_)
-    if (which(out.node)) left.push_back(probe);
-  for (const HealthCheckId probe : left) {
-    effects_.cancelHealthCheck(probe);
-    end(probe, AttemptOutcome::notSent, {});
+// `isAffected`: called with the node of each health check in flight.
+template <typename Predicate>
+void HealthChecker::cancelIf(Predicate isAffected) {
+  std::vector<HealthCheckId> affected;
+  for (const auto& [id, healthCheck] : inFlight_)
+    if (isAffected(healthCheck.node)) affected.push_back(id);
+  for (const HealthCheckId id : affected) {
+    effects_.cancelHealthCheck(id);
+    end(id, AttemptOutcome::notSent);
   }
 }
 
-// What a node's old address still answers may be another's word.
+// Another node may answer at the old address of one that has moved.
 void HealthChecker::onEndpointList(const std::vector<NodeId>& moved) {
   cancelIf([&](const NodeId& node) { return std::find(moved.begin(), moved.end(), node) != moved.end(); });
 }
 
-void HealthChecker::forgetNode(const NodeId& id) {
-  cancelIf([&](const NodeId& node) { return node == id; });
+void HealthChecker::forgetNode(const NodeId& node) {
+  cancelIf([&](const NodeId& checked) { return checked == node; });
 }
 
 }  // namespace gulltrestle::upstream::http
--- a/src/upstream/postgres/connection_pool.cpp
+++ b/src/upstream/postgres/connection_pool.cpp
@@ -7,6 +7,7 @@
 
 using transactions::ConnectionCloseReason;
 using transactions::outcomeOf;
+using transactions::outcomeOfUnwritten;
 namespace wire = gulltrestle::postgres;
 
 namespace {
@@ -41,7 +42,7 @@
       if (closeLongestIdle()) continue;
       const AttemptId attemptId = state.waiting.back();
       state.waiting.pop_back();
-      transactions_.onAttemptEnded(attemptId, node, outcomeOf(ConnectionCloseReason::noDescriptor, false));
+      transactions_.onAttemptEnded(attemptId, node, outcomeOfUnwritten(ConnectionCloseReason::noDescriptor));
       continue;
     }
     const NodeConnectionId id = ++lastConnection_;
@@ -80,7 +81,7 @@
 
 void ConnectionPool::carry(NodeConnectionId id, NodeConnection& connection, AttemptId attemptId) {
   const bool isHealthCheck = attemptId.isHealthCheck();
-  // The node is told how long this router will wait, in whole milliseconds.
+  // The node's time limit is how long this router will wait, in whole milliseconds.
   const auto* attempt = transactions_.attempt(attemptId);
   const Duration remaining = attempt ? attempt->abandonAt - transactions_.now() : Duration();
   const std::int64_t timeoutMillis = attempt ? std::max<std::int64_t>(1, remaining.inMicros() / 1000) : 0;
@@ -199,13 +200,13 @@
 
 void ConnectionPool::onOpeningFailed(const NodeConnection& closed, NodeState& state,
                                      ConnectionCloseReason reason) {
-  if (reason != ConnectionCloseReason::nodeDrained && std::exchange(state.isReached, false))
+  if (reason != ConnectionCloseReason::nodeDrained && std::exchange(state.isReachable, false))
     effects_.log("node " + closed.node + " is not reached: " + std::string(nameOf(reason)));
   --state.opening;
   if (state.opening + state.clearing >= state.waiting.size()) return;
   const AttemptId attemptId = state.waiting.front();
   state.waiting.pop_front();
-  transactions_.onAttemptEnded(attemptId, closed.node, outcomeOf(reason, false));
+  transactions_.onAttemptEnded(attemptId, closed.node, outcomeOfUnwritten(reason));
 }
 
 void ConnectionPool::closeIdle(NodeState& state) {
@@ -214,7 +215,7 @@
 
 void ConnectionPool::endWaiting(const NodeId& node, NodeState& state) {
   for (const AttemptId attemptId : std::exchange(state.waiting, {}))
-    transactions_.onAttemptEnded(attemptId, node, outcomeOf(ConnectionCloseReason::nodeDrained, false));
+    transactions_.onAttemptEnded(attemptId, node, outcomeOfUnwritten(ConnectionCloseReason::nodeDrained));
 }
 
 void ConnectionPool::onEndpointList(const std::vector<NodeId>& moved) {
@@ -231,7 +232,7 @@
   if (const auto carrying = carryingConnections_.find(attemptId); carrying != carryingConnections_.end())
     return close(NodeConnectionId(carrying->second), ConnectionCloseReason::cancelled);
   std::erase(nodeStates_.at(node).waiting, attemptId);
-  transactions_.onAttemptEnded(attemptId, node, outcomeOf(ConnectionCloseReason::cancelled, false));
+  transactions_.onAttemptEnded(attemptId, node, outcomeOfUnwritten(ConnectionCloseReason::cancelled));
 }
 
 void ConnectionPool::withdrawAttempt(AttemptId attemptId, const NodeId& node) {
@@ -244,7 +245,7 @@
   if (found == nodeStates_.end()) return;
   const bool wasWaiting = std::erase(found->second.waiting, attemptId) > 0;
   if (wasWaiting)
-    transactions_.onAttemptEnded(attemptId, node, outcomeOf(ConnectionCloseReason::cancelled, false));
+    transactions_.onAttemptEnded(attemptId, node, outcomeOfUnwritten(ConnectionCloseReason::cancelled));
 }
 
 void ConnectionPool::forgetNode(const NodeId& node) {
--- a/src/upstream/postgres/connection_pool.h
+++ b/src/upstream/postgres/connection_pool.h
@@ -92,7 +92,7 @@
     std::deque<AttemptId> waiting;       // for a connection
     std::size_t opening = 0;             // connections that are connecting or starting
     std::size_t clearing = 0;            // connections in that stage
-    bool isReached = true;               // the last connection that was opened was established
+    bool isReachable = true;             // the last connection that was opened was established
     Instant malformedLoggedAt;           // when it was last logged that it sent malformed bytes
     std::size_t malformedCount = 0;      // how often it has done so since
   };
@@ -119,7 +119,7 @@
   bool consume(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
   bool consumeGreeting(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
   bool consumeAnswer(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
-  bool consumeAllClear(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
+  bool consumeClearingAnswer(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
   void endCarried(NodeConnectionId id, NodeConnection& connection,
                   const gulltrestle::postgres::Answer& answer, bool hasMoreBytes);
   void startClearing(NodeConnectionId id, NodeConnection& connection, bool hasMoreBytes);
--- a/src/upstream/postgres/node_answers.cpp
+++ b/src/upstream/postgres/node_answers.cpp
@@ -23,11 +23,11 @@
   return report;
 }
 
-LoadReport loadReportOf(const wire::Report& sent) {
+LoadReport loadReportOf(const wire::Report& gauges) {
   LoadReport report;
-  if (sent.primary) report.role = *sent.primary ? Role::primary : Role::replica;
-  if (sent.positionSeconds) report.position = Instant() + Duration::seconds(*sent.positionSeconds);
-  report.inFlight = sent.inHand;
+  if (gauges.primary) report.role = *gauges.primary ? Role::primary : Role::replica;
+  if (gauges.positionSeconds) report.position = Instant() + Duration::seconds(*gauges.positionSeconds);
+  report.inFlight = gauges.inHand;
   return report;
 }
 
@@ -68,7 +68,7 @@
     case Stage::busy:
       return consumeAnswer(id, connection, bytes);
     case Stage::clearing:
-      return consumeAllClear(id, connection, bytes);
+      return consumeClearingAnswer(id, connection, bytes);
     case Stage::connecting:
     case Stage::idle:
       break;
@@ -89,7 +89,7 @@
   }
   NodeState& state = nodeStates_.at(connection.node);
   --state.opening;
-  if (!std::exchange(state.isReached, true)) effects_.log("node " + connection.node + " is reached again");
+  if (!std::exchange(state.isReachable, true)) effects_.log("node " + connection.node + " is reached again");
   release(id, connection);
   return true;
 }
@@ -107,8 +107,8 @@
   return false;
 }
 
-bool ConnectionPool::consumeAllClear(NodeConnectionId id, NodeConnection& connection,
-                                     std::string_view& bytes) {
+bool ConnectionPool::consumeClearingAnswer(NodeConnectionId id, NodeConnection& connection,
+                                           std::string_view& bytes) {
   if (!wire::takeAllClear(bytes)) return false;
   if (!bytes.empty()) throw wire::Malformed("more than an answer");
   --nodeStates_.at(connection.node).clearing;
--- a/tests/book.cpp
+++ b/tests/book.cpp
@@ -48,11 +48,11 @@
     if (type.effect == Effect::atMostOnce && runs > 0) fault = "refused though it ran";
   }
 
-  void ask(bool mine, Written written) {
+  void ask(bool mine, WriteProgress written) {
     LeaseRequest ask;
     ask.id = "x";
     ask.attempt = mine ? ++attempts : 1;
-    ask.written = written;
+    ask.writeProgress = written;
     ask.remainingTime = Duration::millis(1000);
     if (mine) {
       ask.token = token;
@@ -67,7 +67,7 @@
 
   void put(StreamKey key) {
     Stream& stream = open.at(key);
-    const LeaseDecision verdict = book.asked(now, key, stream.ask);
+    const LeaseDecision verdict = book.requestLease(now, key, stream.ask);
     stream.waiting = verdict.action == LeaseDecision::Action::wait;
     if (stream.waiting) return;
     if (verdict.action == LeaseDecision::Action::answer) {
@@ -76,14 +76,14 @@
       open.erase(key);
       return;
     }
-    if (verdict.supersedes != 0) open.erase(verdict.supersedes);
+    if (verdict.supersededStream != 0) open.erase(verdict.supersededStream);
     // The module's rule on what may have run.
-    if (verdict.earlier.ambiguousAttemptAge && type.effect == Effect::atMostOnce) {
-      book.answered(now, "x", key, FinalOutcome::rolledBack);
+    if (verdict.priorAttempts.ambiguousAttemptAge && type.effect == Effect::atMostOnce) {
+      book.onAnswered(now, "x", key, FinalOutcome::rolledBack);
       open.erase(key);
       return;
     }
-    const std::string given = book.granted(now, "x", key, "n");
+    const std::string given = book.onLeaseGranted(now, "x", key, "n");
     if (given.empty()) {
       fault = "taken and not granted";
       return;
@@ -101,13 +101,13 @@
   }
 
   void report(StreamKey key, AttemptOutcome how) {
-    book.ended(now, "x", key, how);
+    book.onAttemptEnded(now, "x", key, how);
     const FinalOutcome outcome = how == AttemptOutcome::committed ? FinalOutcome::committed
                                  : how == AttemptOutcome::noConnection || type.effect == Effect::idempotent
                                      ? FinalOutcome::rejected
                                      : FinalOutcome::rolledBack;
     if (outcome == FinalOutcome::rejected) refusedNow();
-    book.answered(now, "x", key, outcome);
+    book.onAnswered(now, "x", key, outcome);
     open.erase(key);
   }
 
@@ -129,16 +129,16 @@
   std::vector<std::pair<std::string, std::function<void(World&)>>> next() const {
     std::vector<std::pair<std::string, std::function<void(World&)>>> all;
     if (attempts < 3) {
-      all.emplace_back("try", [](World& w) { w.ask(true, Written::unknown); });
+      all.emplace_back("try", [](World& w) { w.ask(true, WriteProgress::unknown); });
       if (attempts > 0 && !wrote)
-        all.emplace_back("try,none", [](World& w) { w.ask(true, Written::nothing); });
+        all.emplace_back("try,none", [](World& w) { w.ask(true, WriteProgress::none); });
     }
     // A restart forgets ids: two clients that use one are not told apart across it
     // (docs/external-processor.md).
     if (last < 4 && starts == 0)
       all.emplace_back("stranger", [](World& w) {
         w.strangers = true;
-        w.ask(false, Written::unknown);
+        w.ask(false, WriteProgress::unknown);
       });
     for (const auto& [key, stream] : open) {
       const std::string at = std::to_string(key);
@@ -152,7 +152,7 @@
         all.emplace_back("lost" + at, [k](World& w) { w.report(k, AttemptOutcome::connectionLost); });
       }
       all.emplace_back("reset" + at, [k](World& w) {
-        w.book.left(w.now, "x", k);
+        w.book.onStreamCancelled(w.now, "x", k);
         w.open.erase(k);
       });
     }
@@ -193,9 +193,9 @@
 }
 
 void histories() {
-  tell("once-only, asked once a try", Effect::atMostOnce, ProxyPlacement::attempts, 8);
-  tell("once-only, asked once a request", Effect::atMostOnce, ProxyPlacement::request, 8);
-  tell("repeatable, asked once a try", Effect::idempotent, ProxyPlacement::attempts, 8);
+  tell("once-only, asked once a try", Effect::atMostOnce, ProxyPlacement::perAttempt, 8);
+  tell("once-only, asked once a request", Effect::atMostOnce, ProxyPlacement::perRequest, 8);
+  tell("repeatable, asked once a try", Effect::idempotent, ProxyPlacement::perAttempt, 8);
 }
 
 }  // namespace
--- a/tests/ext_proc.cpp
+++ b/tests/ext_proc.cpp
@@ -33,11 +33,11 @@
 }
 
 struct Setup {
-  endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::attempts;
-  endpoint_leases::MessageTime time{ms(200), ms(0)};
+  endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::perAttempt;
+  endpoint_leases::MessageTimeout time{ms(200), ms(0)};
   std::size_t mostStreams = 100, remembered = 100;
   std::string start = "one";
-  Duration toldWithin;
+  Duration notifiedWithin;
 };
 
 // A ledger with the front on it, and a proxy that is a test. Node p is the primary, a and b its replicas.
@@ -48,7 +48,7 @@
         streams_(ledger_, front::HeaderMapping({}, terms(), kTypes),
                  endpoint_leases::LeaseRegistry(terms().transactionClasses, setup.placement,
                                                 {setup.remembered}, setup.start),
-                 {ms(1000), setup.toldWithin}, {setup.mostStreams, ms(2000), setup.time}, *this) {
+                 {ms(1000), setup.notifiedWithin}, {setup.mostStreams, ms(2000), setup.time}, *this) {
     ledger_.addTransport(streams_.transport());
     ledger_.advanceTo(now_);
     list({"p", "a", "b"});
@@ -69,7 +69,7 @@
     ledger_.onEndpointList(EndpointUpdateKind::delta, all);
     settle();
   }
-  void heard() { streams_.listHeard(); }
+  void heard() { streams_.onDiscoveryActivity(); }
 
   // A stream asks; `more` adds headers or puts others in place of the usual.
   void ask(std::uint64_t stream, const std::string& id, const std::string& type, wire::Headers more = {},
@@ -135,8 +135,9 @@
     const auto& c = streams_.counts();
     std::cout << "asked " << c.asked << " granted " << c.granted << " committed " << c.committed
               << " refused " << c.refused << " rolled back " << c.rolledBack << " unreported " << c.unreported
-              << " misused " << c.misused << "; grants out " << streams_.grantsOut() << ", open txns "
-              << ledger_.openCount() << ", remembered " << streams_.remembered() << "\n";
+              << " misused " << c.misused << "; grants out " << streams_.outstandingLeaseCount()
+              << ", open txns " << ledger_.openCount() << ", remembered "
+              << streams_.rememberedTransactionCount() << "\n";
   }
   const std::string& token(std::uint64_t stream) { return tokens_[stream]; }
   std::string lastNode;
@@ -245,7 +246,7 @@
 
 void held() {
   Setup longer;
-  longer.time.most = ms(600);
+  longer.time.maxExtension = ms(600);
   Processor p(longer);
   p.list({"p", "a", "b"}, Health::draining);
   p.say("held: more time is asked for once, at half of the message timeout; then a node is there");
@@ -360,7 +361,7 @@
   t.ask(16, "w4", "charge");
   t.tellCounts();
   Setup once;
-  once.placement = endpoint_leases::ProxyPlacement::request;
+  once.placement = endpoint_leases::ProxyPlacement::perRequest;
   Processor q(once);
   q.say("asked once a request: what is refused after a grant is over");
   q.ask(1, "r1", "any");
@@ -481,7 +482,7 @@
 
 void drains() {
   Setup setup;
-  setup.toldWithin = ms(6000);
+  setup.notifiedWithin = ms(6000);
   Processor p(setup);
   p.say("a grant may be used for half of the grace at most, and not beyond what its client waits");
   p.ask(1, "r1", "any");
@@ -598,8 +599,8 @@
     Node node(ledger, out);
     front::RequestStreams streams(
         ledger, front::HeaderMapping({}, same, kTypes),
-        endpoint_leases::LeaseRegistry(same.transactionClasses, endpoint_leases::ProxyPlacement::attempts, {},
-                                       "one"),
+        endpoint_leases::LeaseRegistry(same.transactionClasses, endpoint_leases::ProxyPlacement::perAttempt,
+                                       {}, "one"),
         {ms(1000), {}}, {1000, ms(2000), {ms(5000), {}}}, effects);
     downstream::postgres::ClientSessions clients(ledger, node, same, kTypes, {ms(250), 0}, effects);
     ledger.addTransport(throughProxy ? streams.transport() : node);
@@ -709,10 +710,10 @@
     try {
       const auto setup = ext_proc_server::readExtProcConfig(text);
       std::cout << "listens on " << setup.listen.host << ":" << setup.listen.port << ", "
-                << (setup.placement == endpoint_leases::ProxyPlacement::attempts ? "try" : "request")
-                << ", timeout " << setup.streams.messageTime.timeout.inMicros() / 1000 << " to "
-                << setup.streams.messageTime.most.inMicros() / 1000 << " ms, " << setup.streams.mostStreams
-                << " streams, id in " << setup.headers.id << "\n";
+                << (setup.placement == endpoint_leases::ProxyPlacement::perAttempt ? "try" : "request")
+                << ", timeout " << setup.streams.messageTimeout.timeout.inMicros() / 1000 << " to "
+                << setup.streams.messageTimeout.maxExtension.inMicros() / 1000 << " ms, "
+                << setup.streams.mostStreams << " streams, id in " << setup.headers.id << "\n";
     } catch (const std::exception& bad) { std::cout << bad.what() << "\n"; }
   };
   read(R"({"listen":"127.0.0.1:9002"})");
