--- a/src/downstream/ext_proc/header_mapping.cpp
+++ b/src/downstream/ext_proc/header_mapping.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <charconv>
+#include <optional>
 
 #include "transactions/session_id.h"
 
@@ -11,40 +12,50 @@
 
 namespace {
 
-// An id is kept for as long as its txn is remembered; a UUID has 36.
-constexpr std::size_t kLongestId = 128;
-// Milliseconds beyond a day are nobody's patience, and can't overflow what is added to them.
-constexpr std::uint64_t kMostMs = 86'400'000;
-// The count of tries of a proxy that goes on without an end.
-constexpr std::uint64_t kMostTries = 1000;
-constexpr std::uint64_t kMostGroup = 9'000'000'000'000'000;  // as in lists
-
+// An id is stored for as long as its transaction is remembered; a UUID has 36.
+constexpr std::size_t kMaxIdBytes = 128;
+// Of a transaction class that is not known, in the error.
+constexpr std::size_t kMaxNameBytesInError = 64;
+// A day: no client waits longer, and what is added to it can't overflow.
+constexpr std::uint64_t kMaxMillis = 86'400'000;
+// Bounds the count of a proxy that retries without an end.
+constexpr std::uint64_t kMaxAttempts = 1000;
+constexpr std::uint64_t kMaxGroup = 9'000'000'000'000'000;  // as in endpoint lists
+constexpr std::uint64_t kMaxHttpStatus = 999;
+
+// Null: the header is absent or empty.
 const std::string* find(const wire::Headers& headers, const std::string& name) {
-  const auto at = std::find_if(headers.begin(), headers.end(), [&](auto& h) { return h.name == name; });
-  return at == headers.end() || at->value.empty() ? nullptr : &at->value;
+  const auto found =
+      std::find_if(headers.begin(), headers.end(), [&](const auto& header) { return header.name == name; });
+  return found == headers.end() || found->value.empty() ? nullptr : &found->value;
 }
 
-const std::string& need(const wire::Headers& headers, const std::string& name) {
-  if (std::count_if(headers.begin(), headers.end(), [&](auto& h) { return h.name == name; }) > 1)
+const std::string& require(const wire::Headers& headers, const std::string& name) {
+  if (std::count_if(headers.begin(), headers.end(), [&](const auto& header) { return header.name == name; }) >
+      1)
     throw InvalidHeader(name, "comes twice");
   const std::string* value = find(headers, name);
   if (!value) throw InvalidHeader(name, "is missing");
   return *value;
 }
 
-std::optional<std::uint64_t> whole(std::string_view text, std::uint64_t most) {
+std::optional<std::uint64_t> parseWhole(std::string_view text, std::uint64_t max) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size() || value > most) return std::nullopt;
+  if (error != std::errc{} || end != text.data() + text.size() || value > max) return std::nullopt;
   return value;
 }
 
-std::uint64_t number(const std::string& name, std::string_view text, std::uint64_t most) {
-  const auto value = whole(text, most);
-  if (!value) throw InvalidHeader(name, "is no whole number up to " + std::to_string(most));
+std::uint64_t wholeOf(const std::string& name, std::string_view text, std::uint64_t max) {
+  const auto value = parseWhole(text, max);
+  if (!value) throw InvalidHeader(name, "is no whole number up to " + std::to_string(max));
   return *value;
 }
 
+Duration millisOf(const std::string& name, std::string_view text) {
+  return Duration::millis(static_cast<std::int64_t>(wholeOf(name, text, kMaxMillis)));
+}
+
 WriteProgress writeProgressOf(std::string_view value) {
   if (value == "none") return WriteProgress::none;
   return value == "some" || value == "whole" ? WriteProgress::some : WriteProgress::unknown;
@@ -52,55 +63,74 @@
 
 }  // namespace
 
-HeaderMapping::HeaderMapping(HeaderNames names, const RoutingConfig& terms,
-                             const std::vector<std::string>& typeNames)
-    : names_(std::move(names)), types_(terms.transactionClasses), carried_(terms.sessionAgeProvided) {
-  for (std::size_t row = 0; row < typeNames.size(); ++row) rows_.emplace(typeNames[row], row);
+HeaderMapping::HeaderMapping(HeaderNames names, const RoutingConfig& config,
+                             const std::vector<std::string>& classNames)
+    : names_(std::move(names)),
+      classes_(config.transactionClasses),
+      isSessionAgeProvided_(config.sessionAgeProvided) {
+  for (std::size_t row = 0; row < classNames.size(); ++row) classRows_.emplace(classNames[row], row);
+}
+
+HeaderMapping::ParsedRequest HeaderMapping::readRequest(const wire::Headers& headers) const {
+  ParsedRequest parsed;
+  auto& [transaction, leaseRequest] = parsed;
+  leaseRequest.id = require(headers, names_.id);
+  if (leaseRequest.id.size() > kMaxIdBytes) throw InvalidHeader(names_.id, "is too long");
+  transaction.type = leaseRequest.transactionClass = readTransactionClass(headers);
+  transaction.group = wholeOf(names_.group, require(headers, names_.group), kMaxGroup);
+  const Duration remainingTime = millisOf(names_.remainingTime, require(headers, names_.remainingTime));
+  transaction.remainingTime = leaseRequest.remainingTime =
+      std::min(remainingTime, classes_[transaction.type].deadline);
+  readSession(headers, transaction);
+  readPriorAttempts(headers, leaseRequest);
+  return parsed;
 }
 
-HeaderMapping::ParsedRequest HeaderMapping::read(const wire::Headers& headers) const {
-  ParsedRequest asked;
-  asked.ask.id = need(headers, names_.id);
-  if (asked.ask.id.size() > kLongestId) throw InvalidHeader(names_.id, "is too long");
-  const auto& typeName = need(headers, names_.type);
-  const auto row = rows_.find(typeName);
-  if (row == rows_.end())
-    throw InvalidHeader(names_.type, "txn type '" + typeName.substr(0, 64) + "' is not known");
-  const TransactionClass& type = types_[row->second];
-  asked.txn.type = asked.ask.transactionClass = row->second;
-  asked.txn.group = number(names_.group, need(headers, names_.group), kMostGroup);
-  const auto patience = number(names_.patience, need(headers, names_.patience), kMostMs);
-  asked.txn.remainingTime = asked.ask.remainingTime =
-      std::min(Duration::millis(static_cast<std::int64_t>(patience)), type.deadline);
-  if (type.level == ReadLevel::session) {
-    asked.txn.session = transactions::sessionOf(need(headers, names_.session));
-    asked.txn.writeAge = Duration();  // it owes nothing
-    if (const auto* age = find(headers, names_.writeAge); age && carried_) {
-      const auto millis = number(names_.writeAge, *age, kMostMs);
-      if (millis > 0) asked.txn.writeAge = Duration::millis(static_cast<std::int64_t>(millis));
-    }
-  } else if (type.level == ReadLevel::write) {
+std::size_t HeaderMapping::readTransactionClass(const wire::Headers& headers) const {
+  const std::string& name = require(headers, names_.transactionClass);
+  const auto found = classRows_.find(name);
+  if (found == classRows_.end())
+    throw InvalidHeader(names_.transactionClass,
+                        "txn type '" + name.substr(0, kMaxNameBytesInError) + "' is not known");
+  return found->second;
+}
+
+void HeaderMapping::readSession(const wire::Headers& headers, Transaction& transaction) const {
+  const ReadLevel level = classes_[transaction.type].level;
+  if (level == ReadLevel::write) {
     if (const auto* session = find(headers, names_.session))
-      asked.txn.session = transactions::sessionOf(*session);
+      transaction.session = transactions::sessionOf(*session);
+  }
+  if (level != ReadLevel::session) return;
+  transaction.session = transactions::sessionOf(require(headers, names_.session));
+  transaction.writeAge = Duration();  // the session has no write to see
+  if (!isSessionAgeProvided_) return;
+  if (const auto* age = find(headers, names_.writeAge)) {
+    const Duration writeAge = millisOf(names_.writeAge, *age);
+    if (writeAge > Duration()) transaction.writeAge = writeAge;
   }
+}
+
+void HeaderMapping::readPriorAttempts(const wire::Headers& headers,
+                                      endpoint_leases::LeaseRequest& request) const {
   if (const auto* attempt = find(headers, names_.attempt))
-    asked.ask.attempt =
-        static_cast<unsigned>(std::max<std::uint64_t>(1, number(names_.attempt, *attempt, kMostTries)));
-  if (const auto* written = find(headers, names_.written))
-    asked.ask.writeProgress = writeProgressOf(*written);
-  if (const auto* token = find(headers, names_.token)) asked.ask.token = token->substr(0, kLongestId);
-  return asked;
+    request.attempt =
+        static_cast<unsigned>(std::max<std::uint64_t>(1, wholeOf(names_.attempt, *attempt, kMaxAttempts)));
+  if (const auto* progress = find(headers, names_.writeProgress))
+    request.writeProgress = writeProgressOf(*progress);
+  if (const auto* token = find(headers, names_.leaseToken)) request.token = token->substr(0, kMaxIdBytes);
 }
 
-endpoint_leases::ProxyReport HeaderMapping::report(const wire::Headers& headers) const {
+endpoint_leases::ProxyReport HeaderMapping::readReport(const wire::Headers& headers) const {
   endpoint_leases::ProxyReport report;
   if (const auto* status = find(headers, ":status"))
-    report.httpStatus = static_cast<int>(whole(*status, 999).value_or(0));
-  if (const auto* written = find(headers, names_.written)) report.writeProgress = writeProgressOf(*written);
+    report.httpStatus = static_cast<int>(parseWhole(*status, kMaxHttpStatus).value_or(0));
+  if (const auto* progress = find(headers, names_.writeProgress))
+    report.writeProgress = writeProgressOf(*progress);
   if (const auto* outcome = find(headers, names_.nodeOutcome)) report.nodeOutcome = *outcome;
-  if (const auto* sentTo = find(headers, names_.sentTo)) report.sentToAddress = *sentTo;
+  if (const auto* address = find(headers, names_.sentToAddress)) report.sentToAddress = *address;
   for (const auto& [name, value] : headers)
-    load_report::readField(names_.node, name, value, report.loadReport);
+    load_report::readField(names_.loadReport, name, value, report.loadReport);
   return report;
 }
 
--- a/src/downstream/ext_proc/header_mapping.h
+++ b/src/downstream/ext_proc/header_mapping.h
@@ -1,8 +1,8 @@
-// Which headers say what of a txn, and how a request's headers become one. Names are from the configuration.
+// Maps HTTP headers to transactions, lease requests and proxies' reports. The names of the headers are from
+// the configuration. No I/O, no clock.
 #pragma once
 
 #include <map>
-#include <optional>
 #include <stdexcept>
 #include <string>
 #include <vector>
@@ -19,46 +19,51 @@
 
 // Names of headers, in lower case.
 struct HeaderNames {
-  // Of a request, by whoever asks.
-  std::string id = "x-txn-id", type = "x-txn-type", group = "x-txn-group", session = "x-txn-session",
-              patience = "x-txn-patience-ms", writeAge = "x-txn-write-age-ms",
-              attempt = "x-envoy-attempt-count", written = "x-txn-written";
-  // Of a decision; the token of its attempt is also read from a request.
-  std::string destination = "x-gateway-destination-endpoint", token = "x-txn-submission",
-              sendWithin = "x-txn-send-within-ms", outcome = "x-txn-outcome",
-              retryAfterMs = "x-txn-retry-after-ms";
-  // Of a node's answer, with those of its standing.
-  std::string nodeOutcome = "x-node-outcome", sentTo = "x-txn-sent-to";
-  load_report::Names node;
+  // Of a request, set by its client or the proxy.
+  std::string id = "x-txn-id", transactionClass = "x-txn-type", group = "x-txn-group",
+              session = "x-txn-session", remainingTime = "x-txn-patience-ms", writeAge = "x-txn-write-age-ms",
+              attempt = "x-envoy-attempt-count", writeProgress = "x-txn-written";
+  // Of a decision; the lease's token is also read from a later request.
+  std::string destination = "x-gateway-destination-endpoint", leaseToken = "x-txn-submission",
+              leaseDuration = "x-txn-send-within-ms", outcome = "x-txn-outcome",
+              retryAfter = "x-txn-retry-after-ms";
+  // Of a node's answer, in addition to those of its load report.
+  std::string nodeOutcome = "x-node-outcome", sentToAddress = "x-txn-sent-to";
+  load_report::Names loadReport;
 };
 
-// What can't be taken for a txn; the message names the header.
+// The headers of a request are not those of a transaction; the message names the header.
 class InvalidHeader : public std::runtime_error {
  public:
   InvalidHeader(const std::string& name, const std::string& what) : std::runtime_error(name + ": " + what) {}
 };
 
-// Reads transactions and proxies' reports from HTTP headers, by configured names.
+// Immutable.
 class HeaderMapping {
  public:
-  HeaderMapping(HeaderNames names, const RoutingConfig& terms, const std::vector<std::string>& typeNames);
+  // `classNames`: of the transaction classes, in the same order.
+  HeaderMapping(HeaderNames names, const RoutingConfig& config, const std::vector<std::string>& classNames);
 
   struct ParsedRequest {
-    Transaction txn;  // without a number and earlier tries
-    endpoint_leases::LeaseRequest ask;
+    Transaction transaction;  // without an id and prior attempts
+    endpoint_leases::LeaseRequest leaseRequest;
   };
-  // Throws BadHeader.
-  ParsedRequest read(const wire::Headers& headers) const;
+  // Throws InvalidHeader.
+  ParsedRequest readRequest(const wire::Headers& headers) const;
   // Never throws: what can't be read is left out, so that nothing is learnt from it.
-  endpoint_leases::ProxyReport report(const wire::Headers& headers) const;
+  endpoint_leases::ProxyReport readReport(const wire::Headers& headers) const;
 
   const HeaderNames& names() const { return names_; }
 
  private:
+  std::size_t readTransactionClass(const wire::Headers& headers) const;
+  void readSession(const wire::Headers& headers, Transaction& transaction) const;
+  void readPriorAttempts(const wire::Headers& headers, endpoint_leases::LeaseRequest& request) const;
+
   HeaderNames names_;
-  std::vector<TransactionClass> types_;
-  std::map<std::string, std::size_t, std::less<>> rows_;
-  bool carried_;
+  std::vector<TransactionClass> classes_;
+  std::map<std::string, std::size_t, std::less<>> classRows_;  // rows of classes_, by name
+  bool isSessionAgeProvided_;
 };
 
 }  // namespace gulltrestle::downstream::ext_proc
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -125,7 +125,7 @@
 #ifdef GULLTRESTLE_EXT_PROC
     if (extProc_) {
       reserved.descriptors += extProc_->mostConnections + ext_proc_server::kMostProbes;
-      reserved.openTxns = extProc_->streams.mostStreams;
+      reserved.openTxns = extProc_->streams.maxStreams;
     }
 #endif
 #ifdef GULLTRESTLE_FLEET
--- a/src/runtime/ext_proc_server/ext_proc_config.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_config.cpp
@@ -40,7 +40,7 @@
     throw ConfigError("probe_path", "'" + setup.probePath + "' is no path");
   ConfigSection bounds = top.section("limits");
   setup.mostConnections = bounds.whole("connections", setup.mostConnections, 1, 10'000);
-  setup.streams.mostStreams = bounds.whole("streams", setup.streams.mostStreams, 1, 100'000);
+  setup.streams.maxStreams = bounds.whole("streams", setup.streams.maxStreams, 1, 100'000);
   setup.longestMessage = bounds.whole("message_bytes", setup.longestMessage, 1024, 4 * 1024 * 1024);
   setup.remembered.maxTransactionsPerKind =
       bounds.whole("remembered", setup.remembered.maxTransactionsPerKind, 100, 10'000'000);
@@ -48,23 +48,23 @@
   ConfigSection names = top.section("headers");
   auto& headers = setup.headers;
   for (auto [key, name] : {std::pair{"id", &headers.id},
-                           {"type", &headers.type},
+                           {"type", &headers.transactionClass},
                            {"group", &headers.group},
                            {"session", &headers.session},
-                           {"patience", &headers.patience},
+                           {"patience", &headers.remainingTime},
                            {"write_age", &headers.writeAge},
                            {"attempt", &headers.attempt},
-                           {"written", &headers.written},
+                           {"written", &headers.writeProgress},
                            {"destination", &headers.destination},
-                           {"submission", &headers.token},
-                           {"send_within", &headers.sendWithin},
+                           {"submission", &headers.leaseToken},
+                           {"send_within", &headers.leaseDuration},
                            {"outcome", &headers.outcome},
-                           {"retry_after", &headers.retryAfterMs},
-                           {"node_role", &headers.node.role},
-                           {"node_position", &headers.node.position},
+                           {"retry_after", &headers.retryAfter},
+                           {"node_role", &headers.loadReport.role},
+                           {"node_position", &headers.loadReport.position},
                            {"node_outcome", &headers.nodeOutcome},
-                           {"node_in_hand", &headers.node.inHand},
-                           {"sent_to", &headers.sentTo}})
+                           {"node_in_hand", &headers.loadReport.inHand},
+                           {"sent_to", &headers.sentToAddress}})
     *name = headerName(names, key, *name);
   names.end();
   top.end();
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -19,7 +19,7 @@
 constexpr Duration kCountsPause = Duration::millis(60000);
 grpc_server::Bounds boundsOf(const ExtProcConfig& config) {
   grpc_server::Bounds bounds;
-  bounds.calls.connection.mostStreams = static_cast<std::uint32_t>(config.streams.mostStreams);
+  bounds.calls.connection.mostStreams = static_cast<std::uint32_t>(config.streams.maxStreams);
   bounds.calls.longestMessage = config.longestMessage;
   bounds.mostConnections = config.mostConnections;
   return bounds;
@@ -27,13 +27,13 @@
 
 grpc::Status statusOf(StreamCloseReason how) {
   switch (how) {
-    case StreamCloseReason::done:
+    case StreamCloseReason::finished:
       return grpc::Status::ok;
-    case StreamCloseReason::invalid:
+    case StreamCloseReason::invalidMessage:
       return grpc::Status::invalidArgument;
     case StreamCloseReason::overdue:
       return grpc::Status::deadlineExceeded;
-    case StreamCloseReason::full:
+    case StreamCloseReason::tooManyStreams:
       return grpc::Status::resourceExhausted;
     case StreamCloseReason::unavailable:
       return grpc::Status::unavailable;
@@ -92,12 +92,13 @@
   streams_.endTurn();
   healthChecker_.endTurn();
   const auto& counts = streams_.counts();
-  if (counts.asked == loggedCounts_.asked || transactions_.now() - countsLoggedAt_ < kCountsPause) return;
+  if (counts.requested == loggedCounts_.requested || transactions_.now() - countsLoggedAt_ < kCountsPause)
+    return;
   if (countsLoggedAt_ != Instant())
     spdlog::info(
         "event=ext_proc.counts asked={} granted={} committed={} refused={} rolled_back={} denied={} "
         "unreported={} misused={} malformed={} remembered={} grants_out={}",
-        counts.asked, counts.granted, counts.committed, counts.refused, counts.rolledBack, counts.denied,
+        counts.requested, counts.granted, counts.committed, counts.rejected, counts.rolledBack, counts.denied,
         counts.unreported, counts.misused, counts.malformed, streams_.rememberedTransactionCount(),
         streams_.outstandingLeaseCount());
   countsLoggedAt_ = transactions_.now();
@@ -138,7 +139,7 @@
       while (healthCheckStreams_.contains(id) && !stream.canWrite()) co_await stream.changed();
       http1::Response response;
       response.field = [&](std::string_view name, std::string_view value) {
-        load_report::readField(config_.headers.node, name, value, said);
+        load_report::readField(config_.headers.loadReport, name, value, said);
       };
       bool on = healthCheckStreams_.contains(id) && event_loop::isConnected(stream.descriptor());
       std::string unsent = http1::get(config_.probePath, address);
--- a/src/runtime/ext_proc_server/ext_proc_server.h
+++ b/src/runtime/ext_proc_server/ext_proc_server.h
@@ -37,10 +37,12 @@
 
  private:
   void seen(Instant now) override { transactions_.advanceTo(now); }
-  void opened(grpc_server::CallKey call) override { streams_.opened(call); }
-  void message(grpc_server::CallKey call, std::string_view bytes) override { streams_.message(call, bytes); }
-  void halfClosed(grpc_server::CallKey call) override { streams_.halfClosed(call); }
-  void ended(grpc_server::CallKey call) override { streams_.ended(call); }
+  void opened(grpc_server::CallKey call) override { streams_.onOpened(call); }
+  void message(grpc_server::CallKey call, std::string_view bytes) override {
+    streams_.onMessage(call, bytes);
+  }
+  void halfClosed(grpc_server::CallKey call) override { streams_.onHalfClosed(call); }
+  void ended(grpc_server::CallKey call) override { streams_.onEnded(call); }
 
   void send(downstream::ext_proc::StreamKey stream, std::string_view message) override;
   void close(downstream::ext_proc::StreamKey stream, downstream::ext_proc::StreamCloseReason how,
--- a/tests/ext_proc.cpp
+++ b/tests/ext_proc.cpp
@@ -87,11 +87,11 @@
     open(stream);
     message(stream, {Phase::requestHeaders, headers, false}, raw);
   }
-  void open(std::uint64_t stream) { streams_.opened(stream), settle(); }
+  void open(std::uint64_t stream) { streams_.onOpened(stream), settle(); }
   void message(std::uint64_t stream, const wire::Request& request, bool raw = true) {
     bytes(stream, wire::request(request, raw));
   }
-  void bytes(std::uint64_t stream, const std::string& text) { streams_.message(stream, text), settle(); }
+  void bytes(std::uint64_t stream, const std::string& text) { streams_.onMessage(stream, text), settle(); }
   void phase(std::uint64_t stream, Phase phase) { message(stream, {phase, {}, false}); }
   // The node's answer: its outcome as it says itself, and its role and position (ms ago).
   void reports(std::uint64_t stream, const std::string& outcome, wire::Headers more = {},
@@ -104,21 +104,21 @@
     return {{"x-node-role", role},
             {"x-node-position", std::to_string((now_ - ms(behind)).inMicros() / 1000)}};
   }
-  void halfCloses(std::uint64_t stream) { streams_.halfClosed(stream), settle(); }
+  void halfCloses(std::uint64_t stream) { streams_.onHalfClosed(stream), settle(); }
   void resets(std::uint64_t stream) {
-    streams_.ended(stream);
+    streams_.onEnded(stream);
     settle();
   }
   // A reset that comes in the same turn as what was read before it.
   void asksAndResets(std::uint64_t stream, const std::string& id, const std::string& type) {
-    streams_.opened(stream);
-    streams_.message(
+    streams_.onOpened(stream);
+    streams_.onMessage(
         stream,
         wire::request(
             {Phase::requestHeaders,
              {{"x-txn-id", id}, {"x-txn-type", type}, {"x-txn-group", "1"}, {"x-txn-patience-ms", "1000"}},
              false}));
-    streams_.ended(stream);
+    streams_.onEnded(stream);
     settle();
   }
   void pass(std::int64_t millis) {
@@ -133,10 +133,10 @@
   void stop() { streams_.stop(); }
   void tellCounts() {
     const auto& c = streams_.counts();
-    std::cout << "asked " << c.asked << " granted " << c.granted << " committed " << c.committed
-              << " refused " << c.refused << " rolled back " << c.rolledBack << " unreported " << c.unreported
-              << " misused " << c.misused << "; grants out " << streams_.outstandingLeaseCount()
-              << ", open txns " << ledger_.openCount() << ", remembered "
+    std::cout << "asked " << c.requested << " granted " << c.granted << " committed " << c.committed
+              << " refused " << c.rejected << " rolled back " << c.rolledBack << " unreported "
+              << c.unreported << " misused " << c.misused << "; grants out "
+              << streams_.outstandingLeaseCount() << ", open txns " << ledger_.openCount() << ", remembered "
               << streams_.rememberedTransactionCount() << "\n";
   }
   const std::string& token(std::uint64_t stream) { return tokens_[stream]; }
@@ -192,9 +192,9 @@
     }
   }
   void close(std::uint64_t stream, front::StreamCloseReason how, std::string_view why) override {
-    if (how != front::StreamCloseReason::done)
+    if (how != front::StreamCloseReason::finished)
       line(stream) << "closed (" << static_cast<int>(how) << "): " << why << "\n";
-    if (how != front::StreamCloseReason::done) closed_.push_back(stream);
+    if (how != front::StreamCloseReason::finished) closed_.push_back(stream);
   }
   void log(std::string_view event, const std::string& fields) override {
     if (!quiet) std::cout << "log " << event << " " << fields << "\n";
@@ -638,13 +638,13 @@
         const Instant position = now - (role == Role::primary ? Duration() : ms(7));
         const Instant rounded = Instant() + Duration::millis(position.inMicros() / 1000);
         if (throughProxy) {
-          streams.message(txn,
-                          wire::request({Phase::responseHeaders,
-                                         {{":status", away ? "503" : "200"},
-                                          {"x-node-outcome", away ? "turned-away" : "committed"},
-                                          {"x-node-role", role == Role::primary ? "primary" : "replica"},
-                                          {"x-node-position", std::to_string(rounded.inMicros() / 1000)}},
-                                         false}));
+          streams.onMessage(txn,
+                            wire::request({Phase::responseHeaders,
+                                           {{":status", away ? "503" : "200"},
+                                            {"x-node-outcome", away ? "turned-away" : "committed"},
+                                            {"x-node-role", role == Role::primary ? "primary" : "replica"},
+                                            {"x-node-position", std::to_string(rounded.inMicros() / 1000)}},
+                                           false}));
         } else if (const auto job = std::find_if(node.jobs.begin(), node.jobs.end(),
                                                  [&](auto& j) { return j.first.txn == txn; });
                    job != node.jobs.end()) {
@@ -658,14 +658,14 @@
         const std::size_t type = typeOf[txn] = chance() % 4;
         const std::string id = "t" + std::to_string(txn), age = std::to_string(1 + chance() % 40);
         if (throughProxy) {
-          streams.opened(txn);
+          streams.onOpened(txn);
           wire::Headers headers{{"x-txn-id", id},
                                 {"x-txn-type", kTypes[type]},
                                 {"x-txn-group", "1"},
                                 {"x-txn-patience-ms", "900"},
                                 {"x-txn-session", "k" + std::to_string(txn % 5)}};
           if (type == 2) headers.push_back({"x-txn-write-age-ms", age});
-          streams.message(txn, wire::request({Phase::requestHeaders, headers, false}));
+          streams.onMessage(txn, wire::request({Phase::requestHeaders, headers, false}));
         } else {
           clients.onOpened(txn);
           clients.onReceived(txn, postgres::startup("u", "d"));
@@ -713,7 +713,7 @@
                 << (setup.placement == endpoint_leases::ProxyPlacement::perAttempt ? "try" : "request")
                 << ", timeout " << setup.streams.messageTimeout.timeout.inMicros() / 1000 << " to "
                 << setup.streams.messageTimeout.maxExtension.inMicros() / 1000 << " ms, "
-                << setup.streams.mostStreams << " streams, id in " << setup.headers.id << "\n";
+                << setup.streams.maxStreams << " streams, id in " << setup.headers.id << "\n";
     } catch (const std::exception& bad) { std::cout << bad.what() << "\n"; }
   };
   read(R"({"listen":"127.0.0.1:9002"})");
