--- a/src/degradation_service/degradation_service.cpp
+++ b/src/degradation_service/degradation_service.cpp
@@ -55,7 +55,7 @@
 }
 
 void addViolations(nlohmann::ordered_json& status, const invariants::Invariants& invariants) {
-  for (const auto check : {invariants::Check::send, invariants::Check::repeat, invariants::Check::close,
+  for (const auto check : {invariants::Check::send, invariants::Check::retry, invariants::Check::close,
                            invariants::Check::start})
     status["violations"][std::string(nameOf(check))] = invariants.count(check);
   if (invariants.totalCount() == 0) return;
--- a/src/deployment/routing_config.cpp
+++ b/src/deployment/routing_config.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// A year: leaves room to add durations up without an overflow.
-constexpr std::uint64_t kLongestMicros = 31'536'000'000'000;
+// A year: durations can be added up without an overflow.
+constexpr std::uint64_t kMaxMicros = 31'536'000'000'000;
 // Whole numbers up to here are exact in a double.
-constexpr double kLargestGroup = 9e15;
+constexpr double kMaxGroup = 9e15;
 
 constexpr Duration kDefaultIdleLimit = Duration::seconds(15);
 constexpr Duration kDefaultConnectLimit = Duration::millis(250);
@@ -30,7 +30,7 @@
 }
 
 Duration toDuration(std::string_view field, std::uint64_t micros) {
-  if (micros > kLongestMicros) throw InvalidField(field, "is longer than a year");
+  if (micros > kMaxMicros) throw InvalidField(field, "is longer than a year");
   return Duration::micros(static_cast<std::int64_t>(micros));
 }
 
@@ -42,8 +42,8 @@
   return toDuration(name, settings.whole(name, static_cast<std::uint64_t>(fallback.inMicros())));
 }
 
-// Required of deduplicated classes, so that a router that doesn't know where repeats are dropped never
-// starts. A window of 0 allows no repeats.
+// Required of deduplicated classes, so that a router that doesn't know where retries are deduplicated never
+// starts. A window of 0 allows no retries.
 void checkDeduplication(const SettingsSource& settings, const std::string& prefix, std::string_view scope) {
   if (scope != "all" && scope != "cell")
     throw InvalidField(prefix + "group", "'" + std::string(scope) + "' is not known");
@@ -56,24 +56,24 @@
                                       const std::vector<std::string_view>& levels,
                                       const std::vector<std::string_view>& stalenessBounds) {
   const std::string prefix = "lanes." + std::to_string(row) + ".";
-  TransactionClass type;
-  type.effect = choice<Effect>(prefix + "effect", settings.text(prefix + "effect"), kEffects);
+  TransactionClass transactionClass;
+  transactionClass.effect = choice<Effect>(prefix + "effect", settings.text(prefix + "effect"), kEffects);
   if (row >= levels.size()) throw InvalidField("specifics.readLevel", "has too few values");
-  type.level = choice<ReadLevel>("specifics.readLevel", levels[row], kReadLevels);
+  transactionClass.level = choice<ReadLevel>("specifics.readLevel", levels[row], kReadLevels);
   if (row < stalenessBounds.size())
-    type.maxStaleness =
+    transactionClass.maxStaleness =
         toDuration("specifics.lagAllowed", toWhole("specifics.lagAllowed", stalenessBounds[row]));
-  type.latencyTarget = readDuration(settings, prefix + "objective");
-  type.latencyTargetPerWork = settings.number(prefix + "aimStretch", 0);
-  type.deadline = readDuration(settings, prefix + "deadline");
-  type.priorityWeight = settings.number(prefix + "worth", 1);
-  type.lateValueFraction = settings.number(prefix + "lateShare", 0);
+  transactionClass.latencyTarget = readDuration(settings, prefix + "objective");
+  transactionClass.latencyTargetPerWork = settings.number(prefix + "aimStretch", 0);
+  transactionClass.deadline = readDuration(settings, prefix + "deadline");
+  transactionClass.priorityWeight = settings.number(prefix + "worth", 1);
+  transactionClass.lateValueFraction = settings.number(prefix + "lateShare", 0);
   const std::string_view scope = settings.find(prefix + "group").value_or("all");
-  type.deduplicatesAcrossGroups = scope == "all";
-  type.deduplicationWindow = readDuration(settings, prefix + "window", Duration());
-  if (type.effect == Effect::deduplicated) checkDeduplication(settings, prefix, scope);
-  if (type.latencyTarget == Duration()) throw InvalidField(prefix + "objective", "is 0");
-  return type;
+  transactionClass.deduplicatesAcrossGroups = scope == "all";
+  transactionClass.deduplicationWindow = readDuration(settings, prefix + "window", Duration());
+  if (transactionClass.effect == Effect::deduplicated) checkDeduplication(settings, prefix, scope);
+  if (transactionClass.latencyTarget == Duration()) throw InvalidField(prefix + "objective", "is 0");
+  return transactionClass;
 }
 
 void readTransactionClasses(const SettingsSource& settings, DeploymentSettings& deployment) {
@@ -84,7 +84,7 @@
   for (std::size_t row = 0; row < count; ++row) {
     deployment.routing.transactionClasses.push_back(
         readTransactionClass(settings, row, levels, stalenessBounds));
-    deployment.typeNames.emplace_back(settings.text("lanes." + std::to_string(row) + ".name"));
+    deployment.classNames.emplace_back(settings.text("lanes." + std::to_string(row) + ".name"));
   }
 }
 
@@ -127,7 +127,7 @@
 
 GroupId toGroup(std::string_view field, std::string_view text) {
   const double number = toNumber(field, text);
-  if (number < 0 || number != std::floor(number) || number > kLargestGroup)
+  if (number < 0 || number != std::floor(number) || number > kMaxGroup)
     throw InvalidField(field, "is not a group");
   return static_cast<GroupId>(number);
 }
--- a/src/deployment/routing_config.h
+++ b/src/deployment/routing_config.h
@@ -34,12 +34,12 @@
 // The parts of the text between separators; one at least. They point into the text.
 std::vector<std::string_view> split(std::string_view text, char separator);
 
-// The enumerator whose position `word` has in the table of words.
+// The enumerator whose position `name` has in `names`.
 template <typename E, std::size_t N>
-E choice(std::string_view field, std::string_view word, const std::array<std::string_view, N>& words) {
+E choice(std::string_view field, std::string_view name, const std::array<std::string_view, N>& names) {
   for (std::size_t i = 0; i < N; ++i)
-    if (words[i] == word) return static_cast<E>(i);
-  throw InvalidField(field, "'" + std::string(word) + "' is not known");
+    if (names[i] == name) return static_cast<E>(i);
+  throw InvalidField(field, "'" + std::string(name) + "' is not known");
 }
 
 // Values by dotted name. A list of plain values is one text joined by commas; a list of objects has its
@@ -60,14 +60,14 @@
   bool flag(std::string_view name) const;
 };
 
-// The routing configuration, and what front ends need of the same settings.
+// The routing configuration, and what downstream handlers and upstream transports need of the same settings.
 struct DeploymentSettings {
   RoutingConfig routing;
-  std::vector<std::string> typeNames;  // one a row of RoutingConfig::transactionClasses
-  std::string zone;                    // of this router; empty: none
-  Duration idleLimit;                  // nodes close connections that were idle for so long
-  Duration connectLimit;               // a connection that isn't established by then has failed
-  Duration drainGrace;                 // nothing new to a node later than this after it began to drain
+  std::vector<std::string> classNames;  // of RoutingConfig::transactionClasses, in the same order
+  std::string zone;                     // of this router; empty: none
+  Duration idleLimit;                   // nodes close connections that were idle for so long
+  Duration connectLimit;                // a connection that isn't established by then has failed
+  Duration drainGrace;                  // nothing new to a node later than this after it began to drain
   // Endpoint list changes count as notified so long after they were due; zero: only once they came.
   Duration notifiedWithin;
   bool operator==(const DeploymentSettings&) const = default;
--- a/src/downstream/postgres/arrival_times.h
+++ b/src/downstream/postgres/arrival_times.h
@@ -13,7 +13,7 @@
 class ArrivalTimes {
  public:
   // `size` bytes wait now, more than before or as many.
-  void waiting(std::size_t size, Instant now) {
+  void onReceived(std::size_t size, Instant now) {
     if (!arrivals_.empty() && size <= arrivals_.back().end) return;
     // Bounds what a client that sends byte by byte can make this store. Beyond that, bytes count as arrived
     // with those before them: a little early, so that no more time is assumed than there is.
@@ -24,13 +24,13 @@
       arrivals_.back().end = size;
   }
   // When the first `size` waiting bytes had all arrived.
-  Instant of(std::size_t size) const {
+  Instant arrivalOf(std::size_t size) const {
     for (const Arrival& arrival : arrivals_)
       if (arrival.end >= size) return arrival.at;
     return arrivals_.empty() ? Instant() : arrivals_.back().at;
   }
   // The first `size` waiting bytes were consumed.
-  void taken(std::size_t size) {
+  void onConsumed(std::size_t size) {
     std::erase_if(arrivals_, [&](const Arrival& arrival) { return arrival.end <= size; });
     for (Arrival& arrival : arrivals_) arrival.end -= size;
   }
--- a/src/downstream/postgres/client_messages.cpp
+++ b/src/downstream/postgres/client_messages.cpp
@@ -15,7 +15,7 @@
 // A value of 64 KiB is twice that as hex digits; the rest of a statement is short.
 constexpr std::size_t kMaxQueryBytes = 2 * 64 * 1024 + 4096;
 
-// A client's opening, and any message once it has started, must be complete within this many times the
+// A client's startup, and any message once it has started, must be complete within this many times the
 // settings' limit for connections: a message takes some round trips where a connection takes one.
 constexpr double kMessageTimeFactor = 8;
 
@@ -36,7 +36,7 @@
   setDeadline(id, client, transactions_.now() + bounds_.connectLimit * kMessageTimeFactor);
 }
 
-// Never: none.
+// `deadline` never: nothing is awaited from the client.
 void ClientSessions::setDeadline(ClientId id, Client& client, Instant deadline) {
   if (client.deadline != Instant()) deadlines_.erase({client.deadline, id});
   client.deadline = deadline;
@@ -49,7 +49,7 @@
   const Instant now = transactions_.now();
   const Instant arrivedAt = unreadSince == Instant() ? now : std::min(unreadSince, now);
   if (const auto found = clients_.find(id); found != clients_.end())
-    found->second.arrivals.waiting(bytes.size(), arrivedAt);
+    found->second.arrivals.onReceived(bytes.size(), arrivedAt);
   std::size_t consumed = 0;
   try {
     consumed = consumeMessages(id, bytes);
@@ -57,7 +57,8 @@
     closeWithError(id, wire::kProtocolViolation, malformed.what());
     return bytes.size();
   }
-  if (const auto found = clients_.find(id); found != clients_.end()) found->second.arrivals.taken(consumed);
+  if (const auto found = clients_.find(id); found != clients_.end())
+    found->second.arrivals.onConsumed(consumed);
   return consumed;
 }
 
@@ -75,27 +76,27 @@
       break;
     }
     client.idleSince = transactions_.now();
-    const bool isConsumed = client.stage == Stage::opening
-                                ? consumeOpening(id, client, bytes)
+    const bool isConsumed = client.stage == Stage::startup
+                                ? consumeStartup(id, client, bytes)
                                 : consumeMessage(id, client, bytes, size - bytes.size());
     if (!isConsumed) {
       if (!bytes.empty() && client.deadline == Instant()) startMessageTimer(id, client);
       break;
     }
-    if (!clients_.contains(id) || client.stage == Stage::opening) continue;
+    if (!clients_.contains(id) || client.stage == Stage::startup) continue;
     if (client.deadline != Instant()) setDeadline(id, client, {});
   }
   return size - bytes.size();
 }
 
-bool ClientSessions::consumeOpening(ClientId id, Client& client, std::string_view& bytes) {
-  const auto opening = wire::takeOpening(bytes);
-  if (!opening) return false;
-  if (opening->code == wire::kSslRequest || opening->code == wire::kGssRequest) {
+bool ClientSessions::consumeStartup(ClientId id, Client& client, std::string_view& bytes) {
+  const auto startup = wire::takeOpening(bytes);
+  if (!startup) return false;
+  if (startup->code == wire::kSslRequest || startup->code == wire::kGssRequest) {
     effects_.writeClient(id, {"N"});
-  } else if (opening->code == wire::kCancelRequest) {
+  } else if (startup->code == wire::kCancelRequest) {
     close(id, ConnectionCloseReason::clientFinished);
-  } else if (opening->code >> 16 != wire::kMajorVersion) {
+  } else if (startup->code >> 16 != wire::kMajorVersion) {
     closeWithError(id, wire::kNotSupported, "only version 3 of the protocol is spoken here");
   } else {
     client.stage = Stage::ready;
@@ -110,7 +111,7 @@
   const std::size_t sizeBefore = bytes.size();
   const auto message = wire::takeMessage(bytes, kMaxQueryBytes);
   if (!message) return false;
-  const Instant arrivedAt = client.arrivals.of(consumedBefore + sizeBefore - bytes.size());
+  const Instant arrivedAt = client.arrivals.arrivalOf(consumedBefore + sizeBefore - bytes.size());
   const auto request = wire::requestOf(message->type);
   if (client.stage == Stage::rejecting && request != wire::Request::goodbye && request != wire::Request::sync)
     return true;
--- a/src/downstream/postgres/client_sessions.cpp
+++ b/src/downstream/postgres/client_sessions.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 // Where a connection is wanted for another client, one that connected this fraction of the connect limit ago
-// and sent nothing may be closed: an opening leaves together with the last packet that establishes the
+// and sent nothing may be closed: a startup message leaves together with the last packet that establishes the
 // connection.
-constexpr double kOpeningFraction = 0.1;
+constexpr double kStartupFraction = 0.1;
 
 // Idle clients are closed while more than this fraction of the bound on active clients is used, one in this
 // many of the bound at a time.
@@ -151,7 +151,7 @@
 
 // One that has just connected may have sent its first query already, and is not idle yet.
 bool ClientSessions::hasJustConnected(const Client& client, Duration limit) const {
-  return client.stage == Stage::opening && transactions_.now() - client.idleSince < limit;
+  return client.stage == Stage::startup && transactions_.now() - client.idleSince < limit;
 }
 
 bool ClientSessions::closeIdle(std::size_t max, IdleClients which) {
@@ -164,7 +164,7 @@
   for (const auto& [id, client] : clients_) {
     const bool isIncluded = client.isActive || which == IdleClients::all;
     if (isIncluded && !client.isWaiting() && !client.hasUnreadMessages &&
-        !hasJustConnected(client, bounds_.connectLimit * kOpeningFraction))
+        !hasJustConnected(client, bounds_.connectLimit * kStartupFraction))
       idle.push_back({client.idleSince, id});
   }
   const std::size_t count = std::min(max, idle.size());
--- a/src/downstream/postgres/client_sessions.h
+++ b/src/downstream/postgres/client_sessions.h
@@ -1,4 +1,4 @@
-// Sessions of clients that speak the PostgreSQL protocol: their openings and messages, the transactions that
+// Sessions of clients that speak the PostgreSQL protocol: their startup and messages, the transactions that
 // they request and the answers that they get. It reads no socket and no clock.
 #pragma once
 
@@ -81,10 +81,10 @@
 
  private:
   // Rejecting: an exchange of the extended protocol was rejected, and is skipped up to its Sync.
-  enum class Stage { opening, ready, rejecting };
+  enum class Stage { startup, ready, rejecting };
   enum class IdleClients { all, active };
   struct Client {
-    Stage stage = Stage::opening;
+    Stage stage = Stage::startup;
     TxnId txn = 0;                   // whose answer it awaits; 0: none
     bool awaitsListKnown = false;    // it has sent an empty query
     bool hasHalfClosed = false;      // and was sent a notice
@@ -92,7 +92,7 @@
     bool hasUnreadMessages = false;  // what it has sent meanwhile is not read yet
     ArrivalTimes arrivals;           // of what it has sent and is not consumed yet
     Instant idleSince;
-    Instant deadline;  // for a message that has started, or its opening; never: none is awaited
+    Instant deadline;  // for a message that has started, or its startup; never: none is awaited
 
     bool isWaiting() const { return txn != 0 || awaitsListKnown; }
   };
@@ -109,7 +109,7 @@
 
   // Reading (client_messages.cpp). Each bool: a message was consumed.
   std::size_t consumeMessages(ClientId id, std::string_view bytes);
-  bool consumeOpening(ClientId id, Client& client, std::string_view& bytes);
+  bool consumeStartup(ClientId id, Client& client, std::string_view& bytes);
   bool consumeMessage(ClientId id, Client& client, std::string_view& bytes, std::size_t consumedBefore);
   void handleQuery(ClientId id, Client& client, std::string_view text, Instant arrivedAt);
   void openTransaction(ClientId id, Client& client, std::string_view text, Instant arrivedAt);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -83,8 +83,8 @@
 
   // All is answered after shutDown().
   bool finished() const;
-  // Closes the clients that have been idle longest, `most` at most; false if none is idle.
-  bool closeIdleClients(std::size_t most = 1) { return clientSessions_.closeIdle(most); }
+  // Closes the clients that have been idle longest, `max` at most; false if none is idle.
+  bool closeIdleClients(std::size_t max = 1) { return clientSessions_.closeIdle(max); }
   // There is no memory for what the client sends.
   void rejectClient(Instant now, ClientId client);
   // Whether the client awaits an answer.
--- a/src/invariants/invariants.cpp
+++ b/src/invariants/invariants.cpp
@@ -22,7 +22,7 @@
   switch (check) {
     case Check::send:
       return "send";
-    case Check::repeat:
+    case Check::retry:
       return "repeat";
     case Check::close:
       return "close";
@@ -46,9 +46,9 @@
 bool Invariants::mayRetry(const Retry& retry, const Subject& subject) {
   if (retry.firstSentAt == Instant() || retry.effect == Effect::idempotent) return true;
   if (retry.effect == Effect::atMostOnce)
-    return recordViolation(retry.now, Check::repeat, "it may run only once and may have run", subject);
+    return recordViolation(retry.now, Check::retry, "it may run only once and may have run", subject);
   if (retry.now >= retry.firstSentAt + retry.window)
-    return recordViolation(retry.now, Check::repeat, "its window is over", subject);
+    return recordViolation(retry.now, Check::retry, "its window is over", subject);
   return true;
 }
 
--- a/src/invariants/invariants.h
+++ b/src/invariants/invariants.h
@@ -7,7 +7,7 @@
 //   send     the client awaits its answer, its time is not over,    the attempt ends as not sent
 //            the node is not draining, and the node is given no
 //            more time than is left
-//   repeat   no earlier attempt may have run, or the transaction    the attempt ends as not sent
+//   retry    no earlier attempt may have run, or the transaction    the attempt ends as not sent
 //            is idempotent, or it is deduplicated and its
 //            deduplication window is open
 //   close    the client awaits no answer                            it is answered first
@@ -27,9 +27,10 @@
 
 namespace gulltrestle::invariants {
 
-// The kinds of check; their names are those of the table above.
-enum class Check { send, repeat, close, start };
+// The kinds of check, as in the table above.
+enum class Check { send, retry, close, start };
 constexpr std::size_t kCheckCount = 4;
+// As in log lines and status documents, where a retry is a `repeat`.
 std::string_view nameOf(Check check);
 
 // An attempt that is about to be written to a node.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -75,7 +75,7 @@
       enabledParts += (enabledParts.empty() ? "" : ",") + std::string(variable);
   spdlog::info("event=start version={} built_in={} on={} name={} types={} routers={}", build_info::version(),
                build_info::partsBuiltIn(), enabledParts.empty() ? "none" : enabledParts, config.name,
-               config.deployment.typeNames.size(), config.deployment.routing.routerCount);
+               config.deployment.classNames.size(), config.deployment.routing.routerCount);
 }
 
 #ifdef GULLTRESTLE_FLEET
@@ -114,7 +114,7 @@
   // Read again at each SIGHUP; each throws config::ConfigError.
   degradation_service::DegradationConfig readDegradation() const {
     return degradation_service::readDegradationConfigFile(
-        pathFrom(kLevels), router_.deployment.routing.transactionClasses, router_.deployment.typeNames);
+        pathFrom(kLevels), router_.deployment.routing.transactionClasses, router_.deployment.classNames);
   }
   static logging::LoggingConfig readLogging() { return logging::readLoggingConfigFile(pathFrom(kLogging)); }
 
@@ -171,7 +171,7 @@
   std::optional<degradation_service::DegradationService> degradationService;
   if (configuration.degradation())
     server.add(degradationService.emplace(
-        server.ledger(), *configuration.degradation(), router.deployment.typeNames, router.seed,
+        server.ledger(), *configuration.degradation(), router.deployment.classNames, router.seed,
         [&configuration] { return configuration.readDegradation(); }, logLine));
 #ifdef GULLTRESTLE_EXT_PROC
   std::optional<ext_proc_server::ExtProcServer> extProcServer;
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -51,7 +51,7 @@
       config_(config),
       grpcServer_(loop, config.listen, std::string(ext_proc::kMethod), boundsOf(config), "ext_proc", *this),
       streams_(transactions,
-               downstream::ext_proc::HeaderMapping(config.headers, settings.routing, settings.typeNames),
+               downstream::ext_proc::HeaderMapping(config.headers, settings.routing, settings.classNames),
                endpoint_leases::LeaseRegistry(settings.routing.transactionClasses, config.placement,
                                               config.remembered, start),
                {settings.drainGrace, settings.notifiedWithin}, config.streams, *this),
--- a/src/runtime/server/server.cpp
+++ b/src/runtime/server/server.cpp
@@ -33,7 +33,7 @@
     : config_(std::move(config)),
       signals_(std::make_unique<event_loop::Stream>(loop_, event_loop::signals())),
       buffers_{.maxBytes = maxBufferedBytes(config_)},
-      gateway_(routingConfigOf(config_, reserved), config_.deployment.typeNames, config_.seed,
+      gateway_(routingConfigOf(config_, reserved), config_.deployment.classNames, config_.seed,
                gatewayBoundsOf(config_), *this),
       clients_(loop_, gateway_, buffers_, config_, reserved),
       nodes_(loop_, gateway_, buffers_),
--- a/src/tools/simulator_adapter/adapter.cpp
+++ b/src/tools/simulator_adapter/adapter.cpp
@@ -70,8 +70,8 @@
       : router_(std::move(settings.routing), start.whole("prng")),
         zone_(std::move(settings.zone)),
         baseTime_(Instant::atMicros(static_cast<std::int64_t>(start.whole("specifics.baseTime", 0)))) {
-    for (std::size_t row = 0; row < settings.typeNames.size(); ++row)
-      types_.emplace(settings.typeNames[row], row);
+    for (std::size_t row = 0; row < settings.classNames.size(); ++row)
+      types_.emplace(settings.classNames[row], row);
   }
 
   static AttemptOutcome outcomeOf(const MessageLine& line) {
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -238,7 +238,7 @@
   std::cout << started.name << " on " << started.listen.host << " port " << started.listen.port << ", "
             << started.memoryBytes << " bytes, " << started.descriptors << " descriptors, seed "
             << started.seed << ", list " << started.known.version << " with " << started.known.nodes.size()
-            << " node, type " << told.typeNames[0] << " bound "
+            << " node, type " << told.classNames[0] << " bound "
             << told.routing.transactionClasses[0].maxStaleness.inMicros() << " value "
             << told.routing.transactionClasses[0].priorityWeight << ", idle " << told.idleLimit.inMicros()
             << ", up within " << told.connectLimit.inMicros() << "\n";
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -47,13 +47,13 @@
   RoutingConfig terms = start.deployment.routing;
   terms.degradationEnabled = terms.connectionPerAttempt = true;
   const auto setup = degradation_service::readDegradationConfig(levels, terms.transactionClasses,
-                                                                start.deployment.typeNames);
+                                                                start.deployment.classNames);
   NoSockets sockets;
-  gateway::Gateway router(terms, start.deployment.typeNames, start.seed,
+  gateway::Gateway router(terms, start.deployment.classNames, start.seed,
                           {start.deployment.idleLimit, start.deployment.connectLimit, 16, 1 << 20, 32},
                           sockets);
   degradation_service::DegradationService service(
-      router.transactions(), setup, start.deployment.typeNames, start.seed, [&] { return setup; },
+      router.transactions(), setup, start.deployment.classNames, start.seed, [&] { return setup; },
       [](const auto&) {});
   router.add(service);
   Instant now = Instant::atMicros(1'767'225'600'000'000);
@@ -61,8 +61,8 @@
   router.clientOpened(now, 1);
   router.clientReceived(now, 1, postgres::startup("worker", "catalog"));
   for (std::size_t row = 0; row < terms.transactionClasses.size(); ++row) {
-    const std::string comment =
-        " /* id=" + std::to_string(row) + ",c=" + start.deployment.typeNames[row] + ",t=t,d=100,cluster=1 */";
+    const std::string comment = " /* id=" + std::to_string(row) + ",c=" + start.deployment.classNames[row] +
+                                ",t=t,d=100,cluster=1 */";
     const bool writes = terms.transactionClasses[row].level == ReadLevel::write;
     router.clientOpened(now, 2 + row);
     router.clientReceived(
