--- /dev/null
+++ b/tests/ext_proc/bench.cpp
@@ -0,0 +1,215 @@
+#include "ext_proc/bench.h"
+
+#include <algorithm>
+
+namespace gulltrestle::ext_proc_test {
+
+RoutingConfig routingConfig() {
+  return trace::usualTerms({trace::type(ReadLevel::any), trace::type(ReadLevel::bounded),
+                            trace::type(ReadLevel::session),
+                            trace::type(ReadLevel::write, Effect::atMostOnce)});
+}
+
+const std::vector<std::string>& classNames() {
+  static const std::vector<std::string> kNames{"any", "bounded", "session", "charge"};
+  return kNames;
+}
+
+std::string addressOf(const std::string& node) {
+  return "10.0.0." + std::to_string(node[0] - 'a' + 1) + ":1";
+}
+
+std::vector<transactions::ResolvedEndpoint> endpointList(const std::vector<std::string>& nodes,
+                                                         Health health) {
+  std::vector<transactions::ResolvedEndpoint> list;
+  for (const auto& node : nodes) {
+    EndpointEntry entry;
+    entry.node = node;
+    entry.group = 1;
+    entry.primary = node == "p";
+    entry.health = health;
+    list.push_back({entry, addressOf(node)});
+  }
+  return list;
+}
+
+wire::Headers attemptHeaders(int count, const std::string& written, const std::string& token) {
+  wire::Headers headers{{"x-envoy-attempt-count", std::to_string(count)}};
+  if (!written.empty()) headers.push_back({"x-txn-written", written});
+  if (!token.empty()) headers.push_back({"x-txn-submission", token});
+  return headers;
+}
+
+ExtProcBench::ExtProcBench(ExtProcSetup setup)
+    : transactions_(routingConfig(), 7, 1 << 20, [] {}),
+      streams_(transactions_, downstream::ext_proc::HeaderMapping({}, routingConfig(), classNames()),
+               endpoint_leases::LeaseRegistry(routingConfig().transactionClasses, setup.placement,
+                                              {setup.maxTransactionsPerKind}, setup.incarnation),
+               {.grace = ms(1000), .notifiedWithin = setup.notifiedWithin},
+               {.maxStreams = setup.maxStreams,
+                .requestTimeout = ms(2000),
+                .messageTimeout = setup.messageTimeout},
+               *this) {
+  transactions_.addTransport(streams_.transport());
+  transactions_.advanceTo(now_);
+  updateEndpoints({"p", "a", "b"});
+  onDiscoveryActivity();
+}
+
+// --- Events of proxies
+
+void ExtProcBench::openStream(StreamKey stream) {
+  streams_.onOpened(stream);
+  settle();
+}
+
+void ExtProcBench::request(StreamKey stream, const std::string& id, const std::string& transactionClass,
+                           wire::Headers more, ValueForm form) {
+  wire::Headers headers{{":path", "/"},
+                        {"x-txn-id", id},
+                        {"x-txn-type", transactionClass},
+                        {"x-txn-group", "1"},
+                        {"x-txn-patience-ms", "1000"},
+                        {"x-txn-session", "s1"}};
+  for (const auto& header : more) {
+    std::erase_if(headers, [&](const auto& usual) { return usual.name == header.name; });
+    if (!header.value.empty()) headers.push_back(header);
+  }
+  openStream(stream);
+  sendMessage(stream, {Phase::requestHeaders, headers, false}, form);
+}
+
+void ExtProcBench::sendMessage(StreamKey stream, const wire::Request& request, ValueForm form) {
+  sendBytes(stream, wire::request(request, form == ValueForm::raw));
+}
+
+void ExtProcBench::sendBytes(StreamKey stream, const std::string& bytes) {
+  streams_.onMessage(stream, bytes);
+  settle();
+}
+
+void ExtProcBench::sendPhase(StreamKey stream, Phase phase) { sendMessage(stream, {phase, {}, false}); }
+
+void ExtProcBench::report(StreamKey stream, const std::string& nodeOutcome, wire::Headers more,
+                          const std::string& status) {
+  more.push_back({":status", status});
+  if (!nodeOutcome.empty()) more.push_back({"x-node-outcome", nodeOutcome});
+  sendMessage(stream, {Phase::responseHeaders, more, false});
+}
+
+wire::Headers ExtProcBench::loadReport(const std::string& role, std::int64_t behindMillis) const {
+  const Instant position = now_ - ms(behindMillis);
+  return {{"x-node-role", role}, {"x-node-position", std::to_string(position.inMicros() / 1000)}};
+}
+
+void ExtProcBench::halfClose(StreamKey stream) {
+  streams_.onHalfClosed(stream);
+  settle();
+}
+
+void ExtProcBench::resetStream(StreamKey stream) {
+  streams_.onEnded(stream);
+  settle();
+}
+
+void ExtProcBench::requestAndReset(StreamKey stream, const std::string& id,
+                                   const std::string& transactionClass) {
+  const wire::Headers headers{{"x-txn-id", id},
+                              {"x-txn-type", transactionClass},
+                              {"x-txn-group", "1"},
+                              {"x-txn-patience-ms", "1000"}};
+  streams_.onOpened(stream);
+  streams_.onMessage(stream, wire::request({Phase::requestHeaders, headers, false}));
+  streams_.onEnded(stream);
+  settle();
+}
+
+// --- Other events
+
+void ExtProcBench::updateEndpoints(const std::vector<std::string>& nodes, Health health) {
+  transactions_.onEndpointList(EndpointUpdateKind::delta, endpointList(nodes, health));
+  settle();
+}
+
+void ExtProcBench::advance(std::int64_t millis) {
+  const Instant until = now_ + ms(millis);
+  while (next_ != Instant() && next_ <= until) {
+    now_ = std::max(next_, now_ + Duration::micros(1));
+    turn();
+  }
+  now_ = until;
+  settle();
+}
+
+void ExtProcBench::turn() {
+  transactions_.advanceTo(now_);
+  streams_.endTurn();
+  next_ = transactions_.endTurn();
+  const Instant due = streams_.nextDue();
+  if (due != Instant() && (next_ == Instant() || due < next_)) next_ = due;
+}
+
+void ExtProcBench::settle() {
+  turn();
+  for (int i = 0; i < 100 && next_ != Instant() && next_ <= now_; ++i) turn();
+}
+
+void ExtProcBench::printCounts() {
+  const auto& counts = streams_.counts();
+  std::cout << "asked " << counts.requested << " granted " << counts.granted << " committed "
+            << counts.committed << " refused " << counts.rejected << " rolled back " << counts.rolledBack
+            << " unreported " << counts.unreported << " misused " << counts.misused << "; grants out "
+            << streams_.outstandingLeaseCount() << ", open txns " << transactions_.openCount()
+            << ", remembered " << streams_.rememberedTransactionCount() << "\n";
+}
+
+// --- Effects
+
+std::ostream& ExtProcBench::line(StreamKey stream) {
+  static std::ostream none(nullptr);
+  if (isQuiet) return none;
+  return std::cout << (now_ - kStart).inMicros() / 1000 << " ms: s" << stream << " ";
+}
+
+void ExtProcBench::send(StreamKey stream, std::string_view message) {
+  const wire::Response response = wire::readResponse(message);
+  std::ostream& out = line(stream);
+  if (response.wait > Duration()) {
+    out << "wait " << response.wait.inMicros() / 1000 << " ms more\n";
+  } else if (response.isImmediate) {
+    out << response.immediate.status;
+    for (const auto& [name, value] : response.immediate.headers) out << " " << name << "=" << value;
+    out << ", " << response.immediate.body;
+  } else if (response.phase == Phase::requestHeaders) {
+    printLease(out, stream, response.set);
+  } else {
+    out << "go on (" << static_cast<int>(response.phase) << ")";
+    for (const auto& [name, value] : response.set) out << " " << name << "=" << value;
+    out << "\n";
+  }
+}
+
+void ExtProcBench::printLease(std::ostream& out, StreamKey stream, const wire::Headers& headers) {
+  for (const auto& [name, value] : headers) {
+    if (name == "x-txn-submission") {
+      tokens_[stream] = value;
+      out << "as " << value << " ";
+      continue;
+    }
+    for (const std::string node : {"p", "a", "b"})
+      if (value == addressOf(node)) out << "to " << node << " ";
+    if (name == "x-txn-send-within-ms") out << "within " << value << " ms";
+  }
+  out << "\n";
+}
+
+void ExtProcBench::close(StreamKey stream, StreamCloseReason reason, std::string_view message) {
+  if (reason != StreamCloseReason::finished)
+    line(stream) << "closed (" << static_cast<int>(reason) << "): " << message << "\n";
+}
+
+void ExtProcBench::log(std::string_view event, const std::string& fields) {
+  if (!isQuiet) std::cout << "log " << event << " " << fields << "\n";
+}
+
+}  // namespace gulltrestle::ext_proc_test
--- /dev/null
+++ b/tests/ext_proc/cases.h
@@ -0,0 +1,23 @@
+// The cases of the test program, a function each; each prints its trace.
+#pragma once
+
+namespace gulltrestle::ext_proc_test {
+
+// requests.cpp
+void servesRequests();
+void heldRequests();
+void resetsCrossingDecisions();
+void retriesOfTransactions();
+void retriesAfterRestart();
+
+// limits.cpp
+void rejectsMalformedMessages();
+void unreportedOutcomes();
+void drainsLimitLeases();
+void streamAndMemoryLimits();
+void configFile();
+
+// same_decisions.cpp
+void sameDecisionsAsPostgres();
+
+}  // namespace gulltrestle::ext_proc_test
--- /dev/null
+++ b/tests/gateway/cases.h
@@ -0,0 +1,37 @@
+// The cases of the test program, a function each; each prints its trace.
+#pragma once
+
+namespace gulltrestle::gateway_test {
+
+// clients.cpp
+void servesReadsAndWrites();
+void startupMessages();
+void rejectsInvalidStatements();
+void slowAndFloodingClients();
+void closesIdleClientsAtLimit();
+void halfClosedClients();
+void pipelinedStatements();
+void withdrawsUnsentAttempts();
+
+// attempts.cpp
+void retriesUnexecutedWrites();
+void neverRetriesAmbiguousWrites();
+void cancelsAbandonedAttempts();
+void readOutdatedBeforeConnected();
+void partiallyWrittenStatements();
+
+// node_connections.cpp
+void idleNodeConnections();
+void bytesAfterAnswers();
+void malformedAnswers();
+void drainingNodes();
+void forgetsRemovedNodes();
+void connectionAndMemoryLimits();
+
+// process.cpp
+void shutdownSequence();
+void configReload();
+void closeReasonOutcomes();
+void transactionTrace();
+
+}  // namespace gulltrestle::gateway_test
