--- /dev/null
+++ b/tests/execution_gate.cpp
@@ -0,0 +1,239 @@
+// The transaction table with an execution gate: which transactions wait for it, and what it is notified of
+// each. Run as `execution_gate CASE`: prints the case's trace.
+#include "transactions/execution_gate.h"
+
+#include <utility>
+
+#include "trace.h"
+#include "transactions/transaction_table.h"
+
+using namespace gulltrestle;
+using namespace gulltrestle::transactions;
+using trace::ms;
+
+namespace {
+
+// Rows of the transaction classes.
+constexpr std::size_t kAtMostOnceWrite = 0, kRead = 1;
+
+// A transaction table whose handler, transport and gate print what they are notified of. Its one node is the
+// primary p.
+class GateBench final : DownstreamHandler, UpstreamTransport, ExecutionGate {
+ public:
+  GateBench() : transactions_(routingConfig(), 7, 1 << 20, [] {}) {
+    transactions_.advanceTo(now_);
+    transactions_.addTransport(*this);
+    transactions_.setExecutionGate(this);
+    transactions_.onEndpointList(EndpointUpdateKind::snapshot, endpointList());
+    transactions_.endTurn();
+  }
+
+  TxnId openWrite(const std::string& id) { return open(transactionOf(kAtMostOnceWrite), id); }
+  TxnId openRead(const std::string& id) { return open(transactionOf(kRead), id); }
+  TxnId openWriteThatMayHaveRun(const std::string& id) {
+    Transaction transaction = transactionOf(kAtMostOnceWrite);
+    transaction.priorAttempts.ambiguousAttemptAge = ms(10);
+    return open(std::move(transaction), id);
+  }
+  void turn(std::int64_t laterMillis = 0) {
+    now_ = now_ + ms(laterMillis);
+    transactions_.advanceTo(now_);
+    transactions_.endTurn();
+  }
+  void endAttempt(TxnId txn, AttemptOutcome outcome) {
+    if (outcome == AttemptOutcome::committed) transactions_.commit(txn, {"va", "lue", ""});
+    transactions_.onAttemptEnded({txn, 0}, "p", outcome);
+    turn();
+  }
+  TransactionTable& transactions() { return transactions_; }
+  bool requiresValues = true;
+  NodeId knownDraining;  // to the gate
+  void excludeNodes(std::set<NodeId> current, std::set<NodeId> upcoming, std::int64_t startsAfterMillis) {
+    transactions_.excludeNodes(std::move(current), std::move(upcoming), now_ + ms(startsAfterMillis));
+    turn();
+  }
+  void updateEndpoints(std::uint64_t version) {
+    transactions_.onEndpointList(EndpointUpdateKind::snapshot, endpointList(), version);
+    turn();
+    std::cout << "p is leaving: " << transactions_.endpoints().isDraining("p") << "\n";
+  }
+
+ private:
+  static RoutingConfig routingConfig() {
+    return trace::usualTerms(
+        {trace::type(ReadLevel::write, Effect::atMostOnce), trace::type(ReadLevel::any)});
+  }
+  static std::vector<ResolvedEndpoint> endpointList() {
+    EndpointEntry entry;
+    entry.node = "p";
+    entry.group = 1;
+    entry.primary = true;
+    return {{entry, "127.0.0.1:1"}};
+  }
+  static Transaction transactionOf(std::size_t transactionClass) {
+    Transaction transaction;
+    transaction.type = transactionClass;
+    transaction.group = 1;
+    transaction.remainingTime = ms(2000);
+    return transaction;
+  }
+  TxnId open(Transaction transaction, const std::string& id) {
+    const TxnId txn = transactions_.openTransaction(*this, ++lastOwner_, *this, std::move(transaction),
+                                                    {"text", 0, 0, 0, 0}, id);
+    std::cout << id << " is taken\n";
+    turn();
+    return txn;
+  }
+
+  // DownstreamHandler.
+  void committed(OwnerId owner, const ResultValue& value) override {
+    std::cout << "  front " << owner << ": committed '" << value[0] << value[1] << value[2] << "'\n";
+  }
+  void rejected(OwnerId owner, Duration retryAfter, unsigned) override {
+    std::cout << "  front " << owner << ": refused, retry after " << retryAfter.inMicros() / 1000 << "\n";
+  }
+  void rolledBack(OwnerId owner) override { std::cout << "  front " << owner << ": rolled back\n"; }
+  bool requiresValue() const override { return requiresValues; }
+
+  // UpstreamTransport.
+  void startAttempt(AttemptId attemptId, const NodeId& node) override {
+    if (!attemptId.isHealthCheck()) std::cout << "  carrier: " << attemptId.txn << " to " << node << "\n";
+  }
+  void cancelAttempt(AttemptId, const NodeId&) override {}
+  void onEndpointList(const std::vector<NodeId>&) override {}
+  void forgetNode(const NodeId&) override {}
+
+  // ExecutionGate.
+  void requestExecution(TxnId txn, std::string_view id, Duration remainingTime) override {
+    std::cout << "  guard: asked for " << txn << ", " << id << ", " << remainingTime.inMicros() / 1000
+              << " ms\n";
+  }
+  void onCommitted(TxnId txn, const ResultValue& value) override {
+    std::cout << "  guard: " << txn << " committed '" << value[0] << value[1] << value[2] << "'\n";
+  }
+  void amendEndpointList(EndpointUpdateKind, std::uint64_t version,
+                         std::vector<ResolvedEndpoint>& list) override {
+    for (auto& [entry, address] : list) {
+      std::cout << "  guard: list " << version << " names " << entry.node << "\n";
+      if (entry.node == knownDraining) entry.health = Health::draining;
+    }
+  }
+  void onTransactionEnded(TxnId txn, ExecutionOutcome outcome) override {
+    constexpr const char* kOutcomes[] = {"committed", "never ran", "unknown"};
+    std::cout << "  guard: " << txn << " over, " << kOutcomes[static_cast<int>(outcome)] << "\n";
+  }
+
+  TransactionTable transactions_;
+  Instant now_ = Instant() + ms(1'000'000);
+  OwnerId lastOwner_ = 0;
+};
+
+void executesAdmitted() {
+  GateBench bench;
+  bench.openRead("any read");
+  const TxnId first = bench.openWrite("b1");
+  bench.turn(30);
+  bench.transactions().admit(first);
+  bench.transactions().admit(first);
+  bench.turn();
+  bench.endAttempt(first, AttemptOutcome::committed);
+  for (const AttemptOutcome outcome : {AttemptOutcome::connectionLost, AttemptOutcome::notSent}) {
+    const TxnId txn = bench.openWrite("b2");
+    bench.transactions().admit(txn);
+    bench.turn();
+    bench.endAttempt(txn, outcome);
+    bench.turn(3000);
+  }
+}
+
+void answersWithoutExecuting() {
+  GateBench bench;
+  bench.transactions().answerRejected(bench.openWrite("b1"), ms(200));
+  bench.transactions().answerRolledBack(bench.openWrite("b2"));
+  bench.transactions().answerCommitted(bench.openWrite("b3"), {"known", "", ""});
+  bench.transactions().answerCommitted(bench.openWrite("b4"), {});
+  bench.requiresValues = false;
+  bench.transactions().answerCommitted(bench.openWrite("b5"), {});
+  std::cout << "a word that comes late\n";
+  bench.transactions().admit(6);
+  bench.transactions().answerRolledBack(6);
+  bench.turn();
+  std::cout << "open: " << bench.transactions().openCount() << "\n";
+}
+
+void clientLeaves() {
+  GateBench bench;
+  const TxnId awaitingGate = bench.openWrite("b1");
+  bench.transactions().onClientLeft(awaitingGate);
+  bench.transactions().admit(awaitingGate);
+  bench.turn();
+  const TxnId inFlight = bench.openWrite("b2");
+  bench.transactions().admit(inFlight);
+  bench.turn();
+  bench.transactions().onClientLeft(inFlight);
+  bench.endAttempt(inFlight, AttemptOutcome::cancelled);
+  std::cout << "tried elsewhere before\n";
+  const TxnId retried = bench.openWriteThatMayHaveRun("b3");
+  bench.transactions().admit(retried);
+  bench.turn();
+  std::cout << "open: " << bench.transactions().openCount() << "\n";
+}
+
+// What the gate knows of a node counts, in a list that comes and after it.
+void amendsEndpointLists() {
+  GateBench bench;
+  bench.updateEndpoints(7);
+  bench.transactions().markDraining({"p", "nobody"});
+  bench.turn();
+  std::cout << "learnt: p is leaving: " << bench.transactions().endpoints().isDraining("p") << "\n";
+  bench.updateEndpoints(8);
+  bench.knownDraining = "p";
+  bench.updateEndpoints(6);
+}
+
+// Nodes that are excluded, whatever lists say: now, and from a time on that is checked ahead of any event.
+void excludesNodes() {
+  GateBench bench;
+  const auto tryNode = [&](const char* situation) {
+    std::cout << situation << ": leaving " << bench.transactions().endpoints().isDraining("p") << "\n";
+    bench.transactions().requestLoadReport("p");
+    const TxnId txn = bench.openWrite("b");
+    bench.transactions().admit(txn);
+    bench.turn();
+    std::cout << "  out there: " << bench.transactions().hasAttemptAt({"p"}) << ", elsewhere "
+              << bench.transactions().hasAttemptAt({"q"}) << "\n";
+    const auto* attempt = bench.transactions().attempt({txn, 0});
+    if (attempt && !attempt->hasEnded) {
+      bench.endAttempt(txn, AttemptOutcome::committed);
+    } else {
+      bench.transactions().onClientLeft(txn);
+    }
+    bench.turn(5000);
+  };
+  tryNode("as ever");
+  bench.excludeNodes({}, {"p"}, 20'000);
+  tryNode("out in a while");
+  bench.updateEndpoints(3);
+  bench.turn(20'000);
+  tryNode("it stood still until after that");
+  bench.updateEndpoints(4);
+  bench.excludeNodes({}, {"p"}, 60'000);
+  tryNode("and has a lease again");
+  bench.excludeNodes({"p"}, {}, 0);
+  tryNode("out for good, whatever comes");
+  bench.excludeNodes({}, {}, 0);
+  tryNode("given back");
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  const std::map<std::string, void (*)()> cases{{"executes-admitted", executesAdmitted},
+                                                {"answers-without-executing", answersWithoutExecuting},
+                                                {"client-leaves", clientLeaves},
+                                                {"amends-endpoint-lists", amendsEndpointLists},
+                                                {"excludes-nodes", excludesNodes}};
+  const auto found = cases.find(argc > 1 ? argv[1] : "");
+  if (found == cases.end()) return 2;
+  found->second();
+}
--- /dev/null
+++ b/tests/lease_registry.cpp
@@ -0,0 +1,239 @@
+// The lease registry against a small world that knows the truth: every history up to a length is played, and
+// in none may an at-most-once transaction run twice, or be rejected though it ran. Run as `lease_registry
+// all-short-histories`: prints what was found.
+#include "endpoint_leases/lease_registry.h"
+
+#include <functional>
+#include <iostream>
+#include <map>
+#include <set>
+
+using namespace gulltrestle;
+using namespace gulltrestle::endpoint_leases;
+
+namespace {
+
+const std::string kId = "x";
+
+TransactionClass classOf(Effect effect) {
+  TransactionClass transactionClass;
+  transactionClass.effect = effect;
+  transactionClass.deadline = Duration::millis(2000);
+  return transactionClass;
+}
+
+// Whose request a stream carries: the proxy that retries, or another client that uses the same id.
+enum class Requester { proxy, stranger };
+
+// One id, requested by a proxy that retries and by a stranger. Both report the truth where they report
+// anything; what they don't know they don't report.
+struct World {
+  World(Effect effect, ProxyPlacement ofProxy)
+      : transactionClass(classOf(effect)),
+        placement(ofProxy),
+        registry({transactionClass}, placement, {.maxTransactionsPerKind = 100}, "start0") {}
+
+  struct Stream {
+    LeaseRequest request;
+    Requester requester = Requester::proxy;
+    bool hasLease = false, hasRun = false, isWaiting = false;
+  };
+  using Step = std::function<void(World&)>;
+  struct NamedStep {
+    std::string name;
+    Step step;
+  };
+
+  bool isAtMostOnce() const { return transactionClass.effect == Effect::atMostOnce; }
+
+  // --- Steps
+
+  void request(Requester requester, WriteProgress writeProgress) {
+    const bool isProxy = requester == Requester::proxy;
+    LeaseRequest leaseRequest;
+    leaseRequest.id = kId;
+    leaseRequest.attempt = isProxy ? ++proxyAttempts : 1;
+    leaseRequest.writeProgress = writeProgress;
+    leaseRequest.remainingTime = Duration::millis(1000);
+    if (isProxy) {
+      leaseRequest.token = proxyToken;
+      // A proxy that retries uses no lease of an earlier attempt any more.
+      for (auto& [key, stream] : streams)
+        if (stream.requester == Requester::proxy) stream.hasLease = stream.hasLease && stream.hasRun;
+    }
+    const StreamKey key = ++lastStream;
+    streams[key] = {leaseRequest, requester};
+    requestLease(key);
+  }
+
+  void requestLease(StreamKey key) {
+    Stream& stream = streams.at(key);
+    const LeaseDecision decision = registry.requestLease(now, key, stream.request);
+    stream.isWaiting = decision.action == LeaseDecision::Action::wait;
+    if (stream.isWaiting) return;
+    if (decision.action == LeaseDecision::Action::answer) {
+      if (decision.outcome == FinalOutcome::rejected) checkRejection();
+      if (decision.outcome == FinalOutcome::committed) fault = "committed without a node";
+      streams.erase(key);
+      return;
+    }
+    if (decision.supersededStream != 0) streams.erase(decision.supersededStream);
+    // The router's rule on what may have run.
+    if (decision.priorAttempts.ambiguousAttemptAge && isAtMostOnce()) {
+      registry.onAnswered(now, kId, key, FinalOutcome::rolledBack);
+      streams.erase(key);
+      return;
+    }
+    const std::string token = registry.onLeaseGranted(now, kId, key, "n");
+    if (token.empty()) {
+      fault = "taken and not granted";
+      return;
+    }
+    if (stream.requester == Requester::proxy) proxyToken = token;
+    stream.hasLease = true;
+  }
+
+  void run(StreamKey key) {
+    Stream& stream = streams.at(key);
+    stream.hasRun = true;
+    hasProxyWritten = hasProxyWritten || stream.requester == Requester::proxy;
+    ++runCount;
+    if (isAtMostOnce() && runCount > 1) fault = "ran twice";
+  }
+
+  void report(StreamKey key, AttemptOutcome attemptOutcome) {
+    registry.onAttemptEnded(now, kId, key, attemptOutcome);
+    const FinalOutcome outcome = finalOutcomeOf(attemptOutcome);
+    if (outcome == FinalOutcome::rejected) checkRejection();
+    registry.onAnswered(now, kId, key, outcome);
+    streams.erase(key);
+  }
+
+  void resetStream(StreamKey key) {
+    registry.onStreamCancelled(now, kId, key);
+    streams.erase(key);
+  }
+
+  void restart() {
+    const std::string incarnation = "start" + std::to_string(++restartCount);
+    registry = LeaseRegistry({transactionClass}, placement, {.maxTransactionsPerKind = 100}, incarnation);
+    streams.clear();
+  }
+
+  void passTime() {
+    now = now + Duration::millis(60);
+    std::vector<StreamKey> waiting;
+    for (const auto& [key, stream] : streams)
+      if (stream.isWaiting) waiting.push_back(key);
+    for (const StreamKey key : waiting)
+      if (streams.contains(key)) requestLease(key);
+  }
+
+  // What can happen next.
+  std::vector<NamedStep> nextSteps() const {
+    std::vector<NamedStep> steps;
+    addRequests(steps);
+    for (const auto& [key, stream] : streams) addStreamSteps(steps, key, stream);
+    if (restartCount < 2 && !hasStranger) steps.push_back({"restart", [](World& w) { w.restart(); }});
+    steps.push_back({"pass", [](World& w) { w.passTime(); }});
+    return steps;
+  }
+
+  std::string fault;  // empty: none was found
+  int runCount = 0;
+
+ private:
+  void checkRejection() {
+    if (isAtMostOnce() && runCount > 0) fault = "refused though it ran";
+  }
+
+  FinalOutcome finalOutcomeOf(AttemptOutcome outcome) const {
+    if (outcome == AttemptOutcome::committed) return FinalOutcome::committed;
+    const bool mayRetry = outcome == AttemptOutcome::noConnection || !isAtMostOnce();
+    return mayRetry ? FinalOutcome::rejected : FinalOutcome::rolledBack;
+  }
+
+  void addRequests(std::vector<NamedStep>& steps) const {
+    if (proxyAttempts < 3) {
+      steps.push_back({"try", [](World& w) { w.request(Requester::proxy, WriteProgress::unknown); }});
+      if (proxyAttempts > 0 && !hasProxyWritten)
+        steps.push_back({"try,none", [](World& w) { w.request(Requester::proxy, WriteProgress::none); }});
+    }
+    // A restart forgets ids: two clients that use one are not told apart across it
+    // (docs/external-processor.md).
+    if (lastStream < 4 && restartCount == 0)
+      steps.push_back({"stranger", [](World& w) {
+                         w.hasStranger = true;
+                         w.request(Requester::stranger, WriteProgress::unknown);
+                       }});
+  }
+
+  static void addStreamSteps(std::vector<NamedStep>& steps, StreamKey key, const Stream& stream) {
+    const std::string number = std::to_string(key);
+    if (stream.hasLease && !stream.hasRun) {
+      steps.push_back({"run" + number, [key](World& w) { w.run(key); }});
+      steps.push_back({"never" + number, [key](World& w) { w.report(key, AttemptOutcome::noConnection); }});
+    }
+    if (stream.hasLease && stream.hasRun) {
+      steps.push_back({"commit" + number, [key](World& w) { w.report(key, AttemptOutcome::committed); }});
+      steps.push_back({"lost" + number, [key](World& w) { w.report(key, AttemptOutcome::connectionLost); }});
+    }
+    steps.push_back({"reset" + number, [key](World& w) { w.resetStream(key); }});
+  }
+
+  TransactionClass transactionClass;
+  ProxyPlacement placement;
+  LeaseRegistry registry;
+  Instant now = Instant::atMicros(1'000'000'000);
+  int restartCount = 0;
+  StreamKey lastStream = 0;
+  std::map<StreamKey, Stream> streams;
+  std::string proxyToken;  // of the last lease that the proxy has seen
+  unsigned proxyAttempts = 0;
+  bool hasProxyWritten = false;  // some attempt of the proxy was written
+  bool hasStranger = false;      // a stranger has used the id
+};
+
+struct Findings {
+  std::uint64_t histories = 0, faults = 0, ranOnce = 0, ranMore = 0, neverRan = 0;
+  std::string firstFault;
+};
+
+void playAll(const World& world, int stepsLeft, const std::string& history, Findings& findings) {
+  if (stepsLeft == 0) {
+    ++findings.histories;
+    ++(world.runCount == 0 ? findings.neverRan : world.runCount == 1 ? findings.ranOnce : findings.ranMore);
+    return;
+  }
+  for (const auto& [name, step] : world.nextSteps()) {
+    World after = world;
+    step(after);
+    if (!after.fault.empty()) {
+      if (findings.faults++ == 0) findings.firstFault = history + " " + name + ": " + after.fault;
+      continue;
+    }
+    playAll(after, stepsLeft - 1, history + " " + name, findings);
+  }
+}
+
+void printFindings(const char* subject, Effect effect, ProxyPlacement placement) {
+  constexpr int kSteps = 8;
+  Findings findings;
+  playAll(World(effect, placement), kSteps, "", findings);
+  std::cout << subject << ": " << findings.histories << " histories of " << kSteps << " steps, never ran in "
+            << findings.neverRan << ", ran once in " << findings.ranOnce << ", more often in "
+            << findings.ranMore << "; faults " << findings.faults << findings.firstFault << "\n";
+}
+
+void allShortHistories() {
+  printFindings("once-only, asked once a try", Effect::atMostOnce, ProxyPlacement::perAttempt);
+  printFindings("once-only, asked once a request", Effect::atMostOnce, ProxyPlacement::perRequest);
+  printFindings("repeatable, asked once a try", Effect::idempotent, ProxyPlacement::perAttempt);
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  if (argc < 2 || std::string(argv[1]) != "all-short-histories") return 2;
+  allShortHistories();
+}
--- /dev/null
+++ b/tests/poll_schedule.cpp
@@ -0,0 +1,76 @@
+// When discovery is polled. Run as `poll_schedule CASE`: prints the times chosen, and what many routers that
+// poll so bring about.
+#include "discovery/poll_schedule.h"
+
+#include <deque>
+#include <functional>
+#include <iostream>
+#include <map>
+#include <queue>
+#include <string>
+#include <vector>
+
+using namespace gulltrestle;
+using discovery::PollSchedule;
+
+namespace {
+
+std::int64_t inMillis(Duration duration) { return duration.inMicros() / 1000; }
+
+void pollIntervals() {
+  for (const bool isPolled : {false, true})
+    for (const int grace : {2000, 1000, 500, 250, 0}) {
+      PollSchedule schedule(isPolled, Duration::millis(grace), 7);
+      std::cout << (isPolled ? "asked for" : "pushed") << ", grace " << grace << ": an answer is waited for "
+                << inMillis(schedule.silence(false, false)) << ", its rest "
+                << inMillis(schedule.silence(false, true)) << ", a watch's first word "
+                << inMillis(schedule.silence(true, false)) << ", its next "
+                << inMillis(schedule.silence(true, true)) << "; pauses";
+      for (int i = 0; i < 6; ++i) std::cout << " " << inMillis(schedule.pause());
+      schedule.answered();
+      std::cout << ", after an answer " << inMillis(schedule.pause()) << "\n";
+    }
+}
+
+// One discovery service for all, which rejects every call while more than a tenth of the routers have called
+// within the last quarter of a second, be they rejected or not. All start at once and stop once they are
+// answered.
+void manyRoutersAtOnce() {
+  for (const bool isPolled : {false, true})
+    for (const int routers : {30, 340}) {
+      std::vector<PollSchedule> schedules;
+      std::priority_queue<std::pair<Duration, int>, std::vector<std::pair<Duration, int>>, std::greater<>>
+          due;
+      for (int i = 0; i < routers; ++i) {
+        schedules.emplace_back(isPolled, Duration::seconds(1), static_cast<std::uint64_t>(i));
+        due.push({Duration::micros(i), i});
+      }
+      std::deque<Duration> recentCalls;
+      Duration lastAnswered;
+      long callCount = 0;
+      while (!due.empty() && due.top().first < Duration::seconds(60)) {
+        const auto [now, i] = due.top();
+        due.pop();
+        ++callCount;
+        recentCalls.push_back(now);
+        while (now - recentCalls.front() > Duration::millis(250)) recentCalls.pop_front();
+        if (std::ssize(recentCalls) * 10 > routers)
+          due.push({now + schedules[static_cast<std::size_t>(i)].pause(), i});
+        else
+          lastAnswered = now;
+      }
+      std::cout << (isPolled ? "asked for" : "pushed") << ", " << routers << " routers: " << due.size()
+                << " without a list after a minute, the last answered after " << inMillis(lastAnswered)
+                << " ms, " << callCount << " calls\n";
+    }
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  const std::map<std::string, void (*)()> cases{{"poll-intervals", pollIntervals},
+                                                {"many-routers-at-once", manyRoutersAtOnce}};
+  const auto found = argc == 2 ? cases.find(argv[1]) : cases.end();
+  if (found == cases.end()) return 2;
+  found->second();
+}
