--- a/examples/toy_proxy.cpp
+++ b/examples/toy_proxy.cpp
@@ -35,14 +35,14 @@
                               {"x-txn-group", "1"},
                               {"x-txn-session", "toy"}};
     if (!writeAge.empty()) headers.push_back({"x-txn-write-age-ms", writeAge});
-    proxy.ask(headers, type == "order", Duration::millis(900),
-              [this, type](const fake_servers::Answer& answer) {
-                std::string from = "nobody";
-                for (const auto* node : {&primary, &one, &two})
-                  if (node->address() == answer.from) from = node->id();
-                std::cout << type << ": " << answer.status << " " << answer.outcome << ", answered by "
-                          << from << std::endl;
-              });
+    proxy.send({.headers = headers, .isWrite = type == "order", .remainingTime = Duration::millis(900)},
+               [this, type](const fake_servers::Answer& answer) {
+                 std::string from = "nobody";
+                 for (const auto* node : {&primary, &one, &two})
+                   if (node->address() == answer.nodeAddress) from = node->id();
+                 std::cout << type << ": " << answer.status << " " << answer.outcome << ", answered by "
+                           << from << std::endl;
+               });
   }
 };
 
@@ -51,11 +51,11 @@
   const auto busy = [&toy, last = 0](const std::string&) mutable {
     if (toy.asked % 10 != 0 || toy.asked == last) return fake_servers::Fault::none;
     last = toy.asked;
-    return fake_servers::Fault::turnAway;
+    return fake_servers::Fault::rejection;
   };
   for (auto* node : {&toy.primary, &toy.one, &toy.two}) {
-    toy.discovery.set({node->id(), node->address(), "up", node->primary, 1});
-    node->fault = busy;
+    toy.discovery.set({node->id(), node->address(), "up", node->isPrimary, 1});
+    node->chooseFault = busy;
     node->lag = Duration::millis(300);
   }
   for (;;) {
--- a/src/downstream/ext_proc/request_streams.cpp
+++ b/src/downstream/ext_proc/request_streams.cpp
@@ -216,8 +216,8 @@
     setDeadline(key, stream, stream.hold.answerBy);
     return;
   }
-  // The decision modules know how long the transaction may be held and have given it up by now; a stream that
-  // waits for another one is unknown to them. Guards the one final answer: the proxy stops waiting a moment
+  // The router knows how long the transaction may be held and has given it up by now; a stream that waits for
+  // another one is unknown to it. Guards the one final answer: the proxy stops waiting a moment
   // later.
   if (deadline < stream.hold.answerBy) return;
   if (stream.txn != 0) transactions_.onClientLeft(stream.txn);
--- a/src/downstream/ext_proc/request_streams.h
+++ b/src/downstream/ext_proc/request_streams.h
@@ -65,7 +65,7 @@
                  endpoint_leases::LeaseRegistry leaseRegistry, endpoint_leases::DrainRule drainRule,
                  Bounds bounds, Effects& effects);
 
-  // --- Events, after the table of transactions was told the time.
+  // --- Events, after TransactionTable::advanceTo() for their time.
 
   void onOpened(StreamKey key);
   void onMessage(StreamKey key, std::string_view bytes);
--- a/src/downstream/postgres/client_sessions.h
+++ b/src/downstream/postgres/client_sessions.h
@@ -48,7 +48,7 @@
                  const RoutingConfig& config, const std::vector<std::string>& classNames, Bounds bounds,
                  Effects& effects);
 
-  // --- Events, after the table of transactions was told the time.
+  // --- Events, after TransactionTable::advanceTo() for their time.
 
   void onOpened(ClientId id);
   // Returns how many bytes were consumed; the rest is offered again, with more behind it, after readClient().
--- a/src/endpoint_leases/lease_duration.h
+++ b/src/endpoint_leases/lease_duration.h
@@ -33,7 +33,7 @@
 // How long a proxy waits for an answer to its message.
 struct MessageTimeout {
   Duration timeout = Duration::millis(200);
-  Duration maxExtension;  // what it may be asked to wait instead, once; zero: it may not
+  Duration maxExtension;  // how long it may be requested to wait instead, once; zero: it may not
 };
 
 // What to do while a proxy's request is held.
--- a/src/endpoint_leases/lease_registry.h
+++ b/src/endpoint_leases/lease_registry.h
@@ -89,7 +89,7 @@
   LeaseRegistry(std::vector<TransactionClass> classes, ProxyPlacement placement, RegistryBounds bounds,
                 std::string incarnation);
 
-  // A stream requests a lease. Called again for one that was told to wait.
+  // A stream requests a lease. Called again for one that was to wait.
   LeaseDecision requestLease(Instant now, StreamKey stream, const LeaseRequest& request);
   // The requesting stream was granted a lease at the node. Returns the lease's token; empty, without effect,
   // if the stream's request is superseded.
--- a/src/testing/fake_servers/fake_node.cpp
+++ b/src/testing/fake_servers/fake_node.cpp
@@ -4,6 +4,7 @@
 #include <sys/socket.h>
 
 #include <charconv>
+#include <string_view>
 
 #include "runtime/event_loop/sockets.h"
 
@@ -13,6 +14,14 @@
 
 constexpr const char* kHost = "127.0.0.1";
 
+// Longer than any test.
+constexpr Duration kHangTime = Duration::millis(3'600'000);
+
+// Of a watch: how often it looks for changes, and after what time without any it sends an empty line.
+constexpr Duration kWatchInterval = Duration::millis(5), kKeepaliveInterval = Duration::millis(2000);
+// Stands ahead of the version after which changes are wanted.
+constexpr std::string_view kWatchParameter = "index=";
+
 std::string addressOf(const event_loop::Stream& listener) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
@@ -20,104 +29,122 @@
   return std::string(kHost) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-// What one side of a connection has read and not taken yet.
-struct Wire {
-  Wire(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
+// One side of a connection, with what was read on it and not consumed yet.
+struct Connection {
+  Connection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
       : stream(loop, std::move(descriptor)) {}
   event_loop::Stream stream;
-  std::string kept;
-  bool over = false;
+  std::string received;
+  bool hasEnded = false;
 
   void read() {
     char bytes[4096];
-    while (stream.canRead() && !over) {
+    while (stream.canRead() && !hasEnded) {
       const auto got = stream.read(bytes);
-      if (got.how == event_loop::Io::some) kept.append(bytes, got.size);
-      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) over = true;
+      if (got.how == event_loop::Io::some) received.append(bytes, got.size);
+      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) hasEnded = true;
     }
   }
+  // Fake servers send short messages: one that can't be written at once has lost its peer.
   void write(std::string_view bytes) {
     const auto done = stream.write({&bytes, 1});
-    if (done.how != event_loop::Io::some)
-      over = true;  // what stand-ins say is short: it fits or the peer is gone
+    if (done.how != event_loop::Io::some) hasEnded = true;
   }
 };
 
 // Serves each connection that comes, for as long as the loop runs.
 event_loop::Task acceptAll(event_loop::Stream& listener, std::function<void(event_loop::Descriptor)> serve) {
   for (;;) {
-    event_loop::Descriptor taken;
-    if (listener.accept(taken) == event_loop::Io::some)
-      serve(std::move(taken));
-    else
+    event_loop::Descriptor accepted;
+    if (listener.accept(accepted) == event_loop::Io::some) {
+      serve(std::move(accepted));
+    } else {
       co_await listener.changed();
+    }
   }
 }
 
-// A head's first line and the value of a field, both in lower case names.
-std::string field(std::string_view head, std::string_view name) {
-  const auto at = head.find("\r\n" + std::string(name) + ": ");
-  if (at == std::string_view::npos) return "";
-  const auto from = at + name.size() + 4;
-  return std::string(head.substr(from, head.find("\r\n", from) - from));
+// The value of a header, whose name is in lower case; empty: it is absent.
+std::string headerOf(std::string_view head, std::string_view name) {
+  const std::string prefix = "\r\n" + std::string(name) + ": ";
+  const auto found = head.find(prefix);
+  if (found == std::string_view::npos) return "";
+  const auto begin = found + prefix.size();
+  return std::string(head.substr(begin, head.find("\r\n", begin) - begin));
+}
+
+// Appends an entry of the endpoint list to those before it.
+void appendEntry(std::string& entries, const FakeDiscovery::Entry& entry) {
+  if (!entries.empty()) entries += ",";
+  entries += R"({"id":")" + entry.id + R"(","addr":")" + entry.address +
+             R"(","zone":"a","kind":"k","cell":)" + std::to_string(entry.group) + R"(,"state":")" +
+             entry.state + R"(","part":")" + (entry.isPrimary ? "master" : "replica") +
+             R"(","started_ms":0})";
+}
+
+// A chunk of a body in chunked transfer coding.
+std::string chunkOf(const std::string& bytes) {
+  char size[20];
+  const auto end = std::to_chars(size, size + sizeof size, bytes.size(), 16).ptr;
+  return std::string(size, end) + "\r\n" + bytes + "\r\n";
 }
 
 }  // namespace
 
-FakeNode::FakeNode(event_loop::EventLoop& loop, std::string id, bool isPrimary)
-    : primary(isPrimary),
+FakeNode::FakeNode(event_loop::EventLoop& loop, std::string id, bool startsAsPrimary)
+    : isPrimary(startsAsPrimary),
       loop_(loop),
       id_(std::move(id)),
       listener_(std::make_unique<event_loop::Stream>(loop, event_loop::listenOn(kHost, 0))) {
-  loop_.spawn(
-      acceptAll(*listener_, [this](event_loop::Descriptor taken) { loop_.spawn(serve(std::move(taken))); }));
+  loop_.spawn(acceptAll(
+      *listener_, [this](event_loop::Descriptor accepted) { loop_.spawn(serve(std::move(accepted))); }));
 }
 FakeNode::~FakeNode() = default;
 
 std::string FakeNode::address() const { return addressOf(*listener_); }
 
-std::string FakeNode::head(int status, const std::string& outcome) const {
-  const auto position = (loop_.now() - (primary ? Duration() : lag)).inMicros() / 1000;
-  return "HTTP/1.1 " + std::to_string(status) + " x\r\nx-node-role: " + (primary ? "primary" : "replica") +
-         "\r\nx-node-position: " + std::to_string(position) + "\r\nx-node-outcome: " + outcome +
-         "\r\ncontent-length: 0\r\n\r\n";
+std::string FakeNode::responseHead(int status, const std::string& outcome) const {
+  const Instant position = loop_.now() - (isPrimary ? Duration() : lag);
+  return "HTTP/1.1 " + std::to_string(status) + " x\r\nx-node-role: " + (isPrimary ? "primary" : "replica") +
+         "\r\nx-node-position: " + std::to_string(position.inMicros() / 1000) +
+         "\r\nx-node-outcome: " + outcome + "\r\ncontent-length: 0\r\n\r\n";
 }
 
 event_loop::Task FakeNode::serve(event_loop::Descriptor descriptor) {
-  Wire wire(loop_, std::move(descriptor));
-  while (!wire.over) {
-    wire.read();
-    const auto end = wire.kept.find("\r\n\r\n");
-    if (end == std::string::npos) {
-      if (!wire.over) co_await wire.stream.changed();
+  Connection connection(loop_, std::move(descriptor));
+  while (!connection.hasEnded) {
+    connection.read();
+    const auto headEnd = connection.received.find("\r\n\r\n");
+    if (headEnd == std::string::npos) {
+      if (!connection.hasEnded) co_await connection.stream.changed();
       continue;
     }
-    const std::string request = wire.kept.substr(0, end + 2);
-    wire.kept.erase(0, end + 4);
-    if (down) co_return;
+    const std::string request = connection.received.substr(0, headEnd + 2);
+    connection.received.erase(0, headEnd + 4);
+    if (isDown) co_return;
     if (request.starts_with("GET /standing ")) {
-      ++probes;
-      wire.write(head(200, "committed"));
+      ++healthCheckCount;
+      connection.write(responseHead(200, "committed"));
       continue;
     }
-    ++requests;
-    const std::string txn = field(request, "x-txn-id");
-    const bool write = request.starts_with("POST");
-    const Fault what = fault ? fault(txn) : Fault::none;
-    if (what == Fault::cutBefore) co_return;
-    if (what == Fault::turnAway) {
-      wire.write(head(503, "turned-away"));
+    ++requestCount;
+    const std::string txn = headerOf(request, "x-txn-id");
+    const Fault fault = chooseFault ? chooseFault(txn) : Fault::none;
+    const bool isWriteAtReplica = request.starts_with("POST") && !isPrimary;
+    if (fault == Fault::closeBeforeRun) co_return;
+    if (fault == Fault::rejection) {
+      connection.write(responseHead(503, "turned-away"));
       continue;
     }
-    if (what == Fault::missAnswer || (write && !primary)) {
-      writesAsReplica += write && !primary;
-      wire.write(head(421, "miss"));
+    if (fault == Fault::wrongNode || isWriteAtReplica) {
+      if (isWriteAtReplica) ++writesAsReplicaCount;
+      connection.write(responseHead(421, "miss"));
       continue;
     }
-    ++runs[txn];
-    if (what == Fault::cutAfter) co_return;
-    co_await loop_.sleepUntil(loop_.now() + (what == Fault::hang ? Duration::millis(3'600'000) : work));
-    wire.write(what == Fault::error ? head(500, "error") : head(200, "committed"));
+    ++runCounts[txn];
+    if (fault == Fault::closeAfterRun) co_return;
+    co_await loop_.sleepUntil(loop_.now() + (fault == Fault::hang ? kHangTime : executionTime));
+    connection.write(fault == Fault::error ? responseHead(500, "error") : responseHead(200, "committed"));
   }
 }
 
@@ -125,8 +152,8 @@
 
 FakeDiscovery::FakeDiscovery(event_loop::EventLoop& loop, unsigned short port)
     : loop_(loop), listener_(std::make_unique<event_loop::Stream>(loop, event_loop::listenOn(kHost, port))) {
-  loop_.spawn(
-      acceptAll(*listener_, [this](event_loop::Descriptor taken) { loop_.spawn(serve(std::move(taken))); }));
+  loop_.spawn(acceptAll(
+      *listener_, [this](event_loop::Descriptor accepted) { loop_.spawn(serve(std::move(accepted))); }));
 }
 FakeDiscovery::~FakeDiscovery() = default;
 
@@ -135,58 +162,61 @@
 void FakeDiscovery::set(const Entry& entry) { entries_[entry.id] = {++version_, entry}; }
 
 // The object stays: the coroutines of its connections refer to it.
-void FakeDiscovery::beginAnew() {
+void FakeDiscovery::restart() {
   entries_.clear();
   version_ = 1;
-  ++starts_;
+  ++incarnation_;
 }
 
-std::string FakeDiscovery::list(std::uint64_t after, bool whole) const {
-  std::string servers;
-  for (const auto& [id, held] : entries_) {
-    const auto& [version, entry] = held;
-    if (!whole && version <= after) continue;
-    servers += std::string(servers.empty() ? "" : ",") + R"({"id":")" + id + R"(","addr":")" + entry.address +
-               R"(","zone":"a","kind":"k","cell":)" + std::to_string(entry.group) + R"(,"state":")" +
-               entry.state + R"(","part":")" + (entry.primary ? "master" : "replica") +
-               R"(","started_ms":0})";
-  }
-  return R"({"version":)" + std::to_string(version_) + R"(,"full":)" + (whole ? "true" : "false") +
-         R"(,"servers":[)" + servers + "]}\n";
+std::string FakeDiscovery::fullList() const {
+  std::string entries;
+  for (const auto& [id, versioned] : entries_) appendEntry(entries, versioned.entry);
+  return documentOf(entries, true);
+}
+
+std::string FakeDiscovery::changesAfter(std::uint64_t version) const {
+  std::string entries;
+  for (const auto& [id, versioned] : entries_)
+    if (versioned.version > version) appendEntry(entries, versioned.entry);
+  return documentOf(entries, false);
+}
+
+std::string FakeDiscovery::documentOf(const std::string& entries, bool isFull) const {
+  return R"({"version":)" + std::to_string(version_) + R"(,"full":)" + (isFull ? "true" : "false") +
+         R"(,"servers":[)" + entries + "]}\n";
 }
 
 event_loop::Task FakeDiscovery::serve(event_loop::Descriptor descriptor) {
-  const std::uint64_t start = starts_;
-  Wire wire(loop_, std::move(descriptor));
-  for (wire.read(); !wire.over && wire.kept.find("\r\n\r\n") == std::string::npos; wire.read())
-    co_await wire.stream.changed();
-  const auto at = wire.kept.find("index=");
-  if (at == std::string::npos) {
-    const std::string body = list(0, true);
-    if (!silent)
-      wire.write("HTTP/1.1 200 OK\r\ncontent-length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+  const std::uint64_t incarnation = incarnation_;
+  Connection connection(loop_, std::move(descriptor));
+  for (connection.read(); !connection.hasEnded && connection.received.find("\r\n\r\n") == std::string::npos;
+       connection.read())
+    co_await connection.stream.changed();
+  const auto index = connection.received.find(kWatchParameter);
+  if (index == std::string::npos) {
+    const std::string body = fullList();
+    if (!isSilent)
+      connection.write("HTTP/1.1 200 OK\r\ncontent-length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                       body);
     co_return;
   }
-  std::uint64_t told = 0;
-  std::from_chars(wire.kept.data() + at + 6, wire.kept.data() + wire.kept.size(), told);
-  const auto chunk = [&](const std::string& body) {
-    char size[20];
-    const auto end = std::to_chars(size, size + sizeof size, body.size(), 16).ptr;
-    wire.write(std::string(size, end) + "\r\n" + body + "\r\n");
-  };
-  wire.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-  Instant heardAt = loop_.now();
-  while (!wire.over && start == starts_) {
-    if (!silent && told < version_) {
-      chunk(list(told, false));
-      told = version_;
-      heardAt = loop_.now();
-    } else if (!silent && loop_.now() - heardAt > Duration::millis(2000)) {
-      chunk("\n");
-      heardAt = loop_.now();
+  const char* received = connection.received.data();
+  std::uint64_t sentVersion = 0;
+  std::from_chars(received + index + kWatchParameter.size(), received + connection.received.size(),
+                  sentVersion);
+  connection.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+  Instant sentAt = loop_.now();
+  while (!connection.hasEnded && incarnation == incarnation_) {
+    if (!isSilent && sentVersion < version_) {
+      connection.write(chunkOf(changesAfter(sentVersion)));
+      sentVersion = version_;
+      sentAt = loop_.now();
+    } else if (!isSilent && loop_.now() - sentAt > kKeepaliveInterval) {
+      connection.write(chunkOf("\n"));
+      sentAt = loop_.now();
     }
-    co_await loop_.sleepUntil(loop_.now() + Duration::millis(5));
-    wire.read();
+    co_await loop_.sleepUntil(loop_.now() + kWatchInterval);
+    connection.read();
   }
 }
 
--- a/src/testing/fake_servers/fake_proxy.cpp
+++ b/src/testing/fake_servers/fake_proxy.cpp
@@ -1,139 +1,67 @@
 #include "testing/fake_servers/fake_proxy.h"
 
-#include <deque>
-
 #include "config/router_config.h"
-#include "protocol/grpc/server_calls.h"
 #include "runtime/event_loop/sockets.h"
+#include "testing/fake_servers/fake_proxy_connections.h"
 
 namespace gulltrestle::fake_servers {
 
 namespace {
 
-constexpr Duration kTick = Duration::millis(1);              // how often a waiting step looks again
+constexpr Duration kTick = Duration::millis(1);              // how often a step that waits checks again
 constexpr Duration kConnectTimeout = Duration::millis(100);  // for the connection to the processor
 
 using ext_proc::Phase;
 
-}  // namespace
-
-// One stream to the processor.
-struct FakeProxy::Call {
-  std::string kept;
-  std::deque<ext_proc::Response> answers;
-  bool over = false;
-};
-
-// The connection to the processor.
-struct FakeProxy::Link final : http2::Handler {
-  Link(event_loop::EventLoop& onLoop, event_loop::Descriptor descriptor)
-      : stream(onLoop, std::move(descriptor)), session(http2::Session::Side::client, {}, *this) {}
-
-  void headers(http2::StreamId id, http2::Headers) override { (void)id; }
-  void data(http2::StreamId id, std::string_view bytes) override {
-    const auto at = calls.find(id);
-    if (at == calls.end()) return;
-    Call& call = *at->second;
-    call.kept += bytes;
-    std::string_view left = call.kept, message;
-    while (grpc::cutMessage(left, 1 << 20, message) == grpc::Cut::message)
-      call.answers.push_back(ext_proc::readResponse(message));
-    call.kept.erase(0, call.kept.size() - left.size());
-  }
-  void halfClosed(http2::StreamId) override {}
-  void closed(http2::StreamId id, http2::Code) override {
-    const auto at = calls.find(id);
-    if (at == calls.end()) return;
-    at->second->over = true;
-    calls.erase(at);
-  }
-
-  std::shared_ptr<Call> open(http2::StreamId& id) {
-    id = session.request({{":method", "POST"},
-                          {":scheme", "http"},
-                          {":path", std::string(ext_proc::kMethod)},
-                          {":authority", "processor"},
-                          {"content-type", "application/grpc"},
-                          {"te", "trailers"}});
-    auto call = std::make_shared<Call>();
-    if (id == 0)
-      call->over = true;
-    else
-      calls[id] = call;
-    return call;
-  }
-  void send(http2::StreamId id, const ext_proc::Request& request) {
-    session.send(id, grpc::framed(ext_proc::request(request)));
-    flush();
-  }
-  void flush() {
-    if (!up || over) return;
-    unsent += session.output();
-    while (!unsent.empty()) {
-      const std::string_view all = unsent;
-      const auto done = stream.write({&all, 1});
-      if (done.how == event_loop::Io::failed) over = true;
-      if (done.how != event_loop::Io::some) break;
-      unsent.erase(0, done.size);
-    }
-  }
-
-  event_loop::Stream stream;
-  http2::Session session;
-  std::map<http2::StreamId, std::shared_ptr<Call>> calls;
-  std::string unsent;
-  bool up = false, over = false;
-};
+// Whether a fault is wanted now.
+bool occurs(const std::function<bool()>& fault) { return fault && fault(); }
 
-struct FakeProxy::Upstream {
-  Upstream(event_loop::EventLoop& onLoop, event_loop::Descriptor descriptor)
-      : stream(onLoop, std::move(descriptor)) {}
-  event_loop::Stream stream;
-};
+}  // namespace
 
-FakeProxy::FakeProxy(event_loop::EventLoop& loop, FakeProxyConfig setup)
-    : loop_(loop), setup_(std::move(setup)) {}
+FakeProxy::FakeProxy(event_loop::EventLoop& loop, FakeProxyConfig config)
+    : loop_(loop), config_(std::move(config)) {}
 FakeProxy::~FakeProxy() = default;
 
-void FakeProxy::ask(ext_proc::Headers headers, bool isWrite, Duration patience,
-                    std::function<void(Answer)> done) {
-  ++open_;
-  loop_.spawn(exchange(std::move(headers), isWrite, loop_.now() + patience, std::move(done)));
+void FakeProxy::send(ClientRequest request, std::function<void(Answer)> onAnswer) {
+  ++openRequests_;
+  const Instant deadline = loop_.now() + request.remainingTime;
+  loop_.spawn(exchange(std::move(request), deadline, std::move(onAnswer)));
 }
 
-void FakeProxy::drop() {
-  if (!link_) return;
-  link_->over = true;
-  link_->stream.wake();
-  link_.reset();
+void FakeProxy::dropConnection() {
+  if (!connection_) return;
+  connection_->hasEnded = true;
+  connection_->stream.wake();
+  connection_.reset();
 }
 
-std::shared_ptr<FakeProxy::Link> FakeProxy::link() {
-  if (link_ && !link_->over && !link_->session.done()) return link_;
-  const auto at = config::readAddress("processor", setup_.processor);
-  link_ = std::make_shared<Link>(loop_, event_loop::startConnecting(at.host, at.port));
-  loop_.spawn(runLink(link_));
-  return link_;
+std::shared_ptr<FakeProxy::ProcessorConnection> FakeProxy::connection() {
+  if (connection_ && !connection_->hasEnded && !connection_->session.done()) return connection_;
+  const auto address = config::readAddress("processor", config_.processor);
+  connection_ =
+      std::make_shared<ProcessorConnection>(loop_, event_loop::startConnecting(address.host, address.port));
+  loop_.spawn(serveConnection(connection_));
+  return connection_;
 }
 
-event_loop::Task FakeProxy::runLink(std::shared_ptr<Link> link) {
-  while (!link->stream.canWrite()) co_await link->stream.changed();
-  link->up = event_loop::isConnected(link->stream.descriptor());
-  if (!link->up) link->over = true;
-  link->flush();
-  while (!link->over) {
+event_loop::Task FakeProxy::serveConnection(std::shared_ptr<ProcessorConnection> connection) {
+  while (!connection->stream.canWrite()) co_await connection->stream.changed();
+  connection->isConnected = event_loop::isConnected(connection->stream.descriptor());
+  if (!connection->isConnected) connection->hasEnded = true;
+  connection->flush();
+  while (!connection->hasEnded) {
     char bytes[16384];
-    if (link->stream.canRead()) {
-      const auto got = link->stream.read(bytes);
-      if (got.how == event_loop::Io::some && !link->session.received(loop_.now(), {bytes, got.size}))
-        link->over = true;
-      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) link->over = true;
+    if (connection->stream.canRead()) {
+      const auto got = connection->stream.read(bytes);
+      if (got.how == event_loop::Io::some && !connection->session.received(loop_.now(), {bytes, got.size}))
+        connection->hasEnded = true;
+      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) connection->hasEnded = true;
     }
-    link->flush();
-    if (link->session.done() && link->calls.empty()) link->over = true;
-    if (!link->over && !link->stream.canRead()) co_await link->stream.changed();
+    connection->flush();
+    if (connection->session.done() && connection->streams.empty()) connection->hasEnded = true;
+    if (!connection->hasEnded && !connection->stream.canRead()) co_await connection->stream.changed();
   }
-  link->session.ended();
+  connection->session.ended();
 }
 
 // One request of a client, over all its attempts: what is known so far, and the steps between two waits. The
@@ -142,63 +70,65 @@
   // What follows after a step.
   enum class Next { proceed, retry, finish };
 
-  Exchange(FakeProxy& ofProxy, ext_proc::Headers requestHeaders, bool write, Instant deadline)
-      : proxy(ofProxy), headers(std::move(requestHeaders)), isWrite(write), until(deadline) {
+  Exchange(FakeProxy& ofProxy, ClientRequest ofClient, Instant clientDeadline)
+      : proxy(ofProxy), request(std::move(ofClient)), deadline(clientDeadline) {
     answer.status = 504;
-    for (const auto& header : headers)
-      if (header.name == "x-txn-id") answer.txn = header.value;
+    for (const auto& header : request.headers)
+      if (header.name == "x-txn-id") answer.transactionId = header.value;
   }
 
   Instant now() const { return proxy.loop_.now(); }
-  void count(const std::string& event) { ++proxy.seen[event]; }
+  void count(const std::string& event) { ++proxy.eventCounts[event]; }
   void resetStream() {
-    link->session.reset(streamId, http2::Code::cancel);
-    link->flush();
+    connection->session.reset(streamId, http2::Code::cancel);
+    connection->flush();
   }
 
-  // --- The question
+  bool awaitsProcessor() const { return !connection->isConnected && !connection->hasEnded; }
+
+  // --- The lease
 
   // False where the client's time is over.
-  bool askProcessor(unsigned attempt) {
-    ext_proc::Request question;
-    question.phase = Phase::requestHeaders;
-    question.headers = headers;
-    const auto left = (until - now()).inMicros() / 1000;
-    if (left <= 0) return false;
-    question.headers.push_back({"x-txn-patience-ms", std::to_string(left)});
-    if (proxy.setup_.asksForTries)
-      question.headers.push_back({"x-envoy-attempt-count", std::to_string(attempt)});
-    if (attempt > 1) question.headers.push_back({"x-txn-written", written});
-    if (!token.empty()) question.headers.push_back({"x-txn-submission", token});
-    call = link->open(streamId);
-    link->send(streamId, question);
-    messageDeadline = now() + proxy.setup_.messageTimeout;
+  bool requestLease(unsigned attempt) {
+    ext_proc::Request message;
+    message.phase = Phase::requestHeaders;
+    message.headers = request.headers;
+    const auto remainingMillis = (deadline - now()).inMicros() / 1000;
+    if (remainingMillis <= 0) return false;
+    message.headers.push_back({"x-txn-patience-ms", std::to_string(remainingMillis)});
+    if (proxy.config_.requestsPerAttempt)
+      message.headers.push_back({"x-envoy-attempt-count", std::to_string(attempt)});
+    if (attempt > 1) message.headers.push_back({"x-txn-written", writtenByAll});
+    if (!token.empty()) message.headers.push_back({"x-txn-submission", token});
+    stream = connection->open(streamId);
+    connection->send(streamId, message);
+    messageDeadline = now() + proxy.config_.messageTimeout;
     wasExtended = false;
     return true;
   }
 
-  void clientLeaves() {
+  void leaveBeforeDecision() {
     resetStream();
     count("gave up before a decision");
     answer.status = 0;
   }
 
-  // Takes over a request for more time, which counts once.
+  // Applies an extension of the message timeout, which counts once.
   bool hasDecision() {
-    if (!call->answers.empty() && call->answers.front().wait > Duration()) {
-      if (!wasExtended && proxy.setup_.mostMessageTimeout > Duration())
-        messageDeadline = now() + std::min(call->answers.front().wait, proxy.setup_.mostMessageTimeout);
+    if (!stream->responses.empty() && stream->responses.front().wait > Duration()) {
+      if (!wasExtended && proxy.config_.maxMessageTimeout > Duration())
+        messageDeadline = now() + std::min(stream->responses.front().wait, proxy.config_.maxMessageTimeout);
       wasExtended = true;
-      call->answers.pop_front();
+      stream->responses.pop_front();
     }
-    return !call->answers.empty();
+    return !stream->responses.empty();
   }
-  bool awaitsDecision() { return !hasDecision() && !call->over && now() < messageDeadline; }
+  bool awaitsDecision() { return !hasDecision() && !stream->hasEnded && now() < messageDeadline; }
 
   Next takeDecision() {
-    if (call->answers.empty()) return withoutDecision();
-    const ext_proc::Response decision = call->answers.front();
-    call->answers.pop_front();
+    if (stream->responses.empty()) return withoutDecision();
+    const ext_proc::Response decision = stream->responses.front();
+    stream->responses.pop_front();
     if (!decision.isImmediate) {
       takeLease(decision);
       return Next::proceed;
@@ -210,184 +140,190 @@
     return Next::finish;
   }
   Next withoutDecision() {
-    count(call->over ? "stream broke before a decision" : "message timeout");
+    count(stream->hasEnded ? "stream broke before a decision" : "message timeout");
     resetStream();
-    answer.status = call->over ? 503 : 504;
+    answer.status = stream->hasEnded ? 503 : 504;
     // Nothing was sent by this attempt, so what is known of the earlier ones holds.
-    return call->over && proxy.setup_.triesAgainAfterProcessorFails ? Next::retry : Next::finish;
+    return stream->hasEnded && proxy.config_.retriesAfterStreamLoss ? Next::retry : Next::finish;
   }
   void takeLease(const ext_proc::Response& decision) {
     leasedAt = now();
     endpoint.clear();
-    withinMillis = 0;
+    leaseMillis = 0;
     for (const auto& header : decision.set) {
       if (header.name == "x-gateway-destination-endpoint") endpoint = header.value;
       if (header.name == "x-txn-submission") token = header.value;
-      if (header.name == "x-txn-send-within-ms") withinMillis = std::stoll(header.value);
+      if (header.name == "x-txn-send-within-ms") leaseMillis = std::stoll(header.value);
     }
     count("granted");
-    // From here on it may run: what an earlier attempt was told is no answer to this one.
+    // From here on it may run: the answer to an earlier attempt is none to this one.
     answer.outcome.clear();
-    head.clear();
-    writtenNow = "none";
+    responseHead.clear();
+    written = "none";
     status = 503;
   }
 
   // --- The node
 
-  bool isLeaseValid() const { return now() - leasedAt < Duration::millis(withinMillis); }
+  bool isLeaseValid() const { return now() - leasedAt < Duration::millis(leaseMillis); }
 
   void connectToNode() {
     if (const auto idle = proxy.idle_.find(endpoint); idle != proxy.idle_.end()) {
-      upstream = std::move(idle->second);
+      nodeConnection = std::move(idle->second);
       proxy.idle_.erase(idle);
       isConnecting = false;
       return;
     }
     const auto address = config::readAddress("endpoint", endpoint);
-    upstream =
-        std::make_unique<Upstream>(proxy.loop_, event_loop::startConnecting(address.host, address.port));
+    nodeConnection = std::make_unique<NodeConnection>(
+        proxy.loop_, event_loop::startConnecting(address.host, address.port));
     isConnecting = true;
   }
-  bool awaitsConnection() const { return isConnecting && !upstream->stream.canWrite(); }
+  bool awaitsConnection() const { return isConnecting && !nodeConnection->stream.canWrite(); }
 
   void writeToNode() {
-    if (event_loop::isConnected(upstream->stream.descriptor()) && isLeaseValid()) {
-      const std::string request =
-          std::string(isWrite ? "POST" : "GET") + " / HTTP/1.1\r\nx-txn-id: " + answer.txn + "\r\n\r\n";
-      const std::string_view all = request;
-      if (upstream->stream.write({&all, 1}).how == event_loop::Io::some) writtenNow = "whole";
+    if (event_loop::isConnected(nodeConnection->stream.descriptor()) && isLeaseValid()) {
+      const std::string requestHead = std::string(request.isWrite ? "POST" : "GET") +
+                                      " / HTTP/1.1\r\nx-txn-id: " + answer.transactionId + "\r\n\r\n";
+      const std::string_view bytes = requestHead;
+      if (nodeConnection->stream.write({&bytes, 1}).how == event_loop::Io::some) written = "whole";
     }
-    hasEnded = writtenNow == "none";
-    answerDeadline = std::min(until, now() + proxy.patient.value_or(proxy.setup_.tryTimeout));
+    hasEnded = written == "none";
+    answerDeadline = std::min(deadline, now() + proxy.attemptTimeout.value_or(proxy.config_.attemptTimeout));
   }
-  bool hasHead() const { return head.find("\r\n\r\n") != std::string::npos; }
+  bool hasHead() const { return responseHead.find("\r\n\r\n") != std::string::npos; }
   bool awaitsHead() const { return !hasEnded && !hasHead() && now() < answerDeadline; }
   // False where there is nothing to read yet.
   bool readFromNode() {
     char bytes[1024];
-    const auto result = upstream->stream.read(bytes);
-    if (result.how == event_loop::Io::some) head.append(bytes, result.size);
-    if (result.how == event_loop::Io::ended || result.how == event_loop::Io::failed) hasEnded = true;
-    return result.how != event_loop::Io::wouldBlock;
+    const auto got = nodeConnection->stream.read(bytes);
+    if (got.how == event_loop::Io::some) responseHead.append(bytes, got.size);
+    if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) hasEnded = true;
+    return got.how != event_loop::Io::wouldBlock;
   }
   void takeHead() {
     if (hasHead()) {
-      status = std::stoi(head.substr(9, 3));
-      proxy.idle_.emplace(endpoint, std::move(upstream));
+      status = std::stoi(responseHead.substr(9, 3));
+      proxy.idle_.emplace(endpoint, std::move(nodeConnection));
       return;
     }
     if (!hasEnded) status = 504;
-    head.clear();
+    responseHead.clear();
   }
 
   // --- The report
 
+  void resetBeforeReport() {
+    count("never reported");
+    resetStream();
+    answer.status = 502;
+  }
+
   void report() {
     ext_proc::Request message;
     message.phase = Phase::responseHeaders;
-    message.headers = {{":status", std::to_string(status)}, {"x-txn-written", writtenNow}};
+    message.headers = {{":status", std::to_string(status)}, {"x-txn-written", written}};
     for (const std::string name : {"x-node-role", "x-node-position", "x-node-outcome"}) {
-      const auto at = head.find("\r\n" + name + ": ");
-      if (at == std::string::npos) continue;
-      const auto from = at + name.size() + 4;
-      message.headers.push_back({name, head.substr(from, head.find("\r\n", from) - from)});
+      const std::string prefix = "\r\n" + name + ": ";
+      const auto found = responseHead.find(prefix);
+      if (found == std::string::npos) continue;
+      const auto begin = found + prefix.size();
+      message.headers.push_back({name, responseHead.substr(begin, responseHead.find("\r\n", begin) - begin)});
     }
-    link->send(streamId, message);
-    if (proxy.faults.reportTwice && proxy.faults.reportTwice()) {
+    connection->send(streamId, message);
+    if (occurs(proxy.faults.reportsTwice)) {
       count("reported twice");
-      link->send(streamId, message);
+      connection->send(streamId, message);
     }
-    messageDeadline = now() + proxy.setup_.messageTimeout;
+    messageDeadline = now() + proxy.config_.messageTimeout;
+  }
+  bool awaitsFinalAnswer() const {
+    return stream->responses.empty() && !stream->hasEnded && now() < messageDeadline;
   }
-  bool awaitsFinalAnswer() const { return call->answers.empty() && !call->over && now() < messageDeadline; }
 
   Next takeFinalAnswer() {
-    if (call->answers.empty()) {
-      count(call->over ? "stream broke after a grant" : "message timeout after a grant");
+    if (stream->responses.empty()) {
+      count(stream->hasEnded ? "stream broke after a grant" : "message timeout after a grant");
       resetStream();
       answer.status = 500;
       answer.outcome.clear();
       // The filter failed, so the attempt did: as published, another may follow.
-      return call->over && proxy.setup_.triesAgainAfterProcessorFails ? Next::retry : Next::finish;
+      return stream->hasEnded && proxy.config_.retriesAfterStreamLoss ? Next::retry : Next::finish;
     }
-    const ext_proc::Response last = call->answers.front();
-    link->session.end(streamId);
-    link->flush();
+    const ext_proc::Response response = stream->responses.front();
+    connection->session.end(streamId);
+    connection->flush();
     answer.outcome.clear();
-    for (const auto& header : last.isImmediate ? last.immediate.headers : last.set)
+    for (const auto& header : response.isImmediate ? response.immediate.headers : response.set)
       if (header.name == "x-txn-outcome") answer.outcome = header.value;
-    answer.status = last.isImmediate ? last.immediate.status : status;
-    answer.from = last.isImmediate || head.empty() ? "" : endpoint;
+    answer.status = response.isImmediate ? response.immediate.status : status;
+    answer.nodeAddress = response.isImmediate || responseHead.empty() ? "" : endpoint;
     count("ended " + answer.outcome);
-    return answer.status == 503 && proxy.setup_.asksForTries ? Next::retry : Next::finish;
+    return answer.status == 503 && proxy.config_.requestsPerAttempt ? Next::retry : Next::finish;
   }
 
   FakeProxy& proxy;
-  ext_proc::Headers headers;
-  bool isWrite;
-  Instant until;
+  ClientRequest request;
+  Instant deadline;  // when the client stops waiting
   Answer answer;
-  std::string token, written = "none";  // of the last lease; by all attempts so far
+  std::string token;                  // of the last lease
+  std::string writtenByAll = "none";  // by all attempts so far
   // --- Of the present attempt
-  std::shared_ptr<Link> link;
-  std::shared_ptr<Call> call;
+  std::shared_ptr<ProcessorConnection> connection;
+  std::shared_ptr<ProcessorStream> stream;
   http2::StreamId streamId = 0;
   Instant messageDeadline, answerDeadline, leasedAt;
   bool wasExtended = false, isConnecting = false, hasEnded = false;
-  std::string endpoint, head, writtenNow = "none";
-  std::int64_t withinMillis = 0;
+  std::string endpoint, responseHead, written = "none";
+  std::int64_t leaseMillis = 0;
   int status = 503;
-  std::unique_ptr<Upstream> upstream;
+  std::unique_ptr<NodeConnection> nodeConnection;
 };
 
-event_loop::Task FakeProxy::exchange(ext_proc::Headers headers, bool isWrite, Instant until,
-                                     std::function<void(Answer)> done) {
+event_loop::Task FakeProxy::exchange(ClientRequest clientRequest, Instant deadline,
+                                     std::function<void(Answer)> onAnswer) {
   using Next = Exchange::Next;
-  Exchange request(*this, std::move(headers), isWrite, until);
+  Exchange request(*this, std::move(clientRequest), deadline);
   Next next = Next::retry;
-  for (unsigned attempt = 1; next == Next::retry && attempt <= setup_.mostTries && loop_.now() < until;
+  for (unsigned attempt = 1; next == Next::retry && attempt <= config_.maxAttempts && loop_.now() < deadline;
        ++attempt) {
-    if (attempt > 1) co_await loop_.sleepUntil(loop_.now() + setup_.pauseBetween);
-    request.link = link();
-    for (const Instant by = loop_.now() + kConnectTimeout;
-         !request.link->up && !request.link->over && loop_.now() < by;)
+    if (attempt > 1) co_await loop_.sleepUntil(loop_.now() + config_.retryDelay);
+    request.connection = connection();
+    for (const Instant by = loop_.now() + kConnectTimeout; request.awaitsProcessor() && loop_.now() < by;)
       co_await loop_.sleepUntil(loop_.now() + kTick);
-    if (!request.askProcessor(attempt)) break;
-    if (faults.giveUpBeforeDecision && faults.giveUpBeforeDecision()) {
+    if (!request.requestLease(attempt)) break;
+    if (occurs(faults.clientLeavesBeforeDecision)) {
       co_await loop_.sleepUntil(loop_.now() + kTick);
-      request.clientLeaves();
+      request.leaveBeforeDecision();
       break;
     }
     while (request.awaitsDecision()) co_await loop_.sleepUntil(loop_.now() + kTick);
     next = request.takeDecision();
     if (next != Next::proceed) continue;
-    if (faults.sendLate && faults.sendLate()) {
-      ++seen["too late to send"];
-      co_await loop_.sleepUntil(request.leasedAt + Duration::millis(request.withinMillis + 1));
+    if (occurs(faults.waitsBeyondLease)) {
+      request.count("too late to send");
+      co_await loop_.sleepUntil(request.leasedAt + Duration::millis(request.leaseMillis + 1));
     }
     if (request.isLeaseValid()) {
       request.connectToNode();
-      while (request.awaitsConnection()) co_await request.upstream->stream.changed();
+      while (request.awaitsConnection()) co_await request.nodeConnection->stream.changed();
       request.writeToNode();
       while (request.awaitsHead())
         if (!request.readFromNode()) co_await loop_.sleepUntil(loop_.now() + kTick);
       request.takeHead();
     }
-    request.upstream.reset();
-    if (request.writtenNow == "whole") request.written = "whole";
-    if (faults.neverReport && faults.neverReport()) {
-      ++seen["never reported"];
-      request.resetStream();
-      request.answer.status = 502;
+    request.nodeConnection.reset();
+    if (request.written == "whole") request.writtenByAll = "whole";
+    if (occurs(faults.resetsBeforeReport)) {
+      request.resetBeforeReport();
       break;
     }
     request.report();
     while (request.awaitsFinalAnswer()) co_await loop_.sleepUntil(loop_.now() + kTick);
     next = request.takeFinalAnswer();
   }
-  --open_;
-  done(request.answer);
+  --openRequests_;
+  onAnswer(request.answer);
 }
 
 }  // namespace gulltrestle::fake_servers
--- /dev/null
+++ b/src/testing/fake_servers/fake_proxy_connections.h
@@ -0,0 +1,95 @@
+// The connections of the fake proxy, to its processor and to nodes; included by fake_proxy.cpp only.
+#pragma once
+
+#include <deque>
+#include <map>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <utility>
+
+#include "protocol/grpc/server_calls.h"
+#include "runtime/event_loop/sockets.h"
+#include "testing/fake_servers/fake_proxy.h"
+
+namespace gulltrestle::fake_servers {
+
+// A stream to the processor, for one attempt.
+struct FakeProxy::ProcessorStream {
+  std::string received;  // and not consumed yet
+  std::deque<ext_proc::Response> responses;
+  bool hasEnded = false;
+};
+
+// HTTP/2 to the processor, with all streams that are open on it.
+struct FakeProxy::ProcessorConnection final : http2::Handler {
+  ProcessorConnection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
+      : stream(loop, std::move(descriptor)), session(http2::Session::Side::client, {}, *this) {}
+
+  void headers(http2::StreamId id, http2::Headers) override { (void)id; }
+  void data(http2::StreamId id, std::string_view bytes) override {
+    constexpr std::size_t kMaxMessageBytes = 1 << 20;
+    const auto found = streams.find(id);
+    if (found == streams.end()) return;
+    ProcessorStream& processorStream = *found->second;
+    processorStream.received += bytes;
+    std::string_view remaining = processorStream.received, message;
+    while (grpc::cutMessage(remaining, kMaxMessageBytes, message) == grpc::Cut::message)
+      processorStream.responses.push_back(ext_proc::readResponse(message));
+    processorStream.received.erase(0, processorStream.received.size() - remaining.size());
+  }
+  void halfClosed(http2::StreamId) override {}
+  void closed(http2::StreamId id, http2::Code) override {
+    const auto found = streams.find(id);
+    if (found == streams.end()) return;
+    found->second->hasEnded = true;
+    streams.erase(found);
+  }
+
+  // The stream has ended already where none can be opened; `id` is 0 then.
+  std::shared_ptr<ProcessorStream> open(http2::StreamId& id) {
+    id = session.request({{":method", "POST"},
+                          {":scheme", "http"},
+                          {":path", std::string(ext_proc::kMethod)},
+                          {":authority", "processor"},
+                          {"content-type", "application/grpc"},
+                          {"te", "trailers"}});
+    auto processorStream = std::make_shared<ProcessorStream>();
+    if (id == 0) {
+      processorStream->hasEnded = true;
+    } else {
+      streams[id] = processorStream;
+    }
+    return processorStream;
+  }
+  void send(http2::StreamId id, const ext_proc::Request& request) {
+    session.send(id, grpc::framed(ext_proc::request(request)));
+    flush();
+  }
+  void flush() {
+    if (!isConnected || hasEnded) return;
+    unsent += session.output();
+    while (!unsent.empty()) {
+      const std::string_view bytes = unsent;
+      const auto done = stream.write({&bytes, 1});
+      if (done.how == event_loop::Io::failed) hasEnded = true;
+      if (done.how != event_loop::Io::some) break;
+      unsent.erase(0, done.size);
+    }
+  }
+
+  event_loop::Stream stream;
+  http2::Session session;
+  std::map<http2::StreamId, std::shared_ptr<ProcessorStream>> streams;
+  std::string unsent;
+  bool isConnected = false, hasEnded = false;
+};
+
+// HTTP/1.1 to a node, one request at a time.
+struct FakeProxy::NodeConnection {
+  NodeConnection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
+      : stream(loop, std::move(descriptor)) {}
+  event_loop::Stream stream;
+};
+
+}  // namespace gulltrestle::fake_servers
--- a/src/transactions/degradation_updates.h
+++ b/src/transactions/degradation_updates.h
@@ -1,6 +1,6 @@
 // Connects the transaction table to the degradation controller: passes observations on to it, has it decide
-// when that is due, and tells which groups' rules have changed for the router. Does nothing until enabled.
-// No I/O, no clock.
+// when that is due, and returns the groups whose rules have changed for the router. Does nothing until
+// enabled. No I/O, no clock.
 #pragma once
 
 #include <functional>
--- a/src/transactions/endpoint_exclusions.h
+++ b/src/transactions/endpoint_exclusions.h
@@ -1,5 +1,5 @@
 // Nodes that nothing new may go to, whatever the endpoint lists say, as the execution gate knows of them.
-// Stores what the last lists said of each node, so that a node counts as it is listed once its exclusion
+// Stores the entry of each node in the last lists, so that a node counts as it is listed once its exclusion
 // ends. Used by the transaction table where there is an execution gate. No I/O, no clock.
 #pragma once
 
@@ -28,7 +28,7 @@
   [[nodiscard]] std::vector<ResolvedEndpoint> markDraining(const std::vector<NodeId>& nodes);
 
   bool isExcluded(const NodeId& node) const { return excludedNodes_.contains(node); }
-  // What the last lists said of each node that they name.
+  // By node, the entries of the last lists.
   const std::map<NodeId, ResolvedEndpoint>& lastEndpointList() const { return lastEndpointList_; }
 
  private:
--- a/src/transactions/endpoint_registry.h
+++ b/src/transactions/endpoint_registry.h
@@ -1,4 +1,4 @@
-// The nodes that endpoint lists have named: the address of each, and what the last list said of it. Upstream
+// The nodes that endpoint lists have named: the address of each, and its health by the last list. Upstream
 // transports read it, and store what concerns only them elsewhere. Has one entry per node until the router
 // forgets that node. No I/O, no clock.
 #pragma once
--- a/src/transactions/open_transaction.h
+++ b/src/transactions/open_transaction.h
@@ -35,7 +35,7 @@
   std::size_t transactionClass = 0;  // row in RoutingConfig::transactionClasses
   Instant openedAt;
   Duration latencyTarget;        // at least 1 us
-  bool usesGate = false;         // the execution gate was asked, and is notified of the outcome
+  bool usesGate = false;         // the execution gate decides, and is notified of the outcome
   Instant ambiguousPriorSentAt;  // when the first prior attempt that may have run was sent; never: none was
   bool isAdmitted = false;       // the admission controller has yet to be notified of the outcome
   std::optional<Transaction> awaitingGate;  // set until the gate decides: the router has not seen it yet
--- a/src/transactions/transaction_table.h
+++ b/src/transactions/transaction_table.h
@@ -1,6 +1,6 @@
 // The table of open transactions, whoever opened them and however they are carried to nodes: who awaits the
 // one final answer of each, which attempts are in flight and how each ended, and how much is open at most.
-// It runs the rounds of the decision module (routing/router.h): events are collected and delivered to the
+// It runs the rounds of the router (routing/router.h): events are collected and delivered to the
 // router once a turn, and its decisions go to the transaction's downstream handler or upstream transport.
 // It reads no socket and no clock.
 //
@@ -104,7 +104,7 @@
   [[nodiscard]] bool maySend(AttemptId attemptId, const NodeId& node, Duration timeoutSent);
   // Gives the transaction its final answer. Call it ahead of onAttemptEnded().
   void commit(TxnId txn, const ResultValue& value);
-  // Further calls for the same attempt are ignored. `answerReport`: what the node's answer said of the node;
+  // Further calls for the same attempt are ignored. `answerReport`: the node's load report within its answer;
   // `report`: what it reported besides, or to a health check.
   void onAttemptEnded(AttemptId attemptId, const NodeId& node, AttemptOutcome outcome,
                       const LoadReport& answerReport = {}, const LoadReport& report = {});
@@ -118,12 +118,12 @@
   void onEndpointList(EndpointUpdateKind kind, std::vector<ResolvedEndpoint> list, std::uint64_t version = 0);
   void onEndpointListFailed();
   // The next three are for installations with an execution gate.
-  // These nodes are draining, whatever the last list said.
+  // These nodes are draining, whatever the last list has.
   void markDraining(const std::vector<NodeId>& nodes);
   // Nothing new goes to the nodes of `current` nor, from `startsAt` on, to those of `upcoming`, whatever the
   // lists say, until the next call. Never: both at once.
   void excludeNodes(std::set<NodeId> current, std::set<NodeId> upcoming, Instant startsAt);
-  // What the last lists said of each node.
+  // Each node's entry in the last lists.
   const std::map<NodeId, ResolvedEndpoint>& lastEndpointList() const {
     return exclusions_.lastEndpointList();
   }
--- a/src/transactions/upstream_transport.h
+++ b/src/transactions/upstream_transport.h
@@ -23,7 +23,7 @@
 };
 
 // The part of a transaction that is forwarded to nodes. Offsets and sizes are in bytes. A transport that
-// tells the node how long it may take writes that in place of the timeout's digits.
+// sends the node a time limit writes it in place of the timeout's digits.
 struct RequestMessage {
   std::string bytes;
   std::size_t timeoutOffset = 0, timeoutSize = 0;
--- a/src/upstream/http/health_checker.h
+++ b/src/upstream/http/health_checker.h
@@ -40,7 +40,7 @@
   void onEndpointList(const std::vector<NodeId>& moved) override;
   void forgetNode(const NodeId& node) override;
 
-  // --- Events, after the table of transactions was told the time. Ignored for one that has ended.
+  // --- Events, after TransactionTable::advanceTo() for their time. Ignored for one that has ended.
 
   // `status`: of HTTP; `report`: what the answer's headers say.
   void onAnswered(HealthCheckId id, int status, const LoadReport& report);
--- a/src/upstream/postgres/connection_pool.cpp
+++ b/src/upstream/postgres/connection_pool.cpp
@@ -156,12 +156,12 @@
 // A node that goes down ends all its connections; a failure of the network, one.
 bool ConnectionPool::isNodeDown(const NodeConnection& closed, ConnectionCloseReason reason) const {
   if (reason == ConnectionCloseReason::refused) return true;
-  const auto isUp = [](const NodeConnection& connection) {
+  const auto isEstablished = [](const NodeConnection& connection) {
     return connection.stage != Stage::connecting && connection.stage != Stage::starting;
   };
-  return reason == ConnectionCloseReason::broken && isUp(closed) &&
+  return reason == ConnectionCloseReason::broken && isEstablished(closed) &&
          std::none_of(connections_.begin(), connections_.end(), [&](const auto& other) {
-           return other.second.node == closed.node && isUp(other.second);
+           return other.second.node == closed.node && isEstablished(other.second);
          });
 }
 
--- a/src/upstream/postgres/connection_pool.h
+++ b/src/upstream/postgres/connection_pool.h
@@ -63,7 +63,7 @@
   void onEndpointList(const std::vector<NodeId>& moved) override;
   void forgetNode(const NodeId& node) override;
 
-  // --- Events, after the table of transactions was told the time.
+  // --- Events, after TransactionTable::advanceTo() for their time.
 
   void onConnected(NodeConnectionId id);
   void onWritten(NodeConnectionId id);
--- a/tests/day.cpp
+++ b/tests/day.cpp
@@ -107,33 +107,35 @@
     return setup;
   }
   void list(fake_servers::FakeNode& node, const std::string& state) {
-    discovery.set({node.id(), node.address(), state, node.primary, 1});
+    discovery.set({node.id(), node.address(), state, node.isPrimary, 1});
   }
 
   void ask(const std::string& type, const std::string& id, Duration patience = ms(900)) {
     ++asked;
     if (type == "book-charge") onceOnly.insert(id);
     if (type == "own") ownReads.insert(id);
-    proxy.ask({{":method", "GET"},
-               {"x-txn-id", id},
-               {"x-txn-type", type},
-               {"x-txn-group", "1"},
-               {"x-txn-session", "s" + id},
-               {"x-txn-write-age-ms", "20"}},
-              type == "book-charge", patience, [this](fake_servers::Answer answer) { take(answer); });
+    proxy.send({.headers = {{":method", "GET"},
+                            {"x-txn-id", id},
+                            {"x-txn-type", type},
+                            {"x-txn-group", "1"},
+                            {"x-txn-session", "s" + id},
+                            {"x-txn-write-age-ms", "20"}},
+                .isWrite = type == "book-charge",
+                .remainingTime = patience},
+               [this](fake_servers::Answer answer) { take(answer); });
   }
   void take(const fake_servers::Answer& answer) {
-    ++answers[answer.txn];
+    ++answers[answer.transactionId];
     last = answer;
-    if (answer.outcome == "refused") refused.insert(answer.txn);
-    if (answer.outcome == "committed") committed.insert(answer.txn);
-    if (ownReads.contains(answer.txn))
-      ownAtReplicas += answer.from == a.address() || answer.from == b.address();
+    if (answer.outcome == "refused") refused.insert(answer.transactionId);
+    if (answer.outcome == "committed") committed.insert(answer.transactionId);
+    if (ownReads.contains(answer.transactionId))
+      ownAtReplicas += answer.nodeAddress == a.address() || answer.nodeAddress == b.address();
   }
   unsigned runsOf(const std::string& id) {
     unsigned sum = 0;
     for (auto* node : {&p, &a, &b})
-      if (const auto at = node->runs.find(id); at != node->runs.end()) sum += at->second;
+      if (const auto at = node->runCounts.find(id); at != node->runCounts.end()) sum += at->second;
     return sum;
   }
 
@@ -166,7 +168,7 @@
     say("no refused once-only txn ran", refusedRan == 0);
     say("each committed once-only txn ran", lost == 0);
     if (!std::getenv("DAY_COUNTS")) return;
-    for (const auto& [what, count] : proxy.seen) std::cerr << count << " " << what << "\n";
+    for (const auto& [what, count] : proxy.eventCounts) std::cerr << count << " " << what << "\n";
     std::cerr << asked << " asked " << committed.size() << " committed " << refused.size() << " refused\n";
   }
 
@@ -188,16 +190,16 @@
   co_await f.pause(400);
   f.ask("look", "r1");
   co_await f.pause(100);
-  std::cout << "a read: " << f.last.status << " " << f.last.outcome
-            << ", from a replica: " << (f.last.from == f.a.address() || f.last.from == f.b.address()) << "\n";
+  std::cout << "a read: " << f.last.status << " " << f.last.outcome << ", from a replica: "
+            << (f.last.nodeAddress == f.a.address() || f.last.nodeAddress == f.b.address()) << "\n";
   f.ask("book-charge", "w1");
   co_await f.pause(100);
   std::cout << "a write: " << f.last.status << " " << f.last.outcome
-            << ", from the primary: " << (f.last.from == f.p.address()) << "\n";
+            << ", from the primary: " << (f.last.nodeAddress == f.p.address()) << "\n";
   // What an earlier try was told is no answer to one that ran.
   int grants = 0, reports = 0;
-  f.proxy.faults.sendLate = [&] { return ++grants == 1; };
-  f.proxy.faults.neverReport = [&] { return ++reports == 2; };
+  f.proxy.faults.waitsBeyondLease = [&] { return ++grants == 1; };
+  f.proxy.faults.resetsBeforeReport = [&] { return ++reports == 2; };
   f.ask("book-charge", "w2");
   co_await f.pause(600);
   std::cout << "granted too late to be sent, then run and not reported: " << f.last.status << " '"
@@ -226,7 +228,7 @@
   std::cout << "answered " << f.last.status << ", ran " << f.runsOf("held") << "\n";
 
   std::cout << "killed between grant and outcome\n";
-  f.p.work = ms(150);
+  f.p.executionTime = ms(150);
   f.ask("book-charge", "granted", ms(2500));
   co_await f.pause(60);
   std::cout << "at the node: " << f.runsOf("granted") << "\n";
@@ -245,8 +247,8 @@
   std::cout << "told to end between grant and outcome\n";
   f.program.start();
   co_await f.pause(300);
-  f.p.work = ms(700);
-  f.proxy.patient = ms(2000);
+  f.p.executionTime = ms(700);
+  f.proxy.attemptTimeout = ms(2000);
   f.ask("book-charge", "ending", ms(2500));
   co_await f.pause(60);
   f.program.tell();
@@ -261,7 +263,7 @@
 void killed() {
   // Tries are spread over the time that a program takes to start, sanitized and linked with all there is.
   fake_servers::FakeProxyConfig setup;
-  setup.pauseBetween = ms(200);
+  setup.retryDelay = ms(200);
   Fleet f(setup);
   f.play(killedTask);
 }
@@ -271,8 +273,8 @@
   f.program.start();
   co_await f.pause(300);
   int left = 0;
-  f.p.fault = f.a.fault =
-      f.b.fault = [&left](const std::string&) { return left-- > 0 ? Fault::turnAway : Fault::none; };
+  f.p.chooseFault = f.a.chooseFault =
+      f.b.chooseFault = [&left](const std::string&) { return left-- > 0 ? Fault::rejection : Fault::none; };
   for (const int faults : {0, 1}) {
     for (const std::string type : {"look", "book-charge"}) {
       left = faults;
@@ -287,7 +289,7 @@
 
 void request() {
   fake_servers::FakeProxyConfig setup;
-  setup.asksForTries = false;
+  setup.requestsPerAttempt = false;
   Fleet f(setup, R"(,"placement":"request")");
   f.play(requestTask);
 }
@@ -341,11 +343,11 @@
   std::knuth_b chance(16);
   const auto oneIn = [&chance](unsigned n) { return chance() % n == 0; };
   const auto nodeFault = [&](const std::string&) {
-    constexpr Fault kinds[] = {Fault::turnAway,  Fault::missAnswer, Fault::error,
-                               Fault::cutBefore, Fault::cutAfter,   Fault::hang};
+    constexpr Fault kinds[] = {Fault::rejection,      Fault::wrongNode,     Fault::error,
+                               Fault::closeBeforeRun, Fault::closeAfterRun, Fault::hang};
     return oneIn(25) ? kinds[chance() % 6] : Fault::none;
   };
-  for (auto* node : {&f.p, &f.a, &f.b}) node->fault = nodeFault;
+  for (auto* node : {&f.p, &f.a, &f.b}) node->chooseFault = nodeFault;
   f.proxy.faults = {[&] { return oneIn(60); }, [&] { return oneIn(60); }, [&] { return oneIn(60); },
                     [&] { return oneIn(60); }};
   f.program.start();
@@ -363,8 +365,8 @@
     }
     co_await f.pause(10);
     if (drainedAt != Instant() && f.loop.now() - drainedAt > ms(1000)) {
-      if (sentBefore == 0) sentBefore = f.b.requests + 1;
-      sentLate = f.b.requests + 1 - sentBefore;
+      if (sentBefore == 0) sentBefore = f.b.requestCount + 1;
+      sentLate = f.b.requestCount + 1 - sentBefore;
     }
     const auto now = (f.loop.now() - begin).inMicros() / 1'000'000;
     if (now == second) continue;
@@ -375,7 +377,7 @@
       co_await f.pause(30);
       f.program.start();
     }
-    if (second == 2) f.proxy.drop();
+    if (second == 2) f.proxy.dropConnection();
     if (second == 4) {
       f.list(f.b, "draining");
       drainedAt = f.loop.now();
@@ -389,24 +391,24 @@
       f.program.start();
     }
   }
-  for (int wait = 0; f.proxy.open() > 0 && wait < 300; ++wait) co_await f.pause(10);
+  for (int wait = 0; f.proxy.openRequestCount() > 0 && wait < 300; ++wait) co_await f.pause(10);
   ranOn = ranOn && f.program.runs();
   f.program.tell();
   co_await f.pause(5000);
   endedWell = f.program.endsWell();
   f.tellRules();
   Fleet::say("nothing new at the drained node after a second", sentBefore > 0 && sentLate == 0);
-  Fleet::say("no write was sent to a replica", f.a.writesAsReplica + f.b.writesAsReplica == 0);
+  Fleet::say("no write was sent to a replica", f.a.writesAsReplicaCount + f.b.writesAsReplicaCount == 0);
   Fleet::say("the program ran on until it was killed", ranOn);
   Fleet::say("and ended in good order when told", endedWell);
   // What the day is for has happened.
   Fleet::say("reads of one's own writes went to replicas that were probed",
-             f.ownAtReplicas * 2 > f.ownReads.size() && f.a.probes + f.b.probes > 0);
+             f.ownAtReplicas * 2 > f.ownReads.size() && f.a.healthCheckCount + f.b.healthCheckCount > 0);
   Fleet::say("most was committed", f.committed.size() * 2 > f.asked);
   for (const std::string what :
        {"gave up before a decision", "too late to send", "never reported", "reported twice",
         "stream broke before a decision", "ended refused", "ended rolled-back"})
-    Fleet::say("seen: " + what, f.proxy.seen[what] > 0);
+    Fleet::say("seen: " + what, f.proxy.eventCounts[what] > 0);
   f.loop.stop();
 }
 
--- a/tests/fleet/grants.cpp
+++ b/tests/fleet/grants.cpp
@@ -22,7 +22,7 @@
       setup.processor = rig_.processor(i);
       setup.messageTimeout = Duration::millis(2000);
       proxies_.push_back(std::make_unique<fake_servers::FakeProxy>(loop_, setup));
-      proxies_[i]->faults.neverReport = [this] { return quiet_; };
+      proxies_[i]->faults.resetsBeforeReport = [this] { return quiet_; };
     }
   }
   void play() {
@@ -40,12 +40,16 @@
   }
   void ask(std::size_t router, const std::string& id) {
     ++open_;
-    proxies_[router]->ask(
-        {{":method", "POST"}, {"x-txn-id", id}, {"x-txn-type", "book-charge"}, {"x-txn-group", "1"}}, true,
-        Duration::millis(900), [this](fake_servers::Answer answer) {
-          --open_;
-          committed_ += answer.outcome == "committed" || answer.status == 200;
-        });
+    proxies_[router]->send({.headers = {{":method", "POST"},
+                                        {"x-txn-id", id},
+                                        {"x-txn-type", "book-charge"},
+                                        {"x-txn-group", "1"}},
+                            .isWrite = true,
+                            .remainingTime = Duration::millis(900)},
+                           [this](fake_servers::Answer answer) {
+                             --open_;
+                             committed_ += answer.outcome == "committed" || answer.status == 200;
+                           });
   }
   // Asked until one is granted: the router serves.
   event_loop::Task scene() {
@@ -84,7 +88,7 @@
       }
       quiet_ = false;
       int ran = 0, twice = 0;
-      for (const auto& id : ids) ran += node_.runs[id] > 0, twice += node_.runs[id] > 1;
+      for (const auto& id : ids) ran += node_.runCounts[id] > 0, twice += node_.runCounts[id] > 1;
       std::cout << way << (settles_ ? "" : ", nothing settled") << ": ran "
                 << (ran * 2 > kCases ? "most" : "FEW") << ", twice "
                 << (settles_    ? std::to_string(twice)
--- a/tests/fleet/last.cpp
+++ b/tests/fleet/last.cpp
@@ -62,14 +62,15 @@
       headers.push_back({"x-txn-session", "driver-7"});
       headers.push_back({"x-txn-write-age-ms", "5000"});
     }
-    proxies_[router]->ask(
-        headers, false, Duration::millis(900), [this, ofSession](fake_servers::Answer answer) {
-          --open_;
-          (ofSession ? ofSession_ : any_) += answer.outcome == "committed" || answer.status == 200;
-        });
+    proxies_[router]->send({.headers = headers, .isWrite = false, .remainingTime = Duration::millis(900)},
+                           [this, ofSession](fake_servers::Answer answer) {
+                             --open_;
+                             (ofSession ? ofSession_ : any_) +=
+                                 answer.outcome == "committed" || answer.status == 200;
+                           });
   }
   std::size_t ranBehind() const {
-    return static_cast<std::size_t>(std::count_if(behind_.runs.begin(), behind_.runs.end(),
+    return static_cast<std::size_t>(std::count_if(behind_.runCounts.begin(), behind_.runCounts.end(),
                                                   [](const auto& run) { return run.first[0] == 's'; }));
   }
   event_loop::Task scene() {
@@ -86,7 +87,7 @@
     std::vector<std::size_t> all;
     for (std::size_t i = 0; i < rig_.routers(); ++i) all.push_back(i);
     rig_.losePower(all);
-    primary_.down = caughtUp_.down = true;
+    primary_.isDown = caughtUp_.isDown = true;
     if (tells_) behind_.lag = Duration::millis(2);
     rig_.startAll();
     by = loop_.now() + kBound;
@@ -98,7 +99,7 @@
     if (ranBehind() > 0 || ofSession_ > sessionBefore) broken("a session's read ran where its write is not");
     std::cout << "only the one that is behind is back: any reads are served, "
               << (fault_.empty() ? "the session's are not" : fault_) << "\n";
-    caughtUp_.down = false;
+    caughtUp_.isDown = false;
     by = loop_.now() + kBound;
     for (std::size_t i = 0; i < rig_.routers() && fault_.empty(); ++i)
       for (const auto before = ofSession_; !waited(ofSession_ > before, by, "a session's read again");) {
--- a/tests/fleet/returns.cpp
+++ b/tests/fleet/returns.cpp
@@ -53,15 +53,17 @@
   void ask(std::size_t router, bool isWrite) {
     ++open_;
     const std::string id = (isWrite ? "w" : "r") + std::to_string(++ids_);
-    proxies_[router]->ask({{":method", isWrite ? "POST" : "GET"},
-                           {"x-txn-id", id},
-                           {"x-txn-type", isWrite ? "book-charge" : "route-lookup"},
-                           {"x-txn-group", "1"}},
-                          isWrite, Duration::millis(900), [this, isWrite](fake_servers::Answer answer) {
-                            --open_;
-                            const bool committed = answer.outcome == "committed" || answer.status == 200;
-                            (isWrite ? writes_ : reads_) += committed;
-                          });
+    proxies_[router]->send({.headers = {{":method", isWrite ? "POST" : "GET"},
+                                        {"x-txn-id", id},
+                                        {"x-txn-type", isWrite ? "book-charge" : "route-lookup"},
+                                        {"x-txn-group", "1"}},
+                            .isWrite = isWrite,
+                            .remainingTime = Duration::millis(900)},
+                           [this, isWrite](fake_servers::Answer answer) {
+                             --open_;
+                             const bool committed = answer.outcome == "committed" || answer.status == 200;
+                             (isWrite ? writes_ : reads_) += committed;
+                           });
   }
   void list(bool newIsPrimary) {
     discovery_.set({"p", old_.address(), "up", !newIsPrimary, 1});
@@ -80,8 +82,8 @@
     // Each commits a write at the first primary, then at the next.
     for (const bool changed : {false, true}) {
       if (changed) {
-        old_.primary = false;
-        new_.primary = true;
+        old_.isPrimary = false;
+        new_.isPrimary = true;
         list(true);
       }
       const Instant by = loop_.now() + kBound;
@@ -106,7 +108,7 @@
           return rig_.log(2).find(line, until) != std::string::npos;
         };
         for (std::size_t k = 0; k < 2; ++k) rig_.flow(2, k, listFirst ? Flow::cut : Flow::open);
-        discovery_.silent = !listFirst;
+        discovery_.isSilent = !listFirst;
         rig_.start(2);
         const Instant soon = loop_.now() + kBound;
         const auto first = [&] {
@@ -115,7 +117,7 @@
         while (!waited(first(), soon, listFirst ? "a list" : "two witnesses")) co_await tick();
         if (logged("proven=1") || logged("proven=2")) broken("proven by one side alone");
         for (std::size_t k = 0; k < 2; ++k) rig_.flow(2, k, Flow::open);
-        discovery_.silent = false;
+        discovery_.isSilent = false;
         const auto proven = [&] { return logged("proven=1") || logged("proven=2"); };
         while (
             !waited(proven(), soon, listFirst ? "two witnesses" : "what they told, once the list is there"))
@@ -129,9 +131,9 @@
     std::vector<std::size_t> all;
     for (std::size_t i = 0; i < rig_.routers(); ++i) all.push_back(i);
     rig_.losePower(all);
-    old_.primary = true;
-    new_.down = true;
-    discovery_.beginAnew();
+    old_.isPrimary = true;
+    new_.isDown = true;
+    discovery_.restart();
     list(false);
     const auto before = writtenToOld();
     rig_.startAll();
@@ -163,8 +165,8 @@
       co_return;
     }
 
-    new_.down = false;
-    old_.primary = false;
+    new_.isDown = false;
+    old_.isPrimary = false;
     const Instant late = loop_.now() + kBound;
     for (std::size_t i = 0; i < rig_.routers(); ++i)
       for (const auto w = writes_; !waited(commits(writes_, w), late, "a write again");) {
@@ -175,7 +177,7 @@
     loop_.stop();
   }
   std::size_t writtenToOld() const {
-    return static_cast<std::size_t>(std::count_if(old_.runs.begin(), old_.runs.end(),
+    return static_cast<std::size_t>(std::count_if(old_.runCounts.begin(), old_.runCounts.end(),
                                                   [](const auto& run) { return run.first[0] == 'w'; }));
   }
 
--- a/tests/fleet/work.cpp
+++ b/tests/fleet/work.cpp
@@ -75,13 +75,13 @@
         const std::string id = name + std::to_string(group);
         auto& node = nodes_[id] = std::make_unique<fake_servers::FakeNode>(loop_, id, *name == 'p');
         groups_[id] = group;
-        node->fault = [this, id](const std::string& txn) {
+        node->chooseFault = [this, id](const std::string& txn) {
           if (const Machine* m = machineOf(id); m && m->off)
             broken("a txn came to a node that was told free: " + txn + " at " + id);
           return fake_servers::Fault::none;
         };
         // On odd seeds there is always something out when their machine's turn comes.
-        if (*name == 'a' && seed % 2 == 1) node->work = Duration::millis(200);
+        if (*name == 'a' && seed % 2 == 1) node->executionTime = Duration::millis(200);
         list(id, "up");
       }
     machines_["ma"];
@@ -92,7 +92,7 @@
       setup.processor = rig_.processor(i);
       // Longer than anything stands still here: what was granted late would be used.
       setup.messageTimeout = Duration::millis(15'000);
-      setup.mostTries = 1;
+      setup.maxAttempts = 1;
       proxies_.push_back(std::make_unique<fake_servers::FakeProxy>(loop_, setup));
     }
     logs_.resize(rig_.routers());
@@ -105,7 +105,7 @@
     run();
     if (fault_.empty()) fault_ = rig_.died();
     for (const auto& [id, node] : nodes_)
-      for (const auto& [txn, times] : node->runs) runs_[txn] += times;
+      for (const auto& [txn, times] : node->runCounts) runs_[txn] += times;
     for (const auto& [txn, times] : runs_)
       if (txn[0] == 'w' && times > 1 && fault_.empty()) fault_ = "ran twice: " + txn;
     if (fault_.empty()) return "";
@@ -134,7 +134,7 @@
     return shape;
   }
   void list(const std::string& id, const std::string& state) {
-    discovery_.set({id, nodes_.at(id)->address(), state, nodes_.at(id)->primary, groups_.at(id)});
+    discovery_.set({id, nodes_.at(id)->address(), state, nodes_.at(id)->isPrimary, groups_.at(id)});
   }
   const Machine* machineOf(const std::string& node) const {
     const auto at = machines_.find(std::string("m") + node[0]);
@@ -193,7 +193,7 @@
     for (const auto& [id, node] : nodes_) {
       const Machine* on = machineOf(id);
       if ((on && on->off) || lost_.contains(id)) ++away[groups_.at(id)];
-      if (on == &machine && node->primary) broken("a primary was told free: " + id);
+      if (on == &machine && node->isPrimary) broken("a primary was told free: " + id);
     }
     for (const auto& [group, count] : away)
       if (count > 1)
@@ -252,7 +252,7 @@
     }
   }
   void ask(std::size_t router) {
-    if (proxies_[router]->open() > 40) return;
+    if (proxies_[router]->openRequestCount() > 40) return;
     constexpr const char* kTypes[] = {"book-charge", "route-lookup", "own-booking", "route-lookup"};
     const std::string type = kTypes[rig_.pick(4)];
     const bool isWrite = type == "book-charge";
@@ -265,10 +265,10 @@
       headers.push_back({"x-txn-session", "driver-" + std::to_string(rig_.pick(20))});
       headers.push_back({"x-txn-write-age-ms", "3000"});
     }
-    proxies_[router]->ask(headers, isWrite, Duration::millis(950),
-                          [this, router](fake_servers::Answer answer) {
-                            committed_[router] += answer.outcome == "committed" || answer.status == 200;
-                          });
+    proxies_[router]->send({.headers = headers, .isWrite = isWrite, .remainingTime = Duration::millis(950)},
+                           [this, router](fake_servers::Answer answer) {
+                             committed_[router] += answer.outcome == "committed" || answer.status == 200;
+                           });
   }
 
   bool isQuiet() const { return trouble_ == FaultKind::none || trouble_ == FaultKind::routerOnMachine; }
@@ -313,8 +313,8 @@
            !waited(committed_[i] > before, by, "a router that serves again");)
         co_await tick();
     for (const auto& [id, node] : nodes_)
-      for (const auto before = node->requests;
-           !waited(node->requests > before, by, "a node that is sent to again");)
+      for (const auto before = node->requestCount;
+           !waited(node->requestCount > before, by, "a node that is sent to again");)
         co_await tick();
     ending_ = true;
     loop_.stop();
@@ -333,9 +333,9 @@
   }
   void movePrimary() {
     for (const char* group : {"1", "2"}) {
-      if (!nodes_.at(std::string("p") + group)->primary || !isThrough("ma")) continue;
-      nodes_.at(std::string("p") + group)->primary = false;
-      nodes_.at(std::string("a") + group)->primary = true;
+      if (!nodes_.at(std::string("p") + group)->isPrimary || !isThrough("ma")) continue;
+      nodes_.at(std::string("p") + group)->isPrimary = false;
+      nodes_.at(std::string("a") + group)->isPrimary = true;
       list(std::string("p") + group, "up");
       list(std::string("a") + group, "up");
     }
@@ -429,12 +429,12 @@
       case FaultKind::nodeLost: {
         const std::string other = hit == "ma" ? "b1" : "a1";
         lost_.insert(other);
-        nodes_.at(other)->down = !hidesLoss_;
+        nodes_.at(other)->isDown = !hidesLoss_;
         if (!hidesLoss_) list(other, "gone");
         const auto gave = [&] { return machines_[hit].phase == "waits"; };
         while (!waited(gave(), by, "the machine to be given back")) co_await tick();
         lost_.erase(other);
-        nodes_.at(other)->down = false;
+        nodes_.at(other)->isDown = false;
         list(other, "up");
         break;
       }
