--- a/tests/ext_proc/limits.cpp
+++ b/tests/ext_proc/limits.cpp
@@ -109,9 +109,9 @@
   for (StreamKey stream = 1; stream <= 4; ++stream)
     bench.report(stream, "committed", bench.loadReport("replica", 0));
   bench.say("the list falls silent: late news of a drain counts as told in the end, so grants get shorter");
-  for (const int silentMillis : {1900, 4000, 500, 60, 40, 20}) {
+  for (const std::int64_t silentMillis : {1900, 4000, 500, 60, 40, 20}) {
     bench.advance(silentMillis);
-    const auto stream = static_cast<StreamKey>(100 + silentMillis);
+    const auto stream = 100 + static_cast<StreamKey>(silentMillis);
     bench.request(stream, "x" + std::to_string(silentMillis), "any");
     if (silentMillis >= 60) bench.report(stream, "committed", bench.loadReport("replica", 0));
   }
--- a/tests/ext_proc/same_decisions.cpp
+++ b/tests/ext_proc/same_decisions.cpp
@@ -65,9 +65,9 @@
   void writeClient(downstream::postgres::ClientId client, transactions::ByteSlices slices) override {
     constexpr std::string_view kRejectedCode = "53300", kRolledBackCode = "08007";
     for (const std::string_view slice : slices) {
-      if (slice.find(kRejectedCode) != slice.npos) {
+      if (slice.find(kRejectedCode) != std::string_view::npos) {
         record(client, "-");
-      } else if (slice.find(kRolledBackCode) != slice.npos) {
+      } else if (slice.find(kRolledBackCode) != std::string_view::npos) {
         record(client, "!");
       }
     }
--- a/tests/lease_registry.cpp
+++ b/tests/lease_registry.cpp
@@ -27,11 +27,12 @@
 
 // One id, requested by a proxy that retries and by a stranger. Both report the truth where they report
 // anything; what they don't know they don't report.
-struct World {
+class World {
+ public:
   World(Effect effect, ProxyPlacement ofProxy)
-      : transactionClass(classOf(effect)),
-        placement(ofProxy),
-        registry({transactionClass}, placement, {.maxTransactionsPerKind = 100}, "start0") {}
+      : transactionClass_(classOf(effect)),
+        placement_(ofProxy),
+        registry_({transactionClass_}, placement_, {.maxTransactionsPerKind = 100}, "start0") {}
 
   struct Stream {
     LeaseRequest request;
@@ -44,7 +45,7 @@
     Step step;
   };
 
-  bool isAtMostOnce() const { return transactionClass.effect == Effect::atMostOnce; }
+  bool isAtMostOnce() const { return transactionClass_.effect == Effect::atMostOnce; }
 
   // --- Steps
 
@@ -52,89 +53,89 @@
     const bool isProxy = requester == Requester::proxy;
     LeaseRequest leaseRequest;
     leaseRequest.id = kId;
-    leaseRequest.attempt = isProxy ? ++proxyAttempts : 1;
+    leaseRequest.attempt = isProxy ? ++proxyAttempts_ : 1;
     leaseRequest.writeProgress = writeProgress;
     leaseRequest.remainingTime = Duration::millis(1000);
     if (isProxy) {
-      leaseRequest.token = proxyToken;
+      leaseRequest.token = proxyToken_;
       // A proxy that retries uses no lease of an earlier attempt any more.
-      for (auto& [key, stream] : streams)
+      for (auto& [key, stream] : streams_)
         if (stream.requester == Requester::proxy) stream.hasLease = stream.hasLease && stream.hasRun;
     }
-    const StreamKey key = ++lastStream;
-    streams[key] = {leaseRequest, requester};
+    const StreamKey key = ++lastStream_;
+    streams_[key] = {leaseRequest, requester};
     requestLease(key);
   }
 
   void requestLease(StreamKey key) {
-    Stream& stream = streams.at(key);
-    const LeaseDecision decision = registry.requestLease(now, key, stream.request);
+    Stream& stream = streams_.at(key);
+    const LeaseDecision decision = registry_.requestLease(now_, key, stream.request);
     stream.isWaiting = decision.action == LeaseDecision::Action::wait;
     if (stream.isWaiting) return;
     if (decision.action == LeaseDecision::Action::answer) {
       if (decision.outcome == FinalOutcome::rejected) checkRejection();
       if (decision.outcome == FinalOutcome::committed) fault = "committed without a node";
-      streams.erase(key);
+      streams_.erase(key);
       return;
     }
-    if (decision.supersededStream != 0) streams.erase(decision.supersededStream);
+    if (decision.supersededStream != 0) streams_.erase(decision.supersededStream);
     // The router's rule on what may have run.
     if (decision.priorAttempts.ambiguousAttemptAge && isAtMostOnce()) {
-      registry.onAnswered(now, kId, key, FinalOutcome::rolledBack);
-      streams.erase(key);
+      registry_.onAnswered(now_, kId, key, FinalOutcome::rolledBack);
+      streams_.erase(key);
       return;
     }
-    const std::string token = registry.onLeaseGranted(now, kId, key, "n");
+    const std::string token = registry_.onLeaseGranted(now_, kId, key, "n");
     if (token.empty()) {
       fault = "taken and not granted";
       return;
     }
-    if (stream.requester == Requester::proxy) proxyToken = token;
+    if (stream.requester == Requester::proxy) proxyToken_ = token;
     stream.hasLease = true;
   }
 
   void run(StreamKey key) {
-    Stream& stream = streams.at(key);
+    Stream& stream = streams_.at(key);
     stream.hasRun = true;
-    hasProxyWritten = hasProxyWritten || stream.requester == Requester::proxy;
+    hasProxyWritten_ = hasProxyWritten_ || stream.requester == Requester::proxy;
     ++runCount;
     if (isAtMostOnce() && runCount > 1) fault = "ran twice";
   }
 
   void report(StreamKey key, AttemptOutcome attemptOutcome) {
-    registry.onAttemptEnded(now, kId, key, attemptOutcome);
+    registry_.onAttemptEnded(now_, kId, key, attemptOutcome);
     const FinalOutcome outcome = finalOutcomeOf(attemptOutcome);
     if (outcome == FinalOutcome::rejected) checkRejection();
-    registry.onAnswered(now, kId, key, outcome);
-    streams.erase(key);
+    registry_.onAnswered(now_, kId, key, outcome);
+    streams_.erase(key);
   }
 
   void resetStream(StreamKey key) {
-    registry.onStreamCancelled(now, kId, key);
-    streams.erase(key);
+    registry_.onStreamCancelled(now_, kId, key);
+    streams_.erase(key);
   }
 
   void restart() {
-    const std::string incarnation = "start" + std::to_string(++restartCount);
-    registry = LeaseRegistry({transactionClass}, placement, {.maxTransactionsPerKind = 100}, incarnation);
-    streams.clear();
+    const std::string incarnation = "start" + std::to_string(++restartCount_);
+    registry_ = LeaseRegistry({transactionClass_}, placement_, {.maxTransactionsPerKind = 100}, incarnation);
+    streams_.clear();
   }
 
   void passTime() {
-    now = now + Duration::millis(60);
+    now_ = now_ + Duration::millis(60);
     std::vector<StreamKey> waiting;
-    for (const auto& [key, stream] : streams)
+    for (const auto& [key, stream] : streams_)
       if (stream.isWaiting) waiting.push_back(key);
     for (const StreamKey key : waiting)
-      if (streams.contains(key)) requestLease(key);
+      if (streams_.contains(key)) requestLease(key);
   }
 
   // What can happen next.
   std::vector<NamedStep> nextSteps() const {
     std::vector<NamedStep> steps;
     addRequests(steps);
-    for (const auto& [key, stream] : streams) addStreamSteps(steps, key, stream);
-    if (restartCount < 2 && !hasStranger) steps.push_back({"restart", [](World& w) { w.restart(); }});
+    for (const auto& [key, stream] : streams_) addStreamSteps(steps, key, stream);
+    if (restartCount_ < 2 && !hasStranger_) steps.push_back({"restart", [](World& w) { w.restart(); }});
     steps.push_back({"pass", [](World& w) { w.passTime(); }});
     return steps;
   }
@@ -154,16 +155,16 @@
   }
 
   void addRequests(std::vector<NamedStep>& steps) const {
-    if (proxyAttempts < 3) {
+    if (proxyAttempts_ < 3) {
       steps.push_back({"try", [](World& w) { w.request(Requester::proxy, WriteProgress::unknown); }});
-      if (proxyAttempts > 0 && !hasProxyWritten)
+      if (proxyAttempts_ > 0 && !hasProxyWritten_)
         steps.push_back({"try,none", [](World& w) { w.request(Requester::proxy, WriteProgress::none); }});
     }
     // A restart forgets ids: two clients that use one are not told apart across it
     // (docs/external-processor.md).
-    if (lastStream < 4 && restartCount == 0)
+    if (lastStream_ < 4 && restartCount_ == 0)
       steps.push_back({"stranger", [](World& w) {
-                         w.hasStranger = true;
+                         w.hasStranger_ = true;
                          w.request(Requester::stranger, WriteProgress::unknown);
                        }});
   }
@@ -181,17 +182,17 @@
     steps.push_back({"reset" + number, [key](World& w) { w.resetStream(key); }});
   }
 
-  TransactionClass transactionClass;
-  ProxyPlacement placement;
-  LeaseRegistry registry;
-  Instant now = Instant::atMicros(1'000'000'000);
-  int restartCount = 0;
-  StreamKey lastStream = 0;
-  std::map<StreamKey, Stream> streams;
-  std::string proxyToken;  // of the last lease that the proxy has seen
-  unsigned proxyAttempts = 0;
-  bool hasProxyWritten = false;  // some attempt of the proxy was written
-  bool hasStranger = false;      // a stranger has used the id
+  TransactionClass transactionClass_;
+  ProxyPlacement placement_;
+  LeaseRegistry registry_;
+  Instant now_ = Instant::atMicros(1'000'000'000);
+  int restartCount_ = 0;
+  StreamKey lastStream_ = 0;
+  std::map<StreamKey, Stream> streams_;
+  std::string proxyToken_;  // of the last lease that the proxy has seen
+  unsigned proxyAttempts_ = 0;
+  bool hasProxyWritten_ = false;  // some attempt of the proxy was written
+  bool hasStranger_ = false;      // a stranger has used the id
 };
 
 struct Findings {
