--- a/src/downstream/ext_proc/request_streams.h
+++ b/src/downstream/ext_proc/request_streams.h
@@ -98,11 +98,12 @@
 
  private:
   enum class Stage { opened, awaitingPrior, awaitingDecision, leased, reported, answered };
+  // A transaction's final answer.
   struct Answer {
     endpoint_leases::FinalOutcome outcome = endpoint_leases::FinalOutcome::rejected;
     Duration retryAfter{};      // of a rejection; zero: no advice
     unsigned level = 0;         // the degradation level that rejected it; 0: none did
-    std::string_view reason{};  // of what is not committed; may be empty
+    std::string_view reason{};  // of what is not committed, static; may be empty
   };
   struct Stream {
     Stage stage = Stage::opened;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -121,11 +121,11 @@
   // What the optional parts take of the process's limits.
   server::ReservedResources reservedResources() const {
     server::ReservedResources reserved;
-    reserved.reducedByLevel = degradation_.has_value();
+    reserved.isDegradationEnabled = degradation_.has_value();
 #ifdef GULLTRESTLE_EXT_PROC
     if (extProc_) {
       reserved.descriptors += extProc_->mostConnections + ext_proc_server::kMostProbes;
-      reserved.openTxns = extProc_->streams.maxStreams;
+      reserved.openTransactions = extProc_->streams.maxStreams;
     }
 #endif
 #ifdef GULLTRESTLE_FLEET
