--- a/src/runtime/ext_proc_server/ext_proc_config.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_config.cpp
@@ -29,41 +29,42 @@
   const std::string placement = top.text("placement", "try");
   if (placement != "try" && placement != "request")
     throw ConfigError("placement", "'" + placement + "' is neither try nor request");
-  setup.placement = placement == "try" ? endpoint_leases::ProxyPlacement::attempts
-                                       : endpoint_leases::ProxyPlacement::request;
-  auto& time = setup.streams.messageTime;
-  time.timeout = top.millis("message_timeout_ms", time.timeout, 20, 600'000);
-  time.most = top.millis("max_message_timeout_ms", time.most, 0, 600'000);
+  setup.placement = placement == "try" ? endpoint_leases::ProxyPlacement::perAttempt
+                                       : endpoint_leases::ProxyPlacement::perRequest;
+  auto& messageTimeout = setup.streams.messageTimeout;
+  messageTimeout.timeout = top.millis("message_timeout_ms", messageTimeout.timeout, 20, 600'000);
+  messageTimeout.maxExtension = top.millis("max_message_timeout_ms", messageTimeout.maxExtension, 0, 600'000);
   setup.probePath = top.text("probe_path", "");
   if (!setup.probePath.empty() &&
       (setup.probePath[0] != '/' || setup.probePath.find_first_of(" \r\n") != std::string::npos))
     throw ConfigError("probe_path", "'" + setup.probePath + "' is no path");
   ConfigSection bounds = top.section("limits");
   setup.mostConnections = bounds.whole("connections", setup.mostConnections, 1, 10'000);
-  setup.streams.mostStreams = bounds.whole("streams", setup.streams.mostStreams, 1, 100'000);
+  setup.streams.maxStreams = bounds.whole("streams", setup.streams.maxStreams, 1, 100'000);
   setup.longestMessage = bounds.whole("message_bytes", setup.longestMessage, 1024, 4 * 1024 * 1024);
-  setup.remembered.most = bounds.whole("remembered", setup.remembered.most, 100, 10'000'000);
+  setup.remembered.maxTransactionsPerKind =
+      bounds.whole("remembered", setup.remembered.maxTransactionsPerKind, 100, 10'000'000);
   bounds.end();
   ConfigSection names = top.section("headers");
   auto& headers = setup.headers;
   for (auto [key, name] : {std::pair{"id", &headers.id},
-                           {"type", &headers.type},
+                           {"type", &headers.transactionClass},
                            {"group", &headers.group},
                            {"session", &headers.session},
-                           {"patience", &headers.patience},
+                           {"patience", &headers.remainingTime},
                            {"write_age", &headers.writeAge},
                            {"attempt", &headers.attempt},
-                           {"written", &headers.written},
+                           {"written", &headers.writeProgress},
                            {"destination", &headers.destination},
-                           {"submission", &headers.token},
-                           {"send_within", &headers.sendWithin},
+                           {"submission", &headers.leaseToken},
+                           {"send_within", &headers.leaseDuration},
                            {"outcome", &headers.outcome},
-                           {"retry_after", &headers.retryAfterMs},
-                           {"node_role", &headers.node.role},
-                           {"node_position", &headers.node.position},
+                           {"retry_after", &headers.retryAfter},
+                           {"node_role", &headers.loadReport.role},
+                           {"node_position", &headers.loadReport.position},
                            {"node_outcome", &headers.nodeOutcome},
-                           {"node_in_hand", &headers.node.inHand},
-                           {"sent_to", &headers.sentTo}})
+                           {"node_in_hand", &headers.loadReport.inHand},
+                           {"sent_to", &headers.sentToAddress}})
     *name = headerName(names, key, *name);
   names.end();
   top.end();
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -19,7 +19,7 @@
 constexpr Duration kCountsPause = Duration::millis(60000);
 grpc_server::Bounds boundsOf(const ExtProcConfig& config) {
   grpc_server::Bounds bounds;
-  bounds.calls.connection.mostStreams = static_cast<std::uint32_t>(config.streams.mostStreams);
+  bounds.calls.connection.mostStreams = static_cast<std::uint32_t>(config.streams.maxStreams);
   bounds.calls.longestMessage = config.longestMessage;
   bounds.mostConnections = config.mostConnections;
   return bounds;
@@ -27,13 +27,13 @@
 
 grpc::Status statusOf(StreamCloseReason how) {
   switch (how) {
-    case StreamCloseReason::done:
+    case StreamCloseReason::finished:
       return grpc::Status::ok;
-    case StreamCloseReason::invalid:
+    case StreamCloseReason::invalidMessage:
       return grpc::Status::invalidArgument;
     case StreamCloseReason::overdue:
       return grpc::Status::deadlineExceeded;
-    case StreamCloseReason::full:
+    case StreamCloseReason::tooManyStreams:
       return grpc::Status::resourceExhausted;
     case StreamCloseReason::unavailable:
       return grpc::Status::unavailable;
@@ -51,7 +51,7 @@
       config_(config),
       grpcServer_(loop, config.listen, std::string(ext_proc::kMethod), boundsOf(config), "ext_proc", *this),
       streams_(transactions,
-               downstream::ext_proc::HeaderMapping(config.headers, settings.routing, settings.typeNames),
+               downstream::ext_proc::HeaderMapping(config.headers, settings.routing, settings.classNames),
                endpoint_leases::LeaseRegistry(settings.routing.transactionClasses, config.placement,
                                               config.remembered, start),
                {settings.drainGrace, settings.notifiedWithin}, config.streams, *this),
@@ -63,7 +63,7 @@
   }
   spdlog::info("event=ext_proc.listening address={}:{} placement={} start={}", config.listen.host,
                config.listen.port,
-               config.placement == endpoint_leases::ProxyPlacement::attempts ? "try" : "request", start);
+               config.placement == endpoint_leases::ProxyPlacement::perAttempt ? "try" : "request", start);
 }
 
 // Its connections' coroutines refer to it.
@@ -92,13 +92,15 @@
   streams_.endTurn();
   healthChecker_.endTurn();
   const auto& counts = streams_.counts();
-  if (counts.asked == loggedCounts_.asked || transactions_.now() - countsLoggedAt_ < kCountsPause) return;
+  if (counts.requested == loggedCounts_.requested || transactions_.now() - countsLoggedAt_ < kCountsPause)
+    return;
   if (countsLoggedAt_ != Instant())
     spdlog::info(
         "event=ext_proc.counts asked={} granted={} committed={} refused={} rolled_back={} denied={} "
         "unreported={} misused={} malformed={} remembered={} grants_out={}",
-        counts.asked, counts.granted, counts.committed, counts.refused, counts.rolledBack, counts.denied,
-        counts.unreported, counts.misused, counts.malformed, streams_.remembered(), streams_.grantsOut());
+        counts.requested, counts.granted, counts.committed, counts.rejected, counts.rolledBack, counts.denied,
+        counts.unreported, counts.misused, counts.malformed, streams_.rememberedTransactionCount(),
+        streams_.outstandingLeaseCount());
   countsLoggedAt_ = transactions_.now();
   loggedCounts_ = counts;
 }
@@ -137,7 +139,7 @@
       while (healthCheckStreams_.contains(id) && !stream.canWrite()) co_await stream.changed();
       http1::Response response;
       response.field = [&](std::string_view name, std::string_view value) {
-        load_report::readField(config_.headers.node, name, value, said);
+        load_report::readField(config_.headers.loadReport, name, value, said);
       };
       bool on = healthCheckStreams_.contains(id) && event_loop::isConnected(stream.descriptor());
       std::string unsent = http1::get(config_.probePath, address);
@@ -167,9 +169,9 @@
   transactions_.advanceTo(loop_.now());
   if (healthCheckStreams_.erase(id) == 0) co_return;  // nobody waits for it
   if (status != 0)
-    healthChecker_.answered(id, status, said);
+    healthChecker_.onAnswered(id, status, said);
   else
-    healthChecker_.failed(id);
+    healthChecker_.onFailed(id);
 }
 
 }  // namespace gulltrestle::ext_proc_server
--- a/src/transactions/transaction_table.h
+++ b/src/transactions/transaction_table.h
@@ -1,6 +1,6 @@
 // The table of open transactions, whoever opened them and however they are carried to nodes: who awaits the
 // one final answer of each, which attempts are in flight and how each ended, and how much is open at most.
-// It runs the rounds of the decision module (routing/router.h): events are collected and delivered to the
+// It runs the rounds of the router (routing/router.h): events are collected and delivered to the
 // router once a turn, and its decisions go to the transaction's downstream handler or upstream transport.
 // It reads no socket and no clock.
 //
@@ -69,8 +69,8 @@
   // Sends a health check to the node; its report goes to the router and the admission controller. Must not
   // be called from within a call of either.
   void requestLoadReport(const NodeId& node) { sendHealthCheck(node); }
-  // Gives the router a report that another router has got, as if the node had sent it here.
-  void learnLoadReport(const NodeId& node, const LoadReport& report);
+  // Gives the router a report that another router has received, as if the node had sent it here.
+  void onPeerLoadReport(const NodeId& node, const LoadReport& report);
 
   // --- For the execution gate, outside its own calls. Ignored for a transaction that does not wait for it.
 
@@ -90,7 +90,7 @@
   TxnId openTransaction(DownstreamHandler& handler, OwnerId owner, UpstreamTransport& transport,
                         Transaction transaction, RequestMessage message, std::string_view id = {});
   // Its client left: it gets no answer, and no further attempt starts.
-  void leave(TxnId txn);
+  void onClientLeft(TxnId txn);
 
   // --- For upstream transports
 
@@ -99,12 +99,12 @@
   const AttemptRecord* attempt(AttemptId attemptId) const;
   // Whether the transaction still awaits its final answer.
   bool isAnswerPending(TxnId txn) const;
-  // Called right before an attempt is sent to its node, which is told to take no longer than `timeoutSent`.
-  // False: it must not be sent, and has to end as notSent.
+  // Called right before an attempt is sent to its node with `timeoutSent` as its time limit. False: it must
+  // not be sent, and has to end as notSent.
   [[nodiscard]] bool maySend(AttemptId attemptId, const NodeId& node, Duration timeoutSent);
   // Gives the transaction its final answer. Call it ahead of onAttemptEnded().
   void commit(TxnId txn, const ResultValue& value);
-  // Further calls for the same attempt are ignored. `answerReport`: what the node's answer said of the node;
+  // Further calls for the same attempt are ignored. `answerReport`: the node's load report within its answer;
   // `report`: what it reported besides, or to a health check.
   void onAttemptEnded(AttemptId attemptId, const NodeId& node, AttemptOutcome outcome,
                       const LoadReport& answerReport = {}, const LoadReport& report = {});
@@ -118,12 +118,12 @@
   void onEndpointList(EndpointUpdateKind kind, std::vector<ResolvedEndpoint> list, std::uint64_t version = 0);
   void onEndpointListFailed();
   // The next three are for installations with an execution gate.
-  // These nodes are draining, whatever the last list said.
-  void leave(const std::vector<NodeId>& nodes);
+  // These nodes are draining, whatever the last list has.
+  void markDraining(const std::vector<NodeId>& nodes);
   // Nothing new goes to the nodes of `current` nor, from `startsAt` on, to those of `upcoming`, whatever the
   // lists say, until the next call. Never: both at once.
   void excludeNodes(std::set<NodeId> current, std::set<NodeId> upcoming, Instant startsAt);
-  // What the last lists said of each node.
+  // Each node's entry in the last lists.
   const std::map<NodeId, ResolvedEndpoint>& lastEndpointList() const {
     return exclusions_.lastEndpointList();
   }
--- a/tests/fleet/grants.cpp
+++ b/tests/fleet/grants.cpp
@@ -26,7 +26,7 @@
       setup.processor = rig_.processor(i);
       setup.messageTimeout = Duration::millis(2000);
       proxies_.push_back(std::make_unique<fake_servers::FakeProxy>(loop_, setup));
-      proxies_[i]->faults.neverReport = [this] { return areOutcomesHidden_; };
+      proxies_[i]->faults.resetsBeforeReport = [this] { return areOutcomesHidden_; };
     }
   }
   void play() {
@@ -45,12 +45,16 @@
   }
   void sendRequest(std::size_t router, const std::string& id) {
     ++open_;
-    proxies_[router]->ask(
-        {{":method", "POST"}, {"x-txn-id", id}, {"x-txn-type", "book-charge"}, {"x-txn-group", "1"}}, true,
-        Duration::millis(900), [this](fake_servers::Answer answer) {
-          --open_;
-          committed_ += answer.outcome == "committed" || answer.status == 200;
-        });
+    proxies_[router]->send({.headers = {{":method", "POST"},
+                                        {"x-txn-id", id},
+                                        {"x-txn-type", "book-charge"},
+                                        {"x-txn-group", "1"}},
+                            .isWrite = true,
+                            .remainingTime = Duration::millis(900)},
+                           [this](fake_servers::Answer answer) {
+                             --open_;
+                             committed_ += answer.outcome == "committed" || answer.status == 200;
+                           });
   }
   event_loop::Task scenario() {
     rig_.startAll();
@@ -109,8 +113,8 @@
   void printRuns(const std::vector<std::string>& ids, const std::string& way) {
     int ran = 0, twice = 0;
     for (const auto& id : ids) {
-      ran += node_.runs[id] > 0;
-      twice += node_.runs[id] > 1;
+      ran += node_.runCounts[id] > 0;
+      twice += node_.runCounts[id] > 1;
     }
     const std::string withoutVoters = twice > 0 ? "some" : "NONE";
     std::cout << way << (usesVoters_ ? "" : ", nothing settled") << ": ran "
--- a/tests/fleet/returns.cpp
+++ b/tests/fleet/returns.cpp
@@ -53,15 +53,17 @@
   void sendRequest(std::size_t router, bool isWrite) {
     ++open_;
     const std::string id = (isWrite ? "w" : "r") + std::to_string(++ids_);
-    proxies_[router]->ask({{":method", isWrite ? "POST" : "GET"},
-                           {"x-txn-id", id},
-                           {"x-txn-type", isWrite ? "book-charge" : "route-lookup"},
-                           {"x-txn-group", "1"}},
-                          isWrite, Duration::millis(900), [this, isWrite](fake_servers::Answer answer) {
-                            --open_;
-                            const bool committed = answer.outcome == "committed" || answer.status == 200;
-                            (isWrite ? writes_ : reads_) += committed;
-                          });
+    proxies_[router]->send({.headers = {{":method", isWrite ? "POST" : "GET"},
+                                        {"x-txn-id", id},
+                                        {"x-txn-type", isWrite ? "book-charge" : "route-lookup"},
+                                        {"x-txn-group", "1"}},
+                            .isWrite = isWrite,
+                            .remainingTime = Duration::millis(900)},
+                           [this, isWrite](fake_servers::Answer answer) {
+                             --open_;
+                             const bool committed = answer.outcome == "committed" || answer.status == 200;
+                             (isWrite ? writes_ : reads_) += committed;
+                           });
   }
   void list(bool newIsPrimary) {
     discovery_.set({"p", old_.address(), "up", !newIsPrimary, 1});
@@ -79,8 +81,8 @@
     // Each commits a write at the first primary, then at the next.
     beginStep(writeAtEach("a write"));
     while (!isStepOver_) co_await tick();
-    old_.primary = false;
-    new_.primary = true;
+    old_.isPrimary = false;
+    new_.isPrimary = true;
     list(true);
     beginStep(writeAtEach("a write"));
     while (!isStepOver_) co_await tick();
@@ -100,8 +102,8 @@
       rig_.force("writes");
       for (std::size_t i = 0; i < rig_.routers(); ++i) rig_.reloadConfig(i);
     } else {
-      new_.down = false;
-      old_.primary = false;
+      new_.isDown = false;
+      old_.isPrimary = false;
     }
     beginStep(writeAtEach(forced_ ? "a write as forced" : "a write again"));
     while (!isStepOver_) co_await tick();
@@ -131,7 +133,7 @@
     };
     const auto isProven = [&] { return logged("proven=1") || logged("proven=2"); };
     setLinks(kRouter, isListFirst ? Flow::cut : Flow::open);
-    discovery_.silent = !isListFirst;
+    discovery_.isSilent = !isListFirst;
     rig_.start(kRouter);
     const Instant by = deadline();
     const auto hasFirst = [&] {
@@ -140,7 +142,7 @@
     while (!isDone(hasFirst(), by, isListFirst ? "a list" : "two witnesses")) co_await tick();
     if (isProven()) fail("proven by one side alone");
     setLinks(kRouter, Flow::open);
-    discovery_.silent = false;
+    discovery_.isSilent = false;
     while (!isDone(isProven(), by, isListFirst ? "two witnesses" : "what they told, once the list is there"))
       co_await tick();
     if (fault_.empty())
@@ -158,9 +160,9 @@
     std::vector<std::size_t> all;
     for (std::size_t i = 0; i < rig_.routers(); ++i) all.push_back(i);
     rig_.losePower(all);
-    old_.primary = true;
-    new_.down = true;
-    discovery_.beginAnew();
+    old_.isPrimary = true;
+    new_.isDown = true;
+    discovery_.restart();
     list(false);
     const auto writtenBefore = writtenToOld();
     rig_.startAll();
@@ -189,7 +191,7 @@
   }
 
   std::size_t writtenToOld() const {
-    return static_cast<std::size_t>(std::count_if(old_.runs.begin(), old_.runs.end(),
+    return static_cast<std::size_t>(std::count_if(old_.runCounts.begin(), old_.runCounts.end(),
                                                   [](const auto& run) { return run.first[0] == 'w'; }));
   }
 
--- a/tests/fleet/work.cpp
+++ b/tests/fleet/work.cpp
@@ -76,13 +76,13 @@
         const std::string id = name + std::to_string(group);
         auto& node = nodes_[id] = std::make_unique<fake_servers::FakeNode>(loop_, id, *name == 'p');
         groups_[id] = group;
-        node->fault = [this, id](const std::string& txn) {
+        node->chooseFault = [this, id](const std::string& txn) {
           if (const Machine* m = machineOf(id); m && m->isReleased)
             fail("a txn came to a node that was told free: " + txn + " at " + id);
           return fake_servers::Fault::none;
         };
         // On odd seeds there is always something out when their machine's turn comes.
-        if (*name == 'a' && seed % 2 == 1) node->work = Duration::millis(200);
+        if (*name == 'a' && seed % 2 == 1) node->executionTime = Duration::millis(200);
         list(id, "up");
       }
     machines_["ma"];
@@ -93,7 +93,7 @@
       setup.processor = rig_.processor(i);
       // Longer than anything stalls here: what was granted late would be used.
       setup.messageTimeout = Duration::millis(15'000);
-      setup.mostTries = 1;
+      setup.maxAttempts = 1;
       proxies_.push_back(std::make_unique<fake_servers::FakeProxy>(loop_, setup));
     }
     logs_.resize(rig_.routers());
@@ -106,7 +106,7 @@
     run();
     if (fault_.empty()) fault_ = rig_.crashedRouter();
     for (const auto& [id, node] : nodes_)
-      for (const auto& [txn, times] : node->runs) runs_[txn] += times;
+      for (const auto& [txn, times] : node->runCounts) runs_[txn] += times;
     for (const auto& [txn, times] : runs_)
       if (txn[0] == 'w' && times > 1 && fault_.empty()) fault_ = "ran twice: " + txn;
     if (fault_.empty()) return "";
@@ -135,7 +135,7 @@
     return options;
   }
   void list(const std::string& id, const std::string& state) {
-    discovery_.set({id, nodes_.at(id)->address(), state, nodes_.at(id)->primary, groups_.at(id)});
+    discovery_.set({id, nodes_.at(id)->address(), state, nodes_.at(id)->isPrimary, groups_.at(id)});
   }
   const Machine* machineOf(const std::string& node) const {
     const auto at = machines_.find(std::string("m") + node[0]);
@@ -194,7 +194,7 @@
     for (const auto& [id, node] : nodes_) {
       const Machine* on = machineOf(id);
       if ((on && on->isReleased) || lost_.contains(id)) ++away[groups_.at(id)];
-      if (on == &machine && node->primary) fail("a primary was told free: " + id);
+      if (on == &machine && node->isPrimary) fail("a primary was told free: " + id);
     }
     for (const auto& [group, count] : away)
       if (count > 1)
@@ -253,7 +253,7 @@
     }
   }
   void sendRequest(std::size_t router) {
-    if (proxies_[router]->open() > 40) return;
+    if (proxies_[router]->openRequestCount() > 40) return;
     constexpr const char* kTypes[] = {"book-charge", "route-lookup", "own-booking", "route-lookup"};
     const std::string type = kTypes[rig_.pick(4)];
     const bool isWrite = type == "book-charge";
@@ -266,10 +266,10 @@
       headers.push_back({"x-txn-session", "driver-" + std::to_string(rig_.pick(20))});
       headers.push_back({"x-txn-write-age-ms", "3000"});
     }
-    proxies_[router]->ask(headers, isWrite, Duration::millis(950),
-                          [this, router](fake_servers::Answer answer) {
-                            committed_[router] += answer.outcome == "committed" || answer.status == 200;
-                          });
+    proxies_[router]->send({.headers = headers, .isWrite = isWrite, .remainingTime = Duration::millis(950)},
+                           [this, router](fake_servers::Answer answer) {
+                             committed_[router] += answer.outcome == "committed" || answer.status == 200;
+                           });
   }
 
   bool isQuiet() const { return faultKind_ == FaultKind::none || faultKind_ == FaultKind::routerOnMachine; }
@@ -314,8 +314,8 @@
            !isDone(committed_[i] > before, by, "a router that serves again");)
         co_await tick();
     for (const auto& [id, node] : nodes_)
-      for (const auto before = node->requests;
-           !isDone(node->requests > before, by, "a node that is sent to again");)
+      for (const auto before = node->requestCount;
+           !isDone(node->requestCount > before, by, "a node that is sent to again");)
         co_await tick();
     isEnding_ = true;
     loop_.stop();
@@ -334,9 +334,9 @@
   }
   void movePrimary() {
     for (const char* group : {"1", "2"}) {
-      if (!nodes_.at(std::string("p") + group)->primary || !isFinished("ma")) continue;
-      nodes_.at(std::string("p") + group)->primary = false;
-      nodes_.at(std::string("a") + group)->primary = true;
+      if (!nodes_.at(std::string("p") + group)->isPrimary || !isFinished("ma")) continue;
+      nodes_.at(std::string("p") + group)->isPrimary = false;
+      nodes_.at(std::string("a") + group)->isPrimary = true;
       list(std::string("p") + group, "up");
       list(std::string("a") + group, "up");
     }
@@ -486,12 +486,12 @@
   event_loop::Task loseNode(FaultSite site) {
     const std::string other = site.machine == "ma" ? "b1" : "a1";
     lost_.insert(other);
-    nodes_.at(other)->down = !hidesNodeLoss_;
+    nodes_.at(other)->isDown = !hidesNodeLoss_;
     if (!hidesNodeLoss_) list(other, "gone");
     while (!isDone(machines_[site.machine].phase == "waits", site.deadline, "the machine to be given back"))
       co_await tick();
     lost_.erase(other);
-    nodes_.at(other)->down = false;
+    nodes_.at(other)->isDown = false;
     list(other, "up");
     endFault();
   }
