--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -1,5 +1,4 @@
-// Settings drawn at random: each that the deployment page allows has to start a router. Run as `settings
-// CASE`.
+// Random settings: each that the deployment page allows has to start a router. Run as `settings CASE`.
 #include <fstream>
 #include <iostream>
 #include <memory>
@@ -17,15 +16,15 @@
 
 namespace {
 
-constexpr std::uint64_t kDrawn = 10'000, kProcesses = 48;
-constexpr int kMostNamed = 5;  // faults that are printed
+constexpr std::uint64_t kSeedsInProcess = 10'000, kSeedsOfProcesses = 48;
+constexpr std::uint64_t kMaxPrintedFaults = 5;
 
-std::string textOf(const std::string& path) {
+std::string readFile(const std::string& path) {
   std::ifstream file(path);
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// Carries nothing out: no connection ever comes up.
+// Effects without sockets: no connection is ever established.
 class NoSockets final : public gateway::Effects {
  public:
   void connect(gateway::NodeConnectionId, const std::string&) override {}
@@ -43,27 +42,27 @@
 
 // From the text of the file to a router that has had some turns, as main() puts them together.
 void startInProcess(const std::string& text, const std::string& levels) {
-  const auto start = config::parseRouterConfig(text);
-  RoutingConfig terms = start.deployment.routing;
-  terms.degradationEnabled = terms.connectionPerAttempt = true;
-  const auto setup = degradation_service::readDegradationConfig(levels, terms.transactionClasses,
-                                                                start.deployment.typeNames);
+  const auto config = config::parseRouterConfig(text);
+  RoutingConfig routing = config.deployment.routing;
+  routing.degradationEnabled = routing.connectionPerAttempt = true;
+  const auto degradationConfig = degradation_service::readDegradationConfig(
+      levels, routing.transactionClasses, config.deployment.typeNames);
   NoSockets sockets;
-  gateway::Gateway router(terms, start.deployment.typeNames, start.seed,
-                          {start.deployment.idleLimit, start.deployment.connectLimit, 16, 1 << 20, 32},
+  gateway::Gateway router(routing, config.deployment.typeNames, config.seed,
+                          {config.deployment.idleLimit, config.deployment.connectLimit, 16, 1 << 20, 32},
                           sockets);
   degradation_service::DegradationService service(
-      router.transactions(), setup, start.deployment.typeNames, start.seed, [&] { return setup; },
-      [](const auto&) {});
+      router.transactions(), degradationConfig, config.deployment.typeNames, config.seed,
+      [&] { return degradationConfig; }, [](const auto&) {});
   router.add(service);
   Instant now = Instant::atMicros(1'767'225'600'000'000);
   router.onEndpointList(now, EndpointUpdateKind::restored, {});
   router.clientOpened(now, 1);
   router.clientReceived(now, 1, postgres::startup("worker", "catalog"));
-  for (std::size_t row = 0; row < terms.transactionClasses.size(); ++row) {
-    const std::string comment =
-        " /* id=" + std::to_string(row) + ",c=" + start.deployment.typeNames[row] + ",t=t,d=100,cluster=1 */";
-    const bool writes = terms.transactionClasses[row].level == ReadLevel::write;
+  for (std::size_t row = 0; row < routing.transactionClasses.size(); ++row) {
+    const std::string comment = " /* id=" + std::to_string(row) + ",c=" + config.deployment.typeNames[row] +
+                                ",t=t,d=100,cluster=1 */";
+    const bool writes = routing.transactionClasses[row].level == ReadLevel::write;
     router.clientOpened(now, 2 + row);
     router.clientReceived(
         now, 2 + row,
@@ -76,17 +75,17 @@
     router.endTurn(now);
     now = now + Duration::millis(100);
   }
-  // A greeting each, and the final answer of each txn: nothing can be reached.
-  const auto owed = 1 + 2 * terms.transactionClasses.size();
-  if (sockets.answers != static_cast<int>(owed))
-    throw std::runtime_error(std::to_string(sockets.answers) + " answers for " + std::to_string(owed));
+  // A greeting for each client, and a final answer to each transaction: nothing can be reached.
+  const auto expected = 1 + 2 * routing.transactionClasses.size();
+  if (sockets.answers != static_cast<int>(expected))
+    throw std::runtime_error(std::to_string(sockets.answers) + " answers for " + std::to_string(expected));
 }
 
-// Faults of a kind of start, by what they say.
+// Counts starts that failed, and prints the first of them.
 class Faults {
  public:
-  void add(std::uint64_t seed, const std::string& what) {
-    if (++count_ <= kMostNamed) std::cout << "  seed " << seed << ": " << what << "\n";
+  void add(std::uint64_t seed, const std::string& fault) {
+    if (++count_ <= kMaxPrintedFaults) std::cout << "  seed " << seed << ": " << fault << "\n";
   }
   std::uint64_t count() const { return count_; }
 
@@ -94,20 +93,21 @@
   std::uint64_t count_ = 0;
 };
 
-// Finds: what is derived from settings and fails a check of its own (the incident of 2026-12-02).
-void drawn(std::uint64_t first, std::uint64_t count) {
-  const std::string levels = textOf(GULLTRESTLE_LEVELS_FILE);
+// Finds values that are derived from settings and fail a check of their own (the incident of 2026-12-02).
+void startRoutersInProcess(std::uint64_t firstSeed, std::uint64_t count) {
+  const std::string levels = readFile(GULLTRESTLE_LEVELS_FILE);
   Faults faults;
-  for (std::uint64_t seed = first; seed < first + count; ++seed) try {
+  for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed) try {
       startInProcess(settings::configuration(seed), levels);
     } catch (const std::exception& fault) { faults.add(seed, fault.what()); }
   std::cout << count << " settings, " << faults.count() << " did not start\n";
 }
 
 // One process of the program and what it was started with.
-struct Started {
-  explicit Started(std::uint64_t ofSeed)
-      : seed(ofSeed), file("settings-" + std::to_string(getpid()) + "-" + std::to_string(seed) + ".json") {
+struct StartedProcess {
+  explicit StartedProcess(std::uint64_t settingsSeed)
+      : seed(settingsSeed),
+        file("settings-" + std::to_string(getpid()) + "-" + std::to_string(seed) + ".json") {
     settings::Place place;
     place.listen = "127.0.0.1:" + std::to_string(port.number());
     place.known = R"({"version":1,"full":true,"servers":[]})";
@@ -115,7 +115,7 @@
     child = std::make_unique<Child>(std::vector<std::string>{
         "BALANCER_CONFIG=" + file, std::string("GULLTRESTLE_LEVELS=") + GULLTRESTLE_LEVELS_FILE});
   }
-  ~Started() { unlink(file.c_str()); }
+  ~StartedProcess() { unlink(file.c_str()); }
 
   std::uint64_t seed;
   Port port;
@@ -123,32 +123,34 @@
   std::unique_ptr<Child> child;
 };
 
-// The same with the program itself: each says that it listens, and ends in good order when it is told to.
-void processes(std::uint64_t first, std::uint64_t count) {
+// The same with the program itself: each process logs that it listens, and exits with code 0 on SIGTERM.
+void startProcesses(std::uint64_t firstSeed, std::uint64_t count) {
   Faults faults;
-  std::vector<std::unique_ptr<Started>> all;
-  for (std::uint64_t seed = first; seed < first + count; ++seed)
-    all.push_back(std::make_unique<Started>(seed));
-  for (const auto& one : all) {
-    one->child->untilItSays("listens on");
-    one->child->signal(SIGTERM);
+  std::vector<std::unique_ptr<StartedProcess>> started;
+  for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed)
+    started.push_back(std::make_unique<StartedProcess>(seed));
+  for (const auto& process : started) {
+    process->child->untilItSays("listens on");
+    process->child->signal(SIGTERM);
   }
-  for (const auto& one : all) {
-    one->child->untilItSays("no line has this");
-    if (const int code = one->child->wait(); code != 0)
-      faults.add(one->seed, "exit code " + std::to_string(code) + ", " + one->child->lastLine());
+  for (const auto& process : started) {
+    process->child->untilItSays("no line has this");
+    if (const int code = process->child->wait(); code != 0)
+      faults.add(process->seed, "exit code " + std::to_string(code) + ", " + process->child->lastLine());
   }
   std::cout << count << " processes, " << faults.count() << " did not start\n";
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  const std::string name = count > 1 ? words[1] : "";
-  // By hand: `settings drawn FIRST COUNT` goes on where CI ends.
-  const std::uint64_t first = count > 3 ? std::stoull(words[2]) : 1;
-  const std::uint64_t most = count > 3 ? std::stoull(words[3]) : 0;
-  if (name == "drawn") return drawn(first, most > 0 ? most : kDrawn), 0;
-  if (name == "processes") return processes(first, most > 0 ? most : kProcesses), 0;
+int main(int count, char** arguments) {
+  const std::string name = count > 1 ? arguments[1] : "";
+  // By hand: `settings random-in-process FIRST COUNT` goes on where CI ends.
+  const std::uint64_t firstSeed = count > 3 ? std::stoull(arguments[2]) : 1;
+  const std::uint64_t seedCount = count > 3 ? std::stoull(arguments[3]) : 0;
+  if (name == "random-in-process")
+    return startRoutersInProcess(firstSeed, seedCount > 0 ? seedCount : kSeedsInProcess), 0;
+  if (name == "random-processes")
+    return startProcesses(firstSeed, seedCount > 0 ? seedCount : kSeedsOfProcesses), 0;
   return 2;
 }
--- a/tests/setups.cpp
+++ b/tests/setups.cpp
@@ -1,5 +1,5 @@
-// The fleet's configuration with each kind of fault, the command line, and what a keeper says to strangers
-// and nonsense. Run as `setups CASE`: prints the case's trace.
+// The cluster's configuration with each kind of fault, the command line, and a voter's answers to peers that
+// it rejects and to false reports. Run as `setups CASE`: prints the case's trace.
 #include <unistd.h>
 
 #include <cstdlib>
@@ -25,105 +25,137 @@
 
 namespace {
 
-void configurations() {
-  const auto tried = [](const std::string& text, const std::string& name = "a") {
-    try {
-      const ClusterConfig setup = readClusterConfig(text, name, ms(3000));
-      std::cout << "taken: keepers " << setup.voterListText() << "; routers " << setup.routers.size()
-                << "; store '" << setup.storeFolder << "'; connections " << setup.maxConnections << "\n";
-    } catch (const config::ConfigError& bad) { std::cout << bad.what() << "\n"; }
-  };
+// Reads the configuration as the router `name` and prints what was read, or the error.
+void readConfiguration(const std::string& text, const std::string& name = "a") {
+  try {
+    const ClusterConfig config = readClusterConfig(text, name, ms(3000));
+    std::cout << "taken: keepers " << config.voterListText() << "; routers " << config.routers.size()
+              << "; store '" << config.storeFolder << "'; connections " << config.maxConnections << "\n";
+  } catch (const config::ConfigError& error) { std::cout << error.what() << "\n"; }
+}
+
+void clusterConfiguration() {
   const std::string three = R"("keepers":{"c":"127.0.0.1:3","a":"127.0.0.1:1","b":"127.0.0.1:2"})";
-  tried("{" + three + R"(,"store":"/s"})");
-  tried("{" + three + R"(,"store":"/s","routers":["d","e"]})", "d");
-  tried("{}");
-  tried(R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2"}})");
-  tried(R"({"keepers":{"a":"nowhere"}})");
-  tried("{" + three + "}");
-  tried("{" + three + R"(,"store":"/s"})", "z");
-  tried("{" + three + R"(,"store":"/s","routers":"d"})");
-  tried("{" + three + R"(,"store":"/s","routers":["d",4]})");
-  tried("{" + three + R"(,"store":"/s","retention_ms":11999})");
-  tried("{" + three + R"(,"store":"/s","limits":{"ids":10}})");
-  tried("{" + three + R"(,"store":"/s","retentoin_ms":60000})");
-  tried("{" + three + R"(,"store":"/s")");
-  tried("{" + three + R"(,"store":"/s","first_txns":0})");
-  tried("{" + three + R"(,"store":"/s","force":{"stage":"most","by":"kim"}})");
-  tried("{" + three + R"(,"store":"/s","force":{"stage":"all"}})");
-  tried("{" + three + R"(,"store":"/s","work":{"out_of_group":0}})");
-  tried("{" + three + R"(,"store":"/s","work":{"at_once":2,"anounce_ms":5000}})");
-  tried("{" + three + R"(,"store":"/s","work":{"folder":"/w","leave_ms":5000}})");
-  tried("{" + three + R"(,"store":"/s","keepers_before":[["a","b","d"],["a","d","c"]]})");
-  tried("{" + three + R"(,"store":"/s","keepers_before":["a","b","d"]})");
-  tried("{" + three + R"(,"store":"/s","keepers_before":[["a","e","d"]]})");
-  tried("{" + three + R"(,"store":"/s","keepers_before":[["a","b","c","d","e"]]})");
+  readConfiguration("{" + three + R"(,"store":"/s"})");
+  readConfiguration("{" + three + R"(,"store":"/s","routers":["d","e"]})", "d");
+  readConfiguration("{}");
+  readConfiguration(R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2"}})");
+  readConfiguration(R"({"keepers":{"a":"nowhere"}})");
+  readConfiguration("{" + three + "}");
+  readConfiguration("{" + three + R"(,"store":"/s"})", "z");
+  readConfiguration("{" + three + R"(,"store":"/s","routers":"d"})");
+  readConfiguration("{" + three + R"(,"store":"/s","routers":["d",4]})");
+  readConfiguration("{" + three + R"(,"store":"/s","retention_ms":11999})");
+  readConfiguration("{" + three + R"(,"store":"/s","limits":{"ids":10}})");
+  readConfiguration("{" + three + R"(,"store":"/s","retentoin_ms":60000})");
+  readConfiguration("{" + three + R"(,"store":"/s")");
+  readConfiguration("{" + three + R"(,"store":"/s","first_txns":0})");
+  readConfiguration("{" + three + R"(,"store":"/s","force":{"stage":"most","by":"kim"}})");
+  readConfiguration("{" + three + R"(,"store":"/s","force":{"stage":"all"}})");
+  readConfiguration("{" + three + R"(,"store":"/s","work":{"out_of_group":0}})");
+  readConfiguration("{" + three + R"(,"store":"/s","work":{"at_once":2,"anounce_ms":5000}})");
+  readConfiguration("{" + three + R"(,"store":"/s","work":{"folder":"/w","leave_ms":5000}})");
+  readConfiguration("{" + three + R"(,"store":"/s","keepers_before":[["a","b","d"],["a","d","c"]]})");
+  readConfiguration("{" + three + R"(,"store":"/s","keepers_before":["a","b","d"]})");
+  readConfiguration("{" + three + R"(,"store":"/s","keepers_before":[["a","e","d"]]})");
+  readConfiguration("{" + three + R"(,"store":"/s","keepers_before":[["a","b","c","d","e"]]})");
 }
 
-void commandLine() {
-  const std::string base = scratchFolder("commands"), folder = base + "/s";
-  const auto tried = [&](std::vector<const char*> words) {
-    std::ostringstream out, complaints;
-    words.insert(words.begin(), "gulltrestle");
-    const int code = cli::run(static_cast<int>(words.size()), words.data(), out, complaints);
-    std::string all = "--";
-    for (std::size_t i = 1; i < words.size(); ++i) all += std::string(" ") + words[i];
-    all += "\n" + out.str() + complaints.str();
-    for (std::size_t at; (at = all.find(base)) != std::string::npos;) all.replace(at, base.size(), "BASE");
-    std::cout << all << "exit " << code << "\n";
-  };
-  tried({"serve"});
-  tried({"store"});
-  tried({"store", "check", folder.c_str()});
-  tried({"store", "create", folder.c_str()});
-  tried({"store", "create", folder.c_str(), "--keeper", "r1"});
-  tried({"store", "create", folder.c_str(), "--keeper", "r1"});
-  tried({"store", "check", folder.c_str()});
-  {
-    store::Store store(folder, "r1", 5, {{1, {"r1"}}});
-    idempotency::VotingMember::DiskChange put;
-    put.id = put.entry.id = "b1";
-    put.entry.token.router = "r2";
-    put.entry.committed = true;
-    put.entry.value = "abc";
-    store.write({put});
-    put.id = put.entry.id = "b2";
-    put.entry.committed = false;
-    idempotency::VotingMember::DiskChange start;
-    start.kind = idempotency::VotingMember::DiskChange::Kind::start;
-    start.id = "r3";
-    start.start.number = 4;
-    store.write({put, start});
+// Runs the command line in-process and prints its arguments, its output and its exit code.
+class CommandRunner {
+ public:
+  // `base`: a folder whose path is printed as BASE.
+  explicit CommandRunner(std::string base) : base_(std::move(base)) {}
+
+  void run(std::vector<const char*> arguments) const {
+    std::ostringstream out, errors;
+    arguments.insert(arguments.begin(), "gulltrestle");
+    const int code = cli::run(static_cast<int>(arguments.size()), arguments.data(), out, errors);
+    std::string printed = "--";
+    for (std::size_t i = 1; i < arguments.size(); ++i) printed += std::string(" ") + arguments[i];
+    printed += "\n" + out.str() + errors.str();
+    for (std::size_t at; (at = printed.find(base_)) != std::string::npos;)
+      printed.replace(at, base_.size(), "BASE");
+    std::cout << printed << "exit " << code << "\n";
   }
-  tried({"store", "check", folder.c_str()});
-  tried({"store", "show", folder.c_str(), "--most", "1"});
+
+ private:
+  std::string base_;
+};
+
+// One committed claim, one that is not, and the start of another voter.
+void fillStore(const std::string& folder) {
+  using DiskChange = idempotency::VotingMember::DiskChange;
+  store::Store store(folder, "r1", 5, {{1, {"r1"}}});
+  DiskChange put;
+  put.id = put.entry.id = "b1";
+  put.entry.token.router = "r2";
+  put.entry.committed = true;
+  put.entry.value = "abc";
+  store.write({put});
+  put.id = put.entry.id = "b2";
+  put.entry.committed = false;
+  DiskChange start;
+  start.kind = DiskChange::Kind::start;
+  start.id = "r3";
+  start.start.number = 4;
+  store.write({put, start});
+}
+
+void storeCommands(const CommandRunner& commands, const std::string& folder) {
+  commands.run({"serve"});
+  commands.run({"store"});
+  commands.run({"store", "check", folder.c_str()});
+  commands.run({"store", "create", folder.c_str()});
+  commands.run({"store", "create", folder.c_str(), "--keeper", "r1"});
+  commands.run({"store", "create", folder.c_str(), "--keeper", "r1"});
+  commands.run({"store", "check", folder.c_str()});
+  fillStore(folder);
+  commands.run({"store", "check", folder.c_str()});
+  commands.run({"store", "show", folder.c_str(), "--most", "1"});
   std::filesystem::resize_file(folder + "/claims.db", 5000);
-  tried({"store", "check", folder.c_str()});
-  tried({"status", folder.c_str()});
-  const std::string machines = base + "/machines.json", state = base + "/status.json";
-  const auto written = [](const std::string& file, const std::string& text) { std::ofstream(file) << text; };
-  const auto asked = [&](const std::string& text) {
-    written(machines, text);
-    std::cout << text << "\n";
-    try {
-      std::cout << "  " << maintenance::readOperatorRequest(text).machines.size() << " machines\n";
-    } catch (const maintenance::InvalidRequest& bad) { std::cout << "  " << bad.what() << "\n"; }
-  };
-  asked("{");
-  asked(R"({"machines":{}})");
-  asked(R"({"by":"kim","machines":{"m1":{"node":["a"]}}})");
-  asked(R"({"by":"kim","machines":{"m1":{"nodes":"a"}}})");
-  asked(R"({"by":"kim","machines":{"m1":{"nodes":["a"],"takes_ms":5000,"within_ms":4000}}})");
-  asked(R"({"by":"kim","what":"end"})");
-  asked(R"({"by":"kim","what":"done"})");
-  asked(R"({"by":"kim","machines":{"m1":{"zone":"z","nodes":["a","b"],"routers":["r4"],"takes_ms":5000}}})");
-  tried({"work", "ask", folder.c_str(), "nowhere.json", "--by", "kim"});
-  tried({"work", "done", folder.c_str(), "--by", "kim"});
-  written(state, "{}");
-  tried({"work", "list", state.c_str()});
-  written(state, R"({"work":{"version":7,"clear":7,"foreman":true,"lease_ms":2500,"machines":[
+  commands.run({"store", "check", folder.c_str()});
+  commands.run({"status", folder.c_str()});
+}
+
+// Parses an operator's request and prints it with the number of its machines, or the error.
+void parseRequest(const std::string& text) {
+  std::cout << text << "\n";
+  try {
+    std::cout << "  " << maintenance::readOperatorRequest(text).machines.size() << " machines\n";
+  } catch (const maintenance::InvalidRequest& error) { std::cout << "  " << error.what() << "\n"; }
+}
+
+void operatorRequests() {
+  parseRequest("{");
+  parseRequest(R"({"machines":{}})");
+  parseRequest(R"({"by":"kim","machines":{"m1":{"node":["a"]}}})");
+  parseRequest(R"({"by":"kim","machines":{"m1":{"nodes":"a"}}})");
+  parseRequest(R"({"by":"kim","machines":{"m1":{"nodes":["a"],"takes_ms":5000,"within_ms":4000}}})");
+  parseRequest(R"({"by":"kim","what":"end"})");
+  parseRequest(R"({"by":"kim","what":"done"})");
+  parseRequest(
+      R"({"by":"kim","machines":{"m1":{"zone":"z","nodes":["a","b"],"routers":["r4"],"takes_ms":5000}}})");
+}
+
+void workCommands(const CommandRunner& commands, const std::string& folder, const std::string& statusFile) {
+  commands.run({"work", "ask", folder.c_str(), "nowhere.json", "--by", "kim"});
+  commands.run({"work", "done", folder.c_str(), "--by", "kim"});
+  std::ofstream(statusFile) << "{}";
+  commands.run({"work", "list", statusFile.c_str()});
+  std::ofstream(statusFile) <<
+      R"({"work":{"version":7,"clear":7,"foreman":true,"lease_ms":2500,"machines":[
     {"machine":"m1","phase":"leaves","why":"all routers know","by":"kim","tries":1,"awaits":"nothing out there: r3"},
-    {"machine":"m2","phase":"over","why":"it serves","by":"kim","tries":0}]}})");
-  tried({"work", "list", state.c_str()});
+    {"machine":"m2","phase":"over","why":"it serves","by":"kim","tries":0}]}})";
+  commands.run({"work", "list", statusFile.c_str()});
+}
+
+void commandLine() {
+  const std::string base = scratchFolder("commands"), folder = base + "/s";
+  const CommandRunner commands(base);
+  storeCommands(commands, folder);
+  operatorRequests();
+  workCommands(commands, folder, base + "/status.json");
   std::filesystem::remove_all(base);
 }
 
@@ -131,30 +163,34 @@
 class World final : public Effects {
  public:
   World()
-      : ledger_(trace::usualTerms({trace::type(ReadLevel::write, Effect::atMostOnce)}), 7, 1 << 20, [] {}) {
-    const ClusterConfig setup = readClusterConfig(
+      : transactions_(trace::usualTerms({trace::type(ReadLevel::write, Effect::atMostOnce)}), 7, 1 << 20,
+                      [] {}) {
+    const ClusterConfig config = readClusterConfig(
         R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2","c":"127.0.0.1:3"},"routers":["d"],"store":"/s"})",
         "a", ms(2000));
-    idempotency::StoredState kept;
-    kept.own = {{1, 50}};
-    kept.isComplete = true;
-    kept.lists.current = setup.voterLists.back();
-    dispatcher_ = std::make_unique<ClaimDispatcher>(ledger_, RoutingConfig{}, setup, "a", 99, kept, *this);
+    idempotency::StoredState stored;
+    stored.own = {{1, 50}};
+    stored.isComplete = true;
+    stored.lists.current = config.voterLists.back();
+    dispatcher_ =
+        std::make_unique<ClaimDispatcher>(transactions_, RoutingConfig{}, config, "a", 99, stored, *this);
   }
-  void say(StreamKey stream, const std::string& what, const std::string& bytes) {
-    std::cout << what << "\n";
+  // Prints what happens, and delivers the message.
+  void deliver(StreamKey stream, const std::string& title, const std::string& bytes) {
+    std::cout << title << "\n";
     dispatcher_->onMessage(stream, bytes);
   }
-  void durable(bool is) {
-    std::cout << (is ? "durable\n" : "the disk fails\n");
-    for (const Ticket ticket : std::exchange(tickets_, {})) dispatcher_->onWritten(ticket, is);
+  // All writes in flight end.
+  void endWrites(bool areDurable) {
+    std::cout << (areDurable ? "durable\n" : "the disk fails\n");
+    for (const Ticket ticket : std::exchange(tickets_, {})) dispatcher_->onWritten(ticket, areDurable);
   }
   ClaimDispatcher& dispatcher() { return *dispatcher_; }
   std::string status() const {
     store::StoreStatistics disk;
     disk.bytes = 20480;
     disk.fault = "disk I/O error";
-    return statusOf(ledger_.now(), *dispatcher_, &disk, {});
+    return statusOf(transactions_.now(), *dispatcher_, &disk, {});
   }
 
  private:
@@ -179,8 +215,8 @@
       std::cout << "vote on " << std::get<VoteReply>(reply).number << ": "
                 << static_cast<int>(std::get<VoteReply>(reply).vote.kind) << "\n";
   }
-  void rejectStream(StreamKey stream, std::string_view why) override {
-    std::cout << "  stream " << stream << " refused: " << why << "\n";
+  void rejectStream(StreamKey stream, std::string_view reason) override {
+    std::cout << "  stream " << stream << " refused: " << reason << "\n";
   }
   Ticket write(std::vector<idempotency::VotingMember::DiskChange> changes) override {
     std::cout << "  to disk: " << changes.size() << "\n";
@@ -194,79 +230,105 @@
   void log(std::string_view event, const std::string& fields) override {
     std::cout << "  " << event << " " << fields << "\n";
   }
-  transactions::TransactionTable ledger_;
+  transactions::TransactionTable transactions_;
   std::unique_ptr<ClaimDispatcher> dispatcher_;
   std::vector<Ticket> tickets_;
   Ticket last_ = 0;
 };
 
-void strangers() {
-  World world;
-  const std::string list = "1: a b c";
-  world.say(1, "nonsense", "\xff\xff\xff");
-  world.say(1, "an empty word", "");
-  world.say(1, "a claim before a greeting", encoded(PeerMessage(Claim{"b1", 1})));
-  world.say(1, "a stranger greets", encoded(PeerMessage(Greeting{"z", list, 5, {}})));
-  world.say(1, "a router with another list", encoded(PeerMessage(Greeting{"d", "1: a b", 5, {}})));
-  world.say(1, "a router greets", encoded(PeerMessage(Greeting{"d", list, 5, {}})));
-  world.durable(true);
-  world.say(1, "it claims and has not entered", encoded(PeerMessage(Claim{"b1", 1})));
-  world.say(1, "it enters by a number from the future", encoded(PeerMessage(JoinRequest{1'000'000'000})));
-  world.durable(true);
-  world.say(1, "it enters, and the disk fails", encoded(PeerMessage(JoinRequest{1})));
-  world.durable(false);
-  world.say(1, "it greets again", encoded(PeerMessage(Greeting{"d", list, 5, {}})));
-  world.durable(true);
-  world.say(1, "it claims, and the keeper has not heard the others", encoded(PeerMessage(Claim{"b1", 1})));
+const std::string kVoterList = "1: a b c";
+
+void rejectBeforeJoin(World& world) {
+  world.deliver(1, "nonsense", "\xff\xff\xff");
+  world.deliver(1, "an empty word", "");
+  world.deliver(1, "a claim before a greeting", encoded(PeerMessage(Claim{"b1", 1})));
+  world.deliver(1, "a stranger greets", encoded(PeerMessage(Greeting{"z", kVoterList, 5, {}})));
+  world.deliver(1, "a router with another list", encoded(PeerMessage(Greeting{"d", "1: a b", 5, {}})));
+  world.deliver(1, "a router greets", encoded(PeerMessage(Greeting{"d", kVoterList, 5, {}})));
+  world.endWrites(true);
+  world.deliver(1, "it claims and has not entered", encoded(PeerMessage(Claim{"b1", 1})));
+  world.deliver(1, "it enters by a number from the future", encoded(PeerMessage(JoinRequest{1'000'000'000})));
+  world.endWrites(true);
+  world.deliver(1, "it enters, and the disk fails", encoded(PeerMessage(JoinRequest{1})));
+  world.endWrites(false);
+  world.deliver(1, "it greets again", encoded(PeerMessage(Greeting{"d", kVoterList, 5, {}})));
+  world.endWrites(true);
+  world.deliver(1, "it claims, and the keeper has not heard the others",
+                encoded(PeerMessage(Claim{"b1", 1})));
+}
+
+void rejectWithoutQuorum(World& world) {
   std::cout << "a keeper answers with nonsense: ";
   try {
     world.dispatcher().onReply(1, "\xff\xff");
   } catch (const MalformedMessage& bad) { std::cout << bad.what() << "\n"; }
   std::cout << "one answers\n";
   world.dispatcher().onReply(1, encoded(PeerReply(GreetingReply{1, {}, {}})));
-  world.say(1, "it claims", encoded(PeerMessage(Claim{"b1", 2})));
-  world.durable(false);
-  world.say(2, "a keeper greets, and its start can't be kept",
-            encoded(PeerMessage(Greeting{"b", list, 6, {3, 60}})));
-  world.durable(false);
-  world.say(3, "it greets again", encoded(PeerMessage(Greeting{"b", list, 6, {3, 60}})));
-  world.durable(true);
-  world.say(3, "it enters", encoded(PeerMessage(JoinRequest{1})));
-  world.durable(true);
-  world.say(3, "it claims the same", encoded(PeerMessage(Claim{"b1", 1})));
+  world.deliver(1, "it claims", encoded(PeerMessage(Claim{"b1", 2})));
+  world.endWrites(false);
+}
+
+void rejectRestartedVoter(World& world) {
+  world.deliver(2, "a keeper greets, and its start can't be kept",
+                encoded(PeerMessage(Greeting{"b", kVoterList, 6, {3, 60}})));
+  world.endWrites(false);
+  world.deliver(3, "it greets again", encoded(PeerMessage(Greeting{"b", kVoterList, 6, {3, 60}})));
+  world.endWrites(true);
+  world.deliver(3, "it enters", encoded(PeerMessage(JoinRequest{1})));
+  world.endWrites(true);
+  world.deliver(3, "it claims the same", encoded(PeerMessage(Claim{"b1", 1})));
   world.dispatcher().onStreamEnded(3);
-  world.say(3, "a claim on a stream that ended", encoded(PeerMessage(Claim{"b2", 2})));
-  world.say(4, "another process of the name d greets", encoded(PeerMessage(Greeting{"d", list, 8, {}})));
-  world.durable(true);
-  world.say(4, "it enters by the same number", encoded(PeerMessage(JoinRequest{1})));
-  world.durable(true);
-  world.say(4, "it enters by the next one", encoded(PeerMessage(JoinRequest{2})));
-  world.say(1, "the first claims meanwhile", encoded(PeerMessage(Claim{"b4", 3})));
-  world.durable(true);
-  world.say(1, "the first beats", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
-  world.say(4, "the second beats", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
+  world.deliver(3, "a claim on a stream that ended", encoded(PeerMessage(Claim{"b2", 2})));
+}
+
+void rejectSecondProcess(World& world) {
+  world.deliver(4, "another process of the name d greets",
+                encoded(PeerMessage(Greeting{"d", kVoterList, 8, {}})));
+  world.endWrites(true);
+  world.deliver(4, "it enters by the same number", encoded(PeerMessage(JoinRequest{1})));
+  world.endWrites(true);
+  world.deliver(4, "it enters by the next one", encoded(PeerMessage(JoinRequest{2})));
+  world.deliver(1, "the first claims meanwhile", encoded(PeerMessage(Claim{"b4", 3})));
+  world.endWrites(true);
+  world.deliver(1, "the first beats", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
+  world.deliver(4, "the second beats", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
+}
+
+void rejectRemovedRouter(World& world) {
   std::cout << "d is taken off the list\n";
-  ClusterConfig without = readClusterConfig(
+  const ClusterConfig withoutRouter = readClusterConfig(
       R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2","c":"127.0.0.1:3"},"routers":["e"],"store":"/s"})",
       "a", ms(2000));
-  world.dispatcher().reloadConfig(without);
-  world.say(5, "it greets", encoded(PeerMessage(Greeting{"d", list, 8, {}})));
+  world.dispatcher().reloadConfig(withoutRouter);
+  world.deliver(5, "it greets", encoded(PeerMessage(Greeting{"d", kVoterList, 8, {}})));
   std::cout << "another keeper knows a start of this one that its disk doesn't\n";
   world.dispatcher().onReply(2, encoded(PeerReply(GreetingReply{1, {9, 70}, {}})));
-  world.durable(true);
+  world.endWrites(true);
 }
 
-// Keepers that tell falsely of nodes, and what the status command makes of it.
-void tellers() {
+void rejectedPeers() {
   World world;
-  const auto tell = [&](idempotency::VoterIndex by, const std::string& what, const ObservationReport& seen) {
-    std::cout << what << "\n";
-    world.dispatcher().onReply(by, encoded(PeerReply(seen)));
-    world.dispatcher().endTurn();
-  };
-  const auto sighting = [](const NodeId& node, Role role, std::int64_t position) {
-    return recovery::Observation{node, Instant(), role, Instant() + ms(position), ms(3)};
-  };
+  rejectBeforeJoin(world);
+  rejectWithoutQuorum(world);
+  rejectRestartedVoter(world);
+  rejectSecondProcess(world);
+  rejectRemovedRouter(world);
+}
+
+// Applies a report of the voter `by`.
+void report(World& world, idempotency::VoterIndex by, const std::string& title,
+            const ObservationReport& observations) {
+  std::cout << title << "\n";
+  world.dispatcher().onReply(by, encoded(PeerReply(observations)));
+  world.dispatcher().endTurn();
+}
+
+recovery::Observation observation(const NodeId& node, Role role, std::int64_t positionMillis) {
+  return {node, Instant(), role, Instant() + ms(positionMillis), ms(3)};
+}
+
+// The primary p and its replica a.
+std::vector<transactions::ResolvedEndpoint> primaryAndReplica() {
   std::vector<transactions::ResolvedEndpoint> list;
   for (const NodeId node : {"p", "a"}) {
     list.emplace_back();
@@ -274,46 +336,57 @@
     list.back().entry.group = 1;
     list.back().entry.primary = node == "p";
   }
+  return list;
+}
+
+// Runs the status command on the world's status document.
+void printStatus(const World& world) {
+  const auto path = std::filesystem::path(scratch()) / ("gulltrestle-status-" + std::to_string(getpid()));
+  std::ofstream(path) << world.status();
+  std::ostringstream out, errors;
+  const std::string file = path.string();
+  const char* arguments[] = {"gulltrestle", "status", file.c_str()};
+  const int code = cli::run(3, arguments, out, errors);
+  std::cout << out.str() << "exit " << code << "\n";
+  std::filesystem::remove(path);
+}
+
+// Voters that report falsely on nodes, and what the status command prints of it.
+void falseObservations() {
+  World world;
+  auto list = primaryAndReplica();
   world.dispatcher().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
   world.dispatcher().endTurn();
-  tell(1, "one tells that the replica is a year ahead", {{sighting("a", Role::replica, 1 << 30)}, false});
-  tell(2, "another tells the truth: what both reach is proven", {{sighting("a", Role::replica, 10)}, false});
-  tell(1, "one tells that the replica is the primary", {{sighting("a", Role::primary, 20)}, false});
-  tell(1, "one tells of a node that no list names", {{sighting("z", Role::primary, 20)}, false});
+  report(world, 1, "one tells that the replica is a year ahead",
+         {{observation("a", Role::replica, 1 << 30)}, false});
+  report(world, 2, "another tells the truth: what both reach is proven",
+         {{observation("a", Role::replica, 10)}, false});
+  report(world, 1, "one tells that the replica is the primary",
+         {{observation("a", Role::primary, 20)}, false});
+  report(world, 1, "one tells of a node that no list names", {{observation("z", Role::primary, 20)}, false});
   std::cout << "one tells of a primary by a list from the future\n";
   world.dispatcher().onReply(1, encoded(PeerReply(PrimaryUpdates{{1, {"a", 1'000'000}}})));
   world.dispatcher().endTurn();
   std::cout << "the node that the list names says that it is the primary\n";
   world.dispatcher().recovery().onLoadReport("p", {Role::primary, Instant() + ms(30), {}});
   world.dispatcher().endTurn();
-  const auto kept = std::filesystem::path(scratch()) / ("gulltrestle-status-" + std::to_string(getpid()));
-  const auto status = [&] {
-    std::ofstream(kept) << world.status();
-    std::ostringstream out, complaints;
-    const std::string file = kept.string();
-    const char* words[] = {"gulltrestle", "status", file.c_str()};
-    const int code = cli::run(3, words, out, complaints);
-    std::cout << out.str() << "exit " << code << "\n";
-  };
-  status();
+  printStatus(world);
   std::cout << "an operator decides\n";
   ClusterConfig forced;
   forced.forcedStage = recovery::Stage::all;
   forced.forcedBy = "kim";
   world.dispatcher().reloadConfig(forced);
   world.dispatcher().endTurn();
-  status();
-  std::filesystem::remove(kept);
+  printStatus(world);
 }
 
-// Two tell of a replica before any list is there: with the list it is proven.
-void aheadOfList() {
+// Two voters report a replica before any endpoint list is there: with the list its position is proven.
+void observationsBeforeList() {
   World world;
   for (const idempotency::VoterIndex by : {1, 2}) {
     std::cout << "one tells of a replica\n";
     world.dispatcher().onReply(
-        by, encoded(PeerReply(
-                ObservationReport{{{"a", Instant(), Role::replica, Instant() + ms(10), ms(3)}}, false})));
+        by, encoded(PeerReply(ObservationReport{{observation("a", Role::replica, 10)}, false})));
     world.dispatcher().endTurn();
   }
   std::cout << "a list names it\n";
@@ -327,13 +400,14 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::map<std::string, std::function<void()>> cases{{"configurations", configurations},
-                                                           {"commands", commandLine},
-                                                           {"strangers", strangers},
-                                                           {"tellers", tellers},
-                                                           {"told-ahead", aheadOfList}};
-  const auto at = cases.find(argc > 1 ? argv[1] : "");
-  if (at == cases.end()) return 2;
-  at->second();
+  const std::map<std::string, std::function<void()>> cases{
+      {"cluster-configuration", clusterConfiguration},
+      {"command-line", commandLine},
+      {"rejected-peers", rejectedPeers},
+      {"false-observations", falseObservations},
+      {"observations-before-list", observationsBeforeList}};
+  const auto found = cases.find(argc > 1 ? argv[1] : "");
+  if (found == cases.end()) return 2;
+  found->second();
   return 0;
 }
--- a/tests/small.cpp
+++ b/tests/small.cpp
@@ -1,8 +1,8 @@
-// A small world of claims, tried in every order: the real decisions of three voters and of two routers that
-// are asked for one id, one of which may start again and be asked once more. Messages arrive with their
-// connection, writes become durable or not, a voter loses its power, its disk, or both. Each state is
-// visited once; two orders that give each voter and coordinator the same history lead to the same state. Run
-// as `small CASE`: prints what was visited.
+// A small model of claims, explored in every order: the real decisions of three voters and of two routers
+// that are asked to run a transaction of one id; one of them may restart and be asked again. Messages stay in
+// the order of their connection, writes become durable or not, a voter loses its power, its disk, or both.
+// Each state is visited once; two orders that give each voter and coordinator the same history lead to the
+// same state. Run as `small CASE`: prints what was visited.
 #include <algorithm>
 #include <array>
 #include <functional>
@@ -20,7 +20,7 @@
 
 namespace {
 
-enum class Bug { none, toldBeforeDurable, oneIsEnough, lostTakenForWhole, freesUnknown };
+enum class Bug { none, sentBeforeDurable, oneVoteSuffices, lostDiskTakenForComplete, releasesUnknownOutcome };
 constexpr const char* kBugs[] = {"none", "a vote is told before it is durable",
                                  "a claimant takes one vote for enough",
                                  "a lost disk is taken for a whole one, whatever others know",
@@ -129,8 +129,8 @@
     pending_.push_back(std::move(state));
   }
   // What broke; empty: nothing.
-  std::string run(std::size_t most) {
-    while (!pending_.empty() && fault_.empty() && seen_.size() < most) {
+  std::string run(std::size_t maxStates) {
+    while (!pending_.empty() && fault_.empty() && seen_.size() < maxStates) {
       State state = std::move(pending_.back());
       pending_.pop_back();
       if (!seen_.insert(state.key()).second) continue;
@@ -140,10 +140,10 @@
     return fault_;
   }
   // From the beginning to an end by chance, so many times: a fault is not behind all that begins alike.
-  std::string walk(std::uint64_t most) {
+  std::string walk(std::uint64_t maxWalks) {
     const State first = pending_.front();
     isWalking_ = true;
-    for (walks_ = 0; walks_ < most && fault_.empty(); ++walks_) {
+    for (walks_ = 0; walks_ < maxWalks && fault_.empty(); ++walks_) {
       pending_ = {first};
       while (!pending_.empty() && fault_.empty()) {
         const State state =
@@ -180,7 +180,7 @@
 
   void startClaim(State& state, std::size_t r) {
     ClaimCoordinatorLimits limits;
-    limits.voterCount = bug_ == Bug::oneIsEnough && r == 0 ? 1 : kVoters;
+    limits.voterCount = bug_ == Bug::oneVoteSuffices && r == 0 ? 1 : kVoters;
     limits.retention = Duration::millis(600'000);
     auto& router = state.routers[r];
     router.coordinator.emplace(limits, 1);
@@ -209,7 +209,7 @@
         auto& other = state.voters[n];
         const auto knownStart = other.voter->onGreeting(name(k), at.voter->start());
         apply(other.disk, other.voter->takeChanges());
-        const bool ignoresReply = bug_ == Bug::lostTakenForWhole;
+        const bool ignoresReply = bug_ == Bug::lostDiskTakenForComplete;
         at.voter->onGreetingReply(
             kNow, name(n), at.voter->start().number,
             ignoresReply ? VoterIncarnation() : knownStart.value_or(VoterIncarnation()));
@@ -265,7 +265,7 @@
       }
     }
   }
-  void vote(State& state, std::size_t k, std::size_t r, const ClaimToken& token, const Vote& vote) {
+  void sendVote(State& state, std::size_t k, std::size_t r, const ClaimToken& token, const Vote& vote) {
     Message out;
     out.kind = Message::Kind::vote;
     out.router = r;
@@ -288,8 +288,8 @@
     voter.history = hashCombine(voter.history, 55);
     apply(voter.disk, write.changes);
     if (!write.vote) return;
-    const auto told = voter.voter->onWritten(kId, write.token, true);
-    if (told && bug_ != Bug::toldBeforeDurable) vote(state, k, write.router, write.token, *told);
+    const auto vote = voter.voter->onWritten(kId, write.token, true);
+    if (vote && bug_ != Bug::sentBeforeDurable) sendVote(state, k, write.router, write.token, *vote);
   }
   void deliver(State& state, const Message& message) {
     if (message.kind == Message::Kind::vote) {
@@ -307,10 +307,10 @@
     if (message.kind == Message::Kind::release) at.voter->onReleased(kId, token);
     if (message.kind == Message::Kind::committed) at.voter->onCommitted(kNow, kId, token, kValue);
     if (message.kind == Message::Kind::claim) {
-      const auto told = at.voter->onClaim(kNow, kId, token);
-      if (told) return vote(state, message.voter, message.router, token, *told);
-      if (bug_ == Bug::toldBeforeDurable)
-        vote(state, message.voter, message.router, token, {Vote::Kind::granted, false, ""});
+      const auto vote = at.voter->onClaim(kNow, kId, token);
+      if (vote) return sendVote(state, message.voter, message.router, token, *vote);
+      if (bug_ == Bug::sentBeforeDurable)
+        sendVote(state, message.voter, message.router, token, {Vote::Kind::granted, false, ""});
       write.vote = true;
       write.token = token;
       write.router = message.router;
@@ -318,108 +318,143 @@
     queue(state, message.voter, std::move(write));
   }
 
+  // Adds all states that may come next. A state without any is an end.
   void expand(const State& state) {
-    using At = State::Router::At;
-    // Nobody is left who may run it.
-    const bool over =
-        state.remainingFaults.starts == 0 && std::all_of(state.routers.begin(), state.routers.end(),
-                                                         [](const auto& r) { return r.at == At::over; });
-    if (over) {
+    // Nobody is left who may run the transaction.
+    const bool isOver = state.remainingFaults.starts == 0 &&
+                        std::all_of(state.routers.begin(), state.routers.end(),
+                                    [](const auto& router) { return router.at == State::Router::At::over; });
+    if (isOver) {
       ++ends_;
       return;
     }
-    bool any = false;
+    bool hasSuccessor = expandMessages(state);
+    for (std::size_t k = 0; k < kVoters; ++k) hasSuccessor = expandVoter(state, k) || hasSuccessor;
+    for (std::size_t r = 0; r < kRouters; ++r) hasSuccessor = expandRouter(state, r) || hasSuccessor;
+    if (!hasSuccessor) ++ends_;
+  }
+
+  // Each of these returns whether there is a successor other than by a fault.
+
+  // Any message arrives that is the first of its stream, which keeps its order.
+  bool expandMessages(const State& state) {
+    bool hasSuccessor = false;
     for (std::size_t i = 0; i < state.messages.size(); ++i) {
-      // A stream keeps its order.
-      bool first = true;
-      for (std::size_t j = 0; j < i; ++j) first = first && !state.messages[j].isAheadOf(state.messages[i]);
-      if (!first) continue;
-      any = true;
+      bool isFirst = true;
+      for (std::size_t j = 0; j < i; ++j)
+        isFirst = isFirst && !state.messages[j].isAheadOf(state.messages[i]);
+      if (!isFirst) continue;
+      hasSuccessor = true;
       addSuccessor(state, [&](State& next) {
         const Message message = next.messages[i];
         next.messages.erase(next.messages.begin() + static_cast<std::ptrdiff_t>(i));
         deliver(next, message);
       });
     }
-    for (std::size_t k = 0; k < kVoters; ++k) {
-      const auto& at = state.voters[k];
-      if (at.voter && !at.writes.empty()) {
-        any = true;
-        addSuccessor(state, [&](State& next) { write(next, k); });
-      }
-      if (at.voter && state.remainingFaults.powerLosses > 0 && failsNow()) {
-        addSuccessor(state, [&](State& next) { losePower(next, k, false); });
-        if (state.remainingFaults.disksLost > 0)
-          addSuccessor(state, [&](State& next) { losePower(next, k, true); });
-      }
-      if (!at.voter) {
-        any = true;
-        addSuccessor(state, [&](State& next) {
-          next.voters[k].disk.own.push_back(
-              {next.voters[k].disk.own.empty() ? 1 : next.voters[k].disk.own.back().number + 1, 200 + k});
-          boot(next, k);
-          for (std::size_t r = 0; r < kRouters; ++r) {
-            if (next.routers[r].coordinator) next.routers[r].coordinator->setReachable(k, true);
-            next.routers[r].heard[k] = hashCombine(next.routers[r].heard[k], 300);
-          }
-        });
-      }
+    return hasSuccessor;
+  }
+
+  // A write becomes durable, power or disk are lost, or the voter starts again.
+  bool expandVoter(const State& state, std::size_t k) {
+    const auto& at = state.voters[k];
+    bool hasSuccessor = false;
+    if (at.voter && !at.writes.empty()) {
+      hasSuccessor = true;
+      addSuccessor(state, [&](State& next) { write(next, k); });
     }
+    if (at.voter && state.remainingFaults.powerLosses > 0 && failsNow()) {
+      addSuccessor(state, [&](State& next) { losePower(next, k, false); });
+      if (state.remainingFaults.disksLost > 0)
+        addSuccessor(state, [&](State& next) { losePower(next, k, true); });
+    }
+    if (!at.voter) {
+      hasSuccessor = true;
+      addSuccessor(state, [&](State& next) { restartVoter(next, k); });
+    }
+    return hasSuccessor;
+  }
+
+  void restartVoter(State& next, std::size_t k) {
+    auto& starts = next.voters[k].disk.own;
+    starts.push_back({starts.empty() ? 1 : starts.back().number + 1, 200 + k});
+    boot(next, k);
     for (std::size_t r = 0; r < kRouters; ++r) {
-      const auto& router = state.routers[r];
-      const auto step = [&](At at, const std::function<void(State&, State::Router&)>& change) {
-        any = true;
-        addSuccessor(state, [&](State& next) {
-          next.routers[r].at = at;
-          next.routers[r].history =
-              hashCombine(next.routers[r].history, 400 + static_cast<std::uint64_t>(at));
-          change(next, next.routers[r]);
-          carryOut(next, r);
-        });
-      };
-      if (router.at == At::idle) {
-        any = true;
-        addSuccessor(state, [&](State& next) {
-          next.routers[r].history = hashCombine(next.routers[r].history, 900);
-          startClaim(next, r);
-        });
-      }
-      if (router.at == At::asked && state.remainingFaults.timeouts > 0 && failsNow())
-        addSuccessor(state, [&](State& next) {
-          --next.remainingFaults.timeouts;
-          next.routers[r].history = hashCombine(next.routers[r].history, 500);
-          next.routers[r].coordinator->runTimers(kNow + Duration::millis(900));
-          carryOut(next, r);
-        });
-      if (router.at == At::admitted) {
-        step(At::over, [](State&, State::Router& one) {
-          one.coordinator->onTransactionEnded(1, ClaimCoordinator::ExecutionOutcome::neverRan);
-        });
-        step(At::running, [](State& next, State::Router&) { ++next.ran; });
-      }
-      if (router.at == At::running) {
-        step(At::over, [](State&, State::Router& one) {
-          one.coordinator->onCommitted(1, kValue);
-          one.coordinator->onTransactionEnded(1, ClaimCoordinator::ExecutionOutcome::committed);
-        });
-        step(At::over, [this](State&, State::Router& one) {
-          one.coordinator->onTransactionEnded(1, bug_ == Bug::freesUnknown
-                                                     ? ClaimCoordinator::ExecutionOutcome::neverRan
-                                                     : ClaimCoordinator::ExecutionOutcome::unknown);
-        });
-      }
-      // It starts again and is asked for the id once more; what it said before may still arrive.
-      if (r == 0 && state.remainingFaults.starts > 0 && failsNow())
-        addSuccessor(state, [&](State& next) {
-          --next.remainingFaults.starts;
-          ++next.routers[r].start;
-          next.routers[r].heard = {};
-          next.routers[r].history = hashCombine(next.routers[r].history, 600);
-          startClaim(next, r);
-        });
+      if (next.routers[r].coordinator) next.routers[r].coordinator->setReachable(k, true);
+      next.routers[r].heard[k] = hashCombine(next.routers[r].heard[k], 300);
     }
-    if (!any) ++ends_;
   }
+
+  // A router is asked, runs the transaction to one of its ends, times out, or restarts.
+  bool expandRouter(const State& state, std::size_t r) {
+    using At = State::Router::At;
+    const auto& router = state.routers[r];
+    bool hasSuccessor = false;
+    if (router.at == At::idle) {
+      hasSuccessor = true;
+      addSuccessor(state, [&](State& next) {
+        next.routers[r].history = hashCombine(next.routers[r].history, 900);
+        startClaim(next, r);
+      });
+    }
+    if (router.at == At::asked && state.remainingFaults.timeouts > 0 && failsNow())
+      addSuccessor(state, [&](State& next) { timeOut(next, r); });
+    if (router.at == At::admitted || router.at == At::running) {
+      hasSuccessor = true;
+      expandExecution(state, r);
+    }
+    // It starts again and is asked for the id once more; messages of before may still arrive.
+    if (r == 0 && state.remainingFaults.starts > 0 && failsNow())
+      addSuccessor(state, [&](State& next) { restartRouter(next, r); });
+    return hasSuccessor;
+  }
+
+  // The transaction is not run, runs, is committed, or its outcome stays unknown.
+  void expandExecution(const State& state, std::size_t r) {
+    using At = State::Router::At;
+    using Outcome = ClaimCoordinator::ExecutionOutcome;
+    if (state.routers[r].at == At::admitted) {
+      addExecutionStep(state, r, At::over, [](State&, ClaimCoordinator& coordinator) {
+        coordinator.onTransactionEnded(1, Outcome::neverRan);
+      });
+      addExecutionStep(state, r, At::running, [](State& next, ClaimCoordinator&) { ++next.ran; });
+    } else {
+      addExecutionStep(state, r, At::over, [](State&, ClaimCoordinator& coordinator) {
+        coordinator.onCommitted(1, kValue);
+        coordinator.onTransactionEnded(1, Outcome::committed);
+      });
+      addExecutionStep(state, r, At::over, [this](State&, ClaimCoordinator& coordinator) {
+        coordinator.onTransactionEnded(
+            1, bug_ == Bug::releasesUnknownOutcome ? Outcome::neverRan : Outcome::unknown);
+      });
+    }
+  }
+
+  void addExecutionStep(const State& state, std::size_t r, State::Router::At then,
+                        const std::function<void(State&, ClaimCoordinator&)>& change) {
+    addSuccessor(state, [&](State& next) {
+      auto& router = next.routers[r];
+      router.at = then;
+      router.history = hashCombine(router.history, 400 + static_cast<std::uint64_t>(then));
+      change(next, *router.coordinator);
+      carryOut(next, r);
+    });
+  }
+
+  void timeOut(State& next, std::size_t r) {
+    --next.remainingFaults.timeouts;
+    next.routers[r].history = hashCombine(next.routers[r].history, 500);
+    next.routers[r].coordinator->runTimers(kNow + Duration::millis(900));
+    carryOut(next, r);
+  }
+
+  void restartRouter(State& next, std::size_t r) {
+    --next.remainingFaults.starts;
+    ++next.routers[r].start;
+    next.routers[r].heard = {};
+    next.routers[r].history = hashCombine(next.routers[r].history, 600);
+    startClaim(next, r);
+  }
+
   void losePower(State& state, std::size_t k, bool disk) {
     --state.remainingFaults.powerLosses;
     auto& at = state.voters[k];
@@ -429,7 +464,7 @@
     if (disk) {
       --state.remainingFaults.disksLost;
       at.disk = Disk();
-      at.disk.isComplete = bug_ == Bug::lostTakenForWhole;
+      at.disk.isComplete = bug_ == Bug::lostDiskTakenForComplete;
     }
     std::erase_if(state.messages, [&](const Message& message) { return message.voter == k; });
     for (std::size_t r = 0; r < kRouters; ++r) {
@@ -449,8 +484,8 @@
   std::string fault_;
 };
 
-void worlds(const std::vector<Limits>& all) {
-  for (const Limits& limits : all) {
+void exploreOrders(const std::vector<Limits>& allLimits) {
+  for (const Limits& limits : allLimits) {
     Search search(Bug::none, limits);
     const std::string fault = search.run(100'000'000);
     std::cout << limits.powerLosses << " losses of power, " << limits.disksLost << " of disks, "
@@ -461,7 +496,8 @@
   }
 }
 
-void bugs() {
+// Random walks find each built-in bug, and nothing where there is none.
+void findBuiltInBugs() {
   for (int bug = 0; bug < 5; ++bug) {
     Search search(static_cast<Bug>(bug), {1, 1, 1, 2});
     const std::string fault = search.walk(bug == 0 ? 4'000 : 1'000'000);
@@ -475,8 +511,8 @@
 int main(int argc, char** argv) {
   const std::string name = argc > 1 ? argv[1] : "";
   // In CI what takes seconds; `more` what takes minutes.
-  if (name == "claims") return worlds({{0, 0, 0, 2}}), 0;
-  if (name == "more") return worlds({{1, 0, 0, 0}, {0, 0, 1, 0}}), 0;
-  if (name == "bugs") return bugs(), 0;
+  if (name == "claim-orders") return exploreOrders({{0, 0, 0, 2}}), 0;
+  if (name == "more") return exploreOrders({{1, 0, 0, 0}, {0, 0, 1, 0}}), 0;
+  if (name == "built-in-bugs") return findBuiltInBugs(), 0;
   return 2;
 }
--- a/tests/sockets.cpp
+++ b/tests/sockets.cpp
@@ -1,8 +1,9 @@
-// The whole router on loopback sockets, between a client, a node and a discovery that stand in for real ones.
-// Run as `sockets CASE`: prints what each side saw.
+// The whole router on loopback sockets, between a fake client, node and discovery. Run as `sockets CASE`:
+// prints what each side saw.
 #include <spdlog/spdlog.h>
 
 #include <fstream>
+#include <functional>
 #include <map>
 #include <mutex>
 #include <sstream>
@@ -14,10 +15,12 @@
 
 namespace {
 
-std::atomic<bool> slowBegun = false, begun = false, cancelled = false;
+// Of the statements of these keys at the node.
+std::atomic<bool> slowStarted = false, endlessStarted = false, endlessCancelled = false;
 
-// A node: a probe is told that it is a current primary; a write gets back as many bytes as it brought; a read
-// of `slow` takes 700 ms, one of `cut` is cut off, of `huge` gets 64 KiB.
+// A node: it reports that it is an up-to-date primary; a write gets back as many bytes as it brought; a read
+// of `slow` takes 700 ms, one of `cut` is cut off, one of `huge` gets 64 KiB, one of `until-the-end` has no
+// answer.
 void node(Peer& peer) {
   peer.startup();
   peer.send(postgres::welcome());
@@ -34,15 +37,15 @@
       continue;
     }
     if (body.find("'slow'") != std::string::npos) {
-      slowBegun = true;
-      slowBegun.notify_all();
+      slowStarted = true;
+      slowStarted.notify_all();
       pause(700);
     }
     if (body.find("'until-the-end'") != std::string::npos) {
-      begun = true;
-      begun.notify_all();
-      cancelled = !peer.readMore();
-      cancelled.notify_all();
+      endlessStarted = true;
+      endlessStarted.notify_all();
+      endlessCancelled = !peer.readMore();
+      endlessCancelled.notify_all();
       return;
     }
     if (body.find("'cut'") != std::string::npos) {
@@ -56,7 +59,7 @@
   }
 }
 
-void values() {
+void largeValuesAndBrokenAnswers() {
   Side nodes(node), discovery(silentDiscovery);
   Running router(discovery, list(1, entry(nodes, "s-1", "up")));
   Peer client = router.client();
@@ -65,14 +68,14 @@
   client.send(write(65536), 1000);
   std::cout << client.answer() << "\n";
   std::cout << "many that are read late\n";
-  std::string many;
-  for (int i = 0; i < 100; ++i) many += read("huge");
-  std::jthread sending([&] { client.send(many); });
+  std::string statements;
+  for (int i = 0; i < 100; ++i) statements += read("huge");
+  std::jthread sender([&] { client.send(statements); });
   pause(200);
-  int whole = 0;
-  for (int i = 0; i < 100; ++i) whole += client.answer() == "T D(65536 bytes) C Z ";
-  std::cout << whole << " whole values\n";
-  sending.join();
+  int wholeValues = 0;
+  for (int i = 0; i < 100; ++i) wholeValues += client.answer() == "T D(65536 bytes) C Z ";
+  std::cout << wholeValues << " whole values\n";
+  sender.join();
   std::cout << "cut off by the node: the read has no more tries, the write may have run\n";
   client.send(read("cut") + write(1, "cut"));
   std::cout << client.answer() << "\n" << client.answer() << "\n";
@@ -84,15 +87,15 @@
   {
     Peer leaving = router.client();
     leaving.send(read("until-the-end", 60000));
-    begun.wait(false);
+    endlessStarted.wait(false);
   }
-  cancelled.wait(false);
+  endlessCancelled.wait(false);
   Peer other = router.client();
   other.send("nonsense that is no message");
   std::cout << other.answer() << "\n";
 }
 
-void crowd() {
+void clientLimit() {
   Side nodes(node), discovery(silentDiscovery);
   Running router(discovery, list(1, entry(nodes, "s-1", "up")), 64);
   std::vector<Peer> clients;
@@ -104,61 +107,81 @@
   }
   std::cout << answered << " clients were answered, one after the other, and stayed\n";
   std::vector<Peer> busy;
-  int committed = 0, refused = 0;
+  int committed = 0, rejected = 0;
   for (int i = 0; i < 60; ++i) {
     busy.push_back(Peer::to(router.port()));
     busy.back().send(postgres::startup("worker", "catalog") + read("slow"));
   }
-  for (Peer& one : busy) {
-    auto said = one.answer();
-    if (said == "Z ") said = one.answer();
-    committed += said == "T D(4 bytes) C Z ";
-    refused += said.starts_with("E(53300)");
+  for (Peer& client : busy) {
+    auto answer = client.answer();
+    if (answer == "Z ") answer = client.answer();
+    committed += answer == "T D(4 bytes) C Z ";
+    rejected += answer.starts_with("E(53300)");
   }
-  std::cout << committed + refused << " that came together were answered, some committed: " << (committed > 0)
-            << ", some refused: " << (refused > 0) << "\n";
+  std::cout << committed + rejected
+            << " that came together were answered, some committed: " << (committed > 0)
+            << ", some refused: " << (rejected > 0) << "\n";
 }
 
-void ending() {
+void shutdownInOrder() {
   Side nodes(node), discovery(silentDiscovery);
   Running router(discovery, list(1, entry(nodes, "s-1", "up")));
   Peer idle = router.client(), busy = router.client();
   busy.send(read("k"));
   std::cout << busy.answer() << "\n";
   busy.send(read("slow"));
-  slowBegun.wait(false);
-  std::jthread told([&] { router.end(); });
+  slowStarted.wait(false);
+  std::jthread terminator([&] { router.end(); });
   std::cout << "busy: " << busy.answer() << busy.answer() << "\n";
   std::cout << "idle: " << idle.answer() << "\n";
 }
 
-void discovered() {
+// The paths that were requested, in order.
+class RequestedPaths {
+ public:
+  // Returns the number of requests so far.
+  std::size_t add(const std::string& path) {
+    const std::lock_guard lock(mutex_);
+    paths_.push_back(path);
+    return paths_.size();
+  }
+  void waitFor(std::size_t count) {
+    for (;; pause(20)) {
+      const std::lock_guard lock(mutex_);
+      if (paths_.size() >= count) return;
+    }
+  }
+  void print() {
+    const std::lock_guard lock(mutex_);
+    for (const auto& path : paths_) std::cout << path << "\n";
+  }
+
+ private:
+  std::mutex mutex_;
+  std::vector<std::string> paths_;
+};
+
+void sendChunk(Peer& peer, const std::string& content) {
+  std::ostringstream chunk;
+  chunk << std::hex << content.size() << "\r\n" << content << "\r\n";
+  peer.send(chunk.str(), 7);
+}
+
+// Discovery answers with half a list, a list, a watch whose version goes back, nothing, and then is silent.
+void discoveryFailures() {
   Side first(node), second(node);
-  std::mutex mutex;
-  std::vector<std::string> asked;
-  int turn = 0;
+  RequestedPaths requested;
   Side discovery([&](Peer& peer) {
-    const auto path = pathOf(peer);
-    int now;
-    {
-      const std::lock_guard lock(mutex);
-      asked.push_back(path);
-      now = ++turn;
-    }
-    if (now == 1) return peer.send(http("{\"version\":1,\"full\":tru"));
-    if (now == 2) return peer.send(http(list(5, entry(first, "s-1", "up"))));
+    const std::size_t request = requested.add(pathOf(peer));
+    if (request == 1) return peer.send(http("{\"version\":1,\"full\":tru"));
+    if (request == 2) return peer.send(http(list(5, entry(first, "s-1", "up"))));
     peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    const auto chunk = [&](const std::string& line) {
-      std::ostringstream made;
-      made << std::hex << line.size() << "\r\n" << line << "\r\n";
-      peer.send(made.str(), 7);
-    };
-    if (now == 3) {
-      chunk("\n");
-      chunk(list(6, entry(second, "s-2", "up"), false) + "\n");
-      return chunk(list(4, entry(second, "s-2", "removed"), false) + "\n");
+    if (request == 3) {
+      sendChunk(peer, "\n");
+      sendChunk(peer, list(6, entry(second, "s-2", "up"), false) + "\n");
+      return sendChunk(peer, list(4, entry(second, "s-2", "removed"), false) + "\n");
     }
-    if (now == 4) return;  // an answer that ends before its list
+    if (request == 4) return;  // an answer that ends before its list
     peer.readMore();
   });
   Running router(discovery, list(0, ""));
@@ -166,19 +189,15 @@
   client.send(postgres::startup("worker", "catalog") + query(""));
   client.answer();
   std::cout << client.answer() << "once the list is known\n";
-  for (;; pause(20)) {
-    const std::lock_guard lock(mutex);
-    if (turn >= 5) break;
-  }
+  requested.waitFor(5);
   client.send(read("k"));
   std::cout << client.answer() << "\n";
-  const std::lock_guard lock(mutex);
-  for (const auto& path : asked) std::cout << path << "\n";
+  requested.print();
 }
 
-// A call for the list that discovery has swallowed, as it was down: it is asked anew well before a txn that
-// waits for the list runs out of time.
-void unanswered() {
+// A request for the list that discovery never answers, as it was down: it is repeated well before a
+// transaction that waits for the list times out.
+void unansweredListCall() {
   Side first(node);
   std::atomic<int> turn = 0;
   Side discovery([&](Peer& peer) {
@@ -193,69 +212,66 @@
   std::cout << client.answer() << "\n";
 }
 
-void reload() {
-  Side first(node), second(node);
-  std::mutex mutex;
-  std::vector<std::string> asked;
-  const auto tells = [&](const std::string& name, const std::string& entries) {
-    return [&, name, entries](Peer& peer) {
-      const auto path = pathOf(peer);
-      {
-        const std::lock_guard lock(mutex);
-        asked.push_back(name + " " + path);
-      }
-      if (path.ends_with("targets")) return peer.send(http(list(5, entries)));
-      peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-      peer.readMore();
-    };
-  };
-  const auto wait = [&](std::size_t lines) {
-    for (;; pause(20)) {
-      const std::lock_guard lock(mutex);
-      if (asked.size() >= lines) return;
-    }
+// Discovery under a name: serves the list, and a watch without changes.
+std::function<void(Peer&)> namedDiscovery(const std::string& name, const std::string& entries,
+                                          RequestedPaths& requested) {
+  return [name, entries, &requested](Peer& peer) {
+    const auto path = pathOf(peer);
+    requested.add(name + " " + path);
+    if (path.ends_with("targets")) return peer.send(http(list(5, entries)));
+    peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+    peer.readMore();
   };
-  Side oldPlace(tells("old", entry(first, "s-1", "up")));
-  Side newPlace(tells("new", entry(first, "s-1", "draining") + "," + entry(second, "s-2", "up")));
+}
+
+// SIGHUP with files that can't be used, and with one that moves discovery.
+void configurationReload() {
+  Side first(node), second(node);
+  RequestedPaths requested;
+  Side oldDiscovery(namedDiscovery("old", entry(first, "s-1", "up"), requested));
+  Side newDiscovery(
+      namedDiscovery("new", entry(first, "s-1", "draining") + "," + entry(second, "s-2", "up"), requested));
   const std::string path = "reload-" + std::to_string(getpid()) + ".json";
   setenv("BALANCER_CONFIG", path.c_str(), 1);
-  // At the start the variable comes first, later the file does.
-  setenv("BALANCER_DISCOVERY", ("127.0.0.1:" + std::to_string(oldPlace.port())).c_str(), 1);
-  Running router(oldPlace, list(0, ""));
-  wait(2);
+  // At the start the variable takes precedence, later the file does.
+  setenv("BALANCER_DISCOVERY", ("127.0.0.1:" + std::to_string(oldDiscovery.port())).c_str(), 1);
+  Running router(oldDiscovery, list(0, ""));
+  requested.waitFor(2);
   Peer client = router.client();
-  const auto readAnew = [&](const std::string& text, const char* what) {
+  const auto reload = [&](const std::string& text, const char* title) {
     std::ofstream(path) << text;
     kill(getpid(), SIGHUP);
     client.send(read("k"));
-    std::cout << what << ": " << client.answer() << "\n";
+    std::cout << title << ": " << client.answer() << "\n";
   };
   unlink(path.c_str());
   kill(getpid(), SIGHUP);
-  readAnew("", "an empty file");
-  readAnew(router.text(newPlace, list(0, "")).substr(0, 150), "half a file");
-  readAnew(router.text(newPlace, list(0, "")), "a whole one");
-  wait(4);
-  readAnew(router.text(newPlace, list(0, "")), "the same again");
-  const std::lock_guard lock(mutex);
-  for (const auto& line : asked) std::cout << line << "\n";
+  reload("", "an empty file");
+  reload(router.text(newDiscovery, list(0, "")).substr(0, 150), "half a file");
+  reload(router.text(newDiscovery, list(0, "")), "a whole one");
+  requested.waitFor(4);
+  reload(router.text(newDiscovery, list(0, "")), "the same again");
+  requested.print();
   unlink(path.c_str());
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  sigset_t ends;
-  sigemptyset(&ends);
-  sigaddset(&ends, SIGTERM);
-  sigaddset(&ends, SIGHUP);
+int main(int count, char** arguments) {
+  sigset_t blocked;
+  sigemptyset(&blocked);
+  sigaddset(&blocked, SIGTERM);
+  sigaddset(&blocked, SIGHUP);
   std::signal(SIGHUP, SIG_IGN);  // as a router may be started
-  pthread_sigmask(SIG_BLOCK, &ends, nullptr);
+  pthread_sigmask(SIG_BLOCK, &blocked, nullptr);
   spdlog::set_level(spdlog::level::off);
-  const std::map<std::string, void (*)()> cases{{"values", values},         {"crowd", crowd},
-                                                {"ending", ending},         {"discovered", discovered},
-                                                {"unanswered", unanswered}, {"reload", reload}};
-  const auto found = count == 2 ? cases.find(words[1]) : cases.end();
+  const std::map<std::string, void (*)()> cases{{"values", largeValuesAndBrokenAnswers},
+                                                {"client-limit", clientLimit},
+                                                {"shutdown", shutdownInOrder},
+                                                {"discovery-failures", discoveryFailures},
+                                                {"unanswered-list-call", unansweredListCall},
+                                                {"configuration-reload", configurationReload}};
+  const auto found = count == 2 ? cases.find(arguments[1]) : cases.end();
   if (found == cases.end()) return 2;
   found->second();
 }
--- a/tests/watches.cpp
+++ b/tests/watches.cpp
@@ -1,5 +1,5 @@
-// Lists and drains that cross other events, on real connections with the program itself: docs/crossings.md
-// has the table. Run as `watches CASE`: prints what each side saw.
+// Endpoint lists and drains that race with other events, on real connections with the program itself:
+// docs/crossings.md has the table. Run as `watches CASE`: prints what each side saw.
 #include <spdlog/spdlog.h>
 
 #include "faults/machine.h"
@@ -16,20 +16,22 @@
                nextId() + ",c=write,d=60000,cluster=1 */");
 }
 
-// Two nodes, of which one is the primary; the first may be on its way out.
-std::string named(const Node& node, const std::string& id, const std::string& state, bool primary) {
-  auto made = entry(node.side(), id, state);
-  if (!primary) made.replace(made.find("master"), 6, "replica");
-  return made;
+// An entry of the list.
+std::string entryOf(const Node& node, const std::string& id, const std::string& state, bool primary) {
+  auto text = entry(node.side(), id, state);
+  if (!primary) text.replace(text.find("master"), 6, "replica");
+  return text;
 }
+// Two nodes: the first is the primary, or drains and the second one is.
 std::string both(int version, const Node& first, const Node& second, const std::string& stateOfFirst,
-                 bool whole = true) {
-  const bool leaves = stateOfFirst != "up";
-  return list(version, named(first, "s-1", stateOfFirst, !leaves) + "," + named(second, "s-2", "up", leaves),
-              whole);
+                 bool isSnapshot = true) {
+  const bool drains = stateOfFirst != "up";
+  return list(version,
+              entryOf(first, "s-1", stateOfFirst, !drains) + "," + entryOf(second, "s-2", "up", drains),
+              isSnapshot);
 }
 
-// The same over many lines.
+// The JSON over many lines.
 std::string indented(const std::string& text) {
   std::string out;
   for (const char c : text) {
@@ -39,14 +41,15 @@
   return out;
 }
 
-void tellBoth(Program& router, Node& first, Node& second, const std::string& what) {
+// Sends a write and prints its answer, and what both nodes saw.
+void printWrite(Program& router, Node& first, Node& second, const std::string& title) {
   Peer client = router.client();
   client.send(write("k"));
-  std::cout << what << ": " << client.answer() << "first saw " << first.saw() << ", second saw "
+  std::cout << title << ": " << client.answer() << "first saw " << first.saw() << ", second saw "
             << second.saw() << "\n";
 }
 
-void pieces() {
+void splitUpdates() {
   Node first, second;
   Lists discovery(both(1, first, second, "up"));
   Program router(discovery.port(), both(1, first, second, "up"));
@@ -55,14 +58,14 @@
   const auto text = "\n\n" + indented(both(2, first, second, "draining", false)) + "\n";
   discovery.tell(text, 7);
   router.says("list version 2");
-  tellBoth(router, first, second, "indented and in pieces of 7 bytes");
+  printWrite(router, first, second, "indented and in pieces of 7 bytes");
   discovery.tell(both(3, first, second, "up", false) + both(4, first, second, "draining", false) + "\n\n");
   router.says("list version 4");
-  tellBoth(router, first, second, "two in a row, no line between");
+  printWrite(router, first, second, "two in a row, no line between");
   std::cout << "calls for the whole list: " << discovery.calls() << "\n";
 }
 
-void resets() {
+void watchReset() {
   Node first, second;
   Lists discovery(both(1, first, second, "up"));
   Program router(discovery.port(), both(1, first, second, "up"));
@@ -70,11 +73,11 @@
   discovery.whole(both(2, first, second, "draining"));
   discovery.resetWatch();
   router.says("list version 2");
-  tellBoth(router, first, second, "the watch was reset before the change");
+  printWrite(router, first, second, "the watch was reset before the change");
 }
 
-// Silent from its first line on.
-void silent() {
+// The watch is silent from its first line on.
+void silentWatch() {
   Node first, second;
   Lists discovery(both(1, first, second, "up"));
   Program router(discovery.port(), both(1, first, second, "up"));
@@ -82,11 +85,11 @@
   discovery.whole(both(2, first, second, "draining"));
   discovery.events.await("list", 2);
   router.says("list version 2");
-  tellBoth(router, first, second, "the watch fell silent before the change");
+  printWrite(router, first, second, "the watch fell silent before the change");
 }
 
-// Swallowed while discovery is down, refused, broken off; each is asked for again.
-void failing() {
+// Requests that are never answered, rejected, broken off or answered with nonsense are repeated.
+void failedListCalls() {
   Node first, second;
   Lists discovery(both(9, first, second, "draining"));
   const auto body = both(2, first, second, "up");
@@ -100,11 +103,12 @@
   client.send(postgres::startup("worker", "catalog") + query(""));
   client.answer();
   std::cout << client.answer() << "after " << discovery.calls() << " calls\n";
-  tellBoth(router, first, second, "by the first list that was whole");
+  printWrite(router, first, second, "by the first list that was whole");
 }
 
-// An answer that says no length ends with its connection; a reset is no end, be the text whole.
-void noLength() {
+// An answer without a length ends with its connection; a reset is no end, even where the document is
+// complete.
+void answerWithoutLength() {
   Node first, second;
   Lists discovery(both(9, first, second, "draining"));
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
@@ -117,27 +121,27 @@
   discovery.nextList([&](Peer& peer) { peer.send(head + both(3, first, second, "draining")), peer.close(); });
   Program router(discovery.port(), list(0, ""));
   discovery.events.await("list");
-  Peer asks = Peer::to(router.port());
-  asks.send(postgres::startup("worker", "catalog"));
-  asks.answer();  // a turn later than the bytes came
+  Peer client = Peer::to(router.port());
+  client.send(postgres::startup("worker", "catalog"));
+  client.answer();  // a turn later than the bytes came
   events.happen("read");
   std::cout << "taken first: version 2: ";
   std::cout << !router.says("list version 3") << "\n";
-  tellBoth(router, first, second, "by the one that ended in order");
+  printWrite(router, first, second, "by the one that ended in order");
 }
 
-void leftOut() {
+void nodeMissingFromList() {
   Node first, second;
-  Lists discovery(list(2, named(second, "s-2", "up", true)));
+  Lists discovery(list(2, entryOf(second, "s-2", "up", true)));
   Program router(discovery.port(), both(1, first, second, "up"));
   router.says("list version 2");
   discovery.events.await("watch");
-  tellBoth(router, first, second, "a whole list without the primary");
+  printWrite(router, first, second, "a whole list without the primary");
 }
 
-// The answer to a call for the list is there when a router that stood still goes on, longer after the call
-// than it would have waited. A call that it had given up before it was halted is passed over.
-void stoodStill() {
+// The answer to a request for the list is there when a router that was stopped continues, longer after the
+// request than it would have waited. A request that it had abandoned before it was stopped is skipped.
+void stoppedProcess() {
   Node first, second;
   Lists discovery(both(9, first, second, "up"));
   Events events;
@@ -147,68 +151,68 @@
     discovery.nextList([&](Peer& peer) {
       if (!events.has("started")) return void(peer.readMore());
       router->halt();
-      const bool waits = !peer.hasEnded();
-      if (waits) {
+      const bool isAwaited = !peer.hasEnded();
+      if (isAwaited) {
         peer.send(answer);
         until(Clock::now() + std::chrono::milliseconds(800));
       }
       router->go();
-      if (waits) peer.readMore();
+      if (isAwaited) peer.readMore();
     });
   router.emplace(discovery.port(), both(1, first, second, "up"));
   events.happen("started");
   router->says("list version");
-  tellBoth(*router, first, second, "by the first answer that was there");
+  printWrite(*router, first, second, "by the first answer that was there");
 }
 
-// Where the list has to be asked for: a watch from what is known comes first, and again after refusals; only
-// what can't be used costs a call for the whole list.
-void askedFor() {
+// Where lists are polled: a watch from the known version comes first, and again after rejections; only an
+// update that can't be used costs a request for the whole list.
+void polledLists() {
   Node first, second;
   Lists discovery(both(9, first, second, "up"));
-  const auto refuse = [](Peer& peer) { peer.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"); };
-  discovery.nextWatch(refuse);
-  discovery.nextWatch(refuse);
+  const auto reject = [](Peer& peer) { peer.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"); };
+  discovery.nextWatch(reject);
+  discovery.nextWatch(reject);
   Program router(discovery.port(), both(1, first, second, "up"), 250, 256, 0, R"("discovery":"on_request",)");
   discovery.events.await("watch", 3);
   discovery.tell(both(2, first, second, "draining", false) + "\n");
   router.says("list version 2");
-  tellBoth(router, first, second, "refused twice, then told");
+  printWrite(router, first, second, "refused twice, then told");
   discovery.resetWatch();
   discovery.events.await("watch", 4);
   std::cout << "calls for the whole list after a reset: " << discovery.calls() << "\n";
   discovery.tell("no list\n");
   router.says("list version 9");
   std::cout << "and after a change that can't be read: " << discovery.calls() << "\n";
-  tellBoth(router, first, second, "by that list");
+  printWrite(router, first, second, "by that list");
 }
 
-// SIGHUP moves discovery; what the old place still sends is there in the same turn, before or after.
-void movedLate() {
-  for (const bool oldFirst : {true, false}) {
+// SIGHUP moves discovery; an update of the old one arrives in the same turn, before or after.
+void discoveryMoves() {
+  for (const bool isUpdateFirst : {true, false}) {
     Node first, second;
-    Lists oldPlace(both(1, first, second, "up")), newPlace(both(7, first, second, "draining"));
-    Program router(oldPlace.port(), both(1, first, second, "up"));
-    oldPlace.events.await("watch");
+    Lists oldDiscovery(both(1, first, second, "up")), newDiscovery(both(7, first, second, "draining"));
+    Program router(oldDiscovery.port(), both(1, first, second, "up"));
+    oldDiscovery.events.await("watch");
     router.says("list version 1");
-    router.configure(newPlace.port(), both(1, first, second, "up"));
+    router.configure(newDiscovery.port(), both(1, first, second, "up"));
     router.halt();
-    const auto late = both(8, first, second, "up", false) + "\n";
-    if (oldFirst) oldPlace.tell(late);
+    const auto update = both(8, first, second, "up", false) + "\n";
+    if (isUpdateFirst) oldDiscovery.tell(update);
     router.signal(SIGHUP);
-    if (!oldFirst) oldPlace.tell(late);
+    if (!isUpdateFirst) oldDiscovery.tell(update);
     router.go();
-    newPlace.events.await("watch");
+    newDiscovery.events.await("watch");
     router.settles();
-    tellBoth(router, first, second, oldFirst ? "the old place first" : "the signal first");
+    printWrite(router, first, second, isUpdateFirst ? "the old place first" : "the signal first");
   }
 }
 
 // --- Drains
 
-// Told while the connection comes up, for which a statement waits.
+// The drain arrives while the connection that a statement waits for is being established.
 void drainWhileConnecting() {
-  for (const bool sameTurn : {false, true}) {
+  for (const bool inSameTurn : {false, true}) {
     Node first({}, 0), second;
     Lists discovery(both(1, first, second, "up"));
     Program router(discovery.port(), both(1, first, second, "up"), 20000);
@@ -216,22 +220,22 @@
     Peer client = router.client();
     client.send(write("k"));
     first.events.await("connection");
-    if (sameTurn) router.halt();
+    if (inSameTurn) router.halt();
     discovery.tell(both(2, first, second, "draining", false) + "\n");
-    if (!sameTurn) router.says("list version 2");
+    if (!inSameTurn) router.says("list version 2");
     first.events.happen("greet");
-    if (sameTurn) {
+    if (inSameTurn) {
       first.events.await("greeted");
       router.go();
     }
-    std::cout << (sameTurn ? "in one turn: " : "in two: ") << client.answer() << "first saw " << first.saw()
+    std::cout << (inSameTurn ? "in one turn: " : "in two: ") << client.answer() << "first saw " << first.saw()
               << ", second saw " << second.saw() << "\n";
   }
 }
 
 // The same where the connection was reported in the wait before: what epoll reports by level stays first in
-// its list, and the node's greeting is told ahead of the list that came before it.
-void drainAheadOfGreeting() {
+// its list, and the node's greeting is reported ahead of the drain that arrived before it.
+void drainBeforeGreeting() {
   const std::string folder = scratchFolder("watches");
   faults::Machine machine(folder + "/machine", 1);
   Node first({}, 0), second;
@@ -253,9 +257,9 @@
   std::cout << client.answer() << "first saw " << first.saw() << ", second saw " << second.saw() << "\n";
 }
 
-// Told in the turn in which a statement comes, or a statement that was held is let go.
-void drainInTheTurn() {
-  for (const bool drainFirst : {true, false}) {
+// The drain arrives in the same turn as a statement, before or after it.
+void drainWithStatement() {
+  for (const bool isDrainFirst : {true, false}) {
     Node first, second;
     Lists discovery(both(1, first, second, "up"));
     Program router(discovery.port(), both(1, first, second, "up"));
@@ -264,16 +268,16 @@
     client.send(write("before"));
     client.answer();
     router.halt();
-    if (drainFirst) discovery.tell(both(2, first, second, "draining", false) + "\n");
+    if (isDrainFirst) discovery.tell(both(2, first, second, "draining", false) + "\n");
     client.send(write("k"));
-    if (!drainFirst) discovery.tell(both(2, first, second, "draining", false) + "\n");
+    if (!isDrainFirst) discovery.tell(both(2, first, second, "draining", false) + "\n");
     router.go();
-    std::cout << (drainFirst ? "the drain first: " : "the statement first: ") << client.answer()
+    std::cout << (isDrainFirst ? "the drain first: " : "the statement first: ") << client.answer()
               << "first saw " << first.saw() << ", second saw " << second.saw() << "\n";
   }
 }
 
-// A retry: the node that answered nothing is drained, as its connection breaks, with the other one's start.
+// The node drains as its connection breaks before an answer: the retry goes to the other one.
 void drainAtRetry() {
   Node first({"breaks"}), second;
   Lists discovery(both(1, first, second, "up"));
@@ -291,32 +295,33 @@
   std::cout << client.answer() << "first saw " << first.saw() << ", second saw " << second.saw() << "\n";
 }
 
-// A statement is held as there is no primary; one is named, and drained in the same turn. Then in the other
-// order: the last word counts.
+// A statement is held as there is no primary; one is listed, and drains in the same turn. Then in the other
+// order: the last update counts.
 void drainAtRelease() {
-  for (const bool drainLast : {true, false}) {
+  for (const bool isDrainLast : {true, false}) {
     Node first, second;
-    const auto says = [&](int version, const std::string& state, bool whole = false) {
-      return list(version, named(first, "s-1", "draining", false) + "," + named(second, "s-2", state, true),
-                  whole);
+    const auto listOf = [&](int version, const std::string& state, bool isSnapshot = false) {
+      return list(version,
+                  entryOf(first, "s-1", "draining", false) + "," + entryOf(second, "s-2", state, true),
+                  isSnapshot);
     };
-    const auto none = list(1, named(first, "s-1", "draining", false));
-    Lists discovery(none);
-    Program router(discovery.port(), none);
+    const auto withoutPrimary = list(1, entryOf(first, "s-1", "draining", false));
+    Lists discovery(withoutPrimary);
+    Program router(discovery.port(), withoutPrimary);
     discovery.events.await("watch");
     Peer client = router.client();
     client.send(write("k"));
     router.settles();
     router.halt();
-    discovery.tell(says(2, drainLast ? "up" : "draining") + "\n");
-    discovery.tell(says(3, drainLast ? "draining" : "up") + "\n");
+    discovery.tell(listOf(2, isDrainLast ? "up" : "draining") + "\n");
+    discovery.tell(listOf(3, isDrainLast ? "draining" : "up") + "\n");
     router.go();
     router.says("list version 3");
     router.settles();
-    std::cout << (drainLast ? "named, then drained: " : "drained, then named: ");
-    if (drainLast) {
+    std::cout << (isDrainLast ? "named, then drained: " : "drained, then named: ");
+    if (isDrainLast) {
       std::cout << "second saw " << second.saw() << "; ";
-      discovery.tell(says(4, "up") + "\n");
+      discovery.tell(listOf(4, "up") + "\n");
     }
     std::cout << client.answer() << "first saw " << first.saw() << ", second saw " << second.saw() << "\n";
   }
@@ -324,8 +329,9 @@
 
 // --- Descriptors and starts
 
-// Clients that rest have taken all their places while discovery is down: its return is noticed all the same.
-void crowdedDiscovery() {
+// Idle clients use all connections that clients may have while discovery is down: its return is noticed all
+// the same.
+void discoveryAtClientLimit() {
   Node first, second;
   Lists discovery(both(5, first, second, "draining"));
   Events events;
@@ -335,30 +341,30 @@
       peer.readMore();
     });
   Program router(discovery.port(), both(1, first, second, "up"), 250, 64);
-  std::vector<Peer> resting;
+  std::vector<Peer> idle;
   int answered = 0;
   for (int i = 0; i < 70; ++i) {
-    resting.push_back(router.client());
-    resting.back().send(query(""));
-    answered += resting.back().answer() == "I Z ";
+    idle.push_back(router.client());
+    idle.back().send(query(""));
+    answered += idle.back().answer() == "I Z ";
   }
   std::cout << answered << " came, one after the other, and rest\n";
   events.happen("back");
   router.says("list version 5");
-  tellBoth(router, first, second, "one more");
+  printWrite(router, first, second, "one more");
 }
 
-// What the configuration knows is gone, and discovery is silent: ready all the same, and each statement has
-// its answer in its time.
-void startsAlone() {
-  unsigned short nowhere = 0;
+// The known node is gone, and discovery is silent: the router serves all the same, and each statement is
+// answered in time.
+void startWithoutDiscovery() {
+  unsigned short unusedPort = 0;
   {
     Node gone;
-    nowhere = gone.port();
+    unusedPort = gone.port();
   }
   Side discovery(silentDiscovery);
   Program router(discovery.port(), R"({"version":1,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:)" +
-                                       std::to_string(nowhere) +
+                                       std::to_string(unusedPort) +
                                        R"(","zone":"a","cell":1,"state":"up","part":"master"}]})");
   Peer client = router.client();
   client.send(query("") + query("SELECT body FROM objects WHERE oid = 'k' /* " + nextId() +
@@ -366,16 +372,16 @@
   std::cout << client.answer() << client.answer() << "\n";
 }
 
-// Thirty start in one moment, by a list that is old: each takes clients, serves by the new one and ends in
-// order.
-void startTogether() {
+// Thirty routers start at the same moment with an outdated list: each accepts clients, serves by the new list
+// and exits with code 0.
+void simultaneousStarts() {
   Node first, second;
   Lists discovery(both(5, first, second, "draining"));
   std::atomic<int> ready = 0, served = 0, ended = 0;
   Events events;
-  std::vector<std::jthread> all;
+  std::vector<std::jthread> routers;
   for (int i = 0; i < 30; ++i)
-    all.emplace_back([&, i] {
+    routers.emplace_back([&, i] {
       events.await("start");
       Program router(discovery.port(), both(1, first, second, "up"));
       Peer client = router.client();
@@ -387,7 +393,7 @@
       ended += router.end() == 0;
     });
   events.happen("start");
-  all.clear();
+  routers.clear();
   const auto saw = second.saw();
   std::cout << ready << " ready, " << served << " served, " << ended << " ended with code 0; first saw "
             << first.saw() << ", second " << 1 + std::count(saw.begin(), saw.end(), ' ') << "\n";
@@ -395,27 +401,27 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
   spdlog::set_level(spdlog::level::off);
-  const std::map<std::string, void (*)()> cases{{"pieces", pieces},
-                                                {"resets", resets},
-                                                {"silent", silent},
-                                                {"failing", failing},
-                                                {"no-length", noLength},
-                                                {"left-out", leftOut},
-                                                {"stood-still", stoodStill},
-                                                {"asked-for", askedFor},
-                                                {"moved-late", movedLate},
+  const std::map<std::string, void (*)()> cases{{"split-updates", splitUpdates},
+                                                {"watch-reset", watchReset},
+                                                {"silent-watch", silentWatch},
+                                                {"failed-list-calls", failedListCalls},
+                                                {"answer-without-length", answerWithoutLength},
+                                                {"node-missing-from-list", nodeMissingFromList},
+                                                {"stopped-process", stoppedProcess},
+                                                {"polled-lists", polledLists},
+                                                {"discovery-moves", discoveryMoves},
                                                 {"drain-connecting", drainWhileConnecting},
-                                                {"drain-greeting", drainAheadOfGreeting},
-                                                {"drain-turn", drainInTheTurn},
+                                                {"drain-greeting", drainBeforeGreeting},
+                                                {"drain-with-statement", drainWithStatement},
                                                 {"drain-retry", drainAtRetry},
                                                 {"drain-release", drainAtRelease},
-                                                {"crowded", crowdedDiscovery},
-                                                {"starts-alone", startsAlone},
-                                                {"start-together", startTogether}};
-  const auto found = count == 2 ? cases.find(words[1]) : cases.end();
+                                                {"discovery-at-client-limit", discoveryAtClientLimit},
+                                                {"start-without-discovery", startWithoutDiscovery},
+                                                {"simultaneous-starts", simultaneousStarts}};
+  const auto found = count == 2 ? cases.find(arguments[1]) : cases.end();
   if (found == cases.end()) return 2;
   found->second();
 }
