--- a/benchmarks/fronts.cpp
+++ b/benchmarks/fronts.cpp
@@ -209,7 +209,7 @@
       if (unsent.empty()) return;
       const std::string_view all = unsent;
       const auto done = stream.write({&all, 1});
-      if (done.how != event_loop::Io::some) return;
+      if (done.status != event_loop::Io::some) return;
       unsent.erase(0, done.size);
     }
   }
@@ -220,9 +220,9 @@
   for (;;) {
     static char bytes[256 * 1024];
     const auto got = proxy.stream.read(bytes);
-    if (got.how == event_loop::Io::some) proxy.session.received(proxy.load.loop.now(), {bytes, got.size});
+    if (got.status == event_loop::Io::some) proxy.session.received(proxy.load.loop.now(), {bytes, got.size});
     proxy.flush();
-    if (got.how != event_loop::Io::some) co_await proxy.stream.changed();
+    if (got.status != event_loop::Io::some) co_await proxy.stream.changed();
   }
 }
 
@@ -238,9 +238,9 @@
     static char bytes[64 * 1024];
     for (;;) {
       const auto got = stream.read(bytes);
-      if (got.how == event_loop::Io::some) kept.append(bytes, got.size);
-      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) over = true;
-      if (got.how != event_loop::Io::some) return;
+      if (got.status == event_loop::Io::some) kept.append(bytes, got.size);
+      if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) over = true;
+      if (got.status != event_loop::Io::some) return;
     }
   }
   void write(const std::string& bytes) {
--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -85,8 +85,8 @@
   while (from.canRead()) {
     std::array<char, 4096> bytes;
     const auto got = from.read(bytes);
-    if (got.how == Io::some) kept.append(bytes.data(), got.size);
-    if (got.how == Io::ended || got.how == Io::failed || kept.size() > kLongest) return false;
+    if (got.status == Io::some) kept.append(bytes.data(), got.size);
+    if (got.status == Io::ended || got.status == Io::failed || kept.size() > kLongest) return false;
   }
   return true;
 }
@@ -95,7 +95,7 @@
   while (!unsent.empty()) {
     const std::string_view all = unsent;
     const auto done = to.write({&all, 1});
-    if (done.how != Io::some) return done.how == Io::wouldBlock;
+    if (done.status != Io::some) return done.status == Io::wouldBlock;
     unsent.erase(0, done.size);
   }
   return true;
--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -310,8 +310,8 @@
 bool ClusterServer::receiveReplies(idempotency::VoterIndex voter, PeerStream& peer, Duration& backoff) {
   char bytes[kReadBytes];
   const auto result = peer.stream().read(bytes);
-  if (result.how == Io::ended || result.how == Io::failed) return false;
-  if (result.how != Io::some) return true;
+  if (result.status == Io::ended || result.status == Io::failed) return false;
+  if (result.status != Io::some) return true;
   const Instant now = loop_.now();
   transactions_.advanceTo(now);
   peer.onBytes(now, {bytes, result.size});
--- a/src/cluster/peer_stream.cpp
+++ b/src/cluster/peer_stream.cpp
@@ -44,8 +44,8 @@
   while (!unsent_.empty()) {
     const std::string_view bytes = unsent_;
     const auto written = stream_.write({&bytes, 1});
-    if (written.how == Io::failed) isClosed_ = true;
-    if (written.how != Io::some) break;
+    if (written.status == Io::failed) isClosed_ = true;
+    if (written.status != Io::some) break;
     unsent_.erase(0, written.size);
   }
   if (unsent_.size() > kMaxUnsentBytes) isClosed_ = true;
--- a/src/runtime/event_loop/descriptor.h
+++ b/src/runtime/event_loop/descriptor.h
@@ -7,7 +7,7 @@
 
 namespace gulltrestle::event_loop {
 
-// Move-only owner of a file descriptor.
+// Move-only owner of a file descriptor, which it closes; -1 stands for none.
 class Descriptor {
  public:
   Descriptor() = default;
--- a/src/runtime/event_loop/event_loop.cpp
+++ b/src/runtime/event_loop/event_loop.cpp
@@ -27,27 +27,30 @@
 }
 
 // As many events as a busy turn brings; more wait for the next turn.
-constexpr std::size_t kEventsATurn = 256;
+constexpr std::size_t kMaxEventsPerTurn = 256;
 
-// Where epoll could not be asked, and where the system was short of memory: short against any deadline, and
-// long enough not to spin.
+// After epoll or memory was not to be had: short against any deadline, and long enough not to spin.
 constexpr Duration kRetryPause = Duration::millis(10);
+// The longest wait for epoll; a turn a minute costs nothing.
+constexpr std::int64_t kMaxWaitMillis = 60'000;
+constexpr std::int64_t kMicrosPerMilli = 1000;
 
-// A wait that took less than this did not wait.
+// A wait that took less than this returned at once.
 constexpr Duration kNoWait = Duration::millis(1);
-// One that took so much longer than was asked for was held up.
+// A wait that took so much longer than its timeout was held up.
 constexpr Duration kLateWait = Duration::millis(50);
 
-// The process was stopped and goes on: a wait that something ended meanwhile does not tell.
-volatile std::sig_atomic_t resumed = 0;
+// Set by SIGCONT: the process was stopped and goes on. The result of a wait doesn't show it where an event
+// ended that wait meanwhile.
+volatile std::sig_atomic_t wasContinued = 0;
 
 }  // namespace
 
 EventLoop::EventLoop()
     : epoll_(retrySystemCall("epoll", [] { return epoll_create1(EPOLL_CLOEXEC); })),
       offsetMicros_(unixMicros() - steadyMicros()) {
-  arrivedSince_ = waitedAt_ = now();
-  std::signal(SIGCONT, [](int) { resumed = 1; });
+  arrivedSince_ = lastWaitEndedAt_ = now();
+  std::signal(SIGCONT, [](int) { wasContinued = 1; });
 }
 
 EventLoop::~EventLoop() { endTasks(); }
@@ -66,138 +69,166 @@
   resume(handle);
 }
 
-void EventLoop::run(const EndOfTurn& endOfTurn, const Failed& failed) {
-  while (!stopped_) {
-    turn(failed);
-    const Instant next = endOfTurn(now());
-    if (!stopped_) wait(next);
+void EventLoop::run(const EndOfTurn& endOfTurn, const TaskFailed& taskFailed) {
+  while (!isStopped_) {
+    runTurn(taskFailed);
+    const Instant nextTurn = endOfTurn(now());
+    if (!isStopped_) wait(nextTurn);
   }
 }
 
-void EventLoop::turn(const Failed& failed) {
+// --- A turn
+
+void EventLoop::runTurn(const TaskFailed& taskFailed) {
   const Instant time = now();
   while (!timers_.empty() && timers_.begin()->first <= time) {
     const Timer timer = timers_.begin()->second;
     timers_.erase(timers_.begin());
-    due(timer);
+    fire(timer);
   }
-  now_.swap(ready_);
-  for (const auto handle : now_) step(handle, failed);
-  now_.clear();
+  running_.swap(ready_);
+  for (const auto handle : running_) runTask(handle, taskFailed);
+  running_.clear();
 }
 
-void EventLoop::due(const Timer& timer) {
+void EventLoop::fire(const Timer& timer) {
   if (timer.handle) return resume(timer.handle);
-  const auto at = streams_.find(timer.stream);
-  if (at == streams_.end()) return;
-  Stream& stream = *at->second;
-  if (!timer.reportsGoOn) return stream.wake();
-  stream.paused_ = false;
-  settleLater(stream);
+  const auto found = streams_.find(timer.stream);
+  if (found == streams_.end()) return;
+  Stream& stream = *found->second;
+  if (!timer.resumesReports) return stream.wake();
+  stream.areReportsPaused_ = false;
+  updateInterestLater(stream);
 }
 
-void EventLoop::step(std::coroutine_handle<> handle, const Failed& failed) {
+void EventLoop::runTask(std::coroutine_handle<> handle, const TaskFailed& taskFailed) {
   handle.resume();
   if (!handle.done()) return;
   const auto ended = tasks_.extract(handle.address());
-  if (const auto failure = ended.mapped().failure()) failed(failure);
+  if (const auto failure = ended.mapped().failure()) taskFailed(failure);
 }
 
+// --- Waiting
+
 void EventLoop::wait(Instant until) {
-  settleAll();
+  updatePendingInterests();
+  std::array<epoll_event, kMaxEventsPerTurn> events;
+  const std::size_t count = poll(events, waitTimeoutMillis(earliestWakeUp(until)));
+  for (const epoll_event& event : std::span(events).first(count)) handleEvent(event);
+}
+
+// Never if neither the caller nor a timer needs a wake-up.
+Instant EventLoop::earliestWakeUp(Instant until) const {
   if (!timers_.empty() && (until == Instant() || timers_.begin()->first < until))
     until = timers_.begin()->first;
-  if (!unsettled_.empty())
+  if (!pendingInterests_.empty())
     until = until == Instant() ? now() + kRetryPause : std::min(until, now() + kRetryPause);
-  int millis = -1;
-  if (!ready_.empty()) {
-    millis = 0;
-  } else if (until != Instant()) {
-    // Rounded up: a turn before the time would find nothing due. At most a minute, which costs nothing.
-    const auto left = (until - now()).inMicros();
-    millis = static_cast<int>(std::clamp<std::int64_t>((left + 999) / 1000, 0, 60000));
-  }
-  std::array<epoll_event, kEventsATurn> events;
-  const Instant asked = now();
-  int count = epoll_wait(epoll_.number(), events.data(), static_cast<int>(events.size()), millis);
-  // Guards against a process that was stopped and goes on: its wait is broken off, and what has come
-  // meanwhile is to be seen before anything is decided by the clock. Costs a call, and only then.
-  const bool wasInterrupted = count < 0 && errno == EINTR;
-  if (wasInterrupted) count = epoll_wait(epoll_.number(), events.data(), static_cast<int>(events.size()), 0);
-  const Instant back = now();
-  // What is told without a wait was there before, and what is told to a process that was stopped may have
-  // been; how long, only the wait before can say.
-  const bool wasStopped = wasInterrupted || resumed != 0;
-  resumed = 0;
-  const bool isLate = millis >= 0 && back - asked > Duration::millis(millis) + kLateWait;
-  const bool wasThere = wasStopped || isLate || back - asked < kNoWait;
-  arrivedSince_ = wasThere ? waitedAt_ : back;
-  // A stop may also have come between what was told and the look at the clock.
-  waitedAt_ = wasStopped || isLate ? asked : back;
-  for (int i = 0; i < count; ++i) {
-    const auto& event = events[static_cast<std::size_t>(i)];
-    const auto at = streams_.find(event.data.u64);
-    if (at == streams_.end()) continue;
-    Stream& stream = *at->second;
-    const std::uint32_t known = stream.reported(event.events);
-    // A hang-up is reported as long as epoll knows the descriptor.
-    if (known & (EPOLLHUP | EPOLLERR))
-      disarm(stream);
-    else if (known & stream.armed_)
-      arm(stream, stream.armed_ & ~known);
-    stream.wake();
-  }
+  return until;
+}
+
+// As epoll takes it; -1: none. Rounded up: a turn before the time would find nothing due.
+int EventLoop::waitTimeoutMillis(Instant until) const {
+  if (!ready_.empty()) return 0;
+  if (until == Instant()) return -1;
+  const std::int64_t remainingMicros = (until - now()).inMicros();
+  const std::int64_t millis = (remainingMicros + kMicrosPerMilli - 1) / kMicrosPerMilli;
+  return static_cast<int>(std::clamp<std::int64_t>(millis, 0, kMaxWaitMillis));
 }
 
-// False where epoll can't be asked now. Without any events it still reports a hang-up.
-bool EventLoop::arm(Stream& stream, std::uint32_t events) {
+// Waits for events and returns how many there are. Guards against a process that was stopped and goes on: its
+// wait is broken off, and what has come meanwhile is to be seen before anything is decided by the clock.
+// Costs a call, and only then.
+std::size_t EventLoop::poll(std::span<epoll_event> events, int timeoutMillis) {
+  const int capacity = static_cast<int>(events.size());
+  const Instant startedAt = now();
+  int count = epoll_wait(epoll_.number(), events.data(), capacity, timeoutMillis);
+  const bool wasInterrupted = count < 0 && errno == EINTR;
+  if (wasInterrupted) count = epoll_wait(epoll_.number(), events.data(), capacity, 0);
+  noteWait(startedAt, timeoutMillis, wasInterrupted);
+  return static_cast<std::size_t>(std::max(count, 0));
+}
+
+// Events that are reported without a wait were there before, and those that are reported to a process that
+// was stopped may have been; since when, only the wait before can say.
+void EventLoop::noteWait(Instant startedAt, int timeoutMillis, bool wasInterrupted) {
+  const Instant endedAt = now();
+  const bool wasStopped = wasInterrupted || wasContinued != 0;
+  wasContinued = 0;
+  const Duration waited = endedAt - startedAt;
+  const bool isLate = timeoutMillis >= 0 && waited > Duration::millis(timeoutMillis) + kLateWait;
+  const bool mayHaveBeenThere = wasStopped || isLate || waited < kNoWait;
+  arrivedSince_ = mayHaveBeenThere ? lastWaitEndedAt_ : endedAt;
+  // A stop may also have come between the report and the look at the clock.
+  lastWaitEndedAt_ = wasStopped || isLate ? startedAt : endedAt;
+}
+
+void EventLoop::handleEvent(const epoll_event& event) {
+  const auto found = streams_.find(event.data.u64);
+  if (found == streams_.end()) return;
+  Stream& stream = *found->second;
+  const std::uint32_t unneeded = stream.applyReport(event.events);
+  // A hang-up is reported as long as epoll knows the descriptor.
+  if (unneeded & (EPOLLHUP | EPOLLERR))
+    unregister(stream);
+  else if (unneeded & stream.registeredEvents_)
+    registerEvents(stream, stream.registeredEvents_ & ~unneeded);
+  stream.wake();
+}
+
+// --- Interest in events
+
+// False where epoll has no memory for it now. Without any events it still reports a hang-up.
+bool EventLoop::registerEvents(Stream& stream, std::uint32_t events) {
   epoll_event event{};
   event.events = events;
   event.data.u64 = stream.id_;
-  const int what = stream.added_ ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
-  if (epoll_ctl(epoll_.number(), what, stream.descriptor(), &event) != 0) return false;
-  stream.added_ = true;
-  stream.armed_ = events;
+  const int operation = stream.isRegistered_ ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
+  if (epoll_ctl(epoll_.number(), operation, stream.descriptor(), &event) != 0) return false;
+  stream.isRegistered_ = true;
+  stream.registeredEvents_ = events;
   return true;
 }
 
-void EventLoop::disarm(Stream& stream) {
-  if (!stream.added_ || epoll_ctl(epoll_.number(), EPOLL_CTL_DEL, stream.descriptor(), nullptr) != 0) return;
-  stream.added_ = false;
-  stream.armed_ = 0;
+void EventLoop::unregister(Stream& stream) {
+  if (!stream.isRegistered_) return;
+  if (epoll_ctl(epoll_.number(), EPOLL_CTL_DEL, stream.descriptor(), nullptr) != 0) return;
+  stream.isRegistered_ = false;
+  stream.registeredEvents_ = 0;
 }
 
-// Asks epoll for all that the stream wants to know. True where nothing is left to do.
-bool EventLoop::settle(Stream& stream) {
-  const std::uint32_t wanted = stream.wanted();
-  if (stream.paused_ || (wanted & ~stream.armed_) == 0) return true;
-  return arm(stream, wanted | stream.armed_);
+// Registers all events that the stream wants. True where nothing is left to do.
+bool EventLoop::updateInterest(Stream& stream) {
+  const std::uint32_t wanted = stream.wantedEvents();
+  if (stream.areReportsPaused_ || (wanted & ~stream.registeredEvents_) == 0) return true;
+  return registerEvents(stream, wanted | stream.registeredEvents_);
 }
 
-void EventLoop::settleAll() {
-  std::erase_if(unsettled_, [this](std::uint64_t id) {
-    const auto at = streams_.find(id);
-    return at == streams_.end() || settle(*at->second);
+void EventLoop::updatePendingInterests() {
+  std::erase_if(pendingInterests_, [this](std::uint64_t id) {
+    const auto found = streams_.find(id);
+    return found == streams_.end() || updateInterest(*found->second);
   });
 }
 
 void EventLoop::pauseReports(Stream& stream) {
-  disarm(stream);
+  unregister(stream);
   timers_.emplace(now() + kRetryPause, Timer{{}, stream.id_, true});
 }
 
+// --- Streams
+
 void EventLoop::add(Stream& stream) {
-  stream.id_ = ++lastId_;
+  stream.id_ = ++lastStreamId_;
   // The system may be out of memory, or of watches, for a moment: it is asked again before each wait.
-  if (!settle(stream) && errno != ENOMEM && errno != ENOSPC)
+  if (!updateInterest(stream) && errno != ENOMEM && errno != ENOSPC)
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   streams_.emplace(stream.id_, &stream);
-  if (!stream.added_) settleLater(stream);
+  if (!stream.isRegistered_) updateInterestLater(stream);
 }
 
 void EventLoop::remove(Stream& stream) {
   streams_.erase(stream.id_);
-  disarm(stream);
+  unregister(stream);
 }
 
 }  // namespace gulltrestle::event_loop
--- a/src/runtime/event_loop/retry_system_call.cpp
+++ b/src/runtime/event_loop/retry_system_call.cpp
@@ -15,16 +15,16 @@
 
 using Clock = std::chrono::steady_clock;
 
-// A router has 10 s until it has to be ready; what does not pass in half of that is told to whoever starts
-// it.
-constexpr auto kLongest = std::chrono::seconds(5);
-constexpr auto kPause = std::chrono::milliseconds(20);
+// A router has 10 s until it has to be ready: an error that lasts for half of that is reported to whoever
+// starts it.
+constexpr auto kMaxRetryTime = std::chrono::seconds(5);
+constexpr auto kRetryPause = std::chrono::milliseconds(20);
 
-// The signals wait while a process starts (holdSignals()).
-bool toldToEnd() {
-  sigset_t waiting;
-  if (sigpending(&waiting) != 0) return false;
-  return sigismember(&waiting, SIGTERM) == 1 || sigismember(&waiting, SIGINT) == 1;
+// Signals stay pending while a process starts (blockSignals()).
+bool isTerminationPending() {
+  sigset_t pending;
+  if (sigpending(&pending) != 0) return false;
+  return sigismember(&pending, SIGTERM) == 1 || sigismember(&pending, SIGINT) == 1;
 }
 
 }  // namespace
@@ -47,17 +47,17 @@
   }
 }
 
-int retrySystemCall(const char* what, const std::function<int()>& call) {
-  const auto until = Clock::now() + kLongest;
-  for (bool told = false;;) {
+int retrySystemCall(const char* callName, const std::function<int()>& call) {
+  const auto deadline = Clock::now() + kMaxRetryTime;
+  for (bool isReported = false;;) {
     const int result = call();
     if (result >= 0) return result;
     const int error = errno;
-    if (!isTransientError(error) || toldToEnd() || Clock::now() >= until)
-      throw std::system_error(error, std::generic_category(), what);
-    if (!std::exchange(told, true))
-      std::cerr << "gulltrestle: " << what << ": " << std::strerror(error) << ", trying on" << std::endl;
-    std::this_thread::sleep_for(kPause);
+    if (!isTransientError(error) || isTerminationPending() || Clock::now() >= deadline)
+      throw std::system_error(error, std::generic_category(), callName);
+    if (!std::exchange(isReported, true))
+      std::cerr << "gulltrestle: " << callName << ": " << std::strerror(error) << ", trying on" << std::endl;
+    std::this_thread::sleep_for(kRetryPause);
   }
 }
 
--- a/src/runtime/event_loop/retry_system_call.h
+++ b/src/runtime/event_loop/retry_system_call.h
@@ -6,12 +6,12 @@
 
 namespace gulltrestle::event_loop {
 
-// Whether a call that failed so may go well a little later, as far as the manual pages tell.
+// Whether a call that failed with this errno may succeed a little later, by the manual pages.
 bool isTransientError(int error);
 
-// Calls until the result is no longer negative, and returns it. Between calls it pauses; what keeps it
-// waiting goes to standard error, one line. Throws std::system_error, which names `what`: at once where the
-// error is none that passes or the process is told to end, else after five seconds.
-int retrySystemCall(const char* what, const std::function<int()>& call);
+// Repeats a system call, with pauses, until its result is no longer negative, and returns that. The first
+// transient error goes to standard error, one line. Throws std::system_error, which names `callName`: at once
+// where the error is not transient or a termination signal is pending, else after five seconds.
+int retrySystemCall(const char* callName, const std::function<int()>& call);
 
 }  // namespace gulltrestle::event_loop
--- a/src/runtime/event_loop/sockets.cpp
+++ b/src/runtime/event_loop/sockets.cpp
@@ -18,11 +18,13 @@
 
 namespace {
 
-[[noreturn]] void fail(const char* what) { throw std::system_error(errno, std::generic_category(), what); }
+[[noreturn]] void throwLastError(const char* what) {
+  throw std::system_error(errno, std::generic_category(), what);
+}
 
 bool wouldBlock() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
-// How a read or write that took nothing has ended.
+// Of a read or write that has failed just now.
 Io failureOf() {
   if (wouldBlock()) return Io::wouldBlock;
   return errno == ENOMEM || errno == ENOBUFS ? Io::noMemory : Io::failed;
@@ -34,54 +36,67 @@
   address.sin_port = htons(port);
   if (inet_pton(AF_INET, host.c_str(), &address.sin_addr) != 1) {
     errno = EINVAL;
-    fail(host.c_str());
+    throwLastError(host.c_str());
   }
   return address;
 }
 
-void sendAtOnce(int descriptor) {
-  const int on = 1;
-  setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+// Without Nagle's algorithm, which would hold small messages back.
+void sendWithoutDelay(int descriptor) {
+  const int enabled = 1;
+  setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
 // Many clients come at once when a router has just started; more are refused by the kernel itself.
 constexpr int kBacklog = 1024;
 
-// Connections that failed before they were taken, one after another, before whoever takes them pauses.
-constexpr int kMostFailedAccepts = 16;
+// Connections in a row that failed before they were accepted; after that accept() fails, lest it spins.
+constexpr int kMaxFailedAccepts = 16;
 
-// What keeps this machine from beginning a connection for a moment, whoever is at its other end.
-bool isLocal(int error) {
+// This machine can't begin a connection for a moment, whatever is at its other end.
+bool isLocalShortage(int error) {
   return error == EAGAIN || error == EADDRNOTAVAIL || error == ENOBUFS || error == ENOMEM;
 }
 
+// The buffers of one write.
+constexpr std::size_t kMaxSlicesPerWrite = 16;
+
+constexpr std::array<int, 3> kHandledSignals{SIGTERM, SIGINT, SIGHUP};
+
+sigset_t handledSignals() {
+  sigset_t set;
+  sigemptyset(&set);
+  for (const int number : kHandledSignals) sigaddset(&set, number);
+  return set;
+}
+
 }  // namespace
 
 Descriptor listenOn(const std::string& host, unsigned short port) {
   const auto address = addressOf(host, port);
-  Descriptor made(retrySystemCall(
+  Descriptor descriptor(retrySystemCall(
       "socket", [] { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }));
-  const int on = 1;
-  setsockopt(made.number(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  const int enabled = 1;
+  setsockopt(descriptor.number(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   retrySystemCall("bind", [&] {
-    return ::bind(made.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+    return ::bind(descriptor.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
   });
-  retrySystemCall("listen", [&] { return ::listen(made.number(), kBacklog); });
-  return made;
+  retrySystemCall("listen", [&] { return ::listen(descriptor.number(), kBacklog); });
+  return descriptor;
 }
 
 Descriptor startConnecting(const std::string& host, unsigned short port) {
   const auto address = addressOf(host, port);
-  Descriptor made(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!made) return made;
-  sendAtOnce(made.number());
-  // One that was interrupted is on its way all the same, or is begun now. What else fails at once shows like
-  // what fails later, when the connection is asked about.
-  int failed = 0;
+  Descriptor descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!descriptor) return descriptor;
+  sendWithoutDelay(descriptor.number());
+  // A call that was interrupted has begun the connection, or does so now. Other failures show like later
+  // ones, by isConnected().
+  int result = 0;
   do {
-    failed = ::connect(made.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-  } while (failed != 0 && errno == EINTR);
-  return failed != 0 && isLocal(errno) ? Descriptor() : std::move(made);
+    result = ::connect(descriptor.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+  } while (result != 0 && errno == EINTR);
+  return result != 0 && isLocalShortage(errno) ? Descriptor() : std::move(descriptor);
 }
 
 bool isConnected(int descriptor) {
@@ -104,14 +119,14 @@
 }
 
 IoResult writeFrom(int descriptor, std::span<const std::string_view> parts) {
-  std::array<iovec, 16> pieces;
+  std::array<iovec, kMaxSlicesPerWrite> slices;
   std::size_t count = 0;
   for (const auto part : parts) {
-    if (part.empty() || count == pieces.size()) continue;
-    pieces[count++] = {const_cast<char*>(part.data()), part.size()};
+    if (part.empty() || count == slices.size()) continue;
+    slices[count++] = {const_cast<char*>(part.data()), part.size()};
   }
   msghdr message{};
-  message.msg_iov = pieces.data();
+  message.msg_iov = slices.data();
   message.msg_iovlen = count;
   for (;;) {
     const auto size = ::sendmsg(descriptor, &message, MSG_NOSIGNAL);
@@ -121,55 +136,46 @@
   }
 }
 
-void endSending(int descriptor) { ::shutdown(descriptor, SHUT_WR); }
+void shutDownWriting(int descriptor) { ::shutdown(descriptor, SHUT_WR); }
 
-Io accept(int descriptor, Descriptor& taken) {
-  for (int failures = 0; failures < kMostFailedAccepts; ++failures) {
-    taken = Descriptor(::accept4(descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (taken) {
-      sendAtOnce(taken.number());
+Io accept(int descriptor, Descriptor& accepted) {
+  for (int failures = 0; failures < kMaxFailedAccepts; ++failures) {
+    accepted = Descriptor(::accept4(descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (accepted) {
+      sendWithoutDelay(accepted.number());
       return Io::some;
     }
     if (wouldBlock()) return Io::wouldBlock;
-    const bool none = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    if (none) return Io::noDescriptor;
+    const bool isShortage = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
+    if (isShortage) return Io::noDescriptor;
     if (errno == EBADF || errno == EINVAL || errno == ENOTSOCK) return Io::failed;
-    // Else one that was reset while it waited, or an interruption: the next one.
+    // Else a connection that was reset while it waited, or an interruption: try the next one.
   }
   return Io::failed;
 }
 
-namespace {
-
-sigset_t taken() {
-  sigset_t set;
-  sigemptyset(&set);
-  for (const int number : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&set, number);
-  return set;
-}
-
-}  // namespace
+// --- Signals
 
 void blockSignals() {
-  const sigset_t set = taken();
-  if (sigprocmask(SIG_BLOCK, &set, nullptr) != 0) fail("sigprocmask");
-  // A signal that is ignored is not kept while it is blocked, and whoever starts a program may have it so.
-  for (const int number : {SIGTERM, SIGINT, SIGHUP}) std::signal(number, SIG_DFL);
+  const sigset_t set = handledSignals();
+  if (sigprocmask(SIG_BLOCK, &set, nullptr) != 0) throwLastError("sigprocmask");
+  // An ignored signal is not kept pending while it is blocked, and a process may be started with it ignored.
+  for (const int number : kHandledSignals) std::signal(number, SIG_DFL);
 }
 
 Descriptor signals() {
   blockSignals();
-  const sigset_t set = taken();
-  Descriptor made(
+  const sigset_t set = handledSignals();
+  Descriptor descriptor(
       retrySystemCall("signalfd", [&] { return ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC); }));
   std::signal(SIGPIPE, SIG_IGN);
-  return made;
+  return descriptor;
 }
 
 std::optional<Signal> takeSignal(int descriptor) {
-  signalfd_siginfo taken{};
-  if (::read(descriptor, &taken, sizeof taken) != sizeof taken) return std::nullopt;
-  return taken.ssi_signo == SIGHUP ? Signal::reload : Signal::terminate;
+  signalfd_siginfo info{};
+  if (::read(descriptor, &info, sizeof info) != sizeof info) return std::nullopt;
+  return info.ssi_signo == SIGHUP ? Signal::reload : Signal::terminate;
 }
 
 }  // namespace gulltrestle::event_loop
--- a/src/runtime/event_loop/sockets.h
+++ b/src/runtime/event_loop/sockets.h
@@ -1,4 +1,4 @@
-// Sockets of IPv4, none of which ever blocks.
+// System calls on IPv4 sockets, none of which ever blocks, and on signals.
 #pragma once
 
 #include <cstddef>
@@ -11,33 +11,46 @@
 
 namespace gulltrestle::event_loop {
 
-// Throws std::system_error where the address can't be had, also after a while
+// A listening socket. Throws std::system_error where the address can't be bound, also after retries
 // (runtime/event_loop/retry_system_call.h).
 Descriptor listenOn(const std::string& host, unsigned short port);
-// Not up yet when it returns; none where this machine has no descriptor, port or memory for it now. Throws
-// where the address is none.
+// A socket whose connection is not established yet; none where this machine has no descriptor, port or memory
+// for it now. Throws std::system_error where `host` is no IPv4 address.
 Descriptor startConnecting(const std::string& host, unsigned short port);
-bool isConnected(int descriptor);  // after it has become writable: it came up
+// Whether the connection was established; to be asked once the socket has become writable.
+bool isConnected(int descriptor);
 
-// noMemory: the system is short of it for a moment, and nothing was read or written.
-enum class Io { some, wouldBlock, ended, failed, noDescriptor, noMemory };
-// Outcome of one system call and the bytes it moved.
+// Status of one system call.
+enum class Io {
+  some,          // bytes were moved, or a connection was accepted
+  wouldBlock,    // nothing can be moved now
+  ended,         // the other side sends no more
+  failed,        // the descriptor is of no more use
+  noDescriptor,  // of accept(): the system has no descriptor or memory for a connection now
+  noMemory,      // the system is short of memory for a moment; nothing was moved
+};
+// Status of a read or write, and the bytes it moved.
 struct IoResult {
-  Io how;
+  Io status;
   std::size_t size = 0;
 };
 IoResult readInto(int descriptor, std::span<char> buffer);
+// May write less than all, also of the first part.
 IoResult writeFrom(int descriptor, std::span<const std::string_view> parts);
-void endSending(int descriptor);  // the other side reads an end; it can still send
-Io accept(int descriptor, Descriptor& taken);
+// The other side reads an end after what was written; it can still send.
+void shutDownWriting(int descriptor);
+// `accepted`: the new connection, where the result is Io::some.
+Io accept(int descriptor, Descriptor& accepted);
 
-// What a signal asks of a process: to end, or to read its configuration anew.
+// What a signal requests of a process: to end (SIGTERM, SIGINT), or to read its configuration again (SIGHUP).
 enum class Signal { terminate, reload };
-// From now on these signals wait, for signals() to take them: one that comes while a process starts must not
+// From now on these signals stay pending until takeSignal(): one that comes while a process starts must not
 // end it.
 void blockSignals();
-// Becomes readable when one of these signals comes, also where the process was started with them ignored.
+// A descriptor that becomes readable when one of these signals comes, also where the process was started with
+// them ignored.
 Descriptor signals();
-std::optional<Signal> takeSignal(int descriptor);  // none if there is none left
+// The next pending signal; none if there is none left.
+std::optional<Signal> takeSignal(int descriptor);
 
 }  // namespace gulltrestle::event_loop
--- a/src/runtime/event_loop/task.h
+++ b/src/runtime/event_loop/task.h
@@ -1,4 +1,4 @@
-// A coroutine that a Loop owns and runs to its end.
+// A coroutine that an EventLoop owns and runs to its end.
 #pragma once
 
 #include <coroutine>
@@ -7,7 +7,7 @@
 
 namespace gulltrestle::event_loop {
 
-// Owns the coroutine frame; move-only.
+// Owns the coroutine frame; move-only. Starts suspended and keeps the exception that ended it, if any.
 class Task {
  public:
   struct promise_type {
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -145,18 +145,18 @@
         const std::string_view all = unsent;
         const auto done = stream.write({&all, 1});
         unsent.erase(0, done.size);
-        on = done.how == Io::some || done.how == Io::wouldBlock;
+        on = done.status == Io::some || done.status == Io::wouldBlock;
         if (on && !unsent.empty()) co_await stream.changed();
       }
       while (on && healthCheckStreams_.contains(id) && !response.done()) {
         char bytes[2048];
         const auto got = stream.read(bytes);
-        if (got.how == Io::some) {
+        if (got.status == Io::some) {
           response.feed({bytes, got.size}, [](std::string_view) {});
           continue;
         }
-        if (got.how == Io::ended) response.end();
-        on = got.how == Io::wouldBlock;
+        if (got.status == Io::ended) response.end();
+        on = got.status == Io::wouldBlock;
         if (on) co_await stream.changed();
       }
       if (response.done()) status = response.status();
--- a/src/runtime/grpc_server/grpc_server.cpp
+++ b/src/runtime/grpc_server/grpc_server.cpp
@@ -107,8 +107,8 @@
     if (to.unsent.empty()) break;
     const std::string_view all = to.unsent;
     const auto done = to.stream.write({&all, 1});
-    if (done.how == Io::failed) to.broken = true;
-    if (done.how != Io::some) break;
+    if (done.status == Io::failed) to.broken = true;
+    if (done.status != Io::some) break;
     to.unsent.erase(0, done.size);
   }
   if (to.broken || (to.unsent.empty() && to.calls.done())) to.stream.wake();
@@ -189,9 +189,9 @@
       // does not take its answers may ask no more.
       if (connection.stream.canRead() && connection.unsent.empty()) {
         const auto got = connection.stream.read(buffer_);
-        if (got.how == Io::failed) connection.broken = true;
-        if (got.how == Io::ended) ended = true;
-        if (got.how == Io::some) {
+        if (got.status == Io::failed) connection.broken = true;
+        if (got.status == Io::ended) ended = true;
+        if (got.status == Io::some) {
           const Instant now = loop_.now();
           receiver_.seen(now);
           connection.calls.received(now, {buffer_.data(), got.size});
--- a/src/runtime/server/client_connections.cpp
+++ b/src/runtime/server/client_connections.cpp
@@ -114,7 +114,7 @@
   }
   if (client.stream.canRead() && !client.hasEnded && mayRead(id, client)) return readClient(id, client);
   // Its end is behind what is not read yet, as it waits and has sent much ahead.
-  if (client.stream.readEnds() && !client.hasEnded && gateway_.isWaiting(id))
+  if (client.stream.isPeerHalfClosed() && !client.hasEnded && gateway_.isWaiting(id))
     gateway_.clientHalfClosed(loop_.now(), id);
   return TurnResult::wait;
 }
@@ -164,7 +164,7 @@
 // its sending that delay.
 bool ClientConnections::mayBeGone(const Client& client) const {
   const Instant now = loop_.now();
-  if (!client.stream.canRead() || !client.stream.readEnds() || client.hasEnded) return false;
+  if (!client.stream.canRead() || !client.stream.isPeerHalfClosed() || client.hasEnded) return false;
   if (client.unreadSince == Instant() || now - client.unreadSince <= kStallThreshold) return false;
   return client.noticeSentAt == Instant() || now < client.noticeSentAt + kResetDelay;
 }
@@ -191,7 +191,7 @@
 
 // Sends the end, and returns until when the client's end is waited for.
 Instant ClientConnections::startLingering(ClientId id, Client& client) {
-  event_loop::endSending(client.stream.descriptor());
+  event_loop::shutDownWriting(client.stream.descriptor());
   const Instant until = loop_.now() + connectLimit_ * kLingerFactor;
   client.stream.wakeAt(until);
   closing_.push_back(id);
--- a/src/runtime/server/connection.h
+++ b/src/runtime/server/connection.h
@@ -87,9 +87,9 @@
 template <typename Consume>
 void Connection::read(Consume consume) {
   const auto result = stream.read(shared_.readBuffer);
-  if (result.how == event_loop::Io::ended) hasEnded = true;
-  if (result.how == event_loop::Io::failed) isBroken = true;
-  if (result.how != event_loop::Io::some) return;
+  if (result.status == event_loop::Io::ended) hasEnded = true;
+  if (result.status == event_loop::Io::failed) isBroken = true;
+  if (result.status != event_loop::Io::some) return;
   std::string_view bytes(shared_.readBuffer.data(), result.size);
   if (!received_.empty()) bytes = received_.append(bytes);
   const std::size_t consumed = consume(bytes);
--- a/src/runtime/server/discovery_client.cpp
+++ b/src/runtime/server/discovery_client.cpp
@@ -86,7 +86,7 @@
       Call call(loop_, std::move(descriptor), buffers_, address, isWatching_);
       stream_ = &call.connection.stream;
       // A drain is known before anything of the same turn is sent.
-      call.connection.stream.comesFirst();
+      call.connection.stream.prioritize();
       try {
         while (!call.isOver() && address == address_) {
           const Duration maxSilence = schedule_.silence(call.isWatch, call.hasReceived);
--- a/src/testing/fake_servers/fake_node.cpp
+++ b/src/testing/fake_servers/fake_node.cpp
@@ -32,13 +32,13 @@
     char bytes[4096];
     while (stream.canRead() && !over) {
       const auto got = stream.read(bytes);
-      if (got.how == event_loop::Io::some) kept.append(bytes, got.size);
-      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) over = true;
+      if (got.status == event_loop::Io::some) kept.append(bytes, got.size);
+      if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) over = true;
     }
   }
   void write(std::string_view bytes) {
     const auto done = stream.write({&bytes, 1});
-    if (done.how != event_loop::Io::some)
+    if (done.status != event_loop::Io::some)
       over = true;  // what stand-ins say is short: it fits or the peer is gone
   }
 };
--- a/src/testing/fake_servers/fake_proxy.cpp
+++ b/src/testing/fake_servers/fake_proxy.cpp
@@ -72,8 +72,8 @@
     while (!unsent.empty()) {
       const std::string_view all = unsent;
       const auto done = stream.write({&all, 1});
-      if (done.how == event_loop::Io::failed) over = true;
-      if (done.how != event_loop::Io::some) break;
+      if (done.status == event_loop::Io::failed) over = true;
+      if (done.status != event_loop::Io::some) break;
       unsent.erase(0, done.size);
     }
   }
@@ -125,9 +125,9 @@
     char bytes[16384];
     if (link->stream.canRead()) {
       const auto got = link->stream.read(bytes);
-      if (got.how == event_loop::Io::some && !link->session.received(loop_.now(), {bytes, got.size}))
+      if (got.status == event_loop::Io::some && !link->session.received(loop_.now(), {bytes, got.size}))
         link->over = true;
-      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) link->over = true;
+      if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) link->over = true;
     }
     link->flush();
     if (link->session.done() && link->calls.empty()) link->over = true;
@@ -256,7 +256,7 @@
       const std::string request =
           std::string(isWrite ? "POST" : "GET") + " / HTTP/1.1\r\nx-txn-id: " + answer.txn + "\r\n\r\n";
       const std::string_view all = request;
-      if (upstream->stream.write({&all, 1}).how == event_loop::Io::some) writtenNow = "whole";
+      if (upstream->stream.write({&all, 1}).status == event_loop::Io::some) writtenNow = "whole";
     }
     hasEnded = writtenNow == "none";
     answerDeadline = std::min(until, now() + proxy.patient.value_or(proxy.setup_.tryTimeout));
@@ -267,9 +267,9 @@
   bool readFromNode() {
     char bytes[1024];
     const auto result = upstream->stream.read(bytes);
-    if (result.how == event_loop::Io::some) head.append(bytes, result.size);
-    if (result.how == event_loop::Io::ended || result.how == event_loop::Io::failed) hasEnded = true;
-    return result.how != event_loop::Io::wouldBlock;
+    if (result.status == event_loop::Io::some) head.append(bytes, result.size);
+    if (result.status == event_loop::Io::ended || result.status == event_loop::Io::failed) hasEnded = true;
+    return result.status != event_loop::Io::wouldBlock;
   }
   void takeHead() {
     if (hasHead()) {
--- a/tests/fleet/streams.h
+++ b/tests/fleet/streams.h
@@ -16,8 +16,8 @@
   while (from.canRead() && kept.size() < most) {
     char bytes[16384];
     const auto got = from.read(bytes);
-    if (got.how == event_loop::Io::some) kept.append(bytes, got.size);
-    if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) return false;
+    if (got.status == event_loop::Io::some) kept.append(bytes, got.size);
+    if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) return false;
   }
   return true;
 }
@@ -26,7 +26,7 @@
   while (!unsent.empty()) {
     const std::string_view all = unsent;
     const auto done = to.write({&all, 1});
-    if (done.how != event_loop::Io::some) return done.how == event_loop::Io::wouldBlock;
+    if (done.status != event_loop::Io::some) return done.status == event_loop::Io::wouldBlock;
     unsent.erase(0, done.size);
   }
   return true;
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -74,9 +74,9 @@
     while (!bytes.empty()) {
       const auto part = bytes.substr(0, piece);
       const auto done = event_loop::writeFrom(descriptor_.number(), {&part, 1});
-      if (done.how == event_loop::Io::failed) return;
+      if (done.status == event_loop::Io::failed) return;
       bytes.remove_prefix(done.size);
-      if (done.how == event_loop::Io::wouldBlock) wait(POLLOUT);
+      if (done.status == event_loop::Io::wouldBlock) wait(POLLOUT);
     }
   }
   // What it does has reached the other side's system when these return: what is laid out on another
@@ -112,9 +112,9 @@
     char bytes[700];
     for (;;) {
       const auto got = event_loop::readInto(descriptor_.number(), bytes);
-      if (got.how == event_loop::Io::some) kept_.append(bytes, got.size);
-      reset_ = reset_ || got.how == event_loop::Io::failed;
-      if (got.how != event_loop::Io::wouldBlock) return got.how == event_loop::Io::some;
+      if (got.status == event_loop::Io::some) kept_.append(bytes, got.size);
+      reset_ = reset_ || got.status == event_loop::Io::failed;
+      if (got.status != event_loop::Io::wouldBlock) return got.status == event_loop::Io::some;
       if (!wait(POLLIN)) return false;
     }
   }
