--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -10,6 +10,9 @@
 
 using config::ConfigError;
 using config::ConfigSection;
+using config::IntegerField;
+using config::MillisecondsField;
+using config::StringField;
 
 // Each router talks to all voters, and the voters to each other; more of them add little safety.
 constexpr std::size_t kMaxVoters = 9;
@@ -37,7 +40,8 @@
   if (voters.keys().size() % 2 == 0)
     throw ConfigError("keepers", "are an even number: one of them is of no use");
   for (const auto& name : voters.keys()) {
-    config.voters.push_back({name, config::readAddress(voters.path(name), voters.text(name, ""))});
+    config.voters.push_back(
+        {name, config::readAddress(voters.path(name), voters.read(StringField{name, ""}))});
     config.routers.insert(name);
   }
   std::sort(config.voters.begin(), config.voters.end(), [](auto& a, auto& b) { return a.name < b.name; });
@@ -63,7 +67,7 @@
 void readStoreFolder(ConfigSection& top, const std::string& name, ClusterConfig& config) {
   const bool isVoter = std::any_of(config.voters.begin(), config.voters.end(),
                                    [&](auto& voter) { return voter.name == name; });
-  config.storeFolder = top.text("store", "");
+  config.storeFolder = top.read(StringField{"store", ""});
   if (isVoter && config.storeFolder.empty())
     throw ConfigError("store", "is missing: a keeper needs a folder that lasts");
   if (!isVoter) config.storeFolder.clear();
@@ -71,7 +75,7 @@
 
 void readClaimTimes(ConfigSection& top, Duration longestDeadline, ClusterConfig& config) {
   auto& retention = config.votingMember.retention;
-  retention = top.millis("retention_ms", retention, 1000, kWeekMillis);
+  retention = top.read(MillisecondsField{"retention_ms", retention, 1000, kWeekMillis});
   if (retention < longestDeadline * kMinRetentionFactor)
     throw ConfigError("retention_ms",
                       "is under 4 times the longest expiry of a txn that may run only once, " +
@@ -79,51 +83,57 @@
   auto& coordinator = config.coordinator;
   coordinator.voterCount = config.voters.size();
   coordinator.retention = retention;
-  coordinator.maxVoteWait = top.millis("longest_wait_ms", coordinator.maxVoteWait, 10, 60'000);
-  coordinator.retryAfter = top.millis("come_back_ms", coordinator.retryAfter, 0, 60'000);
+  coordinator.maxVoteWait =
+      top.read(MillisecondsField{"longest_wait_ms", coordinator.maxVoteWait, 10, 60'000});
+  coordinator.retryAfter = top.read(MillisecondsField{"come_back_ms", coordinator.retryAfter, 0, 60'000});
 }
 
 void readLimits(ConfigSection limits, ClusterConfig& config) {
   auto& votingMember = config.votingMember;
-  votingMember.maxClaims = limits.whole("ids", votingMember.maxClaims, 1000, 100'000'000);
-  votingMember.maxValueBytes = limits.whole("value_bytes", votingMember.maxValueBytes, 0, 64 * 1024);
-  config.coordinator.maxClaims = limits.whole("open_claims", config.coordinator.maxClaims, 10, 1'000'000);
-  config.maxConnections = limits.whole("connections", 2 * config.routers.size(), 1, 10'000);
-  limits.end();
+  votingMember.maxClaims = limits.read(IntegerField{"ids", votingMember.maxClaims, 1000, 100'000'000});
+  votingMember.maxValueBytes =
+      limits.read(IntegerField{"value_bytes", votingMember.maxValueBytes, 0, 64 * 1024});
+  config.coordinator.maxClaims =
+      limits.read(IntegerField{"open_claims", config.coordinator.maxClaims, 10, 1'000'000});
+  config.maxConnections = limits.read(IntegerField{"connections", 2 * config.routers.size(), 1, 10'000});
+  limits.rejectUnknownKeys();
 }
 
 void readForcedStage(ConfigSection force, ClusterConfig& config) {
-  const std::string stage = force.text("stage", "");
+  const std::string stage = force.read(StringField{"stage", ""});
   for (const auto candidate : {recovery::Stage::anyReads, recovery::Stage::consistentReads,
                                recovery::Stage::writes, recovery::Stage::all})
     if (stage == recovery::nameOf(candidate)) config.forcedStage = candidate;
   if (!config.forcedStage)
     throw ConfigError("force.stage", "'" + stage + "' is none of any_reads, owed_reads, writes and all");
-  config.forcedBy = force.text("by", "");
+  config.forcedBy = force.read(StringField{"by", ""});
   if (config.forcedBy.empty())
     throw ConfigError("force.by", "is missing: whose word it is goes into the log");
-  force.end();
+  force.rejectUnknownKeys();
 }
 
 void readMaintenance(ConfigSection section, ClusterConfig& config) {
-  config.requestFolder = section.text("folder", "");
-  config.announceFile = section.text("announce_file", "");
+  config.requestFolder = section.read(StringField{"folder", ""});
+  config.announceFile = section.read(StringField{"announce_file", ""});
   maintenance::Bounds& bounds = config.maintenance;
   bounds.notifiesDiscovery = !config.announceFile.empty();
   const auto readCount = [&](const char* key, unsigned defaultValue) {
-    return static_cast<unsigned>(section.whole(key, defaultValue, 1, 100));
+    return static_cast<unsigned>(section.read(IntegerField{key, defaultValue, 1, 100}));
   };
   bounds.maxNodesOutPerGroup = readCount("out_of_group", bounds.maxNodesOutPerGroup);
   bounds.maxMachinesInProgress = readCount("at_once", bounds.maxMachinesInProgress);
   bounds.maxRoutersOut = readCount("routers_out", bounds.maxRoutersOut);
   bounds.maxAttempts = readCount("tries", bounds.maxAttempts);
-  bounds.announceTimeout = section.millis("announce_ms", bounds.announceTimeout, 1000, kDayMillis);
-  bounds.drainTimeout = section.millis("leave_ms", bounds.drainTimeout, 1000, kDayMillis);
-  bounds.returnTimeout = section.millis("come_back_ms", bounds.returnTimeout, 1000, kDayMillis);
-  bounds.warmUpDuration = section.millis("warm_ms", bounds.warmUpDuration, 0, kDayMillis);
-  bounds.maxReplicationLag = section.millis("caught_up_ms", bounds.maxReplicationLag, 0, kDayMillis);
-  bounds.retryDelay = section.millis("rest_ms", bounds.retryDelay, 0, kDayMillis);
-  section.end();
+  bounds.announceTimeout =
+      section.read(MillisecondsField{"announce_ms", bounds.announceTimeout, 1000, kDayMillis});
+  bounds.drainTimeout = section.read(MillisecondsField{"leave_ms", bounds.drainTimeout, 1000, kDayMillis});
+  bounds.returnTimeout =
+      section.read(MillisecondsField{"come_back_ms", bounds.returnTimeout, 1000, kDayMillis});
+  bounds.warmUpDuration = section.read(MillisecondsField{"warm_ms", bounds.warmUpDuration, 0, kDayMillis});
+  bounds.maxReplicationLag =
+      section.read(MillisecondsField{"caught_up_ms", bounds.maxReplicationLag, 0, kDayMillis});
+  bounds.retryDelay = section.read(MillisecondsField{"rest_ms", bounds.retryDelay, 0, kDayMillis});
+  section.rejectUnknownKeys();
   config.proposalTimeout =
       std::min(config.proposalTimeout, config.votingMember.retention * kMaxProposalTimeoutFraction);
 }
@@ -141,12 +151,14 @@
   readClaimTimes(top, longestDeadline, config);
   readLimits(top.section("limits"), config);
   const auto defaultRate = static_cast<std::size_t>(config.initialRatePerNode);
-  config.initialRatePerNode = static_cast<double>(top.whole("first_txns", defaultRate, 1, 1'000'000));
-  config.statusFile = top.text("status_file", "");
-  config.statusInterval = top.millis("status_every_ms", config.statusInterval, 50, 3'600'000);
+  config.initialRatePerNode =
+      static_cast<double>(top.read(IntegerField{"first_txns", defaultRate, 1, 1'000'000}));
+  config.statusFile = top.read(StringField{"status_file", ""});
+  config.statusInterval =
+      top.read(MillisecondsField{"status_every_ms", config.statusInterval, 50, 3'600'000});
   if (top.has("force")) readForcedStage(top.section("force"), config);
   readMaintenance(top.section("work"), config);
-  top.end();
+  top.rejectUnknownKeys();
   return config;
 }
 
@@ -159,11 +171,11 @@
 }
 
 ClusterConfig readClusterConfig(std::string_view text, const std::string& name, Duration longestDeadline) {
-  return read(config::readText(text), name, longestDeadline);
+  return read(config::parseDocument(text), name, longestDeadline);
 }
 ClusterConfig readClusterConfigFile(const std::string& path, const std::string& name,
                                     Duration longestDeadline) {
-  return read(config::readFile(path), name, longestDeadline);
+  return read(config::loadDocument(path), name, longestDeadline);
 }
 
 }  // namespace gulltrestle::cluster
--- /dev/null
+++ b/src/config/address.h
@@ -0,0 +1,21 @@
+// IPv4 addresses with a port, as configuration files and endpoint lists name them.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+namespace gulltrestle::config {
+
+// Address and port of a listening socket or a server. The host is an IPv4 address, as there is no name
+// service.
+struct Address {
+  std::string host;
+  std::uint16_t port = 0;
+  bool operator==(const Address&) const = default;
+};
+
+// Parses `address:port`. Throws ConfigError, which names `key`.
+Address readAddress(std::string_view key, std::string_view text);
+
+}  // namespace gulltrestle::config
--- a/src/config/config_section.cpp
+++ b/src/config/config_section.cpp
@@ -1,102 +1,163 @@
 #include "config/config_section.h"
 
 #include <charconv>
-#include <fstream>
-#include <sstream>
+#include <optional>
 
 namespace gulltrestle::config {
 
 using json::Value;
 
-json::Value readText(std::string_view text) {
-  json::Parser parser;
-  try {
-    parser.feed(text);
-    parser.finish();
-  } catch (const json::Malformed& bad) {
-    throw ConfigError("the file", std::string("is no JSON: ") + bad.what());
-  }
-  return parser.take();
+namespace {
+
+// None where the text as a whole is not a number of this type.
+template <typename T>
+std::optional<T> parseNumber(std::string_view text) {
+  T number{};
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  return number;
 }
 
-json::Value readFile(const std::string& path) {
-  std::ifstream file(path, std::ios::binary);
-  std::ostringstream all;
-  if (!file || !(all << file.rdbuf())) throw ConfigError("the file", "'" + path + "' can't be read");
-  return readText(all.str());
+// As errors name the type that a value has not.
+std::string nameOf(Value::Kind kind) {
+  switch (kind) {
+    case Value::Kind::string:
+      return "a text";
+    case Value::Kind::boolean:
+      return "true or false";
+    case Value::Kind::number:
+      return "a number";
+    case Value::Kind::object:
+      return "an object";
+    case Value::Kind::array:
+      return "a list";
+    case Value::Kind::null:
+      return "null";
+  }
+  return {};
 }
 
-ConfigSection::ConfigSection(const Value& value, std::string path) : value_(&value), path_(std::move(path)) {
+}  // namespace
+
+ConfigSection::ConfigSection(const Value& value, std::string path, std::string_view documentName)
+    : value_(&value), path_(std::move(path)), isKnown_(value.names.size()) {
   if (value.kind != Value::Kind::object)
-    throw ConfigError(path_.empty() ? "the file" : path_, "is not an object");
+    throw ConfigError(path_.empty() ? documentName : path_, "is not an object");
 }
 
-const Value* ConfigSection::find(const std::string& key, Value::Kind kind, const char* wanted) {
-  known_.insert(key);
-  const Value* found = value_->find(key);
-  if (!found || found->kind == Value::Kind::null) return nullptr;
-  if (found->kind != kind) throw ConfigError(path(key), std::string("is not ") + wanted);
-  return found;
+std::string ConfigSection::path(std::string_view key) const {
+  return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
-std::string ConfigSection::text(const std::string& key, const std::string& otherwise) {
-  const Value* found = find(key, Value::Kind::string, "a text");
-  if (!found) return otherwise;
-  if (found->text.empty()) throw ConfigError(path(key), "is empty");
-  return found->text;
+const Value* ConfigSection::find(std::string_view key) {
+  for (std::size_t i = 0; i < isKnown_.size(); ++i)
+    if (value_->names[i] == key) isKnown_[i] = true;
+  return value_->find(key);
 }
 
-bool ConfigSection::flag(const std::string& key, bool otherwise) {
-  const Value* found = find(key, Value::Kind::boolean, "true or false");
-  return found ? found->text == "true" : otherwise;
+bool ConfigSection::has(std::string_view key) {
+  const Value* value = find(key);
+  return value && value->kind != Value::Kind::null;
 }
 
-std::size_t ConfigSection::whole(const std::string& key, std::size_t otherwise, std::size_t least,
-                                 std::size_t most) {
-  const Value* found = find(key, Value::Kind::number, "a number");
-  if (!found) return otherwise;
-  std::size_t value = 0;
-  const auto& text = found->text;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size() || value < least || value > most)
-    throw ConfigError(path(key), "'" + text + "' is no whole number from " + std::to_string(least) + " to " +
-                                     std::to_string(most));
-  return value;
+void ConfigSection::rejectUnknownKeys() const {
+  for (std::size_t i = 0; i < isKnown_.size(); ++i)
+    if (!isKnown_[i]) throw ConfigError(path(value_->names[i]), "is not known here");
 }
 
-double ConfigSection::number(const std::string& key, double otherwise, double least, double most) {
-  const Value* found = find(key, Value::Kind::number, "a number");
-  if (!found) return otherwise;
-  double value = 0;
-  const auto& text = found->text;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size() || !(value >= least) || !(value <= most))
-    throw ConfigError(path(key), "'" + text + "' is out of range");
+// --- Checks
+
+const Value& ConfigSection::checkType(std::string_view key, const Value& value, Value::Kind kind) const {
+  if (value.kind != kind) throw ConfigError(path(key), "is not " + nameOf(kind));
   return value;
 }
 
-Duration ConfigSection::millis(const std::string& key, Duration otherwise, std::int64_t least,
-                               std::int64_t most) {
-  const auto found = whole(key, static_cast<std::size_t>(otherwise.inMicros() / 1000),
-                           static_cast<std::size_t>(least), static_cast<std::size_t>(most));
-  return Duration::millis(static_cast<std::int64_t>(found));
+const Value* ConfigSection::findTyped(std::string_view key, Value::Kind kind) {
+  const Value* value = find(key);
+  if (!value || value->kind == Value::Kind::null) return nullptr;
+  return &checkType(key, *value, kind);
+}
+
+const Value& ConfigSection::requireTyped(std::string_view key, Value::Kind kind) {
+  const Value* value = find(key);
+  if (!value) throw ConfigError(path(key), "is missing");
+  return checkType(key, *value, kind);
+}
+
+std::string ConfigSection::checkString(std::string_view key, const Value& value) const {
+  if (value.text.empty()) throw ConfigError(path(key), "is empty");
+  return value.text;
+}
+
+double ConfigSection::checkNumber(const NumberField& field, const Value& value) const {
+  const auto number = parseNumber<double>(value.text);
+  if (!number || !(*number >= field.min) || !(*number <= field.max))
+    throw ConfigError(path(field.key), "'" + value.text + "' is out of range");
+  return *number;
+}
+
+// --- Optional fields
+
+std::string ConfigSection::read(const StringField& field) {
+  const Value* value = findTyped(field.key, Value::Kind::string);
+  return value ? checkString(field.key, *value) : std::string(field.defaultValue);
+}
+
+bool ConfigSection::read(const BooleanField& field) {
+  const Value* value = findTyped(field.key, Value::Kind::boolean);
+  return value ? value->text == "true" : field.defaultValue;
+}
+
+std::size_t ConfigSection::read(const IntegerField& field) {
+  const Value* value = findTyped(field.key, Value::Kind::number);
+  if (!value) return field.defaultValue;
+  const auto number = parseNumber<std::size_t>(value->text);
+  if (!number || *number < field.min || *number > field.max)
+    throw ConfigError(path(field.key), "'" + value->text + "' is no whole number from " +
+                                           std::to_string(field.min) + " to " + std::to_string(field.max));
+  return *number;
+}
+
+double ConfigSection::read(const NumberField& field) {
+  const Value* value = findTyped(field.key, Value::Kind::number);
+  return value ? checkNumber(field, *value) : field.defaultValue;
+}
+
+Duration ConfigSection::read(const MillisecondsField& field) {
+  const std::size_t millis =
+      read(IntegerField{.key = field.key,
+                        .defaultValue = static_cast<std::size_t>(field.defaultValue.inMicros() / 1000),
+                        .min = static_cast<std::size_t>(field.minMillis),
+                        .max = static_cast<std::size_t>(field.maxMillis)});
+  return Duration::millis(static_cast<std::int64_t>(millis));
+}
+
+ConfigSection ConfigSection::section(std::string_view key) {
+  static const Value kEmptyObject{Value::Kind::object, {}, {}, {}};
+  const Value* value = findTyped(key, Value::Kind::object);
+  return ConfigSection(value ? *value : kEmptyObject, path(key));
+}
+
+// --- Required fields
+
+std::string ConfigSection::require(const StringField& field) {
+  return checkString(field.key, requireTyped(field.key, Value::Kind::string));
+}
+
+bool ConfigSection::require(const BooleanField& field) {
+  return requireTyped(field.key, Value::Kind::boolean).text == "true";
 }
 
-ConfigSection ConfigSection::section(const std::string& key) {
-  static const Value kNothing{Value::Kind::object, {}, {}, {}};
-  const Value* found = find(key, Value::Kind::object, "an object");
-  return ConfigSection(found ? *found : kNothing, path(key));
+double ConfigSection::require(const NumberField& field) {
+  return checkNumber(field, requireTyped(field.key, Value::Kind::number));
 }
 
-bool ConfigSection::has(const std::string& key) {
-  known_.insert(key);
-  const Value* found = value_->find(key);
-  return found && found->kind != Value::Kind::null;
+ConfigSection ConfigSection::requireSection(std::string_view key) {
+  return ConfigSection(requireTyped(key, Value::Kind::object), path(key));
 }
 
-void ConfigSection::end() const {
-  for (const auto& name : value_->names)
-    if (!known_.contains(name)) throw ConfigError(path(name), "is not known here");
+const std::vector<Value>& ConfigSection::requireList(std::string_view key) {
+  return requireTyped(key, Value::Kind::array).items;
 }
 
 }  // namespace gulltrestle::config
--- a/src/degradation_service/degradation_config.cpp
+++ b/src/degradation_service/degradation_config.cpp
@@ -10,6 +10,10 @@
 
 using config::ConfigError;
 using config::ConfigSection;
+using config::IntegerField;
+using config::MillisecondsField;
+using config::NumberField;
+using config::StringField;
 
 struct OperatorLevel {
   degradation::Level level = 0;
@@ -20,16 +24,17 @@
 OperatorLevel readOperatorLevel(ConfigSection& top, const std::string& key) {
   ConfigSection section = top.section(key);
   OperatorLevel read;
-  read.level = static_cast<degradation::Level>(section.whole("level", 0, 0, degradation::kMaxLevel));
+  read.level =
+      static_cast<degradation::Level>(section.read(IntegerField{"level", 0, 0, degradation::kMaxLevel}));
   if (!section.has("level")) throw ConfigError(section.path("level"), "is missing");
-  read.setBy = section.text("by", "");
+  read.setBy = section.read(StringField{"by", ""});
   if (read.setBy.empty()) throw ConfigError(section.path("by"), "is missing: who sets it");
-  section.end();
+  section.rejectUnknownKeys();
   return read;
 }
 
 AdmissionPolicy readPolicy(ConfigSection& row, const std::string& className, AdmissionPolicy defaultPolicy) {
-  const std::string name = row.text(className, std::string(degradation::nameOf(defaultPolicy)));
+  const std::string name = row.read(StringField{className, degradation::nameOf(defaultPolicy)});
   for (const AdmissionPolicy policy : {AdmissionPolicy::all, AdmissionPolicy::withReadyReplica,
                                        AdmissionPolicy::withSpareCapacity, AdmissionPolicy::none})
     if (degradation::nameOf(policy) == name) return policy;
@@ -38,15 +43,15 @@
 
 degradation::Bounds readBounds(ConfigSection& top) {
   degradation::Bounds bounds;
-  bounds.raiseAbove = top.number("up", bounds.raiseAbove, 0.05, 10);
-  bounds.lowerBelow = top.number("down", bounds.lowerBelow, 0.01, 10);
+  bounds.raiseAbove = top.read(NumberField{"up", bounds.raiseAbove, 0.05, 10});
+  bounds.lowerBelow = top.read(NumberField{"down", bounds.lowerBelow, 0.01, 10});
   if (bounds.lowerBelow >= bounds.raiseAbove) throw ConfigError("down", "is not below up");
-  bounds.minHold = top.millis("shortest_stay_ms", bounds.minHold, 500, 3'600'000);
-  bounds.calmPeriod = top.millis("calm_ms", bounds.calmPeriod, 500, 3'600'000);
-  bounds.trialPeriod = top.millis("trial_ms", bounds.trialPeriod, 500, 3'600'000);
-  bounds.maxChangesPerMinute =
-      static_cast<unsigned>(top.whole("most_changes_a_minute", bounds.maxChangesPerMinute, 1, 60));
-  bounds.trialFraction = top.number("trial_share", bounds.trialFraction, 0.01, 1);
+  bounds.minHold = top.read(MillisecondsField{"shortest_stay_ms", bounds.minHold, 500, 3'600'000});
+  bounds.calmPeriod = top.read(MillisecondsField{"calm_ms", bounds.calmPeriod, 500, 3'600'000});
+  bounds.trialPeriod = top.read(MillisecondsField{"trial_ms", bounds.trialPeriod, 500, 3'600'000});
+  bounds.maxChangesPerMinute = static_cast<unsigned>(
+      top.read(IntegerField{"most_changes_a_minute", bounds.maxChangesPerMinute, 1, 60}));
+  bounds.trialFraction = top.read(NumberField{"trial_share", bounds.trialFraction, 0.01, 1});
   return bounds;
 }
 
@@ -59,9 +64,9 @@
     std::vector<AdmissionPolicy>& policies = table[i].admission;
     for (std::size_t type = 0; type < policies.size(); ++type)
       policies[type] = readPolicy(row, classNames[type], policies[type]);
-    row.end();
+    row.rejectUnknownKeys();
   }
-  section.end();
+  section.rejectUnknownKeys();
 }
 
 DegradationConfig readConfig(const json::Value& document, const std::vector<TransactionClass>& classes,
@@ -79,11 +84,12 @@
     config.bounds.maxLevel = cap.level;
     config.cappedBy = cap.setBy;
   }
-  config.statusFile = top.text("status_file", "");
-  config.statusInterval = top.millis("status_every_ms", config.statusInterval, 100, 3'600'000);
+  config.statusFile = top.read(StringField{"status_file", ""});
+  config.statusInterval =
+      top.read(MillisecondsField{"status_every_ms", config.statusInterval, 100, 3'600'000});
   config.table = degradation::defaultAdmissionTable(classes);
   readTable(top, classNames, config.table);
-  top.end();
+  top.rejectUnknownKeys();
   try {
     degradation::validate(config.table, classes);
   } catch (const degradation::InvalidAdmissionTable& invalid) { throw ConfigError("table", invalid.what()); }
@@ -94,13 +100,13 @@
 
 DegradationConfig readDegradationConfig(std::string_view text, const std::vector<TransactionClass>& classes,
                                         const std::vector<std::string>& classNames) {
-  return readConfig(config::readText(text), classes, classNames);
+  return readConfig(config::parseDocument(text), classes, classNames);
 }
 
 DegradationConfig readDegradationConfigFile(const std::string& path,
                                             const std::vector<TransactionClass>& classes,
                                             const std::vector<std::string>& classNames) {
-  return readConfig(config::readFile(path), classes, classNames);
+  return readConfig(config::loadDocument(path), classes, classNames);
 }
 
 }  // namespace gulltrestle::degradation_service
--- a/src/observability/logging/logging_config.cpp
+++ b/src/observability/logging/logging_config.cpp
@@ -9,14 +9,14 @@
 LoggingConfig read(const json::Value& all) {
   config::ConfigSection top(all, "");
   LoggingConfig setup;
-  setup.txns = top.flag("txns", setup.txns);
-  top.end();
+  setup.txns = top.read(config::BooleanField{"txns", setup.txns});
+  top.rejectUnknownKeys();
   return setup;
 }
 
 }  // namespace
 
-LoggingConfig readLoggingConfig(std::string_view text) { return read(config::readText(text)); }
-LoggingConfig readLoggingConfigFile(const std::string& path) { return read(config::readFile(path)); }
+LoggingConfig readLoggingConfig(std::string_view text) { return read(config::parseDocument(text)); }
+LoggingConfig readLoggingConfigFile(const std::string& path) { return read(config::loadDocument(path)); }
 
 }  // namespace gulltrestle::logging
--- a/src/runtime/server/discovery_client.cpp
+++ b/src/runtime/server/discovery_client.cpp
@@ -191,7 +191,7 @@
 }
 
 void DiscoveryClient::applyList(json::Value document, bool isWatchEvent) {
-  config::EndpointList list = config::readList(document, config_.deployment.zone);
+  config::EndpointList list = config::readEndpointList(document, config_.deployment.zone);
   if (isWatchEvent && !list.isSnapshot && list.version < listVersion_)
     throw config::ConfigError("version", "goes back");
   listVersion_ = list.version;
