--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,3 @@
-#include <spdlog/spdlog.h>
-
 #include <cstdlib>
 #include <iostream>
 #include <memory>
@@ -8,6 +6,7 @@
 #include "config/router_config.h"
 #include "degradation_service/degradation_service.h"
 #include "observability/build_info/build_info.h"
+#include "observability/logging/process_log.h"
 #include "observability/logging/transaction_logging.h"
 #include "runtime/event_loop/sockets.h"
 #include "runtime/server/server.h"
@@ -66,16 +65,16 @@
   std::string faults_;
 };
 
-void logLine(const std::string& line) { spdlog::info("{}", line); }
-
 void logStart(const config::RouterConfig& config) {
-  std::string enabledParts;
+  logging::StartEvent event;
+  event.version = build_info::version();
+  event.partsBuiltIn = build_info::partsBuiltIn();
   for (const char* variable : {kLevels, kLogging, kProcessor, kFleet})
-    if (!pathFrom(variable).empty())
-      enabledParts += (enabledParts.empty() ? "" : ",") + std::string(variable);
-  spdlog::info("event=start version={} built_in={} on={} name={} types={} routers={}", build_info::version(),
-               build_info::partsBuiltIn(), enabledParts.empty() ? "none" : enabledParts, config.name,
-               config.deployment.typeNames.size(), config.deployment.routing.routerCount);
+    if (!pathFrom(variable).empty()) event.enabledParts.emplace_back(variable);
+  event.routerName = config.name;
+  event.transactionClasses = config.deployment.typeNames.size();
+  event.routerCount = config.deployment.routing.routerCount;
+  logging::logStart(event);
 }
 
 #ifdef GULLTRESTLE_FLEET
@@ -121,11 +120,11 @@
   // What the optional parts take of the process's limits.
   server::ReservedResources reservedResources() const {
     server::ReservedResources reserved;
-    reserved.reducedByLevel = degradation_.has_value();
+    reserved.degradationEnabled = degradation_.has_value();
 #ifdef GULLTRESTLE_EXT_PROC
     if (extProc_) {
       reserved.descriptors += extProc_->mostConnections + ext_proc_server::kMostProbes;
-      reserved.openTxns = extProc_->streams.mostStreams;
+      reserved.openTransactions = extProc_->streams.mostStreams;
     }
 #endif
 #ifdef GULLTRESTLE_FLEET
@@ -166,26 +165,26 @@
   server::Server server(router, configuration.reservedResources());
   std::optional<logging::TransactionLogging> transactionLogging;
   if (configuration.logging())
-    server.add(transactionLogging.emplace(server.ledger().trace(), *configuration.logging(),
-                                          Configuration::readLogging, logLine));
+    server.add(transactionLogging.emplace(server.transactions().trace(), *configuration.logging(),
+                                          Configuration::readLogging, logging::logLine));
   std::optional<degradation_service::DegradationService> degradationService;
   if (configuration.degradation())
     server.add(degradationService.emplace(
-        server.ledger(), *configuration.degradation(), router.deployment.typeNames, router.seed,
-        [&configuration] { return configuration.readDegradation(); }, logLine));
+        server.transactions(), *configuration.degradation(), router.deployment.typeNames, router.seed,
+        [&configuration] { return configuration.readDegradation(); }, logging::logLine));
 #ifdef GULLTRESTLE_EXT_PROC
   std::optional<ext_proc_server::ExtProcServer> extProcServer;
   if (configuration.extProc()) {
     // Names this start in the tokens of its leases: the time in microseconds tells two starts apart.
     const std::string startName = router.name + "." + std::to_string(server.loop().now().inMicros());
-    server.add(extProcServer.emplace(server.loop(), server.ledger(), router.deployment,
+    server.add(extProcServer.emplace(server.loop(), server.transactions(), router.deployment,
                                      *configuration.extProc(), startName));
   }
 #endif
 #ifdef GULLTRESTLE_FLEET
   std::optional<cluster::ClusterServer> clusterServer;
   if (configuration.cluster())
-    server.add(clusterServer.emplace(server.loop(), server.ledger(), router.deployment.routing,
+    server.add(clusterServer.emplace(server.loop(), server.transactions(), router.deployment.routing,
                                      *configuration.cluster(), router.name,
                                      [&configuration] { return configuration.readCluster(); }));
 #endif
@@ -213,8 +212,7 @@
   try {
     if (count > 1) return runCommand(count, arguments);
     event_loop::blockSignals();
-    spdlog::set_pattern("%H:%M:%S.%e %L %v");
-    spdlog::flush_on(spdlog::level::info);
+    logging::setUpLog();
     serve();
     return 0;
   } catch (const std::exception& error) {
--- a/src/observability/logging/logging_config.cpp
+++ b/src/observability/logging/logging_config.cpp
@@ -6,17 +6,20 @@
 
 namespace {
 
-LoggingConfig read(const json::Value& all) {
-  config::ConfigSection top(all, "");
-  LoggingConfig setup;
-  setup.txns = top.read(config::BooleanField{"txns", setup.txns});
+LoggingConfig readDocument(const json::Value& document) {
+  config::ConfigSection top(document);
+  LoggingConfig config;
+  config.tracesTransactions = top.read(config::BooleanField{"txns", config.tracesTransactions});
   top.rejectUnknownKeys();
-  return setup;
+  return config;
 }
 
 }  // namespace
 
-LoggingConfig readLoggingConfig(std::string_view text) { return read(config::parseDocument(text)); }
-LoggingConfig readLoggingConfigFile(const std::string& path) { return read(config::loadDocument(path)); }
+LoggingConfig readLoggingConfig(std::string_view text) { return readDocument(config::parseDocument(text)); }
+
+LoggingConfig readLoggingConfigFile(const std::string& path) {
+  return readDocument(config::loadDocument(path));
+}
 
 }  // namespace gulltrestle::logging
--- a/src/observability/logging/logging_config.h
+++ b/src/observability/logging/logging_config.h
@@ -8,10 +8,11 @@
 
 // What is logged beyond changes and failures.
 struct LoggingConfig {
-  bool txns = false;  // each txn from its arrival to its answer, and why connections are closed
+  // Each transaction from its arrival to its answer, and why connections are closed.
+  bool tracesTransactions = false;
 };
 
-// Throws config::BadKey, which names the key.
+// Both throw config::ConfigError, which names the key.
 LoggingConfig readLoggingConfig(std::string_view text);
 LoggingConfig readLoggingConfigFile(const std::string& path);
 
--- a/src/observability/logging/transaction_logging.cpp
+++ b/src/observability/logging/transaction_logging.cpp
@@ -1,24 +1,26 @@
 #include "observability/logging/transaction_logging.h"
 
+#include <utility>
+
 namespace gulltrestle::logging {
 
-TransactionLogging::TransactionLogging(transactions::Trace& trace, const LoggingConfig& setup,
-                                       std::function<LoggingConfig()> read, Log log)
-    : trace_(trace), read_(std::move(read)), log_(std::move(log)) {
-  take(setup);
+TransactionLogging::TransactionLogging(transactions::Trace& trace, const LoggingConfig& config,
+                                       std::function<LoggingConfig()> readConfig, Log log)
+    : trace_(trace), readConfig_(std::move(readConfig)), log_(std::move(log)) {
+  apply(config);
 }
 
-void TransactionLogging::take(const LoggingConfig& setup) {
-  if (setup.txns != trace_.isOn())
-    log_(std::string("event=logging.changed txns=") + (setup.txns ? "on" : "off"));
-  trace_.setSink(setup.txns ? log_ : Log());
+void TransactionLogging::apply(const LoggingConfig& config) {
+  const bool isOn = config.tracesTransactions;
+  if (isOn != trace_.isOn()) log_(std::string("event=logging.changed txns=") + (isOn ? "on" : "off"));
+  trace_.setSink(isOn ? log_ : Log());
 }
 
 void TransactionLogging::reloadConfig() {
   try {
-    take(read_());
-  } catch (const std::exception& bad) {
-    log_("event=logging.not_taken why=\"" + std::string(bad.what()) + "\"");
+    apply(readConfig_());
+  } catch (const std::exception& error) {
+    log_("event=logging.not_taken why=\"" + std::string(error.what()) + "\"");
   }
 }
 
--- a/src/observability/logging/transaction_logging.h
+++ b/src/observability/logging/transaction_logging.h
@@ -1,5 +1,5 @@
-// Switches the trace of txns and connections on and off in a running process, as its configuration says at
-// the start and at each SIGHUP.
+// Switches the trace of transactions and connections on and off in a running process, as its configuration
+// says at the start and at each SIGHUP.
 #pragma once
 
 #include <functional>
@@ -15,9 +15,9 @@
 class TransactionLogging final : public gateway::Component {
  public:
   using Log = std::function<void(const std::string& line)>;
-  // `read`: reads the configuration anew; it may throw config::BadKey.
-  TransactionLogging(transactions::Trace& trace, const LoggingConfig& setup,
-                     std::function<LoggingConfig()> read, Log log);
+  // `readConfig`: reads the configuration again; it may throw config::ConfigError.
+  TransactionLogging(transactions::Trace& trace, const LoggingConfig& config,
+                     std::function<LoggingConfig()> readConfig, Log log);
 
   void onDiscoveryActivity() override {}
   void endTurn() override {}
@@ -25,14 +25,14 @@
   Instant nextDue() const override { return Instant(); }
   void stop() override {}
   bool empty() const override { return true; }
-  // What can't be used is logged with its key, and all goes on as it was.
+  // A configuration that can't be used is logged with its key and changes nothing.
   void reloadConfig() override;
 
  private:
-  void take(const LoggingConfig& setup);
+  void apply(const LoggingConfig& config);
 
   transactions::Trace& trace_;
-  std::function<LoggingConfig()> read_;
+  std::function<LoggingConfig()> readConfig_;
   Log log_;
 };
 
--- a/src/runtime/server/accept_loop.cpp
+++ b/src/runtime/server/accept_loop.cpp
@@ -1,12 +1,11 @@
 // The part of the server's client side that accepts connections.
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <system_error>
 #include <utility>
 
 #include "runtime/server/client_connection.h"
 #include "runtime/server/client_connections.h"
+#include "runtime/server/server_log.h"
 
 namespace gulltrestle::server {
 
@@ -61,11 +60,6 @@
   return clients_.size() >= maxClients_ + std::min(closing_.size(), kMaxClosingClients);
 }
 
-void ClientConnections::logAcceptFailure(Io failure) const {
-  spdlog::warn("no new client can be taken: {}",
-               failure == Io::noDescriptor ? "no descriptor is left" : "the listening socket failed");
-}
-
 // Guards against running out of descriptors: at the limit the client that was idle longest is closed, and
 // where none is idle the new one is rejected. May hurt clients that come back often, which connect anew each
 // time.
@@ -98,7 +92,7 @@
       if (isAccepting) co_await listener_->changed();
     } else {
       if (failingSince == Instant()) failingSince = earliestArrival();
-      if (!std::exchange(hasFailed, true)) logAcceptFailure(result);
+      if (!std::exchange(hasFailed, true)) logAcceptFailed(result);
       gateway_.closeIdleClients();
       co_await loop_.sleepUntil(loop_.now() + kAcceptRetryDelay);
     }
--- a/src/runtime/server/client_connections.cpp
+++ b/src/runtime/server/client_connections.cpp
@@ -1,11 +1,10 @@
 #include "runtime/server/client_connections.h"
 
-#include <spdlog/spdlog.h>
-
 #include <utility>
 
 #include "protocol/postgres/messages.h"
 #include "runtime/server/client_connection.h"
+#include "runtime/server/server_log.h"
 
 namespace gulltrestle::server {
 
@@ -85,7 +84,7 @@
         co_await client.stream.changed();
       }
     }
-  } catch (const std::exception& error) { spdlog::error("a client's connection failed: {}", error.what()); }
+  } catch (const std::exception& error) { logClientFailed(error.what()); }
   clients_.erase(id);
   std::erase(closing_, id);
   gateway_.clientClosed(loop_.now(), id, reason);
--- a/src/runtime/server/client_connections.h
+++ b/src/runtime/server/client_connections.h
@@ -48,7 +48,6 @@
 
   Client* find(gateway::ClientId id);
   bool isFull() const;
-  void logAcceptFailure(event_loop::Io failure) const;
   Instant earliestArrival() const;
   void open(gateway::ClientId id, Client& client, bool isAccepted);
   TurnResult serveTurn(gateway::ClientId id, Client& client);
--- a/src/runtime/server/discovery_client.cpp
+++ b/src/runtime/server/discovery_client.cpp
@@ -1,12 +1,11 @@
 #include "runtime/server/discovery_client.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <stdexcept>
 #include <utility>
 
 #include "protocol/http1/response.h"
+#include "runtime/server/server_log.h"
 
 namespace gulltrestle::server {
 
@@ -39,7 +38,7 @@
         address(std::move(calledAddress)),
         isWatch(watches),
         startedAt(loop.now()),
-        heardAt(startedAt) {}
+        lastReceivedAt(startedAt) {}
 
   bool hasConnectionEnded() const { return connection.isBroken || connection.hasEnded; }
   bool isOver() const { return hasConnectionEnded() || response.done(); }
@@ -48,7 +47,7 @@
   config::Address address;
   bool isWatch;
   Instant startedAt;
-  Instant heardAt;  // when something was last received; until then when it was sent, or started
+  Instant lastReceivedAt;  // until something was received: when it was sent, or started
   bool isSent = false;
   bool hasReceived = false;
   http1::Response response;
@@ -118,7 +117,8 @@
   const event_loop::Stream& stream = call.connection.stream;
   const bool isAnswerThere = !call.isWatch && stream.canRead();
   const bool isConnecting = !call.isSent && !stream.canWrite();
-  if (loop_.now() - call.heardAt > maxSilence && !isAnswerThere && (call.isSent || isConnecting)) return true;
+  if (loop_.now() - call.lastReceivedAt > maxSilence && !isAnswerThere && (call.isSent || isConnecting))
+    return true;
   if (!isConnecting || loop_.now() - call.startedAt <= config_.deployment.connectLimit) return false;
   call.result.failure = "does not come up";
   return true;
@@ -129,7 +129,7 @@
   Connection& connection = call.connection;
   if (connection.stream.canWrite() && !call.isSent) {
     call.isSent = true;
-    call.heardAt = loop_.now();
+    call.lastReceivedAt = loop_.now();
     const std::string path = call.isWatch ? config::watchPath(listVersion_) : config::listPath();
     connection.send({http1::get(path, textOf(call.address))});
   }
@@ -138,14 +138,14 @@
     connection.read([&](std::string_view bytes) { return receive(call, bytes); });
   if (connection.stream.canRead() && !call.hasConnectionEnded()) connection.stream.wake();
   const Instant deadline =
-      call.isSent ? call.heardAt + maxSilence : call.startedAt + config_.deployment.connectLimit;
+      call.isSent ? call.lastReceivedAt + maxSilence : call.startedAt + config_.deployment.connectLimit;
   connection.stream.wakeAt(deadline + kWakeUpMargin);
 }
 
 std::size_t DiscoveryClient::receive(Call& call, std::string_view bytes) {
-  call.heardAt = loop_.now();
+  call.lastReceivedAt = loop_.now();
   call.hasReceived = true;
-  gateway_.onDiscoveryActivity(call.heardAt);
+  gateway_.onDiscoveryActivity(call.lastReceivedAt);
   const std::size_t used = call.response.feed(bytes, [&](std::string_view body) { receiveBody(call, body); });
   const int status = call.response.status();
   if (status != 0 && status != 200) throw http1::Malformed("status " + std::to_string(status));
@@ -196,15 +196,13 @@
     throw config::ConfigError("version", "goes back");
   listVersion_ = list.version;
   const auto kind = list.isSnapshot ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta;
-  if (!list.nodes.empty())
-    spdlog::info("list version {}: {} nodes{}", list.version, list.nodes.size(),
-                 list.isSnapshot ? "" : " changed");
+  if (!list.nodes.empty()) logEndpointList(list);
   gateway_.onEndpointList(loop_.now(), kind, resolvedEndpoints(std::move(list)), listVersion_);
 }
 
 void DiscoveryClient::reportFailure(const config::Address& address, const std::string& failure) {
   const std::string failedCall = (isWatching_ ? "watch " : "list ") + failure;
-  if (failedCall != lastFailure_) spdlog::warn("discovery at {}: the {}", textOf(address), failedCall);
+  if (failedCall != lastFailure_) logDiscoveryFailed(address, failedCall);
   lastFailure_ = failedCall;
   gateway_.onEndpointListFailed(loop_.now());
 }
--- a/src/runtime/server/node_connections.cpp
+++ b/src/runtime/server/node_connections.cpp
@@ -1,10 +1,9 @@
 #include "runtime/server/node_connections.h"
 
-#include <spdlog/spdlog.h>
-
 #include <utility>
 
-#include "config/router_config.h"
+#include "config/address.h"
+#include "runtime/server/server_log.h"
 
 namespace gulltrestle::server {
 
@@ -61,7 +60,7 @@
         co_await connection.stream.changed();
       }
     }
-  } catch (const std::exception& error) { spdlog::error("a connection to a node failed: {}", error.what()); }
+  } catch (const std::exception& error) { logNodeConnectionFailed(error.what()); }
   connections_.erase(id);
   gateway_.nodeConnectionClosed(loop_.now(), id, reason);
 }
--- a/src/runtime/server/resource_limits.cpp
+++ b/src/runtime/server/resource_limits.cpp
@@ -26,8 +26,8 @@
 RoutingConfig routingConfigOf(const config::RouterConfig& config, const ReservedResources& reserved) {
   RoutingConfig routing = config.deployment.routing;
   routing.connectionPerAttempt = true;
-  routing.maxOpenTransactions = config.descriptors / kTransactionDivisor + reserved.openTxns;
-  routing.degradationEnabled = reserved.reducedByLevel;
+  routing.maxOpenTransactions = config.descriptors / kTransactionDivisor + reserved.openTransactions;
+  routing.degradationEnabled = reserved.degradationEnabled;
   return routing;
 }
 
--- a/src/runtime/server/resource_limits.h
+++ b/src/runtime/server/resource_limits.h
@@ -10,8 +10,9 @@
 
 // What other parts of the same process take of its limits, and whether degradation levels are enabled.
 struct ReservedResources {
-  std::size_t descriptors = 0, openTxns = 0;
-  bool reducedByLevel = false;
+  std::size_t descriptors = 0;
+  std::size_t openTransactions = 0;
+  bool degradationEnabled = false;
 };
 
 // Clients that are being closed no longer count as clients, and use some of the reserved descriptors: this
--- a/src/runtime/server/server.cpp
+++ b/src/runtime/server/server.cpp
@@ -1,10 +1,9 @@
 #include "runtime/server/server.h"
 
-#include <spdlog/spdlog.h>
-
 #include <utility>
 
 #include "runtime/event_loop/sockets.h"
+#include "runtime/server/server_log.h"
 
 namespace gulltrestle::server {
 
@@ -21,12 +20,6 @@
   return config.discovery.host + ":" + std::to_string(config.discovery.port);
 }
 
-void logTaskFailure(std::exception_ptr failure) {
-  try {
-    std::rethrow_exception(failure);
-  } catch (const std::exception& error) { spdlog::error("a connection's task failed: {}", error.what()); }
-}
-
 }  // namespace
 
 Server::Server(config::RouterConfig config, ReservedResources reserved)
@@ -42,17 +35,17 @@
 Server::~Server() { loop_.endTasks(); }
 
 void Server::run() {
-  spdlog::info("{} listens on {}:{}, {} nodes known", config_.name, config_.listen.host, config_.listen.port,
-               config_.known.nodes.size());
-  ledger().advanceTo(loop_.now());
-  ledger().invariants().checkStart(loop_.now(), loop_.now() - startedAt_, [this] { return config_.name; });
+  logListening(config_);
+  transactions().advanceTo(loop_.now());
+  transactions().invariants().checkStart(loop_.now(), loop_.now() - startedAt_,
+                                         [this] { return config_.name; });
   gateway_.onEndpointList(loop_.now(), EndpointUpdateKind::restored, resolvedEndpoints(config_.known));
   gateway_.onConfigLoaded(loop_.now(), discoveryAddress(config_), {});
   loop_.spawn(watchSignals());
   discovery_.start(config_.known.version);
   clients_.start();
-  loop_.run([this](Instant now) { return endTurn(now); }, logTaskFailure);
-  spdlog::info("ended");
+  loop_.run([this](Instant now) { return endTurn(now); }, logTaskFailed);
+  logEnded();
 }
 
 Instant Server::endTurn(Instant now) {
@@ -61,7 +54,7 @@
   // lost, those of all others are not. May hurt by going on with a state that the fault left half changed.
   try {
     next = gateway_.endTurn(now);
-  } catch (const std::exception& error) { spdlog::error("a turn failed: {}", error.what()); }
+  } catch (const std::exception& error) { logTurnFailed(error.what()); }
   if (gateway_.finished() && clients_.areFinished()) loop_.stop();
   return next;
 }
@@ -86,7 +79,7 @@
 
 void Server::followDiscovery(const std::string& address) { discovery_.moveTo(address); }
 
-void Server::log(std::string line) { spdlog::info("{}", line); }
+void Server::log(std::string line) { logGatewayLine(line); }
 
 // --- Signals
 
--- a/src/runtime/server/server.h
+++ b/src/runtime/server/server.h
@@ -27,7 +27,7 @@
   // Adds a further part of the process. Before run(); it must outlive the server.
   void add(gateway::Component& component) { gateway_.add(component); }
   event_loop::EventLoop& loop() { return loop_; }
-  transactions::TransactionTable& ledger() { return gateway_.transactions(); }
+  transactions::TransactionTable& transactions() { return gateway_.transactions(); }
 
   // Serves until a signal terminates it and all is answered.
   void run();
--- /dev/null
+++ b/src/runtime/server/server_log.cpp
@@ -0,0 +1,45 @@
+#include "runtime/server/server_log.h"
+
+#include <spdlog/spdlog.h>
+
+namespace gulltrestle::server {
+
+void logListening(const config::RouterConfig& config) {
+  spdlog::info("{} listens on {}:{}, {} nodes known", config.name, config.listen.host, config.listen.port,
+               config.known.nodes.size());
+}
+
+void logEnded() { spdlog::info("ended"); }
+
+void logGatewayLine(std::string_view line) { spdlog::info("{}", line); }
+
+void logTurnFailed(std::string_view error) { spdlog::error("a turn failed: {}", error); }
+
+void logTaskFailed(const std::exception_ptr& failure) {
+  try {
+    std::rethrow_exception(failure);
+  } catch (const std::exception& error) { spdlog::error("a connection's task failed: {}", error.what()); }
+}
+
+void logClientFailed(std::string_view error) { spdlog::error("a client's connection failed: {}", error); }
+
+void logNodeConnectionFailed(std::string_view error) {
+  spdlog::error("a connection to a node failed: {}", error);
+}
+
+void logAcceptFailed(event_loop::Io result) {
+  spdlog::warn("no new client can be taken: {}", result == event_loop::Io::noDescriptor
+                                                     ? "no descriptor is left"
+                                                     : "the listening socket failed");
+}
+
+void logDiscoveryFailed(const config::Address& address, std::string_view failedCall) {
+  spdlog::warn("discovery at {}:{}: the {}", address.host, address.port, failedCall);
+}
+
+void logEndpointList(const config::EndpointList& list) {
+  spdlog::info("list version {}: {} nodes{}", list.version, list.nodes.size(),
+               list.isSnapshot ? "" : " changed");
+}
+
+}  // namespace gulltrestle::server
