--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -46,7 +46,7 @@
   grpc_server::Bounds bounds;
   bounds.calls.connection.maxStreams = kMaxStreamsPerConnection;
   bounds.calls.maxMessageBytes = kMaxMessageBytes;
-  bounds.mostConnections = config.maxConnections;
+  bounds.maxConnections = config.maxConnections;
   return bounds;
 }
 
--- a/src/cluster/cluster_server.h
+++ b/src/cluster/cluster_server.h
@@ -68,7 +68,7 @@
   void announce(std::uint64_t version, const std::set<std::string>& excludedNodes) override;
 
   // --- grpc_server::CallHandler
-  void seen(Instant now) override { transactions_.advanceTo(now); }
+  void advanceTo(Instant now) override { transactions_.advanceTo(now); }
   void opened(grpc_server::CallKey) override {}
   void message(grpc_server::CallKey call, std::string_view bytes) override {
     ++streamStatistics_.messagesReceived;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -123,7 +123,7 @@
     reserved.degradationEnabled = degradation_.has_value();
 #ifdef GULLTRESTLE_EXT_PROC
     if (extProc_) {
-      reserved.descriptors += extProc_->mostConnections + ext_proc_server::kMostProbes;
+      reserved.descriptors += extProc_->maxConnections + ext_proc_server::kMaxHealthChecks;
       reserved.openTransactions = extProc_->streams.mostStreams;
     }
 #endif
--- a/src/runtime/ext_proc_server/ext_proc_config.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_config.cpp
@@ -1,6 +1,7 @@
 #include "runtime/ext_proc_server/ext_proc_config.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "config/config_section.h"
 
@@ -9,47 +10,45 @@
 namespace {
 
 using config::ConfigError;
-
 using config::ConfigSection;
 using config::IntegerField;
 using config::MillisecondsField;
 using config::StringField;
 
-// A name of HTTP/2: lower case, without what would end it.
-std::string headerName(ConfigSection& section, const std::string& key, const std::string& otherwise) {
-  const std::string name = section.read(StringField{key, otherwise});
-  const bool plain = std::all_of(name.begin(), name.end(), [](char c) {
+// A header name of HTTP/2: lower case, without characters that would end it.
+std::string readHeaderName(ConfigSection& section, const std::string& key, const std::string& defaultName) {
+  const std::string name = section.read(StringField{key, defaultName});
+  const bool isValid = std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
   });
-  if (!plain) throw ConfigError(section.path(key), "'" + name + "' is no header's name in lower case");
+  if (!isValid) throw ConfigError(section.path(key), "'" + name + "' is no header's name in lower case");
   return name;
 }
 
-ExtProcConfig read(const json::Value& all) {
-  ConfigSection top(all, "");
-  ExtProcConfig setup;
-  setup.listen = config::readAddress("listen", top.read(StringField{"listen", ""}));
+endpoint_leases::ProxyPlacement readPlacement(ConfigSection& top) {
   const std::string placement = top.read(StringField{"placement", "try"});
-  if (placement != "try" && placement != "request")
-    throw ConfigError("placement", "'" + placement + "' is neither try nor request");
-  setup.placement = placement == "try" ? endpoint_leases::ProxyPlacement::attempts
-                                       : endpoint_leases::ProxyPlacement::request;
-  auto& time = setup.streams.messageTime;
-  time.timeout = top.read(MillisecondsField{"message_timeout_ms", time.timeout, 20, 600'000});
-  time.most = top.read(MillisecondsField{"max_message_timeout_ms", time.most, 0, 600'000});
-  setup.probePath = top.read(StringField{"probe_path", ""});
-  if (!setup.probePath.empty() &&
-      (setup.probePath[0] != '/' || setup.probePath.find_first_of(" \r\n") != std::string::npos))
-    throw ConfigError("probe_path", "'" + setup.probePath + "' is no path");
-  ConfigSection bounds = top.section("limits");
-  setup.mostConnections = bounds.read(IntegerField{"connections", setup.mostConnections, 1, 10'000});
-  setup.streams.mostStreams = bounds.read(IntegerField{"streams", setup.streams.mostStreams, 1, 100'000});
-  setup.longestMessage =
-      bounds.read(IntegerField{"message_bytes", setup.longestMessage, 1024, 4 * 1024 * 1024});
-  setup.remembered.most = bounds.read(IntegerField{"remembered", setup.remembered.most, 100, 10'000'000});
-  bounds.rejectUnknownKeys();
-  ConfigSection names = top.section("headers");
-  auto& headers = setup.headers;
+  if (placement == "try") return endpoint_leases::ProxyPlacement::attempts;
+  if (placement == "request") return endpoint_leases::ProxyPlacement::request;
+  throw ConfigError("placement", "'" + placement + "' is neither try nor request");
+}
+
+std::string readHealthCheckPath(ConfigSection& top) {
+  const std::string path = top.read(StringField{"probe_path"});
+  if (!path.empty() && (path[0] != '/' || path.find_first_of(" \r\n") != std::string::npos))
+    throw ConfigError("probe_path", "'" + path + "' is no path");
+  return path;
+}
+
+void readLimits(ConfigSection limits, ExtProcConfig& config) {
+  config.maxConnections = limits.read(IntegerField{"connections", config.maxConnections, 1, 10'000});
+  config.streams.mostStreams = limits.read(IntegerField{"streams", config.streams.mostStreams, 1, 100'000});
+  config.maxMessageBytes =
+      limits.read(IntegerField{"message_bytes", config.maxMessageBytes, 1024, 4 * 1024 * 1024});
+  config.remembered.most = limits.read(IntegerField{"remembered", config.remembered.most, 100, 10'000'000});
+  limits.rejectUnknownKeys();
+}
+
+void readHeaderNames(ConfigSection section, downstream::ext_proc::HeaderNames& headers) {
   for (auto [key, name] : {std::pair{"id", &headers.id},
                            {"type", &headers.type},
                            {"group", &headers.group},
@@ -68,15 +67,31 @@
                            {"node_outcome", &headers.nodeOutcome},
                            {"node_in_hand", &headers.node.inFlight},
                            {"sent_to", &headers.sentTo}})
-    *name = headerName(names, key, *name);
-  names.rejectUnknownKeys();
+    *name = readHeaderName(section, key, *name);
+  section.rejectUnknownKeys();
+}
+
+ExtProcConfig readDocument(const json::Value& document) {
+  ConfigSection top(document);
+  ExtProcConfig config;
+  config.listen = config::readAddress("listen", top.read(StringField{"listen"}));
+  config.placement = readPlacement(top);
+  auto& messageTime = config.streams.messageTime;
+  messageTime.timeout = top.read(MillisecondsField{"message_timeout_ms", messageTime.timeout, 20, 600'000});
+  messageTime.most = top.read(MillisecondsField{"max_message_timeout_ms", messageTime.most, 0, 600'000});
+  config.healthCheckPath = readHealthCheckPath(top);
+  readLimits(top.section("limits"), config);
+  readHeaderNames(top.section("headers"), config.headers);
   top.rejectUnknownKeys();
-  return setup;
+  return config;
 }
 
 }  // namespace
 
-ExtProcConfig readExtProcConfig(std::string_view text) { return read(config::parseDocument(text)); }
-ExtProcConfig readExtProcConfigFile(const std::string& path) { return read(config::loadDocument(path)); }
+ExtProcConfig readExtProcConfig(std::string_view text) { return readDocument(config::parseDocument(text)); }
+
+ExtProcConfig readExtProcConfigFile(const std::string& path) {
+  return readDocument(config::loadDocument(path));
+}
 
 }  // namespace gulltrestle::ext_proc_server
--- a/src/runtime/ext_proc_server/ext_proc_config.h
+++ b/src/runtime/ext_proc_server/ext_proc_config.h
@@ -1,10 +1,11 @@
 // The external processor's own configuration file: read, checked key by key, and given defaults.
 #pragma once
 
+#include <cstddef>
 #include <string>
 #include <string_view>
 
-#include "config/router_config.h"
+#include "config/address.h"
 #include "downstream/ext_proc/request_streams.h"
 #include "endpoint_leases/lease_registry.h"
 
@@ -17,12 +18,13 @@
   endpoint_leases::Bounds remembered;
   downstream::ext_proc::Bounds streams;
   downstream::ext_proc::HeaderNames headers;
-  std::string probePath;  // of nodes that tell their standing over HTTP; empty: they are probed as always
-  std::size_t mostConnections = 16;
-  std::size_t longestMessage = 64 * 1024;
+  // By which nodes report their load over HTTP; empty: health checks go the way of transactions.
+  std::string healthCheckPath;
+  std::size_t maxConnections = 16;
+  std::size_t maxMessageBytes = 64 * 1024;
 };
 
-// Throws config::BadKey, which names the key. Keys that are not known are faults, too.
+// Both throw config::ConfigError, which names the key, also for keys that are not known.
 ExtProcConfig readExtProcConfig(std::string_view text);
 ExtProcConfig readExtProcConfigFile(const std::string& path);
 
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -1,32 +1,36 @@
 #include "runtime/ext_proc_server/ext_proc_server.h"
 
-#include <spdlog/spdlog.h>
-
-#include <system_error>
+#include <array>
+#include <utility>
 
 #include "protocol/http1/response.h"
 #include "runtime/event_loop/sockets.h"
+#include "runtime/ext_proc_server/ext_proc_log.h"
 
 namespace gulltrestle::ext_proc_server {
 
 using downstream::ext_proc::StreamCloseReason;
 using downstream::ext_proc::StreamKey;
 using event_loop::Io;
+using upstream::http::HealthCheckId;
 
 namespace {
 
 // How often the counts are logged while there is anything new.
-constexpr Duration kCountsPause = Duration::millis(60000);
+constexpr Duration kCountsInterval = Duration::millis(60000);
+// Of one read of an answer to a health check.
+constexpr std::size_t kReadBytes = 2048;
+
 grpc_server::Bounds boundsOf(const ExtProcConfig& config) {
   grpc_server::Bounds bounds;
   bounds.calls.connection.maxStreams = static_cast<std::uint32_t>(config.streams.mostStreams);
-  bounds.calls.maxMessageBytes = config.longestMessage;
-  bounds.mostConnections = config.mostConnections;
+  bounds.calls.maxMessageBytes = config.maxMessageBytes;
+  bounds.maxConnections = config.maxConnections;
   return bounds;
 }
 
-grpc::Status statusOf(StreamCloseReason how) {
-  switch (how) {
+grpc::Status statusOf(StreamCloseReason reason) {
+  switch (reason) {
     case StreamCloseReason::done:
       return grpc::Status::ok;
     case StreamCloseReason::invalid:
@@ -55,15 +59,13 @@
                endpoint_leases::LeaseRegistry(settings.routing.transactionClasses, config.placement,
                                               config.remembered, start),
                {settings.drainGrace, settings.notifiedWithin}, config.streams, *this),
-      healthChecker_(transactions, settings.connectLimit, kMostProbes, *this) {
+      healthChecker_(transactions, settings.connectLimit, kMaxHealthChecks, *this) {
   transactions_.addTransport(streams_.transport());
-  if (!config_.probePath.empty()) {
+  if (!config_.healthCheckPath.empty()) {
     transactions_.addTransport(healthChecker_);
     transactions_.setHealthCheckTransport(healthChecker_);
   }
-  spdlog::info("event=ext_proc.listening address={}:{} placement={} start={}", config.listen.host,
-               config.listen.port,
-               config.placement == endpoint_leases::ProxyPlacement::attempts ? "try" : "request", start);
+  logListening(config, start);
 }
 
 // Its connections' coroutines refer to it.
@@ -73,32 +75,31 @@
 
 void ExtProcServer::send(StreamKey stream, std::string_view message) { grpcServer_.send(stream, message); }
 
-void ExtProcServer::close(StreamKey stream, StreamCloseReason how, std::string_view why) {
-  grpcServer_.finish(stream, statusOf(how), why);
+void ExtProcServer::close(StreamKey stream, StreamCloseReason reason, std::string_view text) {
+  grpcServer_.finish(stream, statusOf(reason), text);
 }
 
-void ExtProcServer::log(std::string_view event, const std::string& fields) {
-  spdlog::info("event={} {}", event, fields);
-}
+void ExtProcServer::log(std::string_view event, const std::string& fields) { logStreamEvent(event, fields); }
 
 // --- Turns
 
 Instant ExtProcServer::nextDue() const {
-  const Instant one = streams_.nextDue(), other = healthChecker_.nextDue();
-  return one == Instant() || (other != Instant() && other < one) ? other : one;
+  const Instant streamsDue = streams_.nextDue(), healthCheckDue = healthChecker_.nextDue();
+  if (streamsDue == Instant()) return healthCheckDue;
+  return healthCheckDue != Instant() && healthCheckDue < streamsDue ? healthCheckDue : streamsDue;
 }
 
 void ExtProcServer::endTurn() {
   streams_.endTurn();
   healthChecker_.endTurn();
+  logNewCounts();
+}
+
+// The first turn with a request only starts the interval.
+void ExtProcServer::logNewCounts() {
   const auto& counts = streams_.counts();
-  if (counts.asked == loggedCounts_.asked || transactions_.now() - countsLoggedAt_ < kCountsPause) return;
-  if (countsLoggedAt_ != Instant())
-    spdlog::info(
-        "event=ext_proc.counts asked={} granted={} committed={} refused={} rolled_back={} denied={} "
-        "unreported={} misused={} malformed={} remembered={} grants_out={}",
-        counts.asked, counts.granted, counts.committed, counts.refused, counts.rolledBack, counts.denied,
-        counts.unreported, counts.misused, counts.malformed, streams_.remembered(), streams_.grantsOut());
+  if (counts.asked == loggedCounts_.asked || transactions_.now() - countsLoggedAt_ < kCountsInterval) return;
+  if (countsLoggedAt_ != Instant()) logCounts(counts, streams_.remembered(), streams_.grantsOut());
   countsLoggedAt_ = transactions_.now();
   loggedCounts_ = counts;
 }
@@ -108,66 +109,81 @@
   grpcServer_.stop();
 }
 
-// --- Probes
+// --- Health checks
+
+// One HTTP request on a connection of its own: health checks are few, and a report must be of this moment.
+struct ExtProcServer::HealthCheckCall {
+  HealthCheckCall(event_loop::EventLoop& loop, event_loop::Descriptor descriptor, std::string request)
+      : stream(loop, std::move(descriptor)), unsent(std::move(request)) {}
 
-void ExtProcServer::requestLoadReport(upstream::http::HealthCheckId id, const std::string& address) {
+  // Writes as much of the request as can be written. False: the connection has failed.
+  [[nodiscard]] bool sendRequest() {
+    const std::string_view bytes = unsent;
+    const auto result = stream.write({&bytes, 1});
+    unsent.erase(0, result.size);
+    return result.status == Io::some || result.status == Io::wouldBlock;
+  }
+
+  // Reads what is there, up to the end of the answer. False: nothing more comes.
+  [[nodiscard]] bool receive() {
+    std::array<char, kReadBytes> buffer;
+    while (!response.done()) {
+      const auto result = stream.read(buffer);
+      if (result.status == Io::ended) response.connectionEnded();
+      if (result.status != Io::some) return result.status == Io::wouldBlock;
+      response.feed({buffer.data(), result.size}, [](std::string_view) {});
+    }
+    return true;
+  }
+
+  event_loop::Stream stream;
+  std::string unsent;
+  http1::Response response;
+};
+
+void ExtProcServer::requestLoadReport(HealthCheckId id, const std::string& address) {
   healthCheckStreams_[id] = nullptr;
-  loop_.spawn(probe(id, address));
+  loop_.spawn(runHealthCheck(id, address));
 }
 
-void ExtProcServer::cancelHealthCheck(upstream::http::HealthCheckId id) {
-  const auto at = healthCheckStreams_.find(id);
-  if (at == healthCheckStreams_.end()) return;
-  event_loop::Stream* stream = at->second;
-  healthCheckStreams_.erase(at);
+void ExtProcServer::cancelHealthCheck(HealthCheckId id) {
+  const auto found = healthCheckStreams_.find(id);
+  if (found == healthCheckStreams_.end()) return;
+  event_loop::Stream* stream = found->second;
+  healthCheckStreams_.erase(found);
   if (stream) stream->wake();
 }
 
-// One connection a probe: they are few, and a node's word must be of this moment.
-event_loop::Task ExtProcServer::probe(upstream::http::HealthCheckId id, std::string address) {
-  LoadReport said;
-  int status = 0;
+event_loop::Task ExtProcServer::runHealthCheck(HealthCheckId id, std::string addressText) {
+  LoadReport report;
+  int httpStatus = 0;  // 0: no answer
   try {
-    const auto at = config::readAddress("addr", address);
+    const config::Address address = config::readAddress("addr", addressText);
     event_loop::Descriptor descriptor;
-    if (healthCheckStreams_.contains(id)) descriptor = event_loop::startConnecting(at.host, at.port);
+    if (isAwaited(id)) descriptor = event_loop::startConnecting(address.host, address.port);
     if (descriptor) {
-      event_loop::Stream stream(loop_, std::move(descriptor));
-      healthCheckStreams_[id] = &stream;
-      while (healthCheckStreams_.contains(id) && !stream.canWrite()) co_await stream.changed();
-      http1::Response response;
-      response.onHeader = [&](std::string_view name, std::string_view value) {
-        load_report::readField(config_.headers.node, name, value, said);
+      HealthCheckCall call(loop_, std::move(descriptor), http1::get(config_.healthCheckPath, addressText));
+      call.response.onHeader = [&](std::string_view name, std::string_view value) {
+        load_report::readField(config_.headers.node, name, value, report);
       };
-      bool on = healthCheckStreams_.contains(id) && event_loop::isConnected(stream.descriptor());
-      std::string unsent = http1::get(config_.probePath, address);
-      while (on && healthCheckStreams_.contains(id) && !unsent.empty()) {
-        const std::string_view all = unsent;
-        const auto done = stream.write({&all, 1});
-        unsent.erase(0, done.size);
-        on = done.status == Io::some || done.status == Io::wouldBlock;
-        if (on && !unsent.empty()) co_await stream.changed();
+      healthCheckStreams_[id] = &call.stream;
+      while (isAwaited(id) && !call.stream.canWrite()) co_await call.stream.changed();
+      bool isUsable = isAwaited(id) && event_loop::isConnected(call.stream.descriptor());
+      while (isUsable && isAwaited(id) && !call.unsent.empty()) {
+        isUsable = call.sendRequest();
+        if (isUsable && !call.unsent.empty()) co_await call.stream.changed();
       }
-      while (on && healthCheckStreams_.contains(id) && !response.done()) {
-        char bytes[2048];
-        const auto got = stream.read(bytes);
-        if (got.status == Io::some) {
-          response.feed({bytes, got.size}, [](std::string_view) {});
-          continue;
-        }
-        if (got.status == Io::ended) response.connectionEnded();
-        on = got.status == Io::wouldBlock;
-        if (on) co_await stream.changed();
+      while (isUsable && isAwaited(id) && !call.response.done()) {
+        isUsable = call.receive();
+        if (isUsable && !call.response.done()) co_await call.stream.changed();
       }
-      if (response.done()) status = response.status();
+      if (call.response.done()) httpStatus = call.response.status();
     }
-  } catch (const std::exception& bad) {
-    spdlog::warn("event=ext_proc.probe_failed address={} why=\"{}\"", address, bad.what());
-  }
+  } catch (const std::exception& error) { logHealthCheckFailed(addressText, error.what()); }
   transactions_.advanceTo(loop_.now());
-  if (healthCheckStreams_.erase(id) == 0) co_return;  // nobody waits for it
-  if (status != 0)
-    healthChecker_.answered(id, status, said);
+  if (healthCheckStreams_.erase(id) == 0) co_return;  // it was cancelled
+  if (httpStatus != 0)
+    healthChecker_.answered(id, httpStatus, report);
   else
     healthChecker_.failed(id);
 }
--- a/src/runtime/ext_proc_server/ext_proc_server.h
+++ b/src/runtime/ext_proc_server/ext_proc_server.h
@@ -1,10 +1,13 @@
-// The external processor on sockets: listens for proxies, carries their gRPC streams to the front and its
-// answers back.
+// The external processor on sockets: listens for proxies, carries their gRPC streams to the request streams
+// and the answers back, and sends health checks to nodes over HTTP.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <string>
+#include <string_view>
 
+#include "deployment/routing_config.h"
 #include "downstream/ext_proc/request_streams.h"
 #include "gateway/gateway.h"
 #include "runtime/event_loop/event_loop.h"
@@ -14,20 +17,23 @@
 
 namespace gulltrestle::ext_proc_server {
 
-// Descriptors that probes over HTTP may take.
-constexpr std::size_t kMostProbes = 32;
+// Descriptors that health checks over HTTP may use.
+constexpr std::size_t kMaxHealthChecks = 32;
 
+// One per process. Runs on the event loop of the server it is added to.
 class ExtProcServer final : public gateway::Component,
                             private grpc_server::CallHandler,
                             private downstream::ext_proc::Effects,
                             private upstream::http::Effects {
  public:
-  // Throws where the address to listen on can't be had. `start`: no other start of the program has the same.
+  // `start`: names this start of the program; no other start has the same name. The references must outlive
+  // this. Throws config::ConfigError where the address can't be bound.
   ExtProcServer(event_loop::EventLoop& loop, transactions::TransactionTable& transactions,
                 const deployment::DeploymentSettings& settings, const ExtProcConfig& config,
                 const std::string& start);
   ~ExtProcServer() override;
 
+  // --- gateway::Component
   void onDiscoveryActivity() override { streams_.listHeard(); }
   void endTurn() override;
   void flush() override { grpcServer_.flush(); }
@@ -36,21 +42,27 @@
   bool empty() const override { return streams_.empty() && grpcServer_.empty(); }
 
  private:
-  void seen(Instant now) override { transactions_.advanceTo(now); }
+  // --- grpc_server::CallHandler
+  void advanceTo(Instant now) override { transactions_.advanceTo(now); }
   void opened(grpc_server::CallKey call) override { streams_.opened(call); }
   void message(grpc_server::CallKey call, std::string_view bytes) override { streams_.message(call, bytes); }
   void halfClosed(grpc_server::CallKey call) override { streams_.halfClosed(call); }
   void ended(grpc_server::CallKey call) override { streams_.ended(call); }
 
+  // --- downstream::ext_proc::Effects
   void send(downstream::ext_proc::StreamKey stream, std::string_view message) override;
-  void close(downstream::ext_proc::StreamKey stream, downstream::ext_proc::StreamCloseReason how,
-             std::string_view why) override;
+  void close(downstream::ext_proc::StreamKey stream, downstream::ext_proc::StreamCloseReason reason,
+             std::string_view text) override;
   void log(std::string_view event, const std::string& fields) override;
 
-  void requestLoadReport(upstream::http::HealthCheckId probe, const std::string& address) override;
-  void cancelHealthCheck(upstream::http::HealthCheckId probe) override;
+  // --- upstream::http::Effects
+  void requestLoadReport(upstream::http::HealthCheckId id, const std::string& address) override;
+  void cancelHealthCheck(upstream::http::HealthCheckId id) override;
 
-  event_loop::Task probe(upstream::http::HealthCheckId id, std::string address);
+  struct HealthCheckCall;
+  event_loop::Task runHealthCheck(upstream::http::HealthCheckId id, std::string address);
+  bool isAwaited(upstream::http::HealthCheckId id) const { return healthCheckStreams_.contains(id); }
+  void logNewCounts();
 
   event_loop::EventLoop& loop_;
   transactions::TransactionTable& transactions_;
@@ -58,8 +70,8 @@
   grpc_server::GrpcServer grpcServer_;
   downstream::ext_proc::RequestStreams streams_;
   upstream::http::HealthChecker healthChecker_;
-  std::map<upstream::http::HealthCheckId, event_loop::Stream*>
-      healthCheckStreams_;  // probes that are out, and their connections
+  // Health checks in flight and their connections; null: not started yet.
+  std::map<upstream::http::HealthCheckId, event_loop::Stream*> healthCheckStreams_;
   Instant countsLoggedAt_;
   downstream::ext_proc::RequestStreams::Counts loggedCounts_;
 };
--- a/src/runtime/grpc_server/grpc_server.cpp
+++ b/src/runtime/grpc_server/grpc_server.cpp
@@ -1,10 +1,11 @@
 #include "runtime/grpc_server/grpc_server.h"
 
-#include <spdlog/spdlog.h>
-
 #include <system_error>
+#include <utility>
 
+#include "config/config_error.h"
 #include "runtime/event_loop/sockets.h"
+#include "runtime/grpc_server/grpc_server_log.h"
 
 namespace gulltrestle::grpc_server {
 
@@ -13,200 +14,227 @@
 namespace {
 
 // A client that takes nothing of what is written to it for so long is gone, or may as well be.
-constexpr Duration kStuck = Duration::millis(10000);
-// New connections that are taken in a turn.
-constexpr int kAcceptsATurn = 8;
+constexpr Duration kWriteTimeout = Duration::millis(10000);
+// After a failed accept, lest the loop spins.
+constexpr Duration kAcceptRetryDelay = Duration::millis(10);
+constexpr int kMaxAcceptsPerTurn = 8;
+
+// A key is the id of the connection, then the id of the call on it.
+constexpr int kCallIdBits = 32;
+constexpr CallKey kCallIdMask = 0xFFFFFFFF;
+
+grpc::CallId callIdOf(CallKey call) { return static_cast<grpc::CallId>(call & kCallIdMask); }
 
-event_loop::Descriptor listenAt(const config::Address& at) {
+event_loop::Descriptor listenAt(const config::Address& address) {
   try {
-    return event_loop::listenOn(at.host, at.port);
-  } catch (const std::system_error& fault) {
-    throw config::ConfigError("listen", at.host + ":" + std::to_string(at.port) + ": " + fault.what());
+    return event_loop::listenOn(address.host, address.port);
+  } catch (const std::system_error& error) {
+    throw config::ConfigError("listen",
+                              address.host + ":" + std::to_string(address.port) + ": " + error.what());
   }
 }
 
 }  // namespace
 
+// The state of one connection, owned by the coroutine that serves it.
 struct GrpcServer::Connection final : grpc::CallHandler {
-  Connection(GrpcServer& owner, ConnectionId number, event_loop::Descriptor descriptor)
-      : listener(owner),
-        id(number),
+  Connection(GrpcServer& owner, ConnectionId connectionId, event_loop::Descriptor descriptor)
+      : server(owner),
+        id(connectionId),
         stream(owner.loop_, std::move(descriptor)),
         calls(owner.method_, owner.bounds_.calls, *this) {}
 
-  CallKey key(grpc::CallId call) const {
-    return static_cast<CallKey>(id) << 32 | static_cast<std::uint32_t>(call);
+  CallKey keyOf(grpc::CallId call) const {
+    return static_cast<CallKey>(id) << kCallIdBits | static_cast<std::uint32_t>(call);
   }
   void opened(grpc::CallId call) override {
-    listener.receiver_.seen(listener.loop_.now());
-    listener.receiver_.opened(key(call));
+    server.handler_.advanceTo(server.loop_.now());
+    server.handler_.opened(keyOf(call));
   }
   void message(grpc::CallId call, std::string_view bytes) override {
-    listener.receiver_.message(key(call), bytes);
+    server.handler_.message(keyOf(call), bytes);
   }
-  void halfClosed(grpc::CallId call) override { listener.receiver_.halfClosed(key(call)); }
-  void ended(grpc::CallId call, bool) override { listener.receiver_.ended(key(call)); }
+  void halfClosed(grpc::CallId call) override { server.handler_.halfClosed(keyOf(call)); }
+  void ended(grpc::CallId call, bool) override { server.handler_.ended(keyOf(call)); }
 
-  GrpcServer& listener;
+  bool isFinished() const { return unsent.empty() && calls.done(); }
+  bool isUsable() const { return !isBroken && !hasEnded && !isFinished(); }
+  bool isIdle() const { return calls.open() == 0; }
+  bool hasStalled() const { return stalledAt != Instant() && server.loop_.now() >= stalledAt; }
+
+  GrpcServer& server;
   ConnectionId id;
   event_loop::Stream stream;
   grpc::ServerCalls calls;
   std::string unsent;
-  bool broken = false, closing = false;
-  Instant idleSince, stuckAt;
+  bool isBroken = false;   // a read or write has failed
+  bool hasEnded = false;   // the client sends no more
+  bool isClosing = false;  // to be closed once it is idle
+  Instant idleSince;       // without a call
+  Instant stalledAt;       // when it is closed unless it takes what is unsent; never: nothing is unsent
+};
+
+// A connection's entry among those of the server, for as long as its coroutine runs.
+class GrpcServer::ConnectionEntry {
+ public:
+  explicit ConnectionEntry(Connection& connection) : connection_(connection) {
+    connection.server.connections_[connection.id] = &connection;
+  }
+  ConnectionEntry(const ConnectionEntry&) = delete;
+  ConnectionEntry& operator=(const ConnectionEntry&) = delete;
+  ~ConnectionEntry() {
+    connection_.calls.connectionEnded();
+    connection_.server.connections_.erase(connection_.id);
+  }
+
+ private:
+  Connection& connection_;
 };
 
-GrpcServer::GrpcServer(event_loop::EventLoop& loop, const config::Address& at, std::string method,
-                       Bounds bounds, std::string name, CallHandler& receiver)
+GrpcServer::GrpcServer(event_loop::EventLoop& loop, const config::Address& address, std::string method,
+                       Bounds bounds, std::string name, CallHandler& handler)
     : loop_(loop),
       method_(std::move(method)),
       bounds_(bounds),
       name_(std::move(name)),
-      receiver_(receiver),
-      socket_(std::make_unique<event_loop::Stream>(loop, listenAt(at))) {
-  loop_.spawn(accept());
+      handler_(handler),
+      listener_(std::make_unique<event_loop::Stream>(loop, listenAt(address))) {
+  loop_.spawn(acceptConnections());
 }
 
-GrpcServer::Connection* GrpcServer::of(CallKey call) {
-  const auto at = connections_.find(static_cast<ConnectionId>(call >> 32));
-  if (at == connections_.end()) return nullptr;
-  touched_.insert(at->first);
-  return at->second;
+// --- Calls
+
+// Whoever asks for the connection is about to send on it.
+GrpcServer::Connection* GrpcServer::find(CallKey call) {
+  const auto found = connections_.find(static_cast<ConnectionId>(call >> kCallIdBits));
+  if (found == connections_.end()) return nullptr;
+  unflushed_.insert(found->first);
+  return found->second;
 }
 
 void GrpcServer::send(CallKey call, std::string_view message) {
-  if (Connection* connection = of(call))
-    connection->calls.send(static_cast<grpc::CallId>(call & 0xFFFFFFFF), message);
+  if (Connection* connection = find(call)) connection->calls.send(callIdOf(call), message);
 }
 
-void GrpcServer::finish(CallKey call, grpc::Status status, std::string_view why) {
-  if (Connection* connection = of(call))
-    connection->calls.finish(static_cast<grpc::CallId>(call & 0xFFFFFFFF), status, why);
+void GrpcServer::finish(CallKey call, grpc::Status status, std::string_view text) {
+  if (Connection* connection = find(call)) connection->calls.finish(callIdOf(call), status, text);
 }
 
 void GrpcServer::flush() {
-  for (const ConnectionId id : std::exchange(touched_, {}))
-    if (const auto at = connections_.find(id); at != connections_.end()) write(*at->second);
+  for (const ConnectionId id : std::exchange(unflushed_, {}))
+    if (const auto found = connections_.find(id); found != connections_.end()) write(*found->second);
 }
 
 void GrpcServer::stop() {
-  stopped_ = true;
-  if (socket_) socket_->wake();
+  isStopped_ = true;
+  if (listener_) listener_->wake();
   for (auto& [id, connection] : connections_) {
     connection->calls.goAway();
-    touched_.insert(id);
+    unflushed_.insert(id);
     connection->stream.wake();
   }
 }
 
-// What was taken from the session is written before more is: what a client doesn't read waits in the session,
-// which bounds it.
-void GrpcServer::write(Connection& to) {
-  while (!to.broken) {
-    if (to.unsent.empty()) to.unsent = to.calls.output();
-    if (to.unsent.empty()) break;
-    const std::string_view all = to.unsent;
-    const auto done = to.stream.write({&all, 1});
-    if (done.status == Io::failed) to.broken = true;
-    if (done.status != Io::some) break;
-    to.unsent.erase(0, done.size);
+// --- Accepting
+
+event_loop::Task GrpcServer::acceptConnections() {
+  int acceptedThisTurn = 0;
+  while (!isStopped_) {
+    if (++acceptedThisTurn > kMaxAcceptsPerTurn) {
+      acceptedThisTurn = 0;
+      listener_->wake();
+      co_await listener_->changed();
+      continue;
+    }
+    event_loop::Descriptor descriptor;
+    const Io result = listener_->accept(descriptor);
+    if (result == Io::some) {
+      accepted(std::move(descriptor));
+    } else if (result == Io::wouldBlock) {
+      acceptedThisTurn = 0;
+      co_await listener_->changed();
+    } else {
+      logAcceptFailed(name_, result);
+      co_await loop_.sleepUntil(loop_.now() + kAcceptRetryDelay);
+    }
   }
-  if (to.broken || (to.unsent.empty() && to.calls.done())) to.stream.wake();
-  if (to.unsent.empty()) to.stuckAt = Instant();
-  if (to.unsent.empty() || to.stuckAt != Instant()) return;
-  to.stuckAt = loop_.now() + kStuck;
-  to.stream.wakeAt(to.stuckAt);
+  listener_.reset();
 }
 
-// --- Connections
+// At the limit a new connection is closed at once, and the oldest idle one goes, so that the next comes in.
+void GrpcServer::accepted(event_loop::Descriptor descriptor) {
+  if (connections_.size() < bounds_.maxConnections) {
+    loop_.spawn(serve(++lastConnection_, std::move(descriptor)));
+  } else {
+    const bool closesIdle = closeIdleConnection();
+    logConnectionsFull(name_, connections_.size(), closesIdle);
+  }
+}
 
-// The one that has had no stream for longest makes room; false: all have some.
-bool GrpcServer::makeRoom() {
+// Closes the connection that has had no call for longest. False: all have some.
+bool GrpcServer::closeIdleConnection() {
   Connection* oldest = nullptr;
   for (auto& [id, connection] : connections_)
-    if (connection->calls.open() == 0 && !connection->closing &&
+    if (connection->isIdle() && !connection->isClosing &&
         (!oldest || connection->idleSince < oldest->idleSince))
       oldest = connection;
   if (!oldest) return false;
-  oldest->closing = true;
+  oldest->isClosing = true;
   oldest->stream.wake();
   return true;
 }
 
-event_loop::Task GrpcServer::accept() {
-  int taken = 0;  // in this turn
-  while (!stopped_) {
-    if (++taken > kAcceptsATurn) {
-      taken = 0;
-      socket_->wake();
-      co_await socket_->changed();
-      continue;
-    }
-    event_loop::Descriptor descriptor;
-    const Io how = socket_->accept(descriptor);
-    if (how == Io::some) {
-      // At the bound a new one is closed at once, and the oldest idle one goes, so that the next comes in.
-      if (connections_.size() >= bounds_.mostConnections) {
-        const bool room = makeRoom();
-        spdlog::warn("event={}.connections_full connections={} one_idle={}", name_, connections_.size(),
-                     room);
-        continue;
-      }
-      loop_.spawn(serve(++lastConnection_, std::move(descriptor)));
-    } else if (how == Io::wouldBlock) {
-      taken = 0;
-      co_await socket_->changed();
-    } else {
-      spdlog::warn("event={}.accept_failed why=\"{}\"", name_,
-                   how == Io::noDescriptor ? "no descriptor is left" : "the listening socket failed");
-      co_await loop_.sleepUntil(loop_.now() + Duration::millis(10));
-    }
-  }
-  socket_.reset();
-}
+// --- Connections
 
 event_loop::Task GrpcServer::serve(ConnectionId id, event_loop::Descriptor descriptor) {
   try {
     Connection connection(*this, id, std::move(descriptor));
-    struct Place {
-      GrpcServer& listener;
-      Connection& connection;
-      ~Place() {
-        connection.calls.connectionEnded();
-        listener.connections_.erase(connection.id);
-      }
-    };
-    connections_[id] = &connection;
-    const Place place{*this, connection};
+    const ConnectionEntry entry(connection);
     connection.idleSince = loop_.now();
-    if (stopped_) connection.calls.goAway();
+    if (isStopped_) connection.calls.goAway();
     write(connection);
-    bool ended = false;
-    while (!connection.broken && !ended && !(connection.unsent.empty() && connection.calls.done()) &&
-           !(connection.closing && connection.calls.open() == 0)) {
-      if (connection.stuckAt != Instant() && loop_.now() >= connection.stuckAt) break;
-      // One read a turn: the others have theirs. What is not written yet holds up what is read: a client that
-      // does not take its answers may ask no more.
-      if (connection.stream.canRead() && connection.unsent.empty()) {
-        const auto got = connection.stream.read(buffer_);
-        if (got.status == Io::failed) connection.broken = true;
-        if (got.status == Io::ended) ended = true;
-        if (got.status == Io::some) {
-          const Instant now = loop_.now();
-          receiver_.seen(now);
-          connection.calls.received(now, {buffer_.data(), got.size});
-          if (connection.calls.open() > 0) connection.idleSince = now;
-          if (connection.stream.canRead()) connection.stream.wake();
-        }
-      }
+    while (connection.isUsable() && !(connection.isClosing && connection.isIdle())) {
+      if (connection.hasStalled()) break;
+      // What is not written yet holds up reads: a client that does not take its answers may ask no more.
+      if (connection.stream.canRead() && connection.unsent.empty()) receive(connection);
       if (connection.stream.canWrite()) write(connection);
-      if (connection.broken || ended || (connection.unsent.empty() && connection.calls.done())) break;
+      if (!connection.isUsable()) break;
       co_await connection.stream.changed();
     }
-  } catch (const std::exception& bad) {
-    spdlog::error("event={}.connection_failed why=\"{}\"", name_, bad.what());
+  } catch (const std::exception& error) { logConnectionFailed(name_, error.what()); }
+  handler_.advanceTo(loop_.now());
+}
+
+// Reads once: the other connections have their turns in between.
+void GrpcServer::receive(Connection& connection) {
+  const auto result = connection.stream.read(readBuffer_);
+  if (result.status == Io::failed) connection.isBroken = true;
+  if (result.status == Io::ended) connection.hasEnded = true;
+  if (result.status != Io::some) return;
+  const Instant now = loop_.now();
+  handler_.advanceTo(now);
+  connection.calls.received(now, {readBuffer_.data(), result.size});
+  if (!connection.isIdle()) connection.idleSince = now;
+  if (connection.stream.canRead()) connection.stream.wake();
+}
+
+// What was taken from the session is written before more is: what a client doesn't read waits in the session,
+// which bounds it.
+void GrpcServer::write(Connection& connection) {
+  while (!connection.isBroken) {
+    if (connection.unsent.empty()) connection.unsent = connection.calls.output();
+    if (connection.unsent.empty()) break;
+    const std::string_view bytes = connection.unsent;
+    const auto result = connection.stream.write({&bytes, 1});
+    if (result.status == Io::failed) connection.isBroken = true;
+    if (result.status != Io::some) break;
+    connection.unsent.erase(0, result.size);
   }
-  receiver_.seen(loop_.now());
+  if (connection.isBroken || connection.isFinished()) connection.stream.wake();
+  if (connection.unsent.empty()) connection.stalledAt = Instant();
+  if (connection.unsent.empty() || connection.stalledAt != Instant()) return;
+  connection.stalledAt = loop_.now() + kWriteTimeout;
+  connection.stream.wakeAt(connection.stalledAt);
 }
 
 }  // namespace gulltrestle::grpc_server
