--- a/benchmarks/fronts.cpp
+++ b/benchmarks/fronts.cpp
@@ -181,7 +181,7 @@
     Call& call = at->second;
     call.kept += bytes;
     std::string_view left = call.kept, message;
-    while (grpc::cutMessage(left, 1 << 20, message) == grpc::Cut::message) {
+    while (grpc::takeMessage(left, 1 << 20, message) == grpc::FrameStatus::complete) {
       const auto told = ext_proc::readResponse(message);
       if (told.isImmediate) {
         load.done(call.at, false);
@@ -200,7 +200,7 @@
     call.kept.erase(0, call.kept.size() - left.size());
   }
   void halfClosed(http2::StreamId) override {}
-  void closed(http2::StreamId id, http2::Code) override {
+  void closed(http2::StreamId id, http2::ErrorCode) override {
     if (calls.erase(id) > 0) slot();
   }
   void flush() {
--- a/src/cluster/peer_stream.cpp
+++ b/src/cluster/peer_stream.cpp
@@ -60,10 +60,10 @@
 std::optional<std::string_view> PeerStream::nextReply() {
   std::string_view rest = received_, message;
   rest.remove_prefix(consumed_);
-  const grpc::Cut cut = grpc::cutMessage(rest, kMaxMessageBytes, message);
+  const grpc::FrameStatus status = grpc::takeMessage(rest, kMaxMessageBytes, message);
   consumed_ = received_.size() - rest.size();
-  if (cut == grpc::Cut::message) return message;
-  isMalformed_ = cut != grpc::Cut::none;
+  if (status == grpc::FrameStatus::complete) return message;
+  isMalformed_ = status != grpc::FrameStatus::incomplete;
   received_.erase(0, std::exchange(consumed_, 0));
   return std::nullopt;
 }
--- a/src/cluster/peer_stream.h
+++ b/src/cluster/peer_stream.h
@@ -52,7 +52,7 @@
   void headers(http2::StreamId, http2::Headers) override {}
   void data(http2::StreamId, std::string_view bytes) override { received_ += bytes; }
   void halfClosed(http2::StreamId) override { isClosed_ = true; }
-  void closed(http2::StreamId, http2::Code) override { isClosed_ = true; }
+  void closed(http2::StreamId, http2::ErrorCode) override { isClosed_ = true; }
 
   event_loop::EventLoop& loop_;
   event_loop::Stream stream_;
--- a/src/protocol/grpc/server_calls.cpp
+++ b/src/protocol/grpc/server_calls.cpp
@@ -44,16 +44,16 @@
   return out.append(message);
 }
 
-Cut cutMessage(std::string_view& bytes, std::size_t maxBytes, std::string_view& message) {
-  if (bytes.size() < kPrefixBytes) return Cut::none;
-  if (bytes[0] != 0) return Cut::compressed;
+FrameStatus takeMessage(std::string_view& bytes, std::size_t maxBytes, std::string_view& message) {
+  if (bytes.size() < kPrefixBytes) return FrameStatus::incomplete;
+  if (bytes[0] != 0) return FrameStatus::compressed;
   std::size_t size = 0;
   for (std::size_t i = 1; i < kPrefixBytes; ++i) size = size << 8 | static_cast<unsigned char>(bytes[i]);
-  if (size > maxBytes) return Cut::tooLong;
-  if (bytes.size() < kPrefixBytes + size) return Cut::none;
+  if (size > maxBytes) return FrameStatus::tooLong;
+  if (bytes.size() < kPrefixBytes + size) return FrameStatus::incomplete;
   message = bytes.substr(kPrefixBytes, size);
   bytes.remove_prefix(kPrefixBytes + size);
-  return Cut::message;
+  return FrameStatus::complete;
 }
 
 ServerCalls::ServerCalls(std::string method, Bounds bounds, CallHandler& handler)
@@ -91,15 +91,15 @@
   }
   for (;;) {
     std::string_view message;
-    switch (cutMessage(bytes, bounds_.maxMessageBytes, message)) {
-      case Cut::none:
+    switch (takeMessage(bytes, bounds_.maxMessageBytes, message)) {
+      case FrameStatus::incomplete:
         call->received = bytes;
         return;
-      case Cut::compressed:
+      case FrameStatus::compressed:
         return finish(id, Status::unimplemented, "messages are taken as they are, not compressed");
-      case Cut::tooLong:
+      case FrameStatus::tooLong:
         return finish(id, Status::resourceExhausted, "the message is too long");
-      case Cut::message:
+      case FrameStatus::complete:
         handler_.message(id, message);
         call = find(id);
         if (!call) return;
@@ -114,12 +114,12 @@
   handler_.halfClosed(id);
 }
 
-void ServerCalls::closed(http2::StreamId id, http2::Code code) {
+void ServerCalls::closed(http2::StreamId id, http2::ErrorCode code) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return;
   const bool wasFinished = at->second.isFinished;
   calls_.erase(at);
-  handler_.ended(id, !wasFinished || code != http2::Code::none);
+  handler_.ended(id, !wasFinished || code != http2::ErrorCode::none);
 }
 
 void ServerCalls::send(CallId id, std::string_view message) {
--- a/src/protocol/grpc/server_calls.h
+++ b/src/protocol/grpc/server_calls.h
@@ -72,7 +72,7 @@
   void headers(http2::StreamId stream, http2::Headers headers) override;
   void data(http2::StreamId stream, std::string_view bytes) override;
   void halfClosed(http2::StreamId stream) override;
-  void closed(http2::StreamId stream, http2::Code code) override;
+  void closed(http2::StreamId stream, http2::ErrorCode code) override;
   Call* find(CallId call);
 
   std::string method_;
@@ -84,14 +84,14 @@
 
 // A message with its length prefix.
 std::string framed(std::string_view message);
-// What stands at the front of a sequence of messages.
-enum class Cut {
-  none,  // no complete message yet
-  message,
-  tooLong,
-  compressed
+// What stands at the front of a sequence of framed messages.
+enum class FrameStatus {
+  incomplete,  // no whole message yet
+  complete,
+  tooLong,    // longer than is allowed
+  compressed  // which is not supported
 };
-// Cuts a complete message off the front of `bytes`; in all other cases these stay as they are.
-Cut cutMessage(std::string_view& bytes, std::size_t maxBytes, std::string_view& message);
+// Takes a complete message off the front of `bytes`; in all other cases these stay as they are.
+FrameStatus takeMessage(std::string_view& bytes, std::size_t maxBytes, std::string_view& message);
 
 }  // namespace gulltrestle::grpc
--- a/src/protocol/http2/session.cpp
+++ b/src/protocol/http2/session.cpp
@@ -83,7 +83,7 @@
       if (!stream) return 0;
       stream->headerBytes += nameSize + valueSize + kFieldOverheadBytes;
       if (stream->headerBytes > session.bounds_.maxHeaderBytes) {
-        session.reset(frame->hd.stream_id, Code::enhanceYourCalm);
+        session.reset(frame->hd.stream_id, ErrorCode::enhanceYourCalm);
         return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
       }
       stream->headers.emplace_back(std::string(reinterpret_cast<const char*>(name), nameSize),
@@ -134,7 +134,7 @@
       if (at == session.streams_.end()) return 0;
       session.unsentBytes_ -= at->second.unsent.size();
       session.streams_.erase(at);
-      session.handler_.closed(id, static_cast<Code>(code));
+      session.handler_.closed(id, static_cast<ErrorCode>(code));
       return 0;
     });
   }
@@ -248,7 +248,8 @@
 
 void Session::ended() {
   hasFailed_ = true;
-  for (auto open = std::exchange(streams_, {}); auto& [id, stream] : open) handler_.closed(id, Code::cancel);
+  for (auto open = std::exchange(streams_, {}); auto& [id, stream] : open)
+    handler_.closed(id, ErrorCode::cancel);
   unsentBytes_ = 0;
 }
 
@@ -284,7 +285,7 @@
 void Session::send(StreamId id, std::string_view bytes) {
   Stream* stream = find(id);
   if (!stream || stream->isEnding) return;
-  if (unsentBytes_ + bytes.size() > bounds_.maxUnsentBytes) return reset(id, Code::enhanceYourCalm);
+  if (unsentBytes_ + bytes.size() > bounds_.maxUnsentBytes) return reset(id, ErrorCode::enhanceYourCalm);
   stream->unsent += bytes;
   unsentBytes_ += bytes.size();
   nghttp2_session_resume_data(session_, id);
@@ -297,7 +298,7 @@
   nghttp2_session_resume_data(session_, id);
 }
 
-void Session::reset(StreamId id, Code code) {
+void Session::reset(StreamId id, ErrorCode code) {
   Stream* stream = find(id);
   if (!stream) return;
   stream->isReset = true;
--- a/src/protocol/http2/session.h
+++ b/src/protocol/http2/session.h
@@ -21,7 +21,13 @@
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
 // The error codes of RFC 9113, section 7, that are sent or distinguished here.
-enum class Code : std::uint32_t { none = 0, internal = 2, refused = 7, cancel = 8, enhanceYourCalm = 11 };
+enum class ErrorCode : std::uint32_t {
+  none = 0,
+  internal = 2,
+  refused = 7,
+  cancel = 8,
+  enhanceYourCalm = 11
+};
 
 // What happens on a connection. A handler may call the session from within any of these.
 class Handler {
@@ -33,7 +39,7 @@
   // The other side sends no more on it.
   virtual void halfClosed(StreamId stream) = 0;
   // The stream has ended; `code` is not none where it was reset. Its id is not reported again.
-  virtual void closed(StreamId stream, Code code) = 0;
+  virtual void closed(StreamId stream, ErrorCode code) = 0;
 };
 
 // What the other side may occupy.
@@ -74,7 +80,7 @@
   void send(StreamId stream, std::string_view bytes);
   // Ends the stream after what is queued, with trailers where there are any.
   void end(StreamId stream, Headers trailers = {});
-  void reset(StreamId stream, Code code);
+  void reset(StreamId stream, ErrorCode code);
   // No new streams are taken; those that are open go on.
   void goAway();
   void ping();
--- a/src/testing/fake_servers/fake_proxy.cpp
+++ b/src/testing/fake_servers/fake_proxy.cpp
@@ -36,12 +36,12 @@
     Call& call = *at->second;
     call.kept += bytes;
     std::string_view left = call.kept, message;
-    while (grpc::cutMessage(left, 1 << 20, message) == grpc::Cut::message)
+    while (grpc::takeMessage(left, 1 << 20, message) == grpc::FrameStatus::complete)
       call.answers.push_back(ext_proc::readResponse(message));
     call.kept.erase(0, call.kept.size() - left.size());
   }
   void halfClosed(http2::StreamId) override {}
-  void closed(http2::StreamId id, http2::Code) override {
+  void closed(http2::StreamId id, http2::ErrorCode) override {
     const auto at = calls.find(id);
     if (at == calls.end()) return;
     at->second->over = true;
@@ -152,7 +152,7 @@
   Instant now() const { return proxy.loop_.now(); }
   void count(const std::string& event) { ++proxy.seen[event]; }
   void resetStream() {
-    link->session.reset(streamId, http2::Code::cancel);
+    link->session.reset(streamId, http2::ErrorCode::cancel);
     link->flush();
   }
 
