--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -44,9 +44,9 @@
 
 grpc_server::Bounds boundsOf(const ClusterConfig& config) {
   grpc_server::Bounds bounds;
-  bounds.calls.connection.mostStreams = kMaxStreamsPerConnection;
-  bounds.calls.longestMessage = kMaxMessageBytes;
-  bounds.mostConnections = config.maxConnections;
+  bounds.calls.connection.maxStreams = kMaxStreamsPerConnection;
+  bounds.calls.maxMessageBytes = kMaxMessageBytes;
+  bounds.maxConnections = config.maxConnections;
   return bounds;
 }
 
@@ -315,8 +315,8 @@
 bool ClusterServer::receiveReplies(idempotency::VoterIndex voter, PeerStream& peer, Duration& backoff) {
   char bytes[kReadBytes];
   const auto result = peer.stream().read(bytes);
-  if (result.how == Io::ended || result.how == Io::failed) return false;
-  if (result.how != Io::some) return true;
+  if (result.status == Io::ended || result.status == Io::failed) return false;
+  if (result.status != Io::some) return true;
   const Instant now = loop_.now();
   transactions_.advanceTo(now);
   peer.onBytes(now, {bytes, result.size});
--- a/src/observability/logging/logging_config.cpp
+++ b/src/observability/logging/logging_config.cpp
@@ -6,17 +6,20 @@
 
 namespace {
 
-LoggingConfig read(const json::Value& all) {
-  config::ConfigSection top(all, "");
-  LoggingConfig setup;
-  setup.txns = top.flag("txns", setup.txns);
-  top.end();
-  return setup;
+LoggingConfig readDocument(const json::Value& document) {
+  config::ConfigSection top(document);
+  LoggingConfig config;
+  config.tracesTransactions = top.read(config::BooleanField{"txns", config.tracesTransactions});
+  top.rejectUnknownKeys();
+  return config;
 }
 
 }  // namespace
 
-LoggingConfig readLoggingConfig(std::string_view text) { return read(config::readText(text)); }
-LoggingConfig readLoggingConfigFile(const std::string& path) { return read(config::readFile(path)); }
+LoggingConfig readLoggingConfig(std::string_view text) { return readDocument(config::parseDocument(text)); }
+
+LoggingConfig readLoggingConfigFile(const std::string& path) {
+  return readDocument(config::loadDocument(path));
+}
 
 }  // namespace gulltrestle::logging
--- a/src/runtime/server/client_connections.cpp
+++ b/src/runtime/server/client_connections.cpp
@@ -1,11 +1,10 @@
 #include "runtime/server/client_connections.h"
 
-#include <spdlog/spdlog.h>
-
 #include <utility>
 
 #include "protocol/postgres/messages.h"
 #include "runtime/server/client_connection.h"
+#include "runtime/server/server_log.h"
 
 namespace gulltrestle::server {
 
@@ -85,7 +84,7 @@
         co_await client.stream.changed();
       }
     }
-  } catch (const std::exception& error) { spdlog::error("a client's connection failed: {}", error.what()); }
+  } catch (const std::exception& error) { logClientFailed(error.what()); }
   clients_.erase(id);
   std::erase(closing_, id);
   gateway_.clientClosed(loop_.now(), id, reason);
@@ -114,7 +113,7 @@
   }
   if (client.stream.canRead() && !client.hasEnded && mayRead(id, client)) return readClient(id, client);
   // Its end is behind what is not read yet, as it waits and has sent much ahead.
-  if (client.stream.readEnds() && !client.hasEnded && gateway_.isWaiting(id))
+  if (client.stream.isPeerHalfClosed() && !client.hasEnded && gateway_.isWaiting(id))
     gateway_.clientHalfClosed(loop_.now(), id);
   return TurnResult::wait;
 }
@@ -164,7 +163,7 @@
 // its sending that delay.
 bool ClientConnections::mayBeGone(const Client& client) const {
   const Instant now = loop_.now();
-  if (!client.stream.canRead() || !client.stream.readEnds() || client.hasEnded) return false;
+  if (!client.stream.canRead() || !client.stream.isPeerHalfClosed() || client.hasEnded) return false;
   if (client.unreadSince == Instant() || now - client.unreadSince <= kStallThreshold) return false;
   return client.noticeSentAt == Instant() || now < client.noticeSentAt + kResetDelay;
 }
@@ -191,7 +190,7 @@
 
 // Sends the end, and returns until when the client's end is waited for.
 Instant ClientConnections::startLingering(ClientId id, Client& client) {
-  event_loop::endSending(client.stream.descriptor());
+  event_loop::shutDownWriting(client.stream.descriptor());
   const Instant until = loop_.now() + connectLimit_ * kLingerFactor;
   client.stream.wakeAt(until);
   closing_.push_back(id);
--- a/src/runtime/server/resource_limits.h
+++ b/src/runtime/server/resource_limits.h
@@ -10,7 +10,8 @@
 
 // What other parts of the same process take of its limits, and whether degradation levels are enabled.
 struct ReservedResources {
-  std::size_t descriptors = 0, openTransactions = 0;
+  std::size_t descriptors = 0;
+  std::size_t openTransactions = 0;
   bool isDegradationEnabled = false;
 };
 
--- a/src/testing/fake_servers/fake_node.cpp
+++ b/src/testing/fake_servers/fake_node.cpp
@@ -41,14 +41,14 @@
     char bytes[4096];
     while (stream.canRead() && !hasEnded) {
       const auto got = stream.read(bytes);
-      if (got.how == event_loop::Io::some) received.append(bytes, got.size);
-      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) hasEnded = true;
+      if (got.status == event_loop::Io::some) received.append(bytes, got.size);
+      if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) hasEnded = true;
     }
   }
   // Fake servers send short messages: one that can't be written at once has lost its peer.
   void write(std::string_view bytes) {
     const auto done = stream.write({&bytes, 1});
-    if (done.how != event_loop::Io::some) hasEnded = true;
+    if (done.status != event_loop::Io::some) hasEnded = true;
   }
 };
 
--- a/src/testing/fake_servers/fake_proxy.cpp
+++ b/src/testing/fake_servers/fake_proxy.cpp
@@ -53,9 +53,10 @@
     char bytes[16384];
     if (connection->stream.canRead()) {
       const auto got = connection->stream.read(bytes);
-      if (got.how == event_loop::Io::some && !connection->session.received(loop_.now(), {bytes, got.size}))
+      if (got.status == event_loop::Io::some && !connection->session.received(loop_.now(), {bytes, got.size}))
+        connection->hasEnded = true;
+      if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed)
         connection->hasEnded = true;
-      if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) connection->hasEnded = true;
     }
     connection->flush();
     if (connection->session.done() && connection->streams.empty()) connection->hasEnded = true;
@@ -80,7 +81,7 @@
   Instant now() const { return proxy.loop_.now(); }
   void count(const std::string& event) { ++proxy.eventCounts[event]; }
   void resetStream() {
-    connection->session.reset(streamId, http2::Code::cancel);
+    connection->session.reset(streamId, http2::ErrorCode::cancel);
     connection->flush();
   }
 
@@ -186,7 +187,7 @@
       const std::string requestHead = std::string(request.isWrite ? "POST" : "GET") +
                                       " / HTTP/1.1\r\nx-txn-id: " + answer.transactionId + "\r\n\r\n";
       const std::string_view bytes = requestHead;
-      if (nodeConnection->stream.write({&bytes, 1}).how == event_loop::Io::some) written = "whole";
+      if (nodeConnection->stream.write({&bytes, 1}).status == event_loop::Io::some) written = "whole";
     }
     hasEnded = written == "none";
     answerDeadline = std::min(deadline, now() + proxy.attemptTimeout.value_or(proxy.config_.attemptTimeout));
@@ -197,9 +198,9 @@
   bool readFromNode() {
     char bytes[1024];
     const auto got = nodeConnection->stream.read(bytes);
-    if (got.how == event_loop::Io::some) responseHead.append(bytes, got.size);
-    if (got.how == event_loop::Io::ended || got.how == event_loop::Io::failed) hasEnded = true;
-    return got.how != event_loop::Io::wouldBlock;
+    if (got.status == event_loop::Io::some) responseHead.append(bytes, got.size);
+    if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) hasEnded = true;
+    return got.status != event_loop::Io::wouldBlock;
   }
   void takeHead() {
     if (hasHead()) {
--- a/src/testing/fake_servers/fake_proxy_connections.h
+++ b/src/testing/fake_servers/fake_proxy_connections.h
@@ -34,12 +34,12 @@
     ProcessorStream& processorStream = *found->second;
     processorStream.received += bytes;
     std::string_view remaining = processorStream.received, message;
-    while (grpc::cutMessage(remaining, kMaxMessageBytes, message) == grpc::Cut::message)
+    while (grpc::takeMessage(remaining, kMaxMessageBytes, message) == grpc::FrameStatus::complete)
       processorStream.responses.push_back(ext_proc::readResponse(message));
     processorStream.received.erase(0, processorStream.received.size() - remaining.size());
   }
   void halfClosed(http2::StreamId) override {}
-  void closed(http2::StreamId id, http2::Code) override {
+  void closed(http2::StreamId id, http2::ErrorCode) override {
     const auto found = streams.find(id);
     if (found == streams.end()) return;
     found->second->hasEnded = true;
@@ -72,8 +72,8 @@
     while (!unsent.empty()) {
       const std::string_view bytes = unsent;
       const auto done = stream.write({&bytes, 1});
-      if (done.how == event_loop::Io::failed) hasEnded = true;
-      if (done.how != event_loop::Io::some) break;
+      if (done.status == event_loop::Io::failed) hasEnded = true;
+      if (done.status != event_loop::Io::some) break;
       unsent.erase(0, done.size);
     }
   }
--- a/src/upstream/postgres/node_answers.cpp
+++ b/src/upstream/postgres/node_answers.cpp
@@ -27,7 +27,7 @@
   LoadReport report;
   if (gauges.primary) report.role = *gauges.primary ? Role::primary : Role::replica;
   if (gauges.positionSeconds) report.position = Instant() + Duration::seconds(*gauges.positionSeconds);
-  report.inFlight = gauges.inHand;
+  report.inFlight = gauges.inFlight;
   return report;
 }
 
