--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -431,11 +431,11 @@
 // Of what was not synced any part from the front is on disk, also half a line.
 void Rig::losePowerOfNode() {
   killNode();
-  const std::string file = path_ + "/node.log", now = contentOf(file),
-                    reportedVersion = contentOf(file + ".synced");
-  const std::size_t synced = reportedVersion.empty() ? 0 : std::stoul(reportedVersion);
-  const std::size_t received = synced + pick(now.size() - synced + 1);
-  std::ofstream(file, std::ios::binary | std::ios::trunc) << now.substr(0, received);
+  const std::string file = path_ + "/node.log", log = contentOf(file);
+  const std::string syncedText = contentOf(file + ".synced");
+  const std::size_t syncedBytes = syncedText.empty() ? 0 : std::stoul(syncedText);
+  const std::size_t survivingBytes = syncedBytes + pick(log.size() - syncedBytes + 1);
+  std::ofstream(file, std::ios::binary | std::ios::trunc) << log.substr(0, survivingBytes);
 }
 
 void Rig::list(std::uint64_t version, const std::string& state) {
