--- a/tests/child.h
+++ b/tests/child.h
@@ -1,5 +1,5 @@
-// The program as a child process with variables of its choice; its standard output and error are read as
-// lines.
+// Runs the program as a child process with given environment variables, and reads its standard output and
+// error line by line.
 #pragma once
 
 #include <fcntl.h>
@@ -20,15 +20,15 @@
 
 namespace gulltrestle::testing {
 
-// Starts the program in a process of its own, which ends with this one. Its standard output goes to `output`,
-// its standard error too where `errorsToo`.
+// Starts the program in a child process, which is killed when its parent exits. Its standard output goes to
+// `output`, and its standard error too if `includesErrors`. Returns the process id.
 inline pid_t startProgram(const std::string& program, std::vector<std::string> variables, int output,
-                          bool errorsToo) {
+                          bool includesErrors) {
   std::string name = program;
   std::vector<char*> environment;
   for (std::string& variable : variables) environment.push_back(variable.data());
   environment.push_back(nullptr);
-  char* const words[] = {name.data(), nullptr};
+  char* const arguments[] = {name.data(), nullptr};
   const pid_t id = fork();
   if (id != 0) return id;
   prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -36,22 +36,23 @@
   sigemptyset(&none);
   sigprocmask(SIG_SETMASK, &none, nullptr);
   dup2(output, 1);
-  if (errorsToo) dup2(output, 2);
-  execve(words[0], words, environment.data());
+  if (includesErrors) dup2(output, 2);
+  execve(arguments[0], arguments, environment.data());
   _exit(127);
 }
 
+// A child process that runs the program. The destructor kills it if it still runs.
 class Child {
  public:
-  // Milliseconds; nothing here takes so long, and who waits longer says so.
-  static constexpr int kLongestWait = 60'000;
+  // Far longer than any step of these tests takes. A read that exceeds it prints a line and fails.
+  static constexpr int kReadTimeoutMs = 60'000;
 
-  explicit Child(std::vector<std::string> variables, bool errorsToo = true) {
-    int ends[2];
-    if (pipe2(ends, O_CLOEXEC) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
-    log_ = event_loop::Descriptor(ends[0]);
-    const event_loop::Descriptor theirs(ends[1]);
-    id_ = startProgram(GULLTRESTLE_PROGRAM, std::move(variables), theirs.number(), errorsToo);
+  explicit Child(std::vector<std::string> variables, bool includesErrors = true) {
+    int pipeEnds[2];
+    if (pipe2(pipeEnds, O_CLOEXEC) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
+    log_ = event_loop::Descriptor(pipeEnds[0]);
+    const event_loop::Descriptor writeEnd(pipeEnds[1]);
+    id_ = startProgram(GULLTRESTLE_PROGRAM, std::move(variables), writeEnd.number(), includesErrors);
   }
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
@@ -63,22 +64,25 @@
 
   pid_t id() const { return id_; }
   void signal(int number) const { kill(id_, number); }
-  // All its threads stand still when this returns.
-  void halt() const {
+  // Stops the process with SIGSTOP; all its threads are stopped when this returns.
+  void suspend() const {
     signal(SIGSTOP);
     int status = 0;
     waitpid(id_, &status, WUNTRACED);
   }
-  // Reads its lines up to one that has this text; false where they end before.
-  bool untilItSays(const std::string& text) {
+  // Reads lines up to the first that contains `text`. Returns false if the output ends or stalls before.
+  bool waitForLine(const std::string& text) {
     while (readLine())
       if (lines_.back().find(text) != std::string::npos) return true;
     return false;
   }
+  // Whether the end of the output was reached.
   bool ended() const { return ended_; }
+  // All lines read so far.
   const std::vector<std::string>& lines() const { return lines_; }
   std::string lastLine() const { return lines_.empty() ? "" : lines_.back(); }
-  // Its exit code, or 1000 and the number of the signal that ended it.
+  // Waits for the process to exit. Returns its exit code, or 1000 plus the number of the signal that killed
+  // it.
   int wait() {
     int status = 0;
     waitpid(std::exchange(id_, 0), &status, 0);
@@ -93,9 +97,9 @@
         unread_.erase(0, end + 1);
         return true;
       }
-      pollfd more{log_.number(), POLLIN, 0};
-      if (poll(&more, 1, kLongestWait) <= 0) {
-        std::cout << "it says nothing more\n";
+      pollfd readable{log_.number(), POLLIN, 0};
+      if (poll(&readable, 1, kReadTimeoutMs) <= 0) {
+        std::cout << "no further output from the program before the timeout\n";
         return false;
       }
       char bytes[4096];
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -25,8 +25,8 @@
              : query("SELECT body FROM objects WHERE oid = '" + key + "'" + comment);
 }
 
-std::string one(const Node& node, const std::string& state = "up") {
-  return list(1, entry(node.side(), "s-1", state));
+std::string one(const FakeNode& node, const std::string& state = "up") {
+  return endpointListJson(1, endpointEntryJson(node.server(), "s-1", state));
 }
 
 // --- Clients that go
@@ -35,19 +35,19 @@
 // node sees after that.
 void goneWhileConnecting() {
   for (const std::string type : {"write", "known", "read"}) {
-    Node node({}, 0);
-    Side discovery(silentDiscovery);
+    FakeNode node({}, 0);
+    FakeServer discovery(silentDiscovery);
     Program router(discovery.port(), one(node), 20000);
     Peer leaves = router.client();
     leaves.send(statement("gone", type));
-    node.events.await("connection");
+    node.events.waitFor("connection");
     leaves.reset();
-    router.settles();
+    router.waitUntilIdle();
     Peer stays = router.client();
     stays.send(statement("next", "write"));
-    router.settles();
-    node.events.happen("greet");
-    std::cout << type << ": " << stays.answer() << "the node saw " << node.saw() << "\n";
+    router.waitUntilIdle();
+    node.events.signal("greet");
+    std::cout << type << ": " << stays.answer() << "the node saw " << node.receivedKeys() << "\n";
   }
 }
 
@@ -55,22 +55,22 @@
 // there.
 void goneBehind(std::size_t bytes) {
   for (const bool inOrder : {false, true}) {
-    Node node({"slow"});
-    Side discovery(silentDiscovery);
+    FakeNode node({"slow"});
+    FakeServer discovery(silentDiscovery);
     Program router(discovery.port(), one(node));
     Peer leaves = router.client();
     std::string all = statement("slow", "write") + statement("gone", "write");
     while (all.size() < bytes) all += statement("gone", "write");
     leaves.send(all);
-    node.events.await("saw slow");
-    router.settles();
+    node.events.waitFor("received slow");
+    router.waitUntilIdle();
     inOrder ? leaves.close() : leaves.reset();
-    router.settles();
-    node.go("slow");
+    router.waitUntilIdle();
+    node.releaseAnswer("slow");
     Peer stays = router.client();
     stays.send(statement("next", "read"));
-    std::cout << (inOrder ? "closed: " : "reset: ") << stays.answer() << "the node saw " << node.saw()
-              << "\n";
+    std::cout << (inOrder ? "closed: " : "reset: ") << stays.answer() << "the node saw "
+              << node.receivedKeys() << "\n";
   }
 }
 
@@ -81,48 +81,48 @@
 // Its reset and what would send its statement on are there in one turn.
 void goneAtRelease() {
   for (const bool resetFirst : {true, false}) {
-    Node node({}, 0);
-    Side discovery(silentDiscovery);
+    FakeNode node({}, 0);
+    FakeServer discovery(silentDiscovery);
     Program router(discovery.port(), one(node), 20000);
     Peer leaves = router.client(), stays = router.client();
     leaves.send(statement("gone", "read"));
-    node.events.await("connection");
-    router.halt();
+    node.events.waitFor("connection");
+    router.suspend();
     if (resetFirst) leaves.reset();
-    node.events.happen("greet");
-    node.events.await("greeted");
+    node.events.signal("greet");
+    node.events.waitFor("greeted");
     if (!resetFirst) leaves.reset();
-    router.go();
-    router.settles();
+    router.resume();
+    router.waitUntilIdle();
     stays.send(statement("next", "read"));
     // Where the greeting comes first the statement goes out ahead of the reset.
     std::cout << (resetFirst ? "reset first: " : "greeting first: ") << stays.answer() << "the node saw "
-              << node.saw() << "\n";
+              << node.receivedKeys() << "\n";
   }
 }
 
 // --- Statements behind others
 
 void pipelined() {
-  Node node({"first"});
-  Side discovery(silentDiscovery);
+  FakeNode node({"first"});
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node));
   Peer client = router.client();
   client.send(statement("first", "read") + statement("second", "read") + statement("late", "read", 250));
-  node.events.await("saw first");  // all three have come by then
-  until(Clock::now() + std::chrono::milliseconds(300));
-  node.go("first");
+  node.events.waitFor("received first");  // all three have come by then
+  sleepUntil(Clock::now() + std::chrono::milliseconds(300));
+  node.releaseAnswer("first");
   std::cout << client.answer() << client.answer() << client.answer() << "\n";
-  std::cout << "the node saw " << node.saw()
-            << "; what waited 300 ms is told to take at most what is left: " << (node.told("second") <= 59700)
-            << "\n";
+  std::cout << "the node saw " << node.receivedKeys()
+            << "; what waited 300 ms is told to take at most what is left: "
+            << (node.remainingTimeMs("second") <= 59700) << "\n";
 }
 
 // More than is read ahead, all of it with too little time for the wait: what is read only as the others are
 // answered has had that time, too.
 void pipelinedUnread() {
-  Node node({"first"});
-  Side discovery(silentDiscovery);
+  FakeNode node({"first"});
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node));
   Peer client = router.client();
   const auto many = [](int times) {
@@ -132,12 +132,12 @@
   };
   // What is read ahead, and then more than one read takes: it is left unread together, and read in turns.
   client.send(statement("first", "read") + many(9));
-  node.events.await("saw first");
-  router.settles();
+  node.events.waitFor("received first");
+  router.waitUntilIdle();
   client.send(many(51));
-  router.settles();
-  until(Clock::now() + std::chrono::milliseconds(500));
-  node.go("first");
+  router.waitUntilIdle();
+  sleepUntil(Clock::now() + std::chrono::milliseconds(500));
+  node.releaseAnswer("first");
   std::map<std::string, int> said;
   for (int i = 0; i < 61; ++i) ++said[client.answer()];
   for (const auto& [what, times] : said) std::cout << times << " times " << what;
@@ -147,15 +147,15 @@
 // --- Closing
 
 void closing() {
-  Node node;
-  Side discovery(silentDiscovery);
+  FakeNode node;
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node));
   say("what can't be read, with much behind it that is not read any more: the error comes, and an end");
   {
     Peer client = router.client();
-    router.halt();
+    router.suspend();
     client.send(postgres::message('x', "nonsense") + std::string(200 * 1024, 'x'));
-    router.go();
+    router.resume();
     std::cout << client.answer();
     std::cout << (client.wasReset() ? " by a reset\n" : " in order\n");
   }
@@ -165,53 +165,54 @@
     client.send(postgres::message('x', "nonsense"));
     std::cout << client.answer();
     client.send(statement("after", "write"));
-    router.settles();
-    std::cout << (client.wasReset() ? " by a reset" : " in order") << "; the node saw " << node.saw() << "\n";
+    router.waitUntilIdle();
+    std::cout << (client.wasReset() ? " by a reset" : " in order") << "; the node saw " << node.receivedKeys()
+              << "\n";
   }
 }
 
 // --- The end of the program
 
 void ending() {
-  Node node({"slow"});
-  Side discovery(silentDiscovery);
+  FakeNode node({"slow"});
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node));
   Peer busy = router.client(), resting = router.client(), half = router.client();
   resting.send(query(""));
   resting.answer();
   busy.send(statement("slow", "write") + statement("behind", "write"));
   half.send(statement("half", "write").substr(0, 40));
-  node.events.await("saw slow");
+  node.events.waitFor("received slow");
   router.signal(SIGHUP);
   router.signal(SIGTERM);
-  router.says("told to end");
+  router.waitForLine("told to end");
   router.signal(SIGTERM);
   std::cout << "resting: " << resting.answer() << "\n";
   resting.send(statement("after", "write"));
   busy.send(statement("later", "write"));
-  node.go("slow");
+  node.releaseAnswer("slow");
   std::cout << "busy: " << busy.answer() << busy.answer() << "\n";
   std::cout << "what it sent after the end began: " << busy.answer() << busy.answer()
             << (busy.wasReset() ? " by a reset" : "") << "\n";
   std::cout << "half a statement: " << half.answer() << "\n";
-  std::cout << "the node saw " << node.saw() << "\n";
+  std::cout << "the node saw " << node.receivedKeys() << "\n";
 }
 
 // In the moment in which resting connections are closed.
 void endingCrossed() {
-  Node node;
-  Side discovery(silentDiscovery);
+  FakeNode node;
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node));
   Peer resting = router.client();
   router.signal(SIGTERM);
-  router.says("told to end");
-  router.halt();
+  router.waitForLine("told to end");
+  router.suspend();
   const auto haltedAt = Clock::now();
   resting.send(statement("crossing", "write"));
   Peer waiting = Peer::to(router.port());
   waiting.send(postgres::startup("worker", "catalog") + statement("waiting", "write"));
-  until(haltedAt + std::chrono::milliseconds(700));
-  router.go();
+  sleepUntil(haltedAt + std::chrono::milliseconds(700));
+  router.resume();
   std::cout << "on a resting connection: " << resting.answer() << resting.answer() << "\n";
   waiting.answer();
   std::cout << "on one that waits to be accepted: " << waiting.answer() << waiting.answer() << "\n";
@@ -220,28 +221,28 @@
 // With statements that are held as no node may be used, that wait for a connection, and that a node hangs
 // over, and with discovery down: each has its answer in its time, and the program ends after them.
 void endingHeld() {
-  Node hangs({"hangs"}, 1);
-  Side discovery(silentDiscovery);
+  FakeNode hangs({"hangs"}, 1);
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(hangs));
   Peer atNode = router.client(), queued = router.client(), held = router.client();
   atNode.send(statement("hangs", "write", 1500));
-  hangs.events.await("saw hangs");
+  hangs.events.waitFor("received hangs");
   queued.send(statement("queued", "write", 1500));
-  hangs.events.await("connection", 2);
+  hangs.events.waitFor("connection", 2);
   held.send(query("SELECT body FROM objects WHERE oid = 'k' /* " + nextId() + ",c=read,d=1500,cluster=2 */"));
   router.signal(SIGTERM);
   std::cout << "at a node that hangs: " << atNode.answer() << atNode.answer() << "\n";
   std::cout << "queued for a connection: " << queued.answer() << queued.answer() << "\n";
   std::cout << "held: " << held.answer() << held.answer() << "\n";
-  hangs.go("hangs");
-  hangs.events.happen("greet");
+  hangs.releaseAnswer("hangs");
+  hangs.events.signal("greet");
 }
 
 // While it starts: told to read its configuration anew it serves, told to end it ends.
 void signalled() {
   for (const int number : {SIGHUP, SIGTERM}) {
-    Node node;
-    Side discovery(silentDiscovery);
+    FakeNode node;
+    FakeServer discovery(silentDiscovery);
     Program router(discovery.port(), one(node), 250, 256, number);
     Peer client = router.client();
     client.send(statement("k", "write"));
@@ -254,19 +255,19 @@
 void stray() {
   for (const std::string bytes : {"T", ""}) {
     for (const bool nodeFirst : {true, false}) {
-      Node node;
-      Side discovery(silentDiscovery);
+      FakeNode node;
+      FakeServer discovery(silentDiscovery);
       Program router(discovery.port(), one(node));
       Peer client = router.client();
       client.send(statement("first", "write"));
       std::cout << client.answer();
-      node.events.await("rests");
-      router.settles();
-      router.halt();
+      node.events.waitFor("idle");
+      router.waitUntilIdle();
+      router.suspend();
       if (nodeFirst) node.sendAll(bytes);
       client.send(statement("second", "write"));
       if (!nodeFirst) node.sendAll(bytes);
-      router.go();
+      router.resume();
       std::cout << client.answer() << (bytes.empty() ? "its end" : "a stray byte")
                 << (nodeFirst ? " first" : " second") << ", connections: " << node.connections() << "\n";
     }
@@ -279,71 +280,71 @@
 // after it, where nothing may be cancelled, or in the same turn.
 void answeredWhileConnecting() {
   for (const bool sameTurn : {false, true}) {
-    Node first({"k"}), second({}, 0);
-    const auto replica = [](const Node& node, const std::string& id) {
-      auto made = entry(node.side(), id, "up");
+    FakeNode first({"k"}), second({}, 0);
+    const auto replica = [](const FakeNode& node, const std::string& id) {
+      auto made = endpointEntryJson(node.server(), id, "up");
       return made.replace(made.find("master"), 6, "replica");
     };
     const auto only = replica(first, "s-1");
-    Lists discovery(list(1, only));
+    FakeDiscovery discovery(endpointListJson(1, only));
     Program router(
-        discovery.port(), list(1, only), 20000, 256, 0, "",
+        discovery.port(), endpointListJson(1, only), 20000, 256, 0, "",
         std::string(R"("probes":false,"secondCopies":true,"cancel":)") + (sameTurn ? "true" : "false"));
-    discovery.events.await("watch");
+    discovery.events.waitFor("watch");
     Peer client = router.client();
     client.send(statement("usual", "any"));  // from its latency the router knows when a read is late
     std::cout << client.answer();
-    discovery.tell(list(2, replica(second, "s-2"), false));
-    router.says("list version 2");
+    discovery.sendUpdate(endpointListJson(2, replica(second, "s-2"), false));
+    router.waitForLine("list version 2");
     client.send(statement("k", "any"));
-    first.events.await("saw k");
-    second.events.await("connection");
-    if (sameTurn) router.halt();
-    first.go("k");
-    first.events.await("answered k");
+    first.events.waitFor("received k");
+    second.events.waitFor("connection");
+    if (sameTurn) router.suspend();
+    first.releaseAnswer("k");
+    first.events.waitFor("answered k");
     if (!sameTurn) std::cout << client.answer();
-    second.events.happen("greet");
-    second.events.await("greeted");
-    if (sameTurn) router.go();
+    second.events.signal("greet");
+    second.events.waitFor("greeted");
+    if (sameTurn) router.resume();
     if (sameTurn) std::cout << client.answer();
-    router.settles();
-    std::cout << (sameTurn ? "in the same turn" : "in a later turn") << ": the first saw " << first.saw()
-              << ", the second " << second.saw() << "\n";
+    router.waitUntilIdle();
+    std::cout << (sameTurn ? "in the same turn" : "in a later turn") << ": the first saw "
+              << first.receivedKeys() << ", the second " << second.receivedKeys() << "\n";
   }
 }
 
 // The first attempt may have run, and the repeat waits for a connection until its window is over.
 void windowOver() {
-  Node node({"breaks"}, 1);
-  Side discovery(silentDiscovery);
+  FakeNode node({"breaks"}, 1);
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node), 20000);
   Peer client = router.client();
   client.send(statement("breaks", "known"));
-  node.events.await("saw breaks");
+  node.events.waitFor("received breaks");
   const auto seenAt = Clock::now();
-  node.go("breaks");
-  node.events.await("connection", 2);
-  until(seenAt + std::chrono::milliseconds(500));
-  node.events.happen("greet");
-  std::cout << client.answer() << "the node saw " << node.saw() << "\n";
+  node.releaseAnswer("breaks");
+  node.events.waitFor("connection", 2);
+  sleepUntil(seenAt + std::chrono::milliseconds(500));
+  node.events.signal("greet");
+  std::cout << client.answer() << "the node saw " << node.receivedKeys() << "\n";
 }
 
 // The repeat is written in part, as the node takes no more of it, and the node reads on once its window is
 // over.
 void windowOverInPart() {
-  Node node({"breaks"}, 1 << 20, 1, 2048);
-  Side discovery(silentDiscovery);
+  FakeNode node({"breaks"}, 1 << 20, 1, 2048);
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node), 20000);
   Peer client = router.client();
   client.send(statement("breaks", "known", 60000, 60 * 1024));
-  node.events.await("saw breaks");
+  node.events.waitFor("received breaks");
   const auto seenAt = Clock::now();
-  node.go("breaks");
-  node.events.await("greeted", 2);
-  router.settles();
-  until(seenAt + std::chrono::milliseconds(500));
-  node.events.happen("read");
-  std::cout << client.answer() << "the node saw " << node.saw() << "\n";
+  node.releaseAnswer("breaks");
+  node.events.waitFor("greeted", 2);
+  router.waitUntilIdle();
+  sleepUntil(seenAt + std::chrono::milliseconds(500));
+  node.events.signal("read");
+  std::cout << client.answer() << "the node saw " << node.receivedKeys() << "\n";
 }
 
 // Answers that break off, or never end, after any number of their bytes: a read has the whole value from
@@ -351,8 +352,8 @@
 void brokenAnswers() {
   const std::size_t size = row("v-cut-0").size();  // of the shortest of these answers
   for (const std::string how : {"cut-", "stall-"}) {
-    Node node;
-    Side discovery(silentDiscovery);
+    FakeNode node;
+    FakeServer discovery(silentDiscovery);
     Program router(discovery.port(), one(node));
     Peer client = router.client();
     std::map<std::string, int> reads, writes;
@@ -377,8 +378,8 @@
 // --- What strangers send
 
 void floods() {
-  Node node;
-  Side discovery(silentDiscovery);
+  FakeNode node;
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node));
   Peer junk = Peer::to(router.port()), unread = router.client(), slow = Peer::to(router.port());
   junk.send(std::string(4 << 20, 'x'));
@@ -400,29 +401,29 @@
 // No descriptor is to be had for a while: who is there is served, who comes is once there is one, and the log
 // has a line of it.
 void noDescriptors() {
-  Node node({"slow"});
-  Side discovery(silentDiscovery);
+  FakeNode node({"slow"});
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node));
   Peer busy = router.client();
   busy.send(statement("slow", "write"));
-  node.events.await("saw slow");
-  router.allow(3);
+  node.events.waitFor("received slow");
+  router.limitDescriptors(3);
   Peer comes = Peer::to(router.port());
   comes.send(postgres::startup("worker", "catalog") + statement("comes", "write"));
-  router.says("no new client can be taken");
-  node.go("slow");
+  router.waitForLine("no new client can be taken");
+  node.releaseAnswer("slow");
   std::cout << "at work meanwhile: " << busy.answer() << "\n";
-  node.events.await("rests");
-  router.allow(256);
+  node.events.waitFor("idle");
+  router.limitDescriptors(256);
   comes.answer();
   std::cout << "who came: " << comes.answer() << "\n";
-  std::cout << "lines of it: " << router.said("no new client can be taken") << "\n";
+  std::cout << "lines of it: " << router.countLines("no new client can be taken") << "\n";
 }
 
 // A client that rests on, where its connection is being closed, keeps its place for a while only.
 void closingForGood() {
-  Node node;
-  Side discovery(silentDiscovery);
+  FakeNode node;
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node));
   std::vector<Peer> rest;
   for (int i = 0; i < 40; ++i) {
@@ -432,14 +433,14 @@
   int told = 0;
   for (Peer& peer : rest) told += peer.answer() == "E(08P01) end";
   std::cout << told << " were told why, and none has closed its side\n";
-  std::cout << "ended: " << router.said("ended") << "\n";
+  std::cout << "ended: " << router.countLines("ended") << "\n";
 }
 
 // More are being closed than there are places for, none of which closes its side, and their time has not
 // come: the first of them go, and each new client is still told why, and one is served.
 void closingCrowd() {
-  Node node;
-  Side discovery(silentDiscovery);
+  FakeNode node;
+  FakeServer discovery(silentDiscovery);
   Program router(discovery.port(), one(node), 60000, 64);
   std::vector<Peer> rest;
   int told = 0;
@@ -452,7 +453,7 @@
   std::cout << told << " were told why\n";
   Peer stays = router.client();
   stays.send(statement("next", "read"));
-  std::cout << stays.answer() << "the node saw " << node.saw() << "\n";
+  std::cout << stays.answer() << "the node saw " << node.receivedKeys() << "\n";
 }
 
 }  // namespace
--- a/tests/decisions.cpp
+++ b/tests/decisions.cpp
@@ -8,73 +8,75 @@
 
 namespace {
 
-const TransactionClass kAny = type(ReadLevel::any), kBounded = type(ReadLevel::bounded),
-                       kSession = type(ReadLevel::session),
-                       kWrite = type(ReadLevel::write, Effect::atMostOnce),
-                       kReferencedWrite = type(ReadLevel::write, Effect::deduplicated);
+const TransactionClass kAny = transactionClass(ReadLevel::any),
+                       kBounded = transactionClass(ReadLevel::bounded),
+                       kSession = transactionClass(ReadLevel::session),
+                       kWrite = transactionClass(ReadLevel::write, Effect::atMostOnce),
+                       kReferencedWrite = transactionClass(ReadLevel::write, Effect::deduplicated);
 
 // Three members, p the primary; the disk list says so and each has reported once.
-void start(Bench& b, std::int64_t position = -50) {
+void start(RouterHarness& b, std::int64_t position = -50) {
   b.at(0, [&](Router& r) {
     r.onEndpointList(EndpointUpdateKind::restored, {b.entry("p", true), b.entry("a"), b.entry("b")});
   });
   b.at(5, [&](Router& r) {
-    r.onHealthCheckEnded("p", AttemptOutcome::committed, b.standing(Role::primary, 0));
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, position));
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, position));
+    r.onHealthCheckEnded("p", AttemptOutcome::committed, b.loadReport(Role::primary, 0));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, position));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, position));
   });
 }
 
 // The txn's attempt ends where it was sent.
-void end(Bench& b, Router& r, TxnId txn, AttemptOutcome how, Role role = Role::replica, unsigned number = 0) {
+void end(RouterHarness& b, Router& r, TxnId txn, AttemptOutcome how, Role role = Role::replica,
+         unsigned number = 0) {
   r.onAttemptEnded(txn, number, b.nodeOf(txn), how, how == AttemptOutcome::committed, ms(50),
                    {role, std::nullopt}, {});
 }
 
 void ordinaryPath() {
-  Bench b(usualTerms({kAny, kBounded, kSession, kWrite}));
+  RouterHarness b(defaultConfig({kAny, kBounded, kSession, kWrite}));
   start(b);
-  b.say("an any read and a bounded read are drawn among the replicas; the write goes to the primary");
+  b.describe("an any read and a bounded read are drawn among the replicas; the write goes to the primary");
   b.at(10, [&](Router& r) {
     r.onTransaction(b.txn(1, 0)), r.onTransaction(b.txn(2, 1)), r.onTransaction(b.txn(3, 3));
   });
   b.at(60,
        [&](Router& r) { end(b, r, 1, AttemptOutcome::committed), end(b, r, 2, AttemptOutcome::committed); });
-  b.say("a session read whose write is older than what both replicas have applied goes to a replica");
+  b.describe("a session read whose write is older than what both replicas have applied goes to a replica");
   b.at(100, [&](Router& r) { r.onTransaction(b.sessionRead(4, 2, 200)); });
-  b.say("one that is owed a newer write is held while the group is probed, until a replica has it");
+  b.describe("one that is owed a newer write is held while the group is probed, until a replica has it");
   b.at(110, [&](Router& r) { r.onTransaction(b.sessionRead(5, 2, 20)); });
   b.at(130, [&](Router& r) {
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, 100));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, 100));
   });
-  b.say("none ever has it: held for a third of the latency target, then the primary");
+  b.describe("none ever has it: held for a third of the latency target, then the primary");
   b.at(200, [&](Router& r) { r.onTransaction(b.sessionRead(6, 2, 20)); });
   b.run(205, 410);
 }
 
 void staleRead() {
-  Bench b(usualTerms({kBounded, kSession}));
-  b.say("after a restart with the disk list alone no position is known: reads wait for a probe");
+  RouterHarness b(defaultConfig({kBounded, kSession}));
+  b.describe("after a restart with the disk list alone no position is known: reads wait for a probe");
   b.at(0, [&](Router& r) {
     r.onEndpointList(EndpointUpdateKind::restored, {b.entry("p", true), b.entry("a"), b.entry("b")});
     r.onTransaction(b.txn(1, 0)), r.onTransaction(b.sessionRead(2, 1, 300)),
         r.onTransaction(b.sessionRead(3, 1, 0));
   });
-  b.say("a is at the very edge of the bound, with no round in hand; b is well within");
+  b.describe("a is at the very edge of the bound, with no round in hand; b is well within");
   b.at(5, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, -994));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, -994));
   });
   b.at(10, [&](Router& r) {
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, -100));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, -100));
   });
 }
 
 // A session wrote here and, a few ms later, at another router: the age says so, the own write does not.
 void otherWrite() {
-  Bench b(usualTerms({kSession, kWrite}));
+  RouterHarness b(defaultConfig({kSession, kWrite}));
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "our write was committed at 20, the session's last one at 23; a has all up to 21, b more once it is "
       "45");
   b.at(10, [&](Router& r) {
@@ -84,34 +86,35 @@
   });
   b.at(25, [&](Router& r) {
     r.onAttemptEnded(1, 0, "p", AttemptOutcome::committed, true, ms(10), {Role::primary, b.instant(20)}, {});
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 21));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 21));
   });
   b.at(30, [&](Router& r) { r.onTransaction(b.sessionRead(2, 0, 7)); });
   b.at(45, [&](Router& r) {
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, 40));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, 40));
   });
-  b.say("the age says that ours was the last: a may answer");
+  b.describe("the age says that ours was the last: a may answer");
   b.at(50, [&](Router& r) { r.onTransaction(b.sessionRead(3, 0, 30)); });
 }
 
 // Where reads carry no age a session's writes are remembered here, whatever became of their answer.
 void lostAnswers() {
-  auto terms = usualTerms({kSession, kWrite});
+  auto terms = defaultConfig({kSession, kWrite});
   terms.sessionAgeProvided = false;
   for (const std::string what :
        {"its client has left", "it is out", "its connection is lost", "it was never sent"}) {
-    Bench b(terms);
+    RouterHarness b(terms);
     start(b);
-    b.quietProbes = true;
-    b.say("a write at 10, and " + what + "; the replicas have all up to 30 once the session reads, at 40");
+    b.hidesHealthChecks = true;
+    b.describe("a write at 10, and " + what +
+               "; the replicas have all up to 30 once the session reads, at 40");
     b.at(10, [&](Router& r) {
       auto write = b.txn(1, 1);
       write.session = 9;
       r.onTransaction(write);
     });
     b.at(25, [&](Router& r) {
-      r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 30));
-      r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, 30));
+      r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 30));
+      r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, 30));
     });
     const bool left = what == "its client has left", unsent = what == "it was never sent";
     if (left || unsent) b.at(30, [&](Router& r) { r.onClientLeft(1); });
@@ -130,56 +133,56 @@
       r.onTransaction(read);
     });
     b.at(60, [&](Router& r) {
-      r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, 50));
+      r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, 50));
     });
   }
 }
 
 void onceOnly() {
-  Bench b(usualTerms({kWrite}));
+  RouterHarness b(defaultConfig({kWrite}));
   start(b);
-  b.say(
+  b.describe(
       "rejected unseen: sent again, once the full node has rested. Lost while out: it may have run, so it "
       "is rolled back at once");
   b.at(10, [&](Router& r) { r.onTransaction(b.txn(1)); });
   b.at(20, [&](Router& r) { end(b, r, 1, AttemptOutcome::rejected, Role::primary); });
   b.run(25, 275);
   b.at(280, [&](Router& r) { end(b, r, 1, AttemptOutcome::connectionLost, Role::unknown, 1); });
-  b.say("no answer by the expiry: rolled back, never refused");
+  b.describe("no answer by the expiry: rolled back, never refused");
   b.at(290, [&](Router& r) { r.onTransaction(b.txn(2, 0, 100)); });
   b.run(295, 390);
 }
 
 void repeatable() {
-  Bench b(usualTerms({kAny}));
+  RouterHarness b(defaultConfig({kAny}));
   start(b);
-  b.quietProbes = true;
-  b.say("lost while out: sent again to the other replica; the committed answer ends it");
+  b.hidesHealthChecks = true;
+  b.describe("lost while out: sent again to the other replica; the committed answer ends it");
   b.at(10, [&](Router& r) { r.onTransaction(b.txn(1)); });
   b.at(20, [&](Router& r) { end(b, r, 1, AttemptOutcome::connectionLost); });
   b.at(70, [&](Router& r) { end(b, r, 1, AttemptOutcome::committed, Role::replica, 1); });
-  b.say("expiry while out: refused in time, and its submission cancelled");
+  b.describe("expiry while out: refused in time, and its submission cancelled");
   b.at(80, [&](Router& r) { r.onTransaction(b.txn(2, 0, 100)); });
   b.run(85, 180);
 }
 
 void referenced() {
-  auto terms = usualTerms({kReferencedWrite});
+  auto terms = defaultConfig({kReferencedWrite});
   terms.transactionClasses[0].deduplicatesAcrossGroups = false;
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say("may have run: sent again within its group while the repeat is known, then rolled back");
+  b.hidesHealthChecks = true;
+  b.describe("may have run: sent again within its group while the repeat is known, then rolled back");
   b.at(10, [&](Router& r) { r.onTransaction(b.txn(1)); });
   b.at(20, [&](Router& r) { end(b, r, 1, AttemptOutcome::error, Role::primary); });
   b.at(1015, [&](Router& r) { end(b, r, 1, AttemptOutcome::error, Role::primary, 1); });
 }
 
 void drains() {
-  Bench b(usualTerms({kAny}));
+  RouterHarness b(defaultConfig({kAny}));
   start(b);
-  b.quietProbes = true;
-  b.say("a drains and b is gone: nothing goes to them; the held read is sent when b is back");
+  b.hidesHealthChecks = true;
+  b.describe("a drains and b is gone: nothing goes to them; the held read is sent when b is back");
   b.at(10, [&](Router& r) {
     r.onEndpointList(EndpointUpdateKind::delta,
                      {b.entry("a", false, Health::draining), b.entry("b", false, Health::removed)});
@@ -190,10 +193,10 @@
 }
 
 void coldNode() {
-  Bench b(usualTerms({kAny}));
+  RouterHarness b(defaultConfig({kAny}));
   start(b);
-  b.quietProbes = true;
-  b.say("b has just started again: of 40 reads, each answered at once, it gets a small share");
+  b.hidesHealthChecks = true;
+  b.describe("b has just started again: of 40 reads, each answered at once, it gets a small share");
   b.at(10, [&](Router& r) {
     auto cold = b.entry("b");
     cold.startedAt = b.instant(9);
@@ -207,31 +210,31 @@
 }
 
 void newPrimary() {
-  Bench b(usualTerms({kWrite}));
+  RouterHarness b(defaultConfig({kWrite}));
   start(b);
-  b.say("p says it is a replica now: the write is held, the group probed, and sent to the new primary");
+  b.describe("p says it is a replica now: the write is held, the group probed, and sent to the new primary");
   b.at(300, [&](Router& r) { r.onTransaction(b.txn(1)); });
   b.at(305, [&](Router& r) { end(b, r, 1, AttemptOutcome::wrongNode); });
   b.at(310, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 200));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 200));
   });
   b.at(320, [&](Router& r) {
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::primary, 310));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::primary, 310));
   });
-  b.say("an old report of p, from when it was primary, changes nothing");
+  b.describe("an old report of p, from when it was primary, changes nothing");
   b.at(330, [&](Router& r) {
-    r.onHealthCheckEnded("p", AttemptOutcome::committed, b.standing(Role::primary, 250));
+    r.onHealthCheckEnded("p", AttemptOutcome::committed, b.loadReport(Role::primary, 250));
     r.onTransaction(b.txn(2));
   });
 }
 
 void slowPrimary() {
-  auto terms = usualTerms({kWrite});
+  auto terms = defaultConfig({kWrite});
   terms.maxOpenTransactions = 100;
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "p takes 300 ms for a write, three at a time: of twenty more some are sent, the rest goes at half "
       "time");
   TxnId id = 0;
@@ -249,12 +252,12 @@
 }
 
 void keepsAsking() {
-  auto terms = usualTerms({kAny, kSession, kWrite});
+  auto terms = defaultConfig({kAny, kSession, kWrite});
   terms.sessionAgeProvided = false;
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say("no node has what a session wrote; it asks five times a second");
+  b.hidesHealthChecks = true;
+  b.describe("no node has what a session wrote; it asks five times a second");
   b.at(5, [&](Router& r) {
     r.onEndpointList(EndpointUpdateKind::delta,
                      {b.entry("p", true, Health::draining), b.entry("a"), b.entry("b")});
@@ -269,9 +272,9 @@
       read.remainingTime = ms(400);
       r.onTransaction(read);
     });
-  b.say("a replica has it from 4 s on: it is served");
+  b.describe("a replica has it from 4 s on: it is served");
   b.at(4000, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 3990));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 3990));
   });
   for (std::int64_t at = 4010; at < 4900; at += 200)
     b.at(at, [&](Router& r) {
@@ -282,12 +285,12 @@
 }
 
 void lateClock() {
-  auto terms = usualTerms({kAny, kSession, kWrite});
+  auto terms = defaultConfig({kAny, kSession, kWrite});
   terms.sessionAgeProvided = false;
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say("the first write of a session is committed by a node whose clock is 100 s behind");
+  b.hidesHealthChecks = true;
+  b.describe("the first write of a session is committed by a node whose clock is 100 s behind");
   Transaction write = b.txn(1, 2);
   write.session = 7;
   b.at(10, [&](Router& r) { r.onTransaction(write); });
@@ -295,20 +298,21 @@
     r.onAttemptEnded(1, 0, "p", AttemptOutcome::committed, true, ms(5), {Role::primary, b.instant(-100'000)},
                      {});
   });
-  b.say("the session reads what any session does");
+  b.describe("the session reads what any session does");
   b.at(20, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, -90'000));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, -90'000));
   });
   b.at(25, [&](Router& r) { r.onTransaction(b.sessionRead(2, 1, 0, 7)); });
 }
 
 void forgetting() {
-  auto terms = usualTerms({kAny, kSession, kWrite});
+  auto terms = defaultConfig({kAny, kSession, kWrite});
   terms.sessionAgeProvided = false;
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say("a leaves the list while a read is out there, b has left before: a goes a minute after it was heard");
+  b.hidesHealthChecks = true;
+  b.describe(
+      "a leaves the list while a read is out there, b has left before: a goes a minute after it was heard");
   b.at(10, [&](Router& r) {
     r.onEndpointList(EndpointUpdateKind::delta, {b.entry("b", false, Health::removed)});
   });
@@ -319,10 +323,10 @@
   b.at(1000, [&](Router& r) { end(b, r, 1, AttemptOutcome::committed); });
   for (const std::int64_t at : {60005, 60015, 60995, 61005})
     b.at(at, [&](Router& r) { r.onEndpointList(EndpointUpdateKind::delta, {b.entry("c")}); });
-  b.say("a session's write of a minute ago is the least that any session reads");
+  b.describe("a session's write of a minute ago is the least that any session reads");
   b.at(61010, [&](Router& r) {
-    r.onHealthCheckEnded("p", AttemptOutcome::committed, b.standing(Role::primary, 61000));
-    r.onHealthCheckEnded("c", AttemptOutcome::committed, b.standing(Role::replica, 61000));
+    r.onHealthCheckEnded("p", AttemptOutcome::committed, b.loadReport(Role::primary, 61000));
+    r.onHealthCheckEnded("c", AttemptOutcome::committed, b.loadReport(Role::replica, 61000));
   });
   const auto writes = [&](std::int64_t at, TxnId id, SessionId session) {
     Transaction txn = b.txn(id, 2);
@@ -337,9 +341,9 @@
   writes(121100, 3, 8);
   b.at(121120, [&](Router& r) { r.onTransaction(b.sessionRead(4, 1, 0, 99)); });
   b.at(121125, [&](Router& r) {
-    r.onHealthCheckEnded("c", AttemptOutcome::committed, b.standing(Role::replica, 61050));
+    r.onHealthCheckEnded("c", AttemptOutcome::committed, b.loadReport(Role::replica, 61050));
   });
-  b.say("groups that no list names leave nothing behind and take nothing from others");
+  b.describe("groups that no list names leave nothing behind and take nothing from others");
   b.at(121130, [&](Router& r) {
     for (TxnId id = 10; id < 13; ++id) {
       Transaction txn = b.txn(id, 0);
@@ -352,13 +356,13 @@
 
 void leftBehind() {
   for (const bool ownConnections : {false, true}) {
-    auto terms = usualTerms({kWrite});
+    auto terms = defaultConfig({kWrite});
     terms.connectionPerAttempt = ownConnections;
-    Bench b(terms);
+    RouterHarness b(terms);
     start(b);
-    b.quietProbes = true;
-    b.say(ownConnections ? "with a connection each: what was left behind keeps no place"
-                         : "two writes are never answered, others are: two places are taken");
+    b.hidesHealthChecks = true;
+    b.describe(ownConnections ? "with a connection each: what was left behind keeps no place"
+                              : "two writes are never answered, others are: two places are taken");
     TxnId id = 2;
     b.at(10, [&](Router& r) { r.onTransaction(b.txn(1)), r.onTransaction(b.txn(2)); });
     for (std::int64_t now = 20; now < 420; now += 100) {
@@ -374,9 +378,9 @@
 // A primary that lost some connections, and is well again, where only writes come: they are let go by it once
 // a second over the two routers, and stay once one was committed.
 void onlyWrites() {
-  Bench b(usualTerms({kWrite}));
+  RouterHarness b(defaultConfig({kWrite}));
   start(b);
-  b.quietProbes = true;
+  b.hidesHealthChecks = true;
   for (TxnId id = 1; id <= 3; ++id) {
     b.at(static_cast<std::int64_t>(id) * 10, [&](Router& r) { r.onTransaction(b.txn(id)); });
     b.at(static_cast<std::int64_t>(id) * 10 + 5,
@@ -399,12 +403,12 @@
 
 // Where no probes are allowed and no list tells the new primary, writes find it; reads don't look for it.
 void noProbes() {
-  RoutingConfig terms = usualTerms({kWrite, type(ReadLevel::linearizable)});
+  RoutingConfig terms = defaultConfig({kWrite, transactionClass(ReadLevel::linearizable)});
   terms.healthChecksAllowed = false;
   terms.slowStartWindow = Duration();
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.say("the primary leaves: a read of the newest data is held, writes ask one member each");
+  b.describe("the primary leaves: a read of the newest data is held, writes ask one member each");
   b.at(100, [&](Router& r) {
     r.onEndpointList(EndpointUpdateKind::delta, {b.entry("p", true, Health::draining)});
   });
@@ -413,7 +417,7 @@
   b.at(135,
        [&](Router& r) { r.onTransaction(b.txn(2)), r.onTransaction(b.txn(3)), r.onTransaction(b.txn(4)); });
   b.run(140, 150);
-  b.say("the first is turned away by a replica, the other is committed by the new primary");
+  b.describe("the first is turned away by a replica, the other is committed by the new primary");
   b.at(155, [&](Router& r) {
     for (const TxnId id : {2, 3, 4})
       if (b.nodeOf(id) == "a") end(b, r, id, AttemptOutcome::wrongNode, Role::replica);
@@ -426,10 +430,10 @@
   b.run(180, 200);
   for (const unsigned most : {4U, 1U}) {
     terms.maxAttempts = most;
-    Bench known(terms);
+    RouterHarness known(terms);
     start(known);
-    known.say("a primary is known and not well: with " + std::to_string(most) +
-              " attempts a write looks elsewhere or waits");
+    known.describe("a primary is known and not well: with " + std::to_string(most) +
+                   " attempts a write looks elsewhere or waits");
     for (TxnId id = 1; id <= 3; ++id) {
       const auto at = static_cast<std::int64_t>(id) * 10;
       known.at(at, [&](Router& r) { r.onTransaction(known.txn(id)); });
@@ -442,18 +446,18 @@
 
 // A replica that may have been down may have lost the end of its log.
 void tornLog() {
-  RoutingConfig terms = usualTerms({kSession});
+  RoutingConfig terms = defaultConfig({kSession});
   terms.slowStartWindow = Duration();
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say("both replicas are known to be at 90: a session read that needs 50 is sent at once");
+  b.hidesHealthChecks = true;
+  b.describe("both replicas are known to be at 90: a session read that needs 50 is sent at once");
   b.at(95, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 90));
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, 90));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 90));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, 90));
   });
   b.at(100, [&](Router& r) { r.onTransaction(b.sessionRead(1, 0, 50)); });
-  b.say("the connections to both end: it is held until one tells anew that it is there");
+  b.describe("the connections to both end: it is held until one tells anew that it is there");
   b.at(110, [&](Router& r) {
     r.onNodeDisconnected("a");
     r.onNodeDisconnected("b");
@@ -461,13 +465,13 @@
   });
   b.run(115, 130);
   b.at(140, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 30));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 30));
   });
   b.run(145, 150);
   b.at(160, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 155));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 155));
   });
-  b.say("the list says that it started again: the same");
+  b.describe("the list says that it started again: the same");
   b.at(170, [&](Router& r) {
     auto entry = b.entry("a");
     entry.startedAt = b.instant(165);
@@ -481,53 +485,53 @@
   auto session = kSession;
   session.latencyTarget = ms(80);
   session.deadline = ms(400);
-  Bench b(usualTerms({session}));
+  RouterHarness b(defaultConfig({session}));
   start(b);
-  b.say("with an latency target of 80 ms the next two replicas are asked after 10 ms, not 25");
+  b.describe("with an latency target of 80 ms the next two replicas are asked after 10 ms, not 25");
   b.at(90, [&](Router& r) { r.onEndpointList(EndpointUpdateKind::delta, {b.entry("c"), b.entry("d")}); });
   b.at(100, [&](Router& r) { r.onTransaction(b.sessionRead(1, 0, 10)); });
   b.run(105, 110);
-  b.say("a position that lies ahead of the clock says nothing");
+  b.describe("a position that lies ahead of the clock says nothing");
   b.at(115, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 10000000));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 10000000));
   });
   b.at(120, [&](Router& r) {
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, 95));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, 95));
   });
 }
 
 void fewConnections() {
-  auto terms = usualTerms({kWrite, kAny});
+  auto terms = defaultConfig({kWrite, kAny});
   terms.maxOpenTransactions = 8;
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say("clients have connections for eight txns: p is silent, six writes may stay, reads go on");
+  b.hidesHealthChecks = true;
+  b.describe("clients have connections for eight txns: p is silent, six writes may stay, reads go on");
   for (TxnId id = 1; id <= 9; ++id)
     b.at(static_cast<std::int64_t>(id) * 10, [&](Router& r) { r.onTransaction(b.txn(id)); });
   b.at(100, [&](Router& r) { r.onTransaction(b.txn(10, 1)); });
 }
 
 void hungNode() {
-  Bench b(usualTerms({kWrite, kAny}));
+  RouterHarness b(defaultConfig({kWrite, kAny}));
   start(b);
-  b.quietProbes = true;
-  b.say("p takes a write and answers nothing: later writes are held; half-hung reads get a hedge");
+  b.hidesHealthChecks = true;
+  b.describe("p takes a write and answers nothing: later writes are held; half-hung reads get a hedge");
   b.at(10, [&](Router& r) { r.onTransaction(b.txn(1, 0)), r.onTransaction(b.txn(2, 1)); });
   b.run(15, 490);
   b.at(500, [&](Router& r) { r.onTransaction(b.txn(3, 0)); });
   b.run(505, 600);
-  b.say("b is found to be the new primary");
+  b.describe("b is found to be the new primary");
   b.at(605, [&](Router& r) {
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::primary, 600));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::primary, 600));
   });
 }
 
 void deadWork() {
-  Bench b(usualTerms({kAny}));
+  RouterHarness b(defaultConfig({kAny}));
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "a answers only what nobody waits for any more: once its reads were cancelled late it is drawn no "
       "more");
   for (TxnId id = 1; id <= 30; ++id) {
@@ -543,10 +547,10 @@
 }
 
 void laterTries() {
-  Bench b(usualTerms({kAny}));
+  RouterHarness b(defaultConfig({kAny}));
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "first tries all come with 1 s of patience; from what they see, one with 400 ms has waited 1.6 s "
       "elsewhere");
   for (TxnId id = 1; id <= 20; ++id) {
@@ -558,12 +562,12 @@
 }
 
 void lateNews() {
-  auto terms = usualTerms({kSession, kWrite});
+  auto terms = defaultConfig({kSession, kWrite});
   terms.nodesRejectStaleReads = true;
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b, -5000);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "no news of positions, the primary full, but nodes guard themselves: after the hold a replica is "
       "asked");
   b.at(10, [&](Router& r) {
@@ -571,15 +575,15 @@
     r.onTransaction(b.sessionRead(4, 0, 100));
   });
   b.run(15, 215);
-  b.say("its answer tells what it has: the next read that needs no more is drawn at once");
+  b.describe("its answer tells what it has: the next read that needs no more is drawn at once");
   b.at(250, [&](Router& r) {
     end(b, r, 4, AttemptOutcome::committed), r.onTransaction(b.sessionRead(5, 0, 345));
   });
-  b.say("one that is rejected is asked of another");
+  b.describe("one that is rejected is asked of another");
   b.at(260, [&](Router& r) { r.onTransaction(b.sessionRead(6, 0, 10)); });
   b.run(265, 465);
   b.at(480, [&](Router& r) { end(b, r, 6, AttemptOutcome::wrongNode); });
-  b.say("which rests for half a second meanwhile");
+  b.describe("which rests for half a second meanwhile");
   b.at(490, [&](Router& r) {
     for (TxnId id = 7; id <= 8; ++id) r.onTransaction(b.sessionRead(id, 0, 10));
   });
@@ -587,24 +591,24 @@
 }
 
 void crowdedReplica() {
-  Bench b(usualTerms({kAny, kBounded}));
+  RouterHarness b(defaultConfig({kAny, kBounded}));
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "few routers; b told it is 0.6 s behind, on its way to the bound of 1 s: it gets half of what a gets");
   b.at(600, [&](Router& r) {
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, 0));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, 0));
     for (TxnId id = 1; id <= 8; ++id) r.onTransaction(b.txn(id, 0));
   });
 }
 
 void longReads() {
-  auto report = type(ReadLevel::any);
+  auto report = transactionClass(ReadLevel::any);
   report.latencyTarget = ms(3000);
-  Bench b(usualTerms({report, kBounded, kBounded}));
+  RouterHarness b(defaultConfig({report, kBounded, kBounded}));
   start(b);
-  b.quietProbes = true;
-  b.say("long any reads all go to a, as at every router, so that b keeps up; bounded reads go to both");
+  b.hidesHealthChecks = true;
+  b.describe("long any reads all go to a, as at every router, so that b keeps up; bounded reads go to both");
   for (TxnId id = 1; id <= 24; ++id) {
     const auto from = static_cast<std::int64_t>(id) * 30;
     b.at(from, [&](Router& r) { r.onTransaction(b.txn(id, id % 2)); });
@@ -613,9 +617,9 @@
                        {Role::replica, {}}, {});
     });
   }
-  Bench many(usualTerms({report, kBounded}));
+  RouterHarness many(defaultConfig({report, kBounded}));
   start(many);
-  many.say(
+  many.describe(
       "many at once: a gets no more than it can answer in a third of their latency target, b the others");
   many.at(30, [&](Router& r) {
     for (TxnId id = 1; id <= 12; ++id) r.onTransaction(many.txn(id));
@@ -623,12 +627,12 @@
 }
 
 void told() {
-  auto terms = usualTerms({kAny});
+  auto terms = defaultConfig({kAny});
   terms.routerCount = 40;  // one of many
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say("answers take 50 ms; b tells of 20 txns in hand, a of 2: all go to a while that is news");
+  b.hidesHealthChecks = true;
+  b.describe("answers take 50 ms; b tells of 20 txns in hand, a of 2: all go to a while that is news");
   for (TxnId id = 1; id <= 8; ++id) {
     b.at(static_cast<std::int64_t>(id) * 10, [&](Router& r) { r.onTransaction(b.txn(id)); });
     b.at(static_cast<std::int64_t>(id) * 10 + 5,
@@ -636,7 +640,7 @@
   }
   b.at(100, [&](Router& r) {
     for (const bool full : {false, true}) {
-      auto said = b.standing(Role::replica, 99);
+      auto said = b.loadReport(Role::replica, 99);
       said.inFlight = full ? 20 : 2;
       r.onHealthCheckEnded(full ? "b" : "a", AttemptOutcome::committed, said);
     }
@@ -646,18 +650,19 @@
     b.at(static_cast<std::int64_t>(id) * 10 + 5,
          [&](Router& r) { end(b, r, id, AttemptOutcome::committed); });
   }
-  b.say("3 s later it is old, and b is drawn again");
+  b.describe("3 s later it is old, and b is drawn again");
   for (TxnId id = 21; id <= 26; ++id)
     b.at(static_cast<std::int64_t>(id) * 10 + 3000, [&](Router& r) { r.onTransaction(b.txn(id)); });
 }
 
 void shortGroup() {
-  auto terms = usualTerms({kAny});
+  auto terms = defaultConfig({kAny});
   terms.routerCount = 40;  // one of many
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say("a few answers took half of the latency target, at both: part of what comes next is refused at once");
+  b.hidesHealthChecks = true;
+  b.describe(
+      "a few answers took half of the latency target, at both: part of what comes next is refused at once");
   for (TxnId id = 1; id <= 6; ++id) {
     const auto from = static_cast<std::int64_t>(id) * 220;
     b.at(from, [&](Router& r) { r.onTransaction(b.txn(id)); });
@@ -674,8 +679,8 @@
 }
 
 void kinds() {
-  Bench b(usualTerms({kAny}));
-  b.quietProbes = true;
+  RouterHarness b(defaultConfig({kAny}));
+  b.hidesHealthChecks = true;
   const auto of = [&](const std::string& node, const std::string& kind) {
     auto made = b.entry(node);
     made.kind = kind;
@@ -685,7 +690,8 @@
     r.onEndpointList(EndpointUpdateKind::restored,
                      {b.entry("p", true), of("a", "old"), of("b", "new"), of("c", "old"), of("d", "new")});
   });
-  b.say("a takes three times as long as b; c and d are new here, and d, of b's kind, is drawn more than c");
+  b.describe(
+      "a takes three times as long as b; c and d are new here, and d, of b's kind, is drawn more than c");
   for (TxnId id = 1; id <= 24; ++id) {
     b.at(static_cast<std::int64_t>(id) * 30, [&](Router& r) { r.onTransaction(b.txn(id)); });
     b.at(static_cast<std::int64_t>(id) * 30 + 10, [&](Router& r) {
@@ -699,12 +705,12 @@
 }
 
 void strainedPrimary() {
-  auto terms = usualTerms({kWrite, kSession});
+  auto terms = defaultConfig({kWrite, kSession});
   terms.routerCount = 40;
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "one of many routers, whose writes took half of their latency target: an owed read stays off the "
       "primary");
   for (TxnId id = 1; id <= 3; ++id) {
@@ -715,20 +721,20 @@
   }
   b.at(100, [&](Router& r) { r.onTransaction(b.sessionRead(4, 1, 20)); });
   b.run(105, 300);
-  b.say("until a replica has what it needs");
+  b.describe("until a replica has what it needs");
   b.at(305, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 200));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 200));
   });
-  b.say("2 s later that is old: the next goes to the primary after its hold");
+  b.describe("2 s later that is old: the next goes to the primary after its hold");
   b.at(2500, [&](Router& r) { r.onTransaction(b.sessionRead(5, 1, 20, 8)); });
   b.run(2505, 2700);
 }
 
 void oddNews() {
-  Bench b(usualTerms({kAny, kSession}));
+  RouterHarness b(defaultConfig({kAny, kSession}));
   start(b);
-  b.quietProbes = true;
-  b.say("a list that doubles a, adds c, which nobody knew, and leaves b out: b gets nothing new");
+  b.hidesHealthChecks = true;
+  b.describe("a list that doubles a, adds c, which nobody knew, and leaves b out: b gets nothing new");
   b.at(10, [&](Router& r) {
     r.onTransaction(b.txn(1));
     r.onEndpointList(EndpointUpdateKind::snapshot,
@@ -736,30 +742,31 @@
   });
   for (TxnId id = 2; id <= 4; ++id)
     b.at(static_cast<std::int64_t>(id) * 10, [&](Router& r) { r.onTransaction(b.txn(id)); });
-  b.say("an answer from b, no longer listed, counts; one from a node that no list ever named is passed over");
+  b.describe(
+      "an answer from b, no longer listed, counts; one from a node that no list ever named is passed over");
   b.at(60, [&](Router& r) {
     r.onAttemptEnded(1, 0, "b", AttemptOutcome::committed, true, ms(50), {Role::replica, {}}, {});
     r.onAttemptEnded(2, 0, "x", AttemptOutcome::committed, true, ms(50), {Role::replica, {}}, {});
-    r.onHealthCheckEnded("x", AttemptOutcome::committed, b.standing(Role::primary, 50));
+    r.onHealthCheckEnded("x", AttemptOutcome::committed, b.loadReport(Role::primary, 50));
   });
-  b.say(
+  b.describe(
       "a's position of 300 ms still holds after a report that goes back: what needs 250 ms is drawn at once");
   b.at(310, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 300));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 300));
   });
   b.at(350, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 100));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 100));
   });
   b.at(360, [&](Router& r) { r.onTransaction(b.sessionRead(7, 1, 110)); });
 }
 
 void coldGroup() {
-  auto terms = usualTerms({kAny, kWrite});
+  auto terms = defaultConfig({kAny, kWrite});
   terms.routerCount = 40;
-  Bench b(terms);
+  RouterHarness b(terms);
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "the whole group has started again: of 12 reads and 4 writes in 160 ms each node gets one at the most");
   b.at(10, [&](Router& r) {
     auto p = b.entry("p", true), a = b.entry("a"), c = b.entry("b");
@@ -767,25 +774,25 @@
     r.onEndpointList(EndpointUpdateKind::delta, {p, a, c});
   });
   b.at(15, [&](Router& r) {
-    r.onHealthCheckEnded("p", AttemptOutcome::committed, b.standing(Role::primary, 14));
+    r.onHealthCheckEnded("p", AttemptOutcome::committed, b.loadReport(Role::primary, 14));
   });
   for (TxnId id = 1; id <= 16; ++id)
     b.at(static_cast<std::int64_t>(id) * 10 + 10,
          [&](Router& r) { r.onTransaction(b.txn(id, id % 4 == 0)); });
-  b.say("writes are held while time remains; what can't be served in time is refused");
+  b.describe("writes are held while time remains; what can't be served in time is refused");
   b.run(175, 600);
 }
 
 void stall() {
-  Bench b(usualTerms({kAny}));
+  RouterHarness b(defaultConfig({kAny}));
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "the router is held up for 2 s: what it hears then is old by its own fault and speaks against no node");
   b.at(10, [&](Router& r) {
     for (TxnId id = 1; id <= 4; ++id) r.onTransaction(b.txn(id, 0, 5000));
   });
-  b.holdUp();
+  b.stall();
   b.at(2010, [&](Router& r) {
     for (TxnId id = 1; id <= 4; ++id)
       r.onAttemptEnded(id, 0, b.nodeOf(id), id > 1 ? AttemptOutcome::timeout : AttemptOutcome::committed,
@@ -795,10 +802,10 @@
 }
 
 void oldLatencies() {
-  Bench b(usualTerms({kAny}));
+  RouterHarness b(defaultConfig({kAny}));
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "five answers took 450 ms, longer than the latency target: what comes now is refused, but not for "
       "ever");
   for (TxnId id = 1; id <= 5; ++id) {
@@ -813,10 +820,10 @@
 }
 
 void nextTry() {
-  Bench b(usualTerms({kSession}));
+  RouterHarness b(defaultConfig({kSession}));
   start(b);
-  b.quietProbes = true;
-  b.say(
+  b.hidesHealthChecks = true;
+  b.describe(
       "no member has what session 9 wrote: given up at its latency target, and when it comes back, at once");
   b.at(10, [&](Router& r) {
     r.onEndpointList(EndpointUpdateKind::delta, {b.entry("p", false, Health::draining)});
@@ -830,23 +837,25 @@
 }
 
 void askedList() {
-  auto terms = usualTerms({kAny, kSession, kWrite});
+  auto terms = defaultConfig({kAny, kSession, kWrite});
   terms.endpointListIsPolled = true;
   terms.sessionAgeProvided = false;
-  Bench b(terms);
-  b.say("the list must be asked for: followed from the start, and again a second after a call failed");
+  RouterHarness b(terms);
+  b.describe("the list must be asked for: followed from the start, and again a second after a call failed");
   start(b);
   b.at(100, [&](Router& r) { r.onEndpointListFailed(); });
   b.at(1000);
   b.at(1100);
-  b.say("session marks are remembered here: after its write, a session's read waits until a replica has it");
+  b.describe(
+      "session marks are remembered here: after its write, a session's read waits until a replica has it");
   b.at(1200, [&](Router& r) {
     auto write = b.txn(1, 2);
     write.session = 9;
     r.onTransaction(write);
   });
   b.at(1250, [&](Router& r) {
-    r.onAttemptEnded(1, 0, "p", AttemptOutcome::committed, true, ms(50), b.standing(Role::primary, 1240), {});
+    r.onAttemptEnded(1, 0, "p", AttemptOutcome::committed, true, ms(50), b.loadReport(Role::primary, 1240),
+                     {});
     auto read = b.txn(2, 1);
     read.session = 9;
     r.onTransaction(read);
@@ -854,20 +863,21 @@
     r.onTransaction(read);
   });
   b.at(1300, [&](Router& r) {
-    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.standing(Role::replica, 1239));
+    r.onHealthCheckEnded("a", AttemptOutcome::committed, b.loadReport(Role::replica, 1239));
   });
   b.at(1310, [&](Router& r) {
-    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.standing(Role::replica, 1240));
+    r.onHealthCheckEnded("b", AttemptOutcome::committed, b.loadReport(Role::replica, 1240));
   });
 }
 
 void hedge() {
   auto slow = kAny;
   slow.latencyTarget = ms(2000);
-  Bench b(usualTerms({slow}));
+  RouterHarness b(defaultConfig({slow}));
   start(b);
-  b.quietProbes = true;
-  b.say("a read that has been out for six times the usual gets one copy elsewhere; the loser is cancelled");
+  b.hidesHealthChecks = true;
+  b.describe(
+      "a read that has been out for six times the usual gets one copy elsewhere; the loser is cancelled");
   b.at(10, [&](Router& r) { r.onTransaction(b.txn(1, 0, 3000)); });
   b.at(60, [&](Router& r) { end(b, r, 1, AttemptOutcome::committed); });
   b.at(70, [&](Router& r) { r.onTransaction(b.txn(2, 0, 3000)); });
@@ -876,9 +886,9 @@
 }
 
 void worthless() {
-  Bench b(usualTerms({kAny}));
+  RouterHarness b(defaultConfig({kAny}));
   start(b);
-  b.quietProbes = true;
+  b.hidesHealthChecks = true;
   TxnId id = 0;
   std::int64_t now = 0;
   // One txn, which errs at the nodes named.
@@ -893,10 +903,10 @@
       });
     }
   };
-  b.say(
+  b.describe(
       "every other txn errs wherever it goes: given up after a second node, soon after one; none is blamed");
   while (id < 16) play(id % 2 ? "" : "a b");
-  b.say("then a alone errs: what errs there is committed by b, and a is drawn no more but for trials");
+  b.describe("then a alone errs: what errs there is committed by b, and a is drawn no more but for trials");
   while (id < 32) play("a");
 }
 
--- a/tests/drawn_settings.h
+++ b/tests/drawn_settings.h
@@ -1,5 +1,5 @@
-// Configurations drawn at random in the form of the deployment page: every effect with every read level, each
-// limit on and off, times at their ends. One seed draws one configuration, on every machine the same.
+// Random configurations in the format of the deployment page: every effect with every read level, each limit
+// on and off, times at the ends of their ranges. A seed gives the same configuration on every machine.
 #pragma once
 
 #include <array>
@@ -9,94 +9,99 @@
 
 namespace gulltrestle::settings {
 
-// Where the drawn router listens and finds discovery; memory and descriptors are drawn.
-struct Place {
+// The name and addresses of the configured router; its limits of memory and descriptors are random.
+struct RouterAddresses {
   std::string name = "n", listen = "127.0.0.1:6543", discovery = "127.0.0.1:8500";
-  std::string known = "null";  // the list of nodes that it starts with, as JSON
+  std::string known = "null";  // the initial endpoint list, as JSON
 };
 
-class Draw {
+// A source of random values that is the same on every platform.
+class RandomSource {
  public:
-  explicit Draw(std::uint64_t seed) : chance_(seed) {}
+  explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  // Half-open: at least `from`, less than `to`.
-  std::uint64_t whole(std::uint64_t from, std::uint64_t to) { return from + chance_() % (to - from); }
-  bool one(std::uint64_t in) { return whole(0, in) == 0; }
+  // An integer in the half-open range [from, to).
+  std::uint64_t integer(std::uint64_t from, std::uint64_t to) { return from + engine_() % (to - from); }
+  // True with a probability of 1 in `count`.
+  bool oneIn(std::uint64_t count) { return integer(0, count) == 0; }
   template <std::size_t N>
-  std::string any(const std::array<const char*, N>& words) {
-    return words[whole(0, N)];
+  std::string pick(const std::array<const char*, N>& choices) {
+    return choices[integer(0, N)];
   }
-  std::string flag() { return one(2) ? "true" : "false"; }
+  std::string flag() { return oneIn(2) ? "true" : "false"; }
 
  private:
-  std::mt19937_64 chance_;  // its numbers are the standard's; distributions are not
+  std::mt19937_64 engine_;  // the standard specifies its numbers, but not those of distributions
 };
 
 namespace detail {
 
-// Microseconds: from 50 ms to 3 s, mostly of a usual length.
-inline std::uint64_t deadline(Draw& draw) { return draw.one(4) ? 50'000 : draw.whole(50, 3'001) * 1'000; }
+// In microseconds: 50 ms in one of four cases, otherwise between 50 ms and 3 s.
+inline std::uint64_t deadline(RandomSource& random) {
+  return random.oneIn(4) ? 50'000 : random.integer(50, 3'001) * 1'000;
+}
 
-inline std::string lane(Draw& draw, std::size_t row) {
-  const std::uint64_t deadline = detail::deadline(draw);
-  const std::uint64_t objective = draw.one(8) ? 1 : draw.whole(1, deadline + 1);
-  const std::string effect = draw.any<3>({"idempotent", "deduplicated", "at_most_once"});
-  // None, shorter than a round trip, shorter than the deadline, or longer than it.
-  const std::uint64_t window = draw.one(4) ? draw.whole(0, 500) : draw.whole(0, 5'000) * 1'000;
+inline std::string lane(RandomSource& random, std::size_t row) {
+  const std::uint64_t deadline = detail::deadline(random);
+  const std::uint64_t objective = random.oneIn(8) ? 1 : random.integer(1, deadline + 1);
+  const std::string effect = random.pick<3>({"idempotent", "deduplicated", "at_most_once"});
+  // Zero, shorter than a round trip, shorter than the deadline, or longer than the deadline.
+  const std::uint64_t window = random.oneIn(4) ? random.integer(0, 500) : random.integer(0, 5'000) * 1'000;
   return "{\"name\":\"type-" + std::to_string(row) + "\",\"effect\":\"" + effect + "\",\"group\":\"" +
-         draw.any<2>({"all", "cell"}) + "\",\"window\":" + std::to_string(window) +
+         random.pick<2>({"all", "cell"}) + "\",\"window\":" + std::to_string(window) +
          ",\"objective\":" + std::to_string(objective) + ",\"deadline\":" + std::to_string(deadline) +
-         ",\"worth\":" + draw.any<4>({"0", "0.1", "1", "7.5"}) +
-         ",\"lateShare\":" + draw.any<3>({"0", "0.3", "1"}) + ",\"aimStretch\":" + draw.any<2>({"0", "2.5"}) +
-         "}";
+         ",\"worth\":" + random.pick<4>({"0", "0.1", "1", "7.5"}) +
+         ",\"lateShare\":" + random.pick<3>({"0", "0.3", "1"}) +
+         ",\"aimStretch\":" + random.pick<2>({"0", "2.5"}) + "}";
 }
 
-inline std::string limits(Draw& draw) {
-  if (draw.one(10)) return "{}";
+inline std::string limits(RandomSource& random) {
+  if (random.oneIn(10)) return "{}";
   std::string out = "{";
   for (const char* name : {"probes", "cancel", "secondCopies", "retryAfter"})
-    out += "\"" + std::string(name) + "\":" + draw.flag() + ",";
-  out += "\"maxAttempts\":" + std::to_string(draw.whole(1, 7)) +
-         ",\"maxRetryAfter\":" + std::to_string(draw.whole(0, 2'000'000)) +
-         ",\"connIdle\":" + std::to_string(draw.whole(200'000, 60'000'000)) +
-         ",\"connectTimeout\":" + std::to_string(draw.whole(20'000, 1'000'000)) + "}";
+    out += "\"" + std::string(name) + "\":" + random.flag() + ",";
+  out += "\"maxAttempts\":" + std::to_string(random.integer(1, 7)) +
+         ",\"maxRetryAfter\":" + std::to_string(random.integer(0, 2'000'000)) +
+         ",\"connIdle\":" + std::to_string(random.integer(200'000, 60'000'000)) +
+         ",\"connectTimeout\":" + std::to_string(random.integer(20'000, 1'000'000)) + "}";
   return out;
 }
 
 }  // namespace detail
 
-inline std::string configuration(std::uint64_t seed, const Place& place = {}) {
-  Draw draw(seed);
-  const std::size_t types = draw.whole(1, 7);
-  // Some deployments have writes alone, some reads alone.
-  const std::uint64_t levels = draw.whole(0, 6);
+// The text of the configuration file for this seed.
+inline std::string randomConfiguration(std::uint64_t seed, const RouterAddresses& addresses = {}) {
+  RandomSource random(seed);
+  const std::size_t types = random.integer(1, 7);
+  // Some deployments have only writes, some only reads.
+  const std::uint64_t levels = random.integer(0, 6);
   std::string lanes, readLevels, bounds;
   for (std::size_t row = 0; row < types; ++row) {
     const std::string comma = row == 0 ? "" : ",";
-    lanes += comma + detail::lane(draw, row);
+    lanes += comma + detail::lane(random, row);
     const std::string level = levels == 0 ? "update"
                               : levels == 1
-                                  ? draw.any<4>({"loose", "recent", "own_writes", "latest"})
-                                  : draw.any<5>({"loose", "recent", "own_writes", "latest", "update"});
+                                  ? random.pick<4>({"loose", "recent", "own_writes", "latest"})
+                                  : random.pick<5>({"loose", "recent", "own_writes", "latest", "update"});
     readLevels += comma + "\"" + level + "\"";
-    bounds += comma + std::to_string(draw.one(4) ? 0 : draw.whole(1, 10'000'000));
+    bounds += comma + std::to_string(random.oneIn(4) ? 0 : random.integer(1, 10'000'000));
   }
-  const std::string routers = draw.any<5>({"1", "3", "29", "300", "900"});
-  return "{\"name\":\"" + place.name + "\",\"listen\":\"" + place.listen + "\",\"discovery\":\"" +
-         place.discovery + "\",\"seed\":\"" + std::to_string(draw.whole(0, 1u << 30)) +
-         "\",\"limits\":{\"cores\":1.0,\"memory_mb\":" + draw.any<3>({"8", "32", "192"}) +
-         ",\"sockets\":" + draw.any<3>({"96", "256", "1024"}) + "},\"known\":" + place.known +
-         ",\"settings\":{\"zone\":\"" + draw.any<2>({"", "a"}) +
-         "\",\"round\":" + draw.any<3>({"1000", "5000", "20000"}) + ",\"balancers\":" + routers +
-         ",\"discovery\":\"" + draw.any<2>({"pushed", "on_request"}) +
-         "\",\"limits\":" + detail::limits(draw) + ",\"lanes\":[" + lanes +
-         "],\"rules\":{\"coldFrom\":" + draw.any<3>({"0", "0.2", "1"}) +
-         ",\"cold\":" + std::to_string(draw.whole(0, 20'000'000)) + ",\"softRemoval\":" + draw.flag() +
-         ",\"drainGrace\":" + std::to_string(draw.whole(150'000, 3'000'000)) +
-         ",\"askWithin\":" + std::to_string(draw.whole(0, 5'000'000)) + "},\"specifics\":{\"readLevel\":[" +
-         readLevels + "],\"lagAllowed\":[" + bounds + "],\"sessionMarks\":\"" +
-         draw.any<2>({"client", "router"}) + "\",\"guards\":\"" + draw.any<3>({"off", "reject", "hold"}) +
-         "\"}}}";
+  const std::string routers = random.pick<5>({"1", "3", "29", "300", "900"});
+  return "{\"name\":\"" + addresses.name + "\",\"listen\":\"" + addresses.listen + "\",\"discovery\":\"" +
+         addresses.discovery + "\",\"seed\":\"" + std::to_string(random.integer(0, 1u << 30)) +
+         "\",\"limits\":{\"cores\":1.0,\"memory_mb\":" + random.pick<3>({"8", "32", "192"}) +
+         ",\"sockets\":" + random.pick<3>({"96", "256", "1024"}) + "},\"known\":" + addresses.known +
+         ",\"settings\":{\"zone\":\"" + random.pick<2>({"", "a"}) +
+         "\",\"round\":" + random.pick<3>({"1000", "5000", "20000"}) + ",\"balancers\":" + routers +
+         ",\"discovery\":\"" + random.pick<2>({"pushed", "on_request"}) +
+         "\",\"limits\":" + detail::limits(random) + ",\"lanes\":[" + lanes +
+         "],\"rules\":{\"coldFrom\":" + random.pick<3>({"0", "0.2", "1"}) +
+         ",\"cold\":" + std::to_string(random.integer(0, 20'000'000)) + ",\"softRemoval\":" + random.flag() +
+         ",\"drainGrace\":" + std::to_string(random.integer(150'000, 3'000'000)) +
+         ",\"askWithin\":" + std::to_string(random.integer(0, 5'000'000)) +
+         "},\"specifics\":{\"readLevel\":[" + readLevels + "],\"lagAllowed\":[" + bounds +
+         "],\"sessionMarks\":\"" + random.pick<2>({"client", "router"}) + "\",\"guards\":\"" +
+         random.pick<3>({"off", "reject", "hold"}) + "\"}}}";
 }
 
 }  // namespace gulltrestle::settings
--- a/tests/execution_gate.cpp
+++ b/tests/execution_gate.cpp
@@ -60,8 +60,8 @@
 
  private:
   static RoutingConfig routingConfig() {
-    return trace::usualTerms(
-        {trace::type(ReadLevel::write, Effect::atMostOnce), trace::type(ReadLevel::any)});
+    return trace::defaultConfig({trace::transactionClass(ReadLevel::write, Effect::atMostOnce),
+                                 trace::transactionClass(ReadLevel::any)});
   }
   static std::vector<ResolvedEndpoint> endpointList() {
     EndpointEntry entry;
--- a/tests/ext_proc/bench.cpp
+++ b/tests/ext_proc/bench.cpp
@@ -5,9 +5,10 @@
 namespace gulltrestle::ext_proc_test {
 
 RoutingConfig routingConfig() {
-  return trace::usualTerms({trace::type(ReadLevel::any), trace::type(ReadLevel::bounded),
-                            trace::type(ReadLevel::session),
-                            trace::type(ReadLevel::write, Effect::atMostOnce)});
+  return trace::defaultConfig({trace::transactionClass(ReadLevel::any),
+                               trace::transactionClass(ReadLevel::bounded),
+                               trace::transactionClass(ReadLevel::session),
+                               trace::transactionClass(ReadLevel::write, Effect::atMostOnce)});
 }
 
 const std::vector<std::string>& classNames() {
--- a/tests/faults.cpp
+++ b/tests/faults.cpp
@@ -23,7 +23,7 @@
       : folder_(scratchFolder("faults")), machine(folder_ + "/machine", seed), discovery_(nodes()) {}
   ~Trial() {
     child_->signal(SIGTERM);
-    child_->untilItSays("no line has this");
+    child_->waitForLine("no line has this");
     const int code = child_->wait();
     std::cout << "exit code " << code << (code == 0 ? "" : ", " + child_->lastLine()) << "\n";
     unlink((folder_ + "/config.json").c_str());
@@ -41,7 +41,7 @@
     child_ = std::make_unique<Child>(std::vector<std::string>{
         "BALANCER_CONFIG=" + folder_ + "/config.json", "LD_PRELOAD=" GULLTRESTLE_BAD_MACHINE_LIBRARY,
         "ASAN_OPTIONS=verify_asan_link_order=0", machine.variable()});
-    return child_->untilItSays("listens on");
+    return child_->waitForLine("listens on");
   }
 
   // Asks for so many txns, reads and writes in turn, on connections of ten each; how many were committed and
@@ -74,7 +74,7 @@
   }
   // Whether each txn came to the node once: what is sent once more was not sent on before.
   void tellSentOn(int txns) {
-    const std::string all = node_.saw();
+    const std::string all = node_.receivedKeys();
     const auto statements = 1 + std::count(all.begin(), all.end(), ' ');
     std::cout << (statements == txns ? "each sent on once\n"
                                      : std::to_string(statements) + " statements sent on\n");
@@ -85,12 +85,12 @@
     Peer client = Peer::to(port_.number());
     const auto sentAt = Clock::now();
     client.send(postgres::startup("worker", "catalog") + write(10, "late"));
-    until(sentAt + late);
+    sleepUntil(sentAt + late);
     later();
     client.answer();  // of the greeting
     client.answer();
     const int left = kWriteMs - static_cast<int>(late.count()) + kSlackMs;
-    const int told = node_.told("late");
+    const int told = node_.remainingTimeMs("late");
     std::cout << (told == 0      ? "nothing was sent\n"
                   : told <= left ? "told at most what is left\n"
                                  : "told " + std::to_string(told - left) + " ms too much\n");
@@ -100,15 +100,16 @@
     {
       Peer client = Peer::to(port_.number());
       client.send(postgres::startup("worker", "catalog") + write(10, "gone"));
-      client.arrives();
+      client.waitUntilDelivered();
     }
-    until(Clock::now() + late);
+    sleepUntil(Clock::now() + late);
     later();
     ask(2);
     std::cout << "nodes saw "
-              << (node_.told("gone") == 0 ? "nothing" : "a statement of a client that had gone") << "\n";
+              << (node_.remainingTimeMs("gone") == 0 ? "nothing" : "a statement of a client that had gone")
+              << "\n";
   }
-  void halt() { child_->halt(); }
+  void halt() { child_->suspend(); }
   void go() { child_->signal(SIGCONT); }
   void tellFired(Kind kind) {
     std::cout << faults::kNames[static_cast<std::size_t>(kind)]
@@ -116,7 +117,7 @@
   }
 
  private:
-  std::string nodes() const { return list(1, entry(node_.side(), "s-1", "up")); }
+  std::string nodes() const { return endpointListJson(1, endpointEntryJson(node_.server(), "s-1", "up")); }
   Peer connected() const {
     Peer made = Peer::to(port_.number());
     made.send(postgres::startup("worker", "catalog"));
@@ -131,8 +132,8 @@
   faults::Machine machine;
 
  private:
-  Node node_;
-  Lists discovery_;
+  FakeNode node_;
+  FakeDiscovery discovery_;
   std::unique_ptr<Child> child_;
 };
 
--- a/tests/gateway/bench.cpp
+++ b/tests/gateway/bench.cpp
@@ -11,9 +11,10 @@
 }
 
 RoutingConfig routingConfig(bool onlyDrainingExcludes) {
-  RoutingConfig config =
-      trace::usualTerms({trace::type(ReadLevel::any), trace::type(ReadLevel::bounded),
-                         trace::type(ReadLevel::session), trace::type(ReadLevel::write, Effect::atMostOnce)});
+  RoutingConfig config = trace::defaultConfig(
+      {trace::transactionClass(ReadLevel::any), trace::transactionClass(ReadLevel::bounded),
+       trace::transactionClass(ReadLevel::session),
+       trace::transactionClass(ReadLevel::write, Effect::atMostOnce)});
   config.onlyDrainingExcludes = onlyDrainingExcludes;
   return config;
 }
--- a/tests/levels.cpp
+++ b/tests/levels.cpp
@@ -178,7 +178,7 @@
 std::vector<TransactionClass> hanulTypes() {
   const auto made = [](ReadLevel level, std::int64_t sla, std::int64_t deadline, double value,
                        Effect effect) {
-    TransactionClass type = trace::type(level, effect);
+    TransactionClass type = trace::transactionClass(level, effect);
     type.latencyTarget = ms(sla);
     type.deadline = ms(deadline);
     type.priorityWeight = value;
@@ -222,21 +222,21 @@
 
 void taken() {
   using namespace trace;
-  RoutingConfig terms = usualTerms(
-      {type(ReadLevel::any), type(ReadLevel::session), type(ReadLevel::write, Effect::atMostOnce)});
+  RoutingConfig terms = defaultConfig({transactionClass(ReadLevel::any), transactionClass(ReadLevel::session),
+                                       transactionClass(ReadLevel::write, Effect::atMostOnce)});
   terms.degradationEnabled = true;
-  Bench b(terms);
-  b.quietProbes = true;
+  RouterHarness b(terms);
+  b.hidesHealthChecks = true;
   DegradationRules none, row;
   b.at(0, [&](Router& r) {
     r.onEndpointList(EndpointUpdateKind::snapshot, {b.entry("p", true), b.entry("a"), b.entry("b")});
     r.onTransaction(b.txn(1));
   });
   b.at(5, [&](Router& r) {
-    r.onAttemptEnded(1, 0, b.nodeOf(1), AttemptOutcome::committed, true, ms(5), b.standing(Role::replica, 0),
-                     {});
+    r.onAttemptEnded(1, 0, b.nodeOf(1), AttemptOutcome::committed, true, ms(5),
+                     b.loadReport(Role::replica, 0), {});
   });
-  b.say(
+  b.describe(
       "ready: a session read is refused at once where no replica is known to have what it must see, and is "
       "never given older data; writes and the others are let in");
   row.admission = {AdmissionPolicy::all, AdmissionPolicy::withReadyReplica, AdmissionPolicy::all};
@@ -247,10 +247,10 @@
     r.onTransaction(b.txn(3, 2));
     r.onTransaction(b.txn(4));
   });
-  b.say("one that a replica can answer is let in");
+  b.describe("one that a replica can answer is let in");
   b.at(15, [&](Router& r) { r.onTransaction(b.sessionRead(5, 1, 100)); });
-  b.say("none: refused at once; what was taken before stays");
-  b.say("spare: not where half of the room is taken");
+  b.describe("none: refused at once; what was taken before stays");
+  b.describe("spare: not where half of the room is taken");
   row.admission = {AdmissionPolicy::withSpareCapacity, AdmissionPolicy::withReadyReplica,
                    AdmissionPolicy::all};
   b.at(17, [&](Router& r) {
@@ -263,12 +263,12 @@
     r.onTransaction(b.txn(6));
     r.onTransaction(b.txn(7, 2));
   });
-  b.say("a trial lets in a part of what the level below would");
+  b.describe("a trial lets in a part of what the level below would");
   b.at(25, [&](Router& r) {
     r.setDegradation(1, row, none, 0.25);
     for (TxnId id = 10; id < 30; ++id) r.onTransaction(b.txn(id));
   });
-  b.say("full service again; another group was never reduced");
+  b.describe("full service again; another group was never reduced");
   b.at(2500, [&](Router& r) {
     r.setDegradation(1, none, none, 0);
     r.onTransaction(b.txn(40));
@@ -319,7 +319,7 @@
     std::map<unsigned, unsigned> refusals;
   } nobody;
   auto types = hanulTypes();
-  RoutingConfig terms = trace::usualTerms(types);
+  RoutingConfig terms = trace::defaultConfig(types);
   terms.degradationEnabled = true;
   terms.healthChecksAllowed = false;
   transactions::TransactionTable ledger(terms, 7, 1 << 20, [] {});
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -1,5 +1,5 @@
-// Stand-ins of the tests on loopback sockets: one end of a connection, a side that serves each connection on
-// a thread of its own, discovery's lists, and the router between them.
+// Fakes for tests over loopback sockets: a client or server end of a connection, a fake server that handles
+// each connection on its own thread, endpoint lists as JSON, and a router that runs in this process.
 #pragma once
 
 #include <arpa/inet.h>
@@ -32,6 +32,7 @@
 
 inline constexpr const char* kHost = "127.0.0.1";
 
+// The local port of a bound socket.
 inline unsigned short portOf(const Descriptor& listener) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
@@ -39,111 +40,122 @@
   return ntohs(address.sin_port);
 }
 
-// A free port, held for a process that is about to listen there: bound here, but not listened on.
+// A free port, reserved for a process that is about to listen on it: bound here, but not listened on.
 class Port {
  public:
-  Port() : held_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  Port() : socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     const int on = 1;
-    setsockopt(held_.number(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    if (::bind(held_.number(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-      throw std::system_error(errno, std::generic_category(), "no free port");
+    setsockopt(socket_.number(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    if (::bind(socket_.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+      throw std::system_error(errno, std::generic_category(), "bind to a free loopback port");
   }
-  unsigned short number() const { return portOf(held_); }
+  unsigned short number() const { return portOf(socket_); }
 
  private:
-  Descriptor held_;
+  Descriptor socket_;
 };
 
+// Sleeps for this many milliseconds.
 inline void pause(int millis) { std::this_thread::sleep_for(std::chrono::milliseconds(millis)); }
 
-// One end of a connection, which waits for what it reads; an end of the other side reads as nothing.
+// One end of a connection, with blocking reads. Reads return an empty value once the remote end has closed.
 class Peer {
  public:
   explicit Peer(Descriptor descriptor) : descriptor_(std::move(descriptor)) {}
+  // Connects to a loopback port.
   static Peer to(unsigned short port) {
-    Descriptor made = event_loop::startConnecting(kHost, port);
-    pollfd up{made.number(), POLLOUT, 0};
-    poll(&up, 1, 10000);
-    return Peer(std::move(made));
+    Descriptor socket = event_loop::startConnecting(kHost, port);
+    pollfd writable{socket.number(), POLLOUT, 0};
+    poll(&writable, 1, 10000);
+    return Peer(std::move(socket));
   }
 
-  void send(std::string_view bytes, std::size_t piece = 1 << 20) {
+  // Sends all bytes, at most `chunkSize` with each write.
+  void send(std::string_view bytes, std::size_t chunkSize = 1 << 20) {
     while (!bytes.empty()) {
-      const auto part = bytes.substr(0, piece);
-      const auto done = event_loop::writeFrom(descriptor_.number(), {&part, 1});
+      const auto chunk = bytes.substr(0, chunkSize);
+      const auto done = event_loop::writeFrom(descriptor_.number(), {&chunk, 1});
       if (done.status == event_loop::Io::failed) return;
       bytes.remove_prefix(done.size);
       if (done.status == event_loop::Io::wouldBlock) wait(POLLOUT);
     }
   }
-  // What it does has reached the other side's system when these return: what is laid out on another
-  // connection after it comes after it, also where the system's own threads lag behind.
-  void arrives() const {
-    int left = 1;
-    for (int tries = 0; tries < 10000 && ioctl(descriptor_.number(), SIOCOUTQ, &left) == 0 && left > 0;
+  // The following functions return once their effect has reached the remote end's kernel. Events that a test
+  // then causes on another connection are therefore ordered after it, even if kernel threads lag behind.
+
+  // Waits until all sent bytes are acknowledged.
+  void waitUntilDelivered() const {
+    int unacknowledged = 1;
+    for (int tries = 0;
+         tries < 10000 && ioctl(descriptor_.number(), SIOCOUTQ, &unacknowledged) == 0 && unacknowledged > 0;
          ++tries)
       pause(1);
   }
-  void sendsNoMore() {
+  // Shuts down the sending direction (TCP half-close).
+  void closeSending() {
     shutdown(descriptor_.number(), SHUT_WR);
-    awaitEnd(ends());
+    awaitRemoteClosed(connectionKey());
   }
-  // Ends it in order, or so that the other side sees a reset.
+  // Closes the connection with a FIN; reset() closes it with a RST.
   void close() {
-    const auto both = ends();
+    const auto key = connectionKey();
     descriptor_ = Descriptor();
-    awaitEnd(both);
+    awaitRemoteClosed(key);
   }
   void reset() {
-    const linger at{1, 0};
-    setsockopt(descriptor_.number(), SOL_SOCKET, SO_LINGER, &at, sizeof at);
+    const linger noLinger{1, 0};
+    setsockopt(descriptor_.number(), SOL_SOCKET, SO_LINGER, &noLinger, sizeof noLinger);
     close();
   }
   bool wasReset() const { return reset_; }
-  // The other side has ended its sending, or all.
-  bool hasEnded() const {
-    pollfd at{descriptor_.number(), POLLRDHUP, 0};
-    return poll(&at, 1, 0) > 0 && (at.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  // Whether the remote end has closed the connection or its sending direction.
+  bool remoteClosed() const {
+    pollfd state{descriptor_.number(), POLLRDHUP, 0};
+    return poll(&state, 1, 0) > 0 && (state.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   }
+  // Reads at least one byte into the buffer. Returns false at the end of the stream, on an error or a
+  // timeout.
   bool readMore() {
     char bytes[700];
     for (;;) {
       const auto got = event_loop::readInto(descriptor_.number(), bytes);
-      if (got.status == event_loop::Io::some) kept_.append(bytes, got.size);
+      if (got.status == event_loop::Io::some) buffer_.append(bytes, got.size);
       reset_ = reset_ || got.status == event_loop::Io::failed;
       if (got.status != event_loop::Io::wouldBlock) return got.status == event_loop::Io::some;
       if (!wait(POLLIN)) return false;
     }
   }
+  // The next line without its newline; empty at the end of the stream.
   std::string line() {
-    while (kept_.find('\n') == std::string::npos)
+    while (buffer_.find('\n') == std::string::npos)
       if (!readMore()) return "";
-    const auto made = kept_.substr(0, kept_.find('\n'));
-    kept_.erase(0, made.size() + 1);
-    return made;
+    const auto line = buffer_.substr(0, buffer_.find('\n'));
+    buffer_.erase(0, line.size() + 1);
+    return line;
   }
-  // The next message; its type is 0 at the end.
+  // The next PostgreSQL message as type and body; the type is 0 at the end of the stream.
   std::pair<char, std::string> message() {
     for (;;) {
-      std::string_view bytes = kept_;
+      std::string_view bytes = buffer_;
       if (const auto found = postgres::takeMessage(bytes, 1 << 20)) {
-        const std::pair made(found->type, std::string(found->body));
-        kept_.erase(0, kept_.size() - bytes.size());
-        return made;
+        const std::pair message(found->type, std::string(found->body));
+        buffer_.erase(0, buffer_.size() - bytes.size());
+        return message;
       }
       if (!readMore()) return {0, ""};
     }
   }
+  // Reads and discards the startup message.
   void startup() {
-    while (kept_.size() < 4 && readMore()) {}
-    std::string_view bytes = kept_;
-    while (!postgres::takeOpening(bytes) && readMore()) bytes = kept_;
-    kept_.erase(0, kept_.size() - bytes.size());
+    while (buffer_.size() < 4 && readMore()) {}
+    std::string_view bytes = buffer_;
+    while (!postgres::takeOpening(bytes) && readMore()) bytes = buffer_;
+    buffer_.erase(0, buffer_.size() - bytes.size());
   }
-  // All messages up to the next ReadyForQuery or the end, in short.
+  // A summary of all messages up to the next ReadyForQuery or the end of the stream.
   std::string answer() {
     std::string out;
     for (;;) {
@@ -160,51 +172,52 @@
   }
 
  private:
-  // Own port and the other side's, as the system's table of connections has them.
-  std::string ends() const {
-    sockaddr_in at{};
-    socklen_t size = sizeof at;
+  // The remote and the local address as /proc/net/tcp prints the remote end of an established connection;
+  // empty if the socket is not connected.
+  std::string connectionKey() const {
+    sockaddr_in address{};
+    socklen_t size = sizeof address;
     char text[64] = "";
     const auto port = [&](auto get) {
-      at = {};
-      size = sizeof at;
-      get(descriptor_.number(), reinterpret_cast<sockaddr*>(&at), &size);
-      return static_cast<unsigned>(ntohs(at.sin_port));
+      address = {};
+      size = sizeof address;
+      get(descriptor_.number(), reinterpret_cast<sockaddr*>(&address), &size);
+      return static_cast<unsigned>(ntohs(address.sin_port));
     };
-    const unsigned own = port(getsockname), other = port(getpeername);
-    if (own != 0 && other != 0)
-      std::snprintf(text, sizeof text, "0100007F:%04X 0100007F:%04X 01", other, own);
+    const unsigned local = port(getsockname), remote = port(getpeername);
+    if (local != 0 && remote != 0)
+      std::snprintf(text, sizeof text, "0100007F:%04X 0100007F:%04X 01", remote, local);
     return text;
   }
-  // The other side's end is open (01) no more.
-  static void awaitEnd(const std::string& both) {
-    for (int tries = 0; tries < 10000 && !both.empty(); ++tries) {
+  // Waits until the remote end is no longer in the state ESTABLISHED (01 in /proc/net/tcp).
+  static void awaitRemoteClosed(const std::string& key) {
+    for (int tries = 0; tries < 10000 && !key.empty(); ++tries) {
       std::ifstream table("/proc/net/tcp");
       const std::string all(std::istreambuf_iterator<char>(table), {});
-      if (all.find(both) == std::string::npos) return;
+      if (all.find(key) == std::string::npos) return;
       pause(1);
     }
   }
-  bool wait(short what) {
-    pollfd ready{descriptor_.number(), what, 0};
-    return poll(&ready, 1, 10000) > 0;  // far more than anything here takes
+  bool wait(short pollEvents) {
+    pollfd ready{descriptor_.number(), pollEvents, 0};
+    return poll(&ready, 1, 10000) > 0;  // far longer than any step of these tests takes
   }
   Descriptor descriptor_;
-  std::string kept_;
+  std::string buffer_;
   bool reset_ = false;
 };
 
-// Accepts connections and serves each on a thread of its own until it is destroyed.
-class Side {
+// A fake server: accepts connections and serves each on its own thread until it is destroyed.
+class FakeServer {
  public:
-  // `room`: what of it the system takes in before it is read; 0: as much as usual.
-  explicit Side(std::function<void(Peer&)> serve, int room = 0)
-      : listener_(listening(room)), accepting_([this, serve](std::stop_token stop) {
+  // `receiveBufferBytes` limits what the kernel buffers before the server reads; 0 keeps the default.
+  explicit FakeServer(std::function<void(Peer&)> serve, int receiveBufferBytes = 0)
+      : listener_(listen(receiveBufferBytes)), accepting_([this, serve](std::stop_token stop) {
           while (!stop.stop_requested()) {
-            Descriptor taken;
-            if (event_loop::accept(listener_.number(), taken) == event_loop::Io::some) {
+            Descriptor accepted;
+            if (event_loop::accept(listener_.number(), accepted) == event_loop::Io::some) {
               serving_.emplace_back(
-                  [serve, peer = std::make_shared<Peer>(std::move(taken))] { serve(*peer); });
+                  [serve, peer = std::make_shared<Peer>(std::move(accepted))] { serve(*peer); });
             } else {
               pollfd ready{listener_.number(), POLLIN, 0};
               poll(&ready, 1, 20);
@@ -214,20 +227,23 @@
   unsigned short port() const { return portOf(listener_); }
 
  private:
-  // Connections have the room that their listener had as they came.
-  static Descriptor listening(int room) {
-    Descriptor made = event_loop::listenOn(kHost, 0);
-    // Small segments, too: the sender's system takes in as much as some of them at once.
-    const int segment = 536;
-    if (room > 0) setsockopt(made.number(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
-    if (room > 0) setsockopt(made.number(), IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
-    return made;
+  // Connections inherit the buffer size that the listener has when they arrive.
+  static Descriptor listen(int receiveBufferBytes) {
+    Descriptor listener = event_loop::listenOn(kHost, 0);
+    // The segments are small too: the sender's kernel buffers at least a few segments at once.
+    const int segmentBytes = 536;
+    if (receiveBufferBytes > 0)
+      setsockopt(listener.number(), SOL_SOCKET, SO_RCVBUF, &receiveBufferBytes, sizeof receiveBufferBytes);
+    if (receiveBufferBytes > 0)
+      setsockopt(listener.number(), IPPROTO_TCP, TCP_MAXSEG, &segmentBytes, sizeof segmentBytes);
+    return listener;
   }
   Descriptor listener_;
   std::vector<std::jthread> serving_;
   std::jthread accepting_;
 };
 
+// A complete PostgreSQL answer of one row with one column.
 inline std::string row(std::string_view value) {
   std::string body("\0\1", 2);
   for (int shift = 24; shift >= 0; shift -= 8) body += static_cast<char>(value.size() >> shift & 0xFF);
@@ -236,39 +252,45 @@
          postgres::message('C', std::string("SELECT 1") + '\0') + postgres::readyForQuery();
 }
 
-inline std::string entry(const Side& at, const std::string& id, const std::string& state) {
-  return R"({"id":")" + id + R"(","addr":"127.0.0.1:)" + std::to_string(at.port()) +
+// One entry of an endpoint list, in discovery's JSON.
+inline std::string endpointEntryJson(const FakeServer& server, const std::string& id,
+                                     const std::string& state) {
+  return R"({"id":")" + id + R"(","addr":"127.0.0.1:)" + std::to_string(server.port()) +
          R"(","zone":"a","cell":1,"state":")" + state + R"(","part":"master","started_ms":0})";
 }
-inline std::string list(int version, const std::string& entries, bool whole = true) {
-  return R"({"version":)" + std::to_string(version) + R"(,"full":)" + (whole ? "true" : "false") +
+// An endpoint list, or an endpoint update if `full` is false.
+inline std::string endpointListJson(int version, const std::string& entries, bool full = true) {
+  return R"({"version":)" + std::to_string(version) + R"(,"full":)" + (full ? "true" : "false") +
          R"(,"servers":[)" + entries + "]}";
 }
+// An HTTP response with this body.
 inline std::string http(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
+// Reads the head of an HTTP request and returns its method and path.
 inline std::string pathOf(Peer& peer) {
-  const auto first = peer.line();
+  const auto requestLine = peer.line();
   while (peer.line().size() > 1) {}
-  return first.substr(0, first.rfind(' '));
+  return requestLine.substr(0, requestLine.rfind(' '));
 }
-// A discovery that has nothing to add to what the configuration knows.
+// A discovery service that never answers: the router uses the endpoint list of its configuration.
 inline void silentDiscovery(Peer& peer) { pathOf(peer), peer.readMore(); }
 
-// The router, from its start to its end by SIGTERM.
-class Running {
+// A router that runs on a thread of this process. The destructor shuts it down with SIGTERM.
+class RunningRouter {
  public:
-  Running(const Side& discovery, const std::string& known, int descriptors = 256)
-      : port_(held_.number()), thread_([this, file = text(discovery, known, descriptors)] {
+  // `known` is the endpoint list of the configuration, as JSON. Returns once the router listens.
+  RunningRouter(const FakeServer& discovery, const std::string& known, int descriptors = 256)
+      : port_(reservedPort_.number()), thread_([this, file = text(discovery, known, descriptors)] {
           server::Server server(config::parseRouterConfig(file));
-          up_ = true;
-          up_.notify_all();
+          listening_ = true;
+          listening_.notify_all();
           server.run();
         }) {
-    up_.wait(false);
+    listening_.wait(false);
   }
-  ~Running() {
+  ~RunningRouter() {
     end();
     std::cout << "the router has ended\n";
   }
@@ -278,13 +300,15 @@
     thread_.join();
   }
   unsigned short port() const { return port_; }
+  // Connects a client that has completed its startup.
   Peer client() const {
-    Peer made = Peer::to(port_);
-    made.send(postgres::startup("worker", "catalog"));
-    made.answer();
-    return made;
+    Peer peer = Peer::to(port_);
+    peer.send(postgres::startup("worker", "catalog"));
+    peer.answer();
+    return peer;
   }
-  std::string text(const Side& discovery, const std::string& known, int descriptors = 256) const {
+  // The text of the configuration file.
+  std::string text(const FakeServer& discovery, const std::string& known, int descriptors = 256) const {
     return R"({"name":"n","listen":"127.0.0.1:)" + std::to_string(port_) + R"(","discovery":"127.0.0.1:)" +
            std::to_string(discovery.port()) + R"(","seed":"7","limits":{"memory_mb":64,"sockets":)" +
            std::to_string(descriptors) + R"(},"known":)" + known +
@@ -295,21 +319,25 @@
   }
 
  private:
-  Port held_;
+  Port reservedPort_;
   unsigned short port_;
-  std::atomic<bool> up_ = false;
+  std::atomic<bool> listening_ = false;
   std::jthread thread_;
 };
 
+// A simple query message.
 inline std::string query(std::string_view text) { return postgres::message('Q', std::string(text) + '\0'); }
+// A transaction id that is unique in this process, in the form of the statement comment.
 inline std::string nextId() {
   static std::atomic<int> last = 0;
   return "id=" + std::to_string(++last);
 }
-inline std::string read(const std::string& key, int wait = 9000) {
+// A read of this key, with its remaining time in ms.
+inline std::string read(const std::string& key, int remainingTime = 9000) {
   return query("SELECT body FROM objects WHERE oid = '" + key + "' /* " + nextId() +
-               ",c=read,d=" + std::to_string(wait) + ",cluster=1 */");
+               ",c=read,d=" + std::to_string(remainingTime) + ",cluster=1 */");
 }
+// A write of this many bytes, with a remaining time of 9 s.
 inline std::string write(std::size_t bytes, const std::string& key = "k") {
   return query("INSERT INTO objects (oid, body) VALUES ('" + key + "', '\\x" + std::string(2 * bytes, '7') +
                "') RETURNING body /* " + nextId() + ",c=write,d=9000,cluster=1 */");
--- a/tests/program.h
+++ b/tests/program.h
@@ -1,6 +1,6 @@
-// The program itself as a child process of a test, which can be halted while events are laid out for it and
-// then set going: all of them are there in one turn, in the order in which they were laid out. And a node
-// whose greetings and answers wait for the test.
+// Runs the program as a child process that a test can suspend while it prepares events: once resumed, the
+// program finds all of them in one turn of its event loop, in the order in which they were prepared. Also a
+// fake node whose greetings and answers wait for the test.
 #pragma once
 
 #include <fcntl.h>
@@ -22,61 +22,65 @@
 
 namespace gulltrestle::testing {
 
-// Nothing here takes so long: who waits longer says so, and the trace differs.
-inline constexpr auto kLongest = std::chrono::seconds(30);
+// Far longer than any event takes. A wait that exceeds it prints a line, so the test's output differs.
+inline constexpr auto kEventTimeout = std::chrono::seconds(30);
 
 using Clock = std::chrono::steady_clock;
 
-// As long as it takes until this time has passed: the clock is the event.
-inline void until(Clock::time_point at) {
+// Sleeps until this time has passed.
+inline void sleepUntil(Clock::time_point at) {
   while (Clock::now() < at) pause(1);
 }
 
+// The program with a configuration file of its own. The destructor shuts it down and prints its exit code.
 class Program {
  public:
-  // `connectMs`: what is not up by then does not come up.
-  // `early`: a signal that comes while it reads its configuration, ahead of all else; 0: none does.
-  // `more`: settings beside the usual ones. `allowed`: which means it has. `environment`: variables
-  // beside that of its configuration.
-  Program(unsigned short discovery, const std::string& known, int connectMs = 250, int descriptors = 256,
-          int early = 0, std::string more = "", std::string allowed = R"("probes":true,"cancel":true)",
+  // `connectTimeoutMs`: the timeout of connection attempts to nodes.
+  // `earlySignal`: a signal sent while the program reads its configuration, before anything else; 0: none.
+  // `extraSettings`: settings added to the default ones. `allowedActions`: the optional actions that the
+  // limits allow. `environment`: variables added to the one that names the configuration file.
+  Program(unsigned short discovery, const std::string& known, int connectTimeoutMs = 250,
+          int descriptors = 256, int earlySignal = 0, std::string extraSettings = "",
+          std::string allowedActions = R"("probes":true,"cancel":true)",
           std::vector<std::string> environment = {})
-      : connectMs_(connectMs),
+      : connectTimeoutMs_(connectTimeoutMs),
         descriptors_(descriptors),
-        more_(std::move(more)),
-        allowed_(std::move(allowed)),
+        extraSettings_(std::move(extraSettings)),
+        allowedActions_(std::move(allowedActions)),
         file_("crossings-" + std::to_string(getpid()) + "-" + std::to_string(port_.number()) + ".json") {
-    if (early != 0) mkfifo(file_.c_str(), 0600);
-    if (early == 0) configure(discovery, known);
+    if (earlySignal != 0) mkfifo(file_.c_str(), 0600);
+    if (earlySignal == 0) configure(discovery, known);
     environment.push_back("BALANCER_CONFIG=" + file_);
     child_ = std::make_unique<Child>(std::move(environment), false);
-    if (early != 0) {
-      // Opened once the program opens it, which then waits for the text. Who reads it anew finds a plain
-      // file.
+    if (earlySignal != 0) {
+      // open() blocks until the program has opened the pipe, which then waits for the text. A later reload
+      // of the configuration finds a regular file.
       const Descriptor pipe(::open(file_.c_str(), O_WRONLY | O_CLOEXEC));
-      signal(early);
+      signal(earlySignal);
       const std::string name = std::exchange(file_, file_ + ".plain");
       configure(discovery, known);
       std::ifstream plain(file_);
       const std::string text(std::istreambuf_iterator<char>(plain), {});
       rename(file_.c_str(), name.c_str());
       file_ = name;
-      if (::write(pipe.number(), text.data(), text.size()) < 0) std::cout << "it has not read on\n";
+      if (::write(pipe.number(), text.data(), text.size()) < 0)
+        std::cout << "the program closed its configuration file before reading it\n";
     }
-    says("listens on");
+    waitForLine("listens on");
   }
   ~Program() {
     if (child_) std::cout << "exit code " << end() << "\n";
     unlink(file_.c_str());
   }
 
+  // Writes the configuration file.
   void configure(unsigned short discovery, const std::string& known) {
     std::ofstream(file_)
         << R"({"name":"n","listen":"127.0.0.1:)" << port_.number() << R"(","discovery":"127.0.0.1:)"
         << discovery << R"(","seed":"7","limits":{"memory_mb":64,"sockets":)" << descriptors_
-        << R"(},"known":)" << known << R"(,"settings":{)" << more_ << R"("zone":"a","round":5000,"limits":{)"
-        << allowed_ << R"(,"maxAttempts":3,)"
-        << R"("connectTimeout":)" << connectMs_ << R"(000},"lanes":[)"
+        << R"(},"known":)" << known << R"(,"settings":{)" << extraSettings_
+        << R"("zone":"a","round":5000,"limits":{)" << allowedActions_ << R"(,"maxAttempts":3,)"
+        << R"("connectTimeout":)" << connectTimeoutMs_ << R"(000},"lanes":[)"
         << R"({"name":"read","effect":"idempotent","objective":30000000,"deadline":60000000},)"
         << R"({"name":"write","effect":"at_most_once","objective":30000000,"deadline":60000000},)"
         << R"({"name":"any","effect":"idempotent","objective":30000000,"deadline":60000000},)"
@@ -85,37 +89,40 @@
         << R"("lagAllowed":[0,0,0,0]}}})";
   }
   unsigned short port() const { return port_.number(); }
+  // Connects a client that has completed its startup.
   Peer client() const {
-    Peer made = Peer::to(port());
-    made.send(postgres::startup("worker", "catalog"));
-    made.answer();
-    return made;
+    Peer peer = Peer::to(port());
+    peer.send(postgres::startup("worker", "catalog"));
+    peer.answer();
+    return peer;
   }
 
-  // How many descriptors it may have from now on; those it has stay.
-  void allow(rlim_t descriptors) {
-    const rlimit most{descriptors, 4096};
-    prlimit(child_->id(), RLIMIT_NOFILE, &most, nullptr);
+  // Sets the program's limit of open descriptors. Descriptors that are already open stay open.
+  void limitDescriptors(rlim_t descriptors) {
+    const rlimit limit{descriptors, 4096};
+    prlimit(child_->id(), RLIMIT_NOFILE, &limit, nullptr);
   }
   void signal(int number) { child_->signal(number); }
-  // All threads of it stand still when this returns.
-  void halt() { child_->halt(); }
-  void go() { signal(SIGCONT); }
-  // It has handled all that came before: an empty query is answered, twice, as what it writes may bring news.
-  void settles() {
-    Peer asks = client();
-    for (int i = 0; i < 2; ++i) asks.send(query("")), asks.answer();
+  // Suspends the program; all its threads are stopped when this returns.
+  void suspend() { child_->suspend(); }
+  void resume() { signal(SIGCONT); }
+  // Waits until the program has handled all earlier events: sends an empty query and reads its answer, twice,
+  // because what the program writes may cause further events.
+  void waitUntilIdle() {
+    Peer prober = client();
+    for (int i = 0; i < 2; ++i) prober.send(query("")), prober.answer();
   }
-  // Waits for a line of its log.
-  bool says(const std::string& text) { return child_->untilItSays(text); }
-  // How many lines of its log, up to its end, had this.
-  std::ptrdiff_t said(const std::string& text) {
+  // Waits for a log line that contains this text.
+  bool waitForLine(const std::string& text) { return child_->waitForLine(text); }
+  // Shuts the program down and counts all its log lines that contain this text.
+  std::ptrdiff_t countLines(const std::string& text) {
     signal(SIGTERM);
-    says("no line has this");
+    waitForLine("no line has this");
     const auto& lines = child_->lines();
     return std::count_if(lines.begin(), lines.end(),
                          [&](const std::string& line) { return line.find(text) != std::string::npos; });
   }
+  // Shuts the program down and returns its exit code.
   int end() {
     signal(SIGTERM);
     const int code = child_->wait();
@@ -125,24 +132,25 @@
 
  private:
   Port port_;
-  int connectMs_, descriptors_;
-  std::string more_, allowed_;
+  int connectTimeoutMs_, descriptors_;
+  std::string extraSettings_, allowedActions_;
   std::string file_;
   std::unique_ptr<Child> child_;
 };
 
-// What several threads wait for.
+// Named events that threads signal and wait for.
 class Events {
  public:
-  void happen(const std::string& event) {
+  void signal(const std::string& event) {
     const std::lock_guard lock(mutex_);
-    happened_.push_back(event);
+    signalled_.push_back(event);
     changed_.notify_all();
   }
-  void await(const std::string& event, std::ptrdiff_t times = 1) {
+  // Waits until the event was signalled this many times. Prints a line on a timeout.
+  void waitFor(const std::string& event, std::ptrdiff_t times = 1) {
     std::unique_lock lock(mutex_);
-    if (!changed_.wait_for(lock, kLongest, [&] { return count(event) >= times; }))
-      std::cout << "'" << event << "' has not happened\n";
+    if (!changed_.wait_for(lock, kEventTimeout, [&] { return count(event) >= times; }))
+      std::cout << "'" << event << "' was not signalled before the timeout\n";
   }
   bool has(const std::string& event) {
     const std::lock_guard lock(mutex_);
@@ -151,50 +159,53 @@
 
  private:
   std::ptrdiff_t count(const std::string& event) const {
-    return std::count(happened_.begin(), happened_.end(), event);
+    return std::count(signalled_.begin(), signalled_.end(), event);
   }
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::vector<std::string> happened_;
+  std::vector<std::string> signalled_;
 };
 
-// A primary that tells the events `connection`, `saw KEY` and `answered KEY`, and answers a statement for KEY
-// after `go KEY` where it is told to wait for that; connections beyond the first `greeted` are greeted after
-// `greet`. Where it waits for `breaks` its answer to that is a reset.
-class Node {
+// A fake primary. It signals `connection`, `greeted`, `idle` (an empty query was answered), `received KEY`
+// and `answered KEY`. It answers a statement for a KEY in `waits` only after releaseAnswer(KEY), and greets
+// connections beyond the first `greeted` only after the event `greet`. If `waits` contains the key `breaks`,
+// the node resets the connection in place of an answer to it and signals `broke`.
+class FakeNode {
  public:
-  // Connections beyond the first `read` are read after `read`; `room`: what they take in before that.
-  explicit Node(std::set<std::string> waits = {}, std::size_t greeted = 1 << 20, std::size_t read = 1 << 20,
-                int room = 0)
+  // Connections beyond the first `read` are read only after the event `read`; `receiveBufferBytes` limits
+  // what the kernel buffers for them before.
+  explicit FakeNode(std::set<std::string> waits = {}, std::size_t greeted = 1 << 20,
+                    std::size_t read = 1 << 20, int receiveBufferBytes = 0)
       : waits_(std::move(waits)),
         greeted_(greeted),
         read_(read),
-        side_([this](Peer& peer) { serve(peer); }, room) {}
+        server_([this](Peer& peer) { serve(peer); }, receiveBufferBytes) {}
 
   Events events;
-  unsigned short port() const { return side_.port(); }
-  const Side& side() const { return side_; }
-  void go(const std::string& key) { events.happen("go " + key); }
-  // The keys of all statements that came, in their order.
-  std::string saw() {
+  unsigned short port() const { return server_.port(); }
+  const FakeServer& server() const { return server_; }
+  void releaseAnswer(const std::string& key) { events.signal("release " + key); }
+  // The keys of all received statements in order, or "nothing".
+  std::string receivedKeys() {
     const std::lock_guard lock(mutex_);
     std::string out;
     for (const auto& key : keys_) out += (out.empty() ? "" : " ") + key;
     return out.empty() ? "nothing" : out;
   }
-  int told(const std::string& key) {  // how long it was told to take
+  // The remaining time that the last statement for this key carried; 0 if none was received.
+  int remainingTimeMs(const std::string& key) {
     const std::lock_guard lock(mutex_);
-    return told_[key];
+    return remainingTimesMs_[key];
   }
   std::size_t connections() {
     const std::lock_guard lock(mutex_);
     return peers_.size();
   }
-  // Each connection that is open and at rest gets this, or its end.
+  // Sends these bytes on each open, idle connection, or closes its sending direction if they are empty.
   void sendAll(std::string_view bytes) {
     const std::lock_guard lock(mutex_);
     for (Peer* peer : peers_)
-      if (peer) bytes.empty() ? peer->sendsNoMore() : (peer->send(bytes), peer->arrives());
+      if (peer) bytes.empty() ? peer->closeSending() : (peer->send(bytes), peer->waitUntilDelivered());
   }
 
  private:
@@ -206,12 +217,12 @@
       peers_.push_back(&peer);
     }
     peer.startup();
-    events.happen("connection");
-    if (number >= greeted_) events.await("greet");
+    events.signal("connection");
+    if (number >= greeted_) events.waitFor("greet");
     peer.send(postgres::welcome());
-    peer.arrives();
-    events.happen("greeted");
-    if (number >= read_) events.await("read");
+    peer.waitUntilDelivered();
+    events.signal("greeted");
+    if (number >= read_) events.waitFor("read");
     while (answer(peer)) {}
     const std::lock_guard lock(mutex_);
     peers_[number] = nullptr;
@@ -221,7 +232,7 @@
     if (type != 'Q') return false;
     if (body.size() == 1) {
       peer.send(postgres::emptyQueryResponse() + postgres::readyForQuery());
-      events.happen("rests");
+      events.signal("idle");
       return true;
     }
     if (body.starts_with("SHOW")) {
@@ -232,27 +243,28 @@
     const auto quote = body.find('\'');
     const auto first = body.starts_with("INSERT") ? body.find("('", quote - 1) + 1 : quote;
     const auto key = body.substr(first + 1, body.find('\'', first + 1) - first - 1);
-    bool again = false;
+    bool isRepeated = false;
     {
       const std::lock_guard lock(mutex_);
-      again = std::count(keys_.begin(), keys_.end(), key) > 0;
+      isRepeated = std::count(keys_.begin(), keys_.end(), key) > 0;
       keys_.push_back(key);
-      told_[key] = std::stoi(body.substr(body.find(",d=") + 3));
+      remainingTimesMs_[key] = std::stoi(body.substr(body.find(",d=") + 3));
     }
-    events.happen("saw " + key);
-    if (waits_.contains(key)) events.await("go " + key);
+    events.signal("received " + key);
+    if (waits_.contains(key)) events.waitFor("release " + key);
     if (key == "breaks" && waits_.contains(key)) {
       peer.reset();
-      events.happen("broke");
+      events.signal("broke");
       return false;
     }
     const std::string all = row("v-" + key);
-    // `cut-N` gets N bytes of its answer and an end, `stall-N` so many and no more, the first time each.
+    // The first time each, `cut-N` gets N bytes of its answer and the end of the stream, and `stall-N` gets N
+    // bytes and nothing further.
     const auto dash = key.find('-');
-    if (again || (!key.starts_with("cut-") && !key.starts_with("stall-"))) {
+    if (isRepeated || (!key.starts_with("cut-") && !key.starts_with("stall-"))) {
       peer.send(all);
-      peer.arrives();
-      events.happen("answered " + key);
+      peer.waitUntilDelivered();
+      events.signal("answered " + key);
       return true;
     }
     peer.send(all.substr(0, std::stoul(key.substr(dash + 1))));
@@ -264,8 +276,8 @@
   std::mutex mutex_;
   std::vector<Peer*> peers_;
   std::vector<std::string> keys_;
-  std::map<std::string, int> told_;
-  Side side_;  // last: its threads use the rest
+  std::map<std::string, int> remainingTimesMs_;
+  FakeServer server_;  // last: its threads use the other members
 };
 
 }  // namespace gulltrestle::testing
--- a/tests/returning.cpp
+++ b/tests/returning.cpp
@@ -23,8 +23,9 @@
  public:
   explicit StartingRouter(const std::string& scenario, unsigned routers = 3)
       : stages_(
-            {.classes = {trace::type(ReadLevel::any), trace::type(ReadLevel::session),
-                         trace::type(ReadLevel::write), trace::type(ReadLevel::write, Effect::atMostOnce)},
+            {.classes = {trace::transactionClass(ReadLevel::any), trace::transactionClass(ReadLevel::session),
+                         trace::transactionClass(ReadLevel::write),
+                         trace::transactionClass(ReadLevel::write, Effect::atMostOnce)},
              .routers = routers,
              .mayRequestReports = true,
              .seed = 7}) {
--- a/tests/scratch.h
+++ b/tests/scratch.h
@@ -1,6 +1,6 @@
-// Where tests put folders of their own: TMPDIR where it is set, else in memory where the system has such a
-// place. Losses of power and failing disks are the tests' own doing; a machine's disk that a compiler keeps
-// busy would only add commits of most of a second, which no case is about.
+// Temporary folders of tests: under TMPDIR if it is set, otherwise in memory (/dev/shm) if available. Tests
+// simulate power losses and disk failures themselves. A real disk that a compiler keeps busy would only add
+// commits of most of a second, which no test case covers.
 #pragma once
 
 #include <stdlib.h>
@@ -12,16 +12,17 @@
 
 namespace gulltrestle {
 
+// The folder in which tests create their temporary folders.
 inline std::string scratch() {
-  if (const char* named = std::getenv("TMPDIR"); named && *named) return named;
+  if (const char* configured = std::getenv("TMPDIR"); configured && *configured) return configured;
   return access("/dev/shm", W_OK | X_OK) == 0 ? "/dev/shm" : "/tmp";
 }
 
-// A new folder there.
-inline std::string scratchFolder(const std::string& what) {
-  std::string made = scratch() + "/gulltrestle-" + what + "-XXXXXX";
-  if (!mkdtemp(made.data())) throw std::runtime_error("no folder for " + what);
-  return made;
+// Creates a new folder in scratch(), with `name` as a part of its name. Throws if it cannot be created.
+inline std::string scratchFolder(const std::string& name) {
+  std::string path = scratch() + "/gulltrestle-" + name + "-XXXXXX";
+  if (!mkdtemp(path.data())) throw std::runtime_error("cannot create a temporary folder for " + name);
+  return path;
 }
 
 }  // namespace gulltrestle
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -98,7 +98,7 @@
   const std::string levels = readFile(GULLTRESTLE_LEVELS_FILE);
   Faults faults;
   for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed) try {
-      startInProcess(settings::configuration(seed), levels);
+      startInProcess(settings::randomConfiguration(seed), levels);
     } catch (const std::exception& fault) { faults.add(seed, fault.what()); }
   std::cout << count << " settings, " << faults.count() << " did not start\n";
 }
@@ -108,10 +108,10 @@
   explicit StartedProcess(std::uint64_t settingsSeed)
       : seed(settingsSeed),
         file("settings-" + std::to_string(getpid()) + "-" + std::to_string(seed) + ".json") {
-    settings::Place place;
+    settings::RouterAddresses place;
     place.listen = "127.0.0.1:" + std::to_string(port.number());
     place.known = R"({"version":1,"full":true,"servers":[]})";
-    std::ofstream(file) << settings::configuration(seed, place);
+    std::ofstream(file) << settings::randomConfiguration(seed, place);
     child = std::make_unique<Child>(std::vector<std::string>{
         "BALANCER_CONFIG=" + file, std::string("GULLTRESTLE_LEVELS=") + GULLTRESTLE_LEVELS_FILE});
   }
@@ -130,11 +130,11 @@
   for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed)
     started.push_back(std::make_unique<StartedProcess>(seed));
   for (const auto& process : started) {
-    process->child->untilItSays("listens on");
+    process->child->waitForLine("listens on");
     process->child->signal(SIGTERM);
   }
   for (const auto& process : started) {
-    process->child->untilItSays("no line has this");
+    process->child->waitForLine("no line has this");
     if (const int code = process->child->wait(); code != 0)
       faults.add(process->seed, "exit code " + std::to_string(code) + ", " + process->child->lastLine());
   }
--- a/tests/setups.cpp
+++ b/tests/setups.cpp
@@ -158,8 +158,8 @@
 class World final : public Effects {
  public:
   World()
-      : transactions_(trace::usualTerms({trace::type(ReadLevel::write, Effect::atMostOnce)}), 7, 1 << 20,
-                      [] {}) {
+      : transactions_(trace::defaultConfig({trace::transactionClass(ReadLevel::write, Effect::atMostOnce)}),
+                      7, 1 << 20, [] {}) {
     const ClusterConfig config = readClusterConfig(
         R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2","c":"127.0.0.1:3"},"routers":["d"],"store":"/s"})",
         "a", ms(2000));
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -46,7 +46,7 @@
   explicit Soak(const Options& options)
       : options_(options),
         folder_(scratchFolder("soak")),
-        told_(config::parseRouterConfig(settings::configuration(options.seed)).deployment),
+        told_(config::parseRouterConfig(settings::randomConfiguration(options.seed)).deployment),
         books_(told_.routing.transactionClasses, told_.drainGrace, Duration::millis(options.heldUpMillis)),
         world_(loop_, books_, told_.routing, options.routers, options.seed * 3 + 1) {
     for (const auto& type : told_.routing.transactionClasses) longest_ = std::max(longest_, type.deadline);
--- a/tests/soak/routers.cpp
+++ b/tests/soak/routers.cpp
@@ -30,12 +30,12 @@
 
 void RouterProcess::configure(std::uint64_t settingsSeed, unsigned short discovery,
                               const std::string& known) {
-  settings::Place place;
+  settings::RouterAddresses place;
   place.name = "n" + std::to_string(number_);
   place.listen = "127.0.0.1:" + std::to_string(port());
   place.discovery = "127.0.0.1:" + std::to_string(discovery);
   place.known = known;
-  std::ofstream(path("json")) << settings::configuration(settingsSeed, place);
+  std::ofstream(path("json")) << settings::randomConfiguration(settingsSeed, place);
   // With a status document, so that a bad disk is met.
   std::ofstream(path("levels")) << R"({"status_every_ms":100,"status_file":")" << path("status") << "\"}";
 }
--- a/tests/sockets.cpp
+++ b/tests/sockets.cpp
@@ -60,8 +60,8 @@
 }
 
 void largeValuesAndBrokenAnswers() {
-  Side nodes(node), discovery(silentDiscovery);
-  Running router(discovery, list(1, entry(nodes, "s-1", "up")));
+  FakeServer nodes(node), discovery(silentDiscovery);
+  RunningRouter router(discovery, endpointListJson(1, endpointEntryJson(nodes, "s-1", "up")));
   Peer client = router.client();
   client.send(query("") + read("k") + read("huge"));
   std::cout << client.answer() << "\n" << client.answer() << "\n" << client.answer() << "\n";
@@ -81,7 +81,7 @@
   std::cout << client.answer() << "\n" << client.answer() << "\n";
   std::cout << "half closed while it waits, then nonsense\n";
   client.send(read("slow"));
-  client.sendsNoMore();
+  client.closeSending();
   std::cout << client.answer() << client.answer() << "\n";
   std::cout << "closed while it waits: the node sees that nobody waits any more\n";
   {
@@ -96,8 +96,8 @@
 }
 
 void clientLimit() {
-  Side nodes(node), discovery(silentDiscovery);
-  Running router(discovery, list(1, entry(nodes, "s-1", "up")), 64);
+  FakeServer nodes(node), discovery(silentDiscovery);
+  RunningRouter router(discovery, endpointListJson(1, endpointEntryJson(nodes, "s-1", "up")), 64);
   std::vector<Peer> clients;
   int answered = 0;
   for (int i = 0; i < 60; ++i) {
@@ -124,8 +124,8 @@
 }
 
 void shutdownInOrder() {
-  Side nodes(node), discovery(silentDiscovery);
-  Running router(discovery, list(1, entry(nodes, "s-1", "up")));
+  FakeServer nodes(node), discovery(silentDiscovery);
+  RunningRouter router(discovery, endpointListJson(1, endpointEntryJson(nodes, "s-1", "up")));
   Peer idle = router.client(), busy = router.client();
   busy.send(read("k"));
   std::cout << busy.answer() << "\n";
@@ -169,22 +169,22 @@
 
 // Discovery answers with half a list, a list, a watch whose version goes back, nothing, and then is silent.
 void discoveryFailures() {
-  Side first(node), second(node);
+  FakeServer first(node), second(node);
   RequestedPaths requested;
-  Side discovery([&](Peer& peer) {
+  FakeServer discovery([&](Peer& peer) {
     const std::size_t request = requested.add(pathOf(peer));
     if (request == 1) return peer.send(http("{\"version\":1,\"full\":tru"));
-    if (request == 2) return peer.send(http(list(5, entry(first, "s-1", "up"))));
+    if (request == 2) return peer.send(http(endpointListJson(5, endpointEntryJson(first, "s-1", "up"))));
     peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     if (request == 3) {
       sendChunk(peer, "\n");
-      sendChunk(peer, list(6, entry(second, "s-2", "up"), false) + "\n");
-      return sendChunk(peer, list(4, entry(second, "s-2", "removed"), false) + "\n");
+      sendChunk(peer, endpointListJson(6, endpointEntryJson(second, "s-2", "up"), false) + "\n");
+      return sendChunk(peer, endpointListJson(4, endpointEntryJson(second, "s-2", "removed"), false) + "\n");
     }
     if (request == 4) return;  // an answer that ends before its list
     peer.readMore();
   });
-  Running router(discovery, list(0, ""));
+  RunningRouter router(discovery, endpointListJson(0, ""));
   Peer client = Peer::to(router.port());
   client.send(postgres::startup("worker", "catalog") + query(""));
   client.answer();
@@ -198,14 +198,15 @@
 // A request for the list that discovery never answers, as it was down: it is repeated well before a
 // transaction that waits for the list times out.
 void unansweredListCall() {
-  Side first(node);
+  FakeServer first(node);
   std::atomic<int> turn = 0;
-  Side discovery([&](Peer& peer) {
+  FakeServer discovery([&](Peer& peer) {
     const auto path = pathOf(peer);
-    if (++turn > 2 && path.ends_with("targets")) return peer.send(http(list(5, entry(first, "s-1", "up"))));
+    if (++turn > 2 && path.ends_with("targets"))
+      return peer.send(http(endpointListJson(5, endpointEntryJson(first, "s-1", "up"))));
     peer.readMore();
   });
-  Running router(discovery, list(0, ""));
+  RunningRouter router(discovery, endpointListJson(0, ""));
   Peer client = Peer::to(router.port());
   client.send(postgres::startup("worker", "catalog") + read("k", 3000));
   client.answer();
@@ -218,7 +219,7 @@
   return [name, entries, &requested](Peer& peer) {
     const auto path = pathOf(peer);
     requested.add(name + " " + path);
-    if (path.ends_with("targets")) return peer.send(http(list(5, entries)));
+    if (path.ends_with("targets")) return peer.send(http(endpointListJson(5, entries)));
     peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
     peer.readMore();
   };
@@ -226,16 +227,17 @@
 
 // SIGHUP with files that can't be used, and with one that moves discovery.
 void configurationReload() {
-  Side first(node), second(node);
+  FakeServer first(node), second(node);
   RequestedPaths requested;
-  Side oldDiscovery(namedDiscovery("old", entry(first, "s-1", "up"), requested));
-  Side newDiscovery(
-      namedDiscovery("new", entry(first, "s-1", "draining") + "," + entry(second, "s-2", "up"), requested));
+  FakeServer oldDiscovery(namedDiscovery("old", endpointEntryJson(first, "s-1", "up"), requested));
+  FakeServer newDiscovery(namedDiscovery(
+      "new", endpointEntryJson(first, "s-1", "draining") + "," + endpointEntryJson(second, "s-2", "up"),
+      requested));
   const std::string path = "reload-" + std::to_string(getpid()) + ".json";
   setenv("BALANCER_CONFIG", path.c_str(), 1);
   // At the start the variable takes precedence, later the file does.
   setenv("BALANCER_DISCOVERY", ("127.0.0.1:" + std::to_string(oldDiscovery.port())).c_str(), 1);
-  Running router(oldDiscovery, list(0, ""));
+  RunningRouter router(oldDiscovery, endpointListJson(0, ""));
   requested.waitFor(2);
   Peer client = router.client();
   const auto reload = [&](const std::string& text, const char* title) {
@@ -247,10 +249,10 @@
   unlink(path.c_str());
   kill(getpid(), SIGHUP);
   reload("", "an empty file");
-  reload(router.text(newDiscovery, list(0, "")).substr(0, 150), "half a file");
-  reload(router.text(newDiscovery, list(0, "")), "a whole one");
+  reload(router.text(newDiscovery, endpointListJson(0, "")).substr(0, 150), "half a file");
+  reload(router.text(newDiscovery, endpointListJson(0, "")), "a whole one");
   requested.waitFor(4);
-  reload(router.text(newDiscovery, list(0, "")), "the same again");
+  reload(router.text(newDiscovery, endpointListJson(0, "")), "the same again");
   requested.print();
   unlink(path.c_str());
 }
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -126,7 +126,7 @@
 std::vector<std::string> expectedStates(const std::vector<Changes>& script) {
   std::vector<std::string> states{""};
   for (std::size_t commits = 0; commits <= script.size(); ++commits) {
-    Disk::the().reset();
+    Disk::instance().reset();
     play({script.begin(), script.begin() + static_cast<std::ptrdiff_t>(commits)});
     states.push_back(shown(Database(kFile, Database::OpenMode::writing).load()));
   }
@@ -156,13 +156,13 @@
 };
 
 void losePowerInRecovery(std::mt19937& random) {
-  Disk::the().dieAt = Disk::the().operations + 1 + random() % 4;
+  Disk::instance().powerLossAt = Disk::instance().operations + 1 + random() % 4;
   try {
     loaded();
   } catch (const std::exception&) {
     // The power is lost meanwhile.
   }
-  Disk::the().restore(random);
+  Disk::instance().restorePower(random);
 }
 
 // Power is lost at each operation of the script, several times with another part of what was not synced; and
@@ -174,12 +174,12 @@
   for (std::uint64_t operation = 1;; ++operation) {
     for (int repetition = 0; repetition < repetitions; ++repetition) {
       std::mt19937 random(static_cast<unsigned>(operation * 1000 + static_cast<std::uint64_t>(repetition)));
-      Disk::the().reset();
-      Disk::the().liesAboutSyncs = liesAboutSyncs;
-      Disk::the().dieAt = operation;
+      Disk::instance().reset();
+      Disk::instance().ignoresSyncs = liesAboutSyncs;
+      Disk::instance().powerLossAt = operation;
       const std::size_t durable = play(script);
-      if (!Disk::the().dead && operation > Disk::the().operations) return result;
-      Disk::the().restore(random);
+      if (!Disk::instance().powerLost && operation > Disk::instance().operations) return result;
+      Disk::instance().restorePower(random);
       ++result.losses;
       if (repetition % 2 == 1) {
         losePowerInRecovery(random);
@@ -212,8 +212,8 @@
   std::uint64_t intact = 0, damaged = 0, wrong = 0;
 
   void add(const std::string& file, const std::string& intactState) {
-    Disk::the().reset();
-    Disk::the().files[kFile] = std::make_shared<disk::File>(disk::File{file, file, true});
+    Disk::instance().reset();
+    Disk::instance().files[kFile] = std::make_shared<disk::File>(disk::File{file, file, true});
     try {
       ++(loaded() == intactState ? intact : wrong);
     } catch (const std::exception&) { ++damaged; }
@@ -223,9 +223,9 @@
 // Each byte of the file changed, and the file cut at each: found as it was, or known as damaged.
 void damageEachByte() {
   Disk::install();
-  Disk::the().reset();
+  Disk::instance().reset();
   play(scriptOfCommits());
-  const std::string file = Disk::the().files.at(kFile)->now, intactState = loaded();
+  const std::string file = Disk::instance().files.at(kFile)->content, intactState = loaded();
   DamageResult flipped;
   for (std::size_t at = 0; at < file.size(); ++at) {
     std::string changed = file;
@@ -247,15 +247,15 @@
   Disk::install();
   const auto script = scriptOfCommits();
   const auto states = expectedStates(script);
-  Disk::the().reset();
+  Disk::instance().reset();
   play(script);
-  const std::uint64_t operations = Disk::the().operations;
+  const std::uint64_t operations = Disk::instance().operations;
   std::uint64_t wrong = 0;
   for (std::uint64_t operation = 1; operation <= operations; ++operation) {
-    Disk::the().reset();
-    Disk::the().failing = {operation};
+    Disk::instance().reset();
+    Disk::instance().failingOperations = {operation};
     const std::size_t durable = play(script);
-    Disk::the().failing.clear();
+    Disk::instance().failingOperations.clear();
     if (!isExpected(loadedOrDamage(), states, durable)) ++wrong;
   }
   std::cout << operations << " operations failed, each once: wrong after it " << wrong << "\n";
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -1,5 +1,4 @@
-// The one helper of the tests: a router on a clock of its own, whose calls and decisions are printed as a
-// trace.
+// Test harness for the router: runs it on a simulated clock and prints its decisions as a trace.
 #pragma once
 
 #include <functional>
@@ -13,87 +12,96 @@
 
 namespace gulltrestle::trace {
 
+// A duration of n milliseconds.
 inline Duration ms(std::int64_t n) { return Duration::millis(n); }
 
-inline RoutingConfig usualTerms(std::vector<TransactionClass> types) {
-  RoutingConfig terms;
-  terms.transactionClasses = std::move(types);
-  terms.roundInterval = ms(5);
-  terms.routerCount = 2;
-  terms.slowStartFraction = 0.2;
-  terms.slowStartWindow = ms(10000);
-  terms.healthChecksAllowed = terms.hedgingAllowed = terms.cancelAllowed = terms.retryAfterAllowed = true;
-  terms.maxRetryAfter = ms(400);
-  terms.maxAttempts = 4;
-  terms.sessionAgeProvided = true;
-  return terms;
+// The routing configuration that most cases start from: every optional action is allowed.
+inline RoutingConfig defaultConfig(std::vector<TransactionClass> classes) {
+  RoutingConfig config;
+  config.transactionClasses = std::move(classes);
+  config.roundInterval = ms(5);
+  config.routerCount = 2;
+  config.slowStartFraction = 0.2;
+  config.slowStartWindow = ms(10000);
+  config.healthChecksAllowed = config.hedgingAllowed = config.cancelAllowed = config.retryAfterAllowed = true;
+  config.maxRetryAfter = ms(400);
+  config.maxAttempts = 4;
+  config.sessionAgeProvided = true;
+  return config;
 }
 
-inline TransactionClass type(ReadLevel level, Effect effect = Effect::idempotent) {
-  TransactionClass made;
-  made.level = level;
-  made.effect = effect;
-  made.maxStaleness = ms(1000);
-  made.latencyTarget = ms(400);
-  made.deadline = ms(2000);
-  made.lateValueFraction = level == ReadLevel::write ? 0.5 : 0;
-  made.deduplicationWindow = ms(1000);
-  return made;
+// A transaction class with the default deadline of 2 s and a staleness bound of 1 s.
+inline TransactionClass transactionClass(ReadLevel level, Effect effect = Effect::idempotent) {
+  TransactionClass result;
+  result.level = level;
+  result.effect = effect;
+  result.maxStaleness = ms(1000);
+  result.latencyTarget = ms(400);
+  result.deadline = ms(2000);
+  result.lateValueFraction = level == ReadLevel::write ? 0.5 : 0;
+  result.deduplicationWindow = ms(1000);
+  return result;
 }
 
-class Bench final : private EventSource, private DecisionSink {
+// Drives one router: delivers events to it at given times, runs its rounds and prints every decision.
+class RouterHarness final : private EventSource, private DecisionSink {
  public:
-  explicit Bench(RoutingConfig terms, std::uint64_t seed = 7) : router_(std::move(terms), seed) {}
+  explicit RouterHarness(RoutingConfig config, std::uint64_t seed = 7) : router_(std::move(config), seed) {}
 
-  void say(const std::string& text) { std::cout << "-- " << text << "\n"; }
-  bool quietProbes = false;  // leave periodic probes out of the trace
+  // Prints a line that explains the step that follows.
+  void describe(const std::string& text) { std::cout << "-- " << text << "\n"; }
+  bool hidesHealthChecks = false;  // leaves health checks out of the trace
 
-  // Plays one round at `at` ms in which `calls` come in.
+  // Runs one round at `at` ms, in which `calls` deliver their events. Wakeups due earlier run first.
   void at(
       std::int64_t at, std::function<void(Router&)> calls = [](Router&) {}) {
-    while (!wakes_.empty() && *wakes_.begin() < instant(at)) play(*wakes_.begin(), [](Router&) {});
-    play(instant(at), std::move(calls));
+    while (!wakeups_.empty() && *wakeups_.begin() < instant(at)) runRound(*wakeups_.begin(), [](Router&) {});
+    runRound(instant(at), std::move(calls));
   }
-  // The router is held up: wakes that come due meanwhile are not played.
-  void holdUp() { wakes_.clear(); }
-  // Rounds with nothing but the clock, every 5 ms.
+  // Simulates a stalled router: the wakeups that are pending now do not run.
+  void stall() { wakeups_.clear(); }
+  // Runs rounds without events, one every 5 ms.
   void run(std::int64_t from, std::int64_t to) {
     for (auto t = from; t <= to; t += 5) at(t);
   }
 
-  // Where the txn was last submitted.
+  // The node to which the transaction was last sent.
   NodeId nodeOf(TxnId txn) const { return nodes_.contains(txn) ? nodes_.at(txn) : NodeId("none"); }
+  // The time `at` ms after the start of the trace.
   Instant instant(std::int64_t at) const { return Instant() + ms(1000000 + at); }
 
   EndpointEntry entry(const std::string& node, bool primary = false, Health health = Health::live) const {
-    EndpointEntry made;
-    made.node = node;
-    made.group = 1;
-    made.health = health;
-    made.primary = primary;
-    return made;
+    EndpointEntry result;
+    result.node = node;
+    result.group = 1;
+    result.health = health;
+    result.primary = primary;
+    return result;
   }
-  LoadReport standing(Role role, std::int64_t position) const { return {role, instant(position)}; }
-
-  Transaction txn(TxnId id, std::size_t type = 0, std::int64_t patience = 2000) const {
-    Transaction made;
-    made.id = id;
-    made.type = type;
-    made.group = 1;
-    made.remainingTime = ms(patience);
-    return made;
+  // A load report of a node that has applied everything up to `position` ms.
+  LoadReport loadReport(Role role, std::int64_t position) const { return {role, instant(position)}; }
+
+  // `type` is the index of the transaction class, `remainingTime` is in ms.
+  Transaction txn(TxnId id, std::size_t type = 0, std::int64_t remainingTime = 2000) const {
+    Transaction result;
+    result.id = id;
+    result.type = type;
+    result.group = 1;
+    result.remainingTime = ms(remainingTime);
+    return result;
   }
+  // A read of a session whose last write was committed `age` ms ago.
   Transaction sessionRead(TxnId id, std::size_t type, std::int64_t age, SessionId session = 9) const {
-    Transaction made = txn(id, type);
-    made.session = session;
-    made.writeAge = ms(age);
-    return made;
+    Transaction result = txn(id, type);
+    result.session = session;
+    result.writeAge = ms(age);
+    return result;
   }
 
  private:
-  void play(Instant then, std::function<void(Router&)> calls) {
-    now_ = then;
-    wakes_.erase(wakes_.begin(), wakes_.upper_bound(now_));
+  void runRound(Instant now, std::function<void(Router&)> calls) {
+    now_ = now;
+    wakeups_.erase(wakeups_.begin(), wakeups_.upper_bound(now_));
     calls_ = std::move(calls);
     out_.str("");
     router_.runRound(now_, *this, *this);
@@ -104,28 +112,28 @@
   void deliver(Router& router) override { calls_(router); }
   void sendAttempt(TxnId txn, const NodeId& node, Instant sendBy, Instant cutAt) override {
     nodes_[txn] = node;
-    out_ << " submit " << txn << " to " << node << " until " << (cutAt - instant(0)).inMicros() / 1000;
+    out_ << " send " << txn << " to " << node << " until " << (cutAt - instant(0)).inMicros() / 1000;
     if (sendBy < cutAt) out_ << ", sent by " << (sendBy - instant(0)).inMicros() / 1000;
     out_ << ";";
   }
   void cancel(TxnId txn, unsigned attempt) override { out_ << " cancel " << txn << "/" << attempt << ";"; }
   void reject(TxnId txn, Duration after) override {
-    out_ << " refuse " << txn << ", retry after " << after.inMicros() / 1000 << ";";
+    out_ << " reject " << txn << ", retry after " << after.inMicros() / 1000 << ";";
   }
   void rollBack(TxnId txn) override { out_ << " roll back " << txn << ";"; }
   void sendHealthCheck(const NodeId& node) override {
-    if (!quietProbes) out_ << " probe " << node << ";";
+    if (!hidesHealthChecks) out_ << " health check " << node << ";";
   }
   void wakeAfter(Duration after) override {
-    wakes_.insert(now_ + after);
+    wakeups_.insert(now_ + after);
     if (after >= ms(1000)) out_ << " wake after " << after.inMicros() / 1000 << ";";
   }
-  void followEndpointList() override { out_ << " follow the list;"; }
+  void followEndpointList() override { out_ << " follow the endpoint list;"; }
   void forgetNode(const NodeId& node) override { out_ << " forget " << node << ";"; }
 
   Router router_;
   Instant now_;
-  std::set<Instant> wakes_;
+  std::set<Instant> wakeups_;
   std::map<TxnId, NodeId> nodes_;
   std::function<void(Router&)> calls_;
   std::ostringstream out_;
