--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,5 +1,5 @@
-// Points in time and spans between them, in microseconds. Two types, so that they can't be mixed up: a point
-// minus a point is a span, a point plus a span is a point, and two points don't add.
+// Points in time and durations between them, in microseconds. Separate types prevent mixing them up: the
+// difference of two points is a duration, a point plus a duration is a point, and two points can't be added.
 #pragma once
 
 #include <compare>
@@ -7,14 +7,14 @@
 
 namespace gulltrestle {
 
-// A span of time; it may be negative. Arithmetic doesn't check for overflow.
+// A duration, which may be negative. Arithmetic doesn't check for overflow.
 class Duration {
  public:
-  // No time at all.
+  // A duration of zero.
   constexpr Duration() = default;
   static constexpr Duration micros(std::int64_t count) { return Duration(count); }
   static constexpr Duration millis(std::int64_t count) { return Duration(count * 1000); }
-  // Fractions of a microsecond are cut off.
+  // Fractions of a microsecond are truncated.
   static constexpr Duration seconds(double count) { return Duration(static_cast<std::int64_t>(count * 1e6)); }
 
   constexpr std::int64_t inMicros() const { return micros_; }
@@ -23,11 +23,11 @@
   constexpr auto operator<=>(const Duration&) const = default;
   constexpr Duration operator+(Duration other) const { return Duration(micros_ + other.micros_); }
   constexpr Duration operator-(Duration other) const { return Duration(micros_ - other.micros_); }
-  // Fractions of a microsecond are cut off.
+  // Fractions of a microsecond are truncated.
   constexpr Duration operator*(double factor) const {
     return Duration(static_cast<std::int64_t>(static_cast<double>(micros_) * factor));
   }
-  // How many times the other span this one is.
+  // The ratio of this duration to the other one.
   constexpr double operator/(Duration other) const {
     return static_cast<double>(micros_) / static_cast<double>(other.micros_);
   }
@@ -37,10 +37,10 @@
   std::int64_t micros_ = 0;
 };
 
-// A point in time on the owner's clock, by its distance from that clock's zero.
+// A point in time on the owner's clock, as the time since the zero of that clock.
 class Instant {
  public:
-  // The clock's zero, which stands for "never": events come after it.
+  // The zero of the clock, which represents "never": all events are later.
   constexpr Instant() = default;
   static constexpr Instant atMicros(std::int64_t micros) { return Instant(micros); }
 
--- a/src/deployment/routing_config.cpp
+++ b/src/deployment/routing_config.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-// A year: durations can be added up without an overflow.
+// One year, so that durations can be added without overflow.
 constexpr std::uint64_t kMaxMicros = 31'536'000'000'000;
-// Whole numbers up to here are exact in a double.
+// Integers up to this value are exact in a double.
 constexpr double kMaxGroup = 9e15;
 
 constexpr Duration kDefaultIdleLimit = Duration::seconds(15);
 constexpr Duration kDefaultConnectLimit = Duration::millis(250);
 constexpr Duration kDefaultDrainGrace = Duration::seconds(1);
 
-// In the order of the enumerators of Effect and ReadLevel, as the settings spell them.
+// The names in the settings, in the order of the enumerators of Effect and ReadLevel.
 constexpr std::array<std::string_view, 3> kEffects{"idempotent", "deduplicated", "at_most_once"};
 constexpr std::array<std::string_view, 5> kReadLevels{"loose", "recent", "own_writes", "latest", "update"};
 
@@ -34,7 +34,7 @@
   return Duration::micros(static_cast<std::int64_t>(micros));
 }
 
-// Durations are settings in whole microseconds.
+// Reads a duration, which settings give in whole microseconds.
 Duration readDuration(const SettingsSource& settings, const std::string& name) {
   return toDuration(name, settings.whole(name));
 }
@@ -42,29 +42,30 @@
   return toDuration(name, settings.whole(name, static_cast<std::uint64_t>(fallback.inMicros())));
 }
 
-// Required of deduplicated classes, so that a router that doesn't know where retries are deduplicated never
-// starts. A window of 0 allows no retries.
+// Checks the settings that deduplicated classes require, so that a router without knowledge of where retries
+// are deduplicated never starts. A window of 0 allows no retries.
 void checkDeduplication(const SettingsSource& settings, const std::string& prefix, std::string_view scope) {
   if (scope != "all" && scope != "cell")
-    throw InvalidField(prefix + "group", "'" + std::string(scope) + "' is not known");
+    throw InvalidField(prefix + "group", "'" + std::string(scope) + "' is not a known value");
   if (!settings.find(prefix + "window"))
-    throw InvalidField(prefix + "window", "is missing for a referenced type");
+    throw InvalidField(prefix + "window", "is missing, but required for a deduplicated type");
 }
 
-// `levels` and `stalenessBounds` are lists over all classes; a class without a bound has none.
+// `levels` and `stalenessBounds` have one item per class; `stalenessBounds` may have fewer.
 TransactionClass readTransactionClass(const SettingsSource& settings, std::size_t row,
                                       const std::vector<std::string_view>& levels,
                                       const std::vector<std::string_view>& stalenessBounds) {
   const std::string prefix = "lanes." + std::to_string(row) + ".";
   TransactionClass transactionClass;
   transactionClass.effect = choice<Effect>(prefix + "effect", settings.text(prefix + "effect"), kEffects);
-  if (row >= levels.size()) throw InvalidField("specifics.readLevel", "has too few values");
+  if (row >= levels.size())
+    throw InvalidField("specifics.readLevel", "has fewer values than there are types");
   transactionClass.level = choice<ReadLevel>("specifics.readLevel", levels[row], kReadLevels);
   if (row < stalenessBounds.size())
     transactionClass.maxStaleness =
         toDuration("specifics.lagAllowed", toWhole("specifics.lagAllowed", stalenessBounds[row]));
   transactionClass.latencyTarget = readDuration(settings, prefix + "objective");
-  transactionClass.latencyTargetPerWork = settings.number(prefix + "aimStretch", 0);
+  transactionClass.latencyTargetPerServiceTime = settings.number(prefix + "aimStretch", 0);
   transactionClass.deadline = readDuration(settings, prefix + "deadline");
   transactionClass.priorityWeight = settings.number(prefix + "worth", 1);
   transactionClass.lateValueFraction = settings.number(prefix + "lateShare", 0);
@@ -72,7 +73,8 @@
   transactionClass.deduplicatesAcrossGroups = scope == "all";
   transactionClass.deduplicationWindow = readDuration(settings, prefix + "window", Duration());
   if (transactionClass.effect == Effect::deduplicated) checkDeduplication(settings, prefix, scope);
-  if (transactionClass.latencyTarget == Duration()) throw InvalidField(prefix + "objective", "is 0");
+  if (transactionClass.latencyTarget == Duration())
+    throw InvalidField(prefix + "objective", "is 0, must be positive");
   return transactionClass;
 }
 
@@ -80,7 +82,7 @@
   const auto levels = split(settings.text("specifics.readLevel"), ',');
   const auto stalenessBounds = split(settings.find("specifics.lagAllowed").value_or("0"), ',');
   const std::uint64_t count = settings.whole("lanes.count");
-  if (count == 0) throw InvalidField("lanes.count", "is 0");
+  if (count == 0) throw InvalidField("lanes.count", "is 0, must be positive");
   for (std::size_t row = 0; row < count; ++row) {
     deployment.routing.transactionClasses.push_back(
         readTransactionClass(settings, row, levels, stalenessBounds));
@@ -91,7 +93,7 @@
 void readRouting(const SettingsSource& settings, RoutingConfig& routing) {
   routing.roundInterval = readDuration(settings, "round");
   routing.routerCount = static_cast<unsigned>(settings.whole("balancers", 1));
-  if (routing.routerCount == 0) throw InvalidField("balancers", "is 0");
+  if (routing.routerCount == 0) throw InvalidField("balancers", "is 0, must be positive");
   routing.slowStartFraction = settings.number("rules.coldFrom", 1);
   routing.slowStartWindow = readDuration(settings, "rules.cold", Duration());
   routing.onlyDrainingExcludes = settings.flag("rules.softRemoval");
@@ -128,7 +130,7 @@
 GroupId toGroup(std::string_view field, std::string_view text) {
   const double number = toNumber(field, text);
   if (number < 0 || number != std::floor(number) || number > kMaxGroup)
-    throw InvalidField(field, "is not a group");
+    throw InvalidField(field, "is not a group id");
   return static_cast<GroupId>(number);
 }
 
--- a/src/routing/concurrency_limit.cpp
+++ b/src/routing/concurrency_limit.cpp
@@ -6,40 +6,44 @@
 
 namespace {
 
-constexpr std::size_t kReportAges = 16;
-constexpr std::size_t kReportedLoads = 32;
+constexpr std::size_t kMaxReportAges = 16;
+constexpr std::size_t kMaxReportedLoads = 32;
 
-// A node's report gives way to the mean of all reports over this time.
+// Over this time the weight of a node's last load report falls to 0 in favour of the mean of all load
+// reports.
 constexpr double kReportLifetimeSeconds = 2;
 
-// In flight to a node over all routers, at least: fewer don't measure a rate.
-constexpr double kFewestInFlight = 6;
-// What may stay longer has room for as many times the rate, but for three times the least at most: ten times
-// the least is seconds of queue. Twice cost an overload 0.004 of its value, three times nothing.
-constexpr double kMostStretchOfFewest = 3;
-// Fewer answers are no rate of a node, fewer latencies no mean over nodes.
-constexpr std::size_t kAnswersForRate = 4;
-constexpr std::size_t kLatenciesForMean = 8;
+// Minimum of the concurrency limit of a node, summed over all routers: fewer transactions in flight are too
+// few to measure a response rate.
+constexpr double kMinInFlight = 6;
+// A transaction that may stay longer scales the rate-based limit by its whole stretch, but the minimum limit
+// only up to this factor: ten times the minimum is a queue of several seconds. In an overload a factor of two
+// cost 0.004 of the value, a factor of three cost nothing.
+constexpr double kMaxStretchOfMinimum = 3;
+// Minimum number of samples for the response rate of a node and for the mean latency over all nodes.
+constexpr std::size_t kMinAnswersForRate = 4;
+constexpr std::size_t kMinLatenciesForMean = 8;
 
 }  // namespace
 
 void ConcurrencyLimit::recordLoadReport(NodeState& node, const LoadReport& report) {
   if (!report.position || !report.inFlight) return;
-  // Reports are about as old as the newest position among the last of them: one node or other keeps up.
-  pushBounded(reportAges_, (state_.now - *report.position).inSeconds(), kReportAges);
+  // The smallest lag among the last load reports approximates the age of a report, as at least one node keeps
+  // up with replication.
+  pushBounded(reportAges_, (state_.now - *report.position).inSeconds(), kMaxReportAges);
   node.reportedInFlight = *report.inFlight;
   node.loadReportedAt =
       state_.now - Duration::seconds(*std::min_element(reportAges_.begin(), reportAges_.end()));
-  pushBounded(reportedLoads_, {node.loadReportedAt, node.reportedInFlight}, kReportedLoads);
+  pushBounded(reportedLoads_, {node.loadReportedAt, node.reportedInFlight}, kMaxReportedLoads);
 }
 
 void ConcurrencyLimit::recordAnswer(NodeState& node, const InFlightAttempt& attempt) const {
   node.latestAnsweredSentAt = std::max(node.latestAnsweredSentAt, attempt.sentAt);
 }
 
-// Without at-most-once attempts that were overtaken long ago, where each attempt has a connection: what was
-// sent long after them has been answered. Guards capacity against silent connections; may hurt where it is
-// the work that takes long.
+// Where each attempt has its own connection, excludes at-most-once attempts that were overtaken long ago: the
+// node has answered attempts that were sent long after them. Prevents silent connections from using up the
+// node's capacity. Trade-off: may overload the node when the transaction itself takes long.
 double ConcurrencyLimit::ownInFlight(const NodeState& node) const {
   const auto counts = [&](const InFlightAttempt& attempt) {
     const Effect effect = state_.config.transactionClasses[attempt.transactionClass].effect;
@@ -51,8 +55,9 @@
       std::count_if(node.inFlightAttempts.begin(), node.inFlightAttempts.end(), counts));
 }
 
-// At one of many routers its own attempts are next to nothing, so that reports count where they are more.
-// With age a report turns into the mean of all: a node that has not been asked is not idle.
+// The attempts of one router among many are a negligible part of a node's load, so the reported load counts
+// where it is higher. An ageing load report is blended into the mean of all reports, because a node that has
+// not reported recently is not necessarily idle.
 double ConcurrencyLimit::load(const NodeState& node) const {
   const double meanLoad = isOutdated(reportedLoads_, state_.now) ? 0 : mean(reportedLoads_);
   const double freshness =
@@ -68,22 +73,23 @@
   return ownInFlight(node) >= inFlightLimit(node, stretch);
 }
 
-// Little's law: the node's rate of answers times the time that a transaction may spend there.
+// Little's law: the response rate of the node times the time that a transaction may spend there.
 double ConcurrencyLimit::inFlightLimit(const NodeState& node, double stretch) const {
-  const double fewest =
-      std::max(1.0, kFewestInFlight / state_.config.routerCount) * std::min(stretch, kMostStretchOfFewest);
-  if (node.latencyRatios.size() < kAnswersForRate) return fewest;
+  const double minimum =
+      std::max(1.0, kMinInFlight / state_.config.routerCount) * std::min(stretch, kMaxStretchOfMinimum);
+  if (node.latencyRatios.size() < kMinAnswersForRate) return minimum;
   const double answersPerSecond = static_cast<double>(node.latencyRatios.size()) /
                                   (state_.now - node.latencyRatios.front().at).inSeconds();
-  return std::max(fewest, answersPerSecond * targetTimeAtNode().inSeconds() * stretch);
+  return std::max(minimum, answersPerSecond * targetTimeAtNode().inSeconds() * stretch);
 }
 
-// The same law over all routers, where nodes report their load: the rate is the load over the time it takes.
-// Guards against a node in more demand than others; may hurt when reports are late.
+// Applies Little's law over all routers, where nodes report their load: the rate is the load divided by the
+// latency. Prevents the overload of a node that is in higher demand than others. Trade-off: may reject a node
+// with free capacity when load reports are late.
 bool ConcurrencyLimit::isOverloaded(const NodeState& node) const {
   const Samples& latencies = latencies_.allLatencies();
   if (!state_.isOneOfManyRouters() || isOutdated(reportedLoads_, state_.now) ||
-      latencies.size() < kLatenciesForMean)
+      latencies.size() < kMinLatenciesForMean)
     return false;
   const double meanLoad = mean(reportedLoads_);
   return load(node) > std::max({1.0, meanLoad, meanLoad / mean(latencies) * targetTimeAtNode().inSeconds()});
--- a/src/routing/concurrency_limit.h
+++ b/src/routing/concurrency_limit.h
@@ -1,4 +1,4 @@
-// How much may be in flight to a node at a time, and how much is.
+// Concurrency limits of nodes: how many transactions may be in flight to a node, and how many are.
 #pragma once
 
 #include <deque>
@@ -8,36 +8,40 @@
 
 namespace gulltrestle::routing {
 
-// The fraction of the shortest latency target that a transaction may spend at a node: about a third, as all
-// classes wait there in one queue.
+// The fraction of the shortest latency target that a transaction may spend at a node. About a third, because
+// all transaction classes share one queue there.
 constexpr double kNodeTimeFraction = 0.35;
 
-// Limits by measured rates of answers; where many routers share the nodes, by the load that nodes report.
+// Derives concurrency limits from the measured response rates of nodes or, where many routers share the
+// nodes, from the load that nodes report.
 class ConcurrencyLimit {
  public:
   ConcurrencyLimit(const RoutingState& state, const LatencyStatistics& latencies)
       : state_(state), latencies_(latencies) {}
 
-  // Takes a node's own count of what it has in flight; a report without a position or a count is passed over.
+  // Records the node's own count of transactions in flight. Ignores a load report that lacks the position or
+  // the count.
   void recordLoadReport(NodeState& node, const LoadReport& report);
 
-  // The node committed the attempt.
+  // Records that the node committed the attempt.
   void recordAnswer(NodeState& node, const InFlightAttempt& attempt) const;
 
-  // Whether any node ever reported its load.
+  // Whether any node has ever reported its load.
   bool hasLoadReports() const { return !reportedLoads_.empty(); }
 
-  // Transactions in flight to the node: those of this router or, where it is more, what nodes report.
+  // Number of transactions in flight to the node: the count of this router or the load that nodes report,
+  // whichever is higher.
   double load(const NodeState& node) const;
 
-  // Whether this router has as much in flight to the node as it may. `stretch`: how many times longer than
-  // usual a transaction may stay there.
+  // Whether this router has reached its limit of transactions in flight to the node. `stretch` is the factor
+  // by which a transaction may stay at the node for longer than usual.
   bool isAtLimit(const NodeState& node, double stretch) const;
 
-  // How many transactions this router may have in flight to the node; 1 or more for a stretch of 1.
+  // How many transactions this router may have in flight to the node; at least 1 for a stretch of 1.
   double inFlightLimit(const NodeState& node, double stretch) const;
 
-  // Whether all routers together keep the node busier than others, by its own report.
+  // Whether the load that the node reports, caused by all routers together, is higher than that of other
+  // nodes.
   bool isOverloaded(const NodeState& node) const;
 
  private:
@@ -46,8 +50,8 @@
 
   const RoutingState& state_;
   const LatencyStatistics& latencies_;
-  std::deque<double> reportAges_;  // how far the last reports' positions were behind, in seconds
-  Samples reportedLoads_;          // the last counts that nodes reported
+  std::deque<double> reportAges_;  // replication lag in the last load reports, in seconds
+  Samples reportedLoads_;          // transactions in flight in the last load reports
 };
 
 }  // namespace gulltrestle::routing
--- a/src/routing/dispatcher.cpp
+++ b/src/routing/dispatcher.cpp
@@ -7,17 +7,19 @@
 
 namespace {
 
-// A round that comes so long after it was asked for shows that the process or its machine was paused.
+// A round that starts this long after its requested time shows that the process or its machine was paused.
 constexpr Duration kDelayedRound = Duration::millis(50);
 
-// The last rounds before a deadline: the final answer must be there in time.
+// Rounds reserved before a deadline, so that the final answer arrives in time.
 constexpr double kFinalAnswerRounds = 2;
-// A held transaction is looked at again after so many rounds: capacity may come without an event.
-constexpr double kHeldLookRounds = 4;
-// While anything is pending the next round is asked for within so many, as a delay shows by late rounds.
-constexpr double kMostRoundsBetween = 10;
-
-// Of the longest retry-after allowed.
+// A queued transaction is reconsidered after this many rounds, because capacity may become free without an
+// event.
+constexpr double kQueuedRecheckRounds = 4;
+// While transactions are pending, the next round is requested within this many round intervals, because a
+// pause of the process is detected by late rounds.
+constexpr double kMaxRoundsBetween = 10;
+
+// Fraction of the longest retry-after allowed.
 constexpr double kRetryAfterFraction = 0.5;
 
 }  // namespace
@@ -28,18 +30,19 @@
   return isDelayed;
 }
 
-void Dispatcher::needRoundBy(Instant time) { nextRoundAt_ = std::min(nextRoundAt_, time); }
+void Dispatcher::scheduleRoundBy(Instant time) { nextRoundAt_ = std::min(nextRoundAt_, time); }
 
 void Dispatcher::decide() {
   policies_.shedding.startRound();
-  nextRoundAt_ = state_.now + state_.config.roundInterval * kMostRoundsBetween;
+  nextRoundAt_ = state_.now + state_.config.roundInterval * kMaxRoundsBetween;
   for (const RankedTransaction& ranked : rankPending()) decideOn(*ranked.transaction);
   for (const TxnId id : policies_.shedding.transactionsToEvict()) abandon(state_.pending.at(id));
   requestNextRound();
 }
 
-// Most value to be expected for work first: what is shed is the least. As the odds fall with the wait, the
-// newest of a class come first, and an overload makes few answers late. What waits for an answer comes last.
+// Orders transactions by expected value per unit of service time, highest first, so that the least valuable
+// ones are shed. As the probability of an answer in time falls with the wait, the newest transactions of a
+// class are first, and few answers are late in an overload. Transactions that wait for an answer are last.
 std::vector<Dispatcher::RankedTransaction> Dispatcher::rankPending() {
   std::vector<RankedTransaction> ranked;
   for (auto& [id, transaction] : state_.pending) {
@@ -67,12 +70,12 @@
     abandon(transaction);
     return;
   }
-  needRoundBy(lastAt);
+  scheduleRoundBy(lastAt);
   const bool isHedge = transaction.attemptsInFlight > 0;
   if (isHedge && !isHedgeDue(transaction)) return;
   NodeState* node = policies_.selector.select(transaction);
   if (node && !(isHedge && transaction.wasAttemptedAt(*node))) send(transaction, *node);
-  if (!node && !isHedge) hold(transaction);
+  if (!node && !isHedge) keepQueued(transaction);
 }
 
 Instant Dispatcher::lastDecisionAt(const PendingTransaction& transaction) const {
@@ -83,12 +86,12 @@
          state_.config.roundInterval * kFinalAnswerRounds;
 }
 
-// A read whose node has been silent for long gets one more attempt elsewhere, once.
+// A read whose attempt has exceeded the silence timeout gets one hedge at another node.
 bool Dispatcher::isHedgeDue(const PendingTransaction& transaction) {
   if (!policies_.retries.mayHedge(transaction)) return false;
   const Instant hedgeAt = policies_.retries.hedgeAt(transaction);
   if (state_.now > hedgeAt) return true;
-  needRoundBy(hedgeAt + state_.config.roundInterval);
+  scheduleRoundBy(hedgeAt + state_.config.roundInterval);
   return false;
 }
 
@@ -105,11 +108,12 @@
                            transaction.answerBy);
 }
 
-// Checks for what the transaction waits for: a replica's position, or the primary.
-void Dispatcher::hold(const PendingTransaction& transaction) {
+// Schedules the next decision, and sends health checks for what the transaction waits for: the position of a
+// replica, or the primary.
+void Dispatcher::keepQueued(const PendingTransaction& transaction) {
   const Duration round = state_.config.roundInterval;
-  needRoundBy(state_.now + round * kHeldLookRounds);
-  needRoundBy(std::max(policies_.consistency.holdEnd(transaction), state_.now + round));
+  scheduleRoundBy(state_.now + round * kQueuedRecheckRounds);
+  scheduleRoundBy(std::max(policies_.consistency.replicaWaitEnd(transaction), state_.now + round));
   const ReadLevel level = state_.classOf(transaction).level;
   GroupState& group = state_.groupOf(transaction.request.group);
   const NodeState* primary = policies_.selector.primaryOf(transaction.request.group);
@@ -120,7 +124,7 @@
     if (policies_.health.isSearchDue(*node)) policies_.health.sendHealthCheck(*node);
 }
 
-// Ends the transaction without a result, and forgets it.
+// Ends the transaction without a result and removes it.
 void Dispatcher::abandon(const PendingTransaction& transaction) {
   const TxnId id = transaction.request.id;
   const RoutingConfig& config = state_.config;
--- a/src/routing/dispatcher.h
+++ b/src/routing/dispatcher.h
@@ -1,11 +1,11 @@
-// The decisions of a round: what happens to each pending transaction, and when the next round is due.
+// Makes the decisions of a round: what happens to each pending transaction, and when the next round is due.
 //
-//   a pending transaction                         | in a round
-//   cannot earn anything any more, or is shed     | abandoned: rejected or rolled back
-//   has no attempt in flight                      | sent to the selected node, else held
-//   its only attempt has been silent for too long | hedged where that is allowed
-//   has an attempt in flight                      | waits for its end
-//   its answer is streaming                       | waits for its end
+//   state of a pending transaction                | decision in a round
+//   can yield no value any more, or is shed       | abandoned: rejected or rolled back
+//   has no attempt in flight                      | sent to the selected node, else stays queued
+//   its only attempt exceeded the silence timeout | hedged where that is allowed
+//   has an attempt in flight                      | waits for the end of the attempt
+//   its answer is streaming                       | waits for the end of the attempt
 #pragma once
 
 #include <vector>
@@ -21,7 +21,7 @@
 
 namespace gulltrestle::routing {
 
-// The modules that a round's decisions are made by.
+// The modules that the decisions of a round depend on.
 struct DispatchPolicies {
   const LatencyStatistics& latencies;
   SlowStart& slowStart;
@@ -32,19 +32,19 @@
   LoadShedding& shedding;
 };
 
-// Applies the policies to all pending transactions and hands the decisions to the sink.
+// Applies the policies to all pending transactions and passes the decisions to the sink.
 class Dispatcher {
  public:
   Dispatcher(RoutingState& state, DispatchPolicies policies) : state_(state), policies_(policies) {}
 
-  // Called first in each round. Returns whether the round comes long after it was asked for.
+  // Must be called first in each round. Returns whether the round starts long after its requested time.
   bool startRound();
 
-  // Called last in each round: decides on all that is pending, and asks for the next round.
+  // Must be called last in each round: decides on all pending transactions and requests the next round.
   void decide();
 
-  // Cancels the attempts that are in flight, where that is allowed and harmless. The transaction stays
-  // pending.
+  // Cancels the transaction's attempts in flight, if cancellation is allowed and the transaction is
+  // idempotent. The transaction stays pending.
   void cancelAttempts(const PendingTransaction& transaction);
 
  private:
@@ -58,15 +58,15 @@
   Instant lastDecisionAt(const PendingTransaction& transaction) const;
   bool isHedgeDue(const PendingTransaction& transaction);
   void send(PendingTransaction& transaction, NodeState& node);
-  void hold(const PendingTransaction& transaction);
+  void keepQueued(const PendingTransaction& transaction);
   void abandon(const PendingTransaction& transaction);
-  void needRoundBy(Instant time);
+  void scheduleRoundBy(Instant time);
   void requestNextRound();
 
   RoutingState& state_;
   DispatchPolicies policies_;
-  Instant requestedWakeAt_;  // the round last asked for; never: none is
-  Instant nextRoundAt_;      // while deciding: the earliest time that any pending transaction needs
+  Instant requestedWakeAt_;  // time of the last requested round; never: none is requested
+  Instant nextRoundAt_;      // in decide(): the earliest time at which a pending transaction needs a round
 };
 
 }  // namespace gulltrestle::routing
--- a/src/routing/endpoint_list.cpp
+++ b/src/routing/endpoint_list.cpp
@@ -9,7 +9,7 @@
   if (kind != EndpointUpdateKind::delta)
     for (auto& [id, node] : state_.nodes) node.endpoint.health = Health::removed;
   for (const EndpointEntry& entry : entries) applyEntry(entry);
-  forgetDeparted();
+  deleteDeparted();
 }
 
 void EndpointList::applyEntry(const EndpointEntry& entry) {
@@ -28,18 +28,18 @@
                               [&](const NodeState* other) { return other->endpoint.node > entry.node; }),
                  &node);
   if (isNew || !hasRestarted) return;
-  // It starts without warm caches, and as a replica until it says otherwise.
+  // The node restarts with cold caches, and counts as a replica until it reports another role.
   node.lastOutcomes.clear();
   node.latencyRatios.clear();
   node.appliedPosition = Instant();
   node.lastKnownReplicaAt = std::max(node.lastKnownReplicaAt, startedAt);
 }
 
-// Not listed and not heard of for a minute, and no attempt is in flight there. May hurt one that drained and
-// is back later.
+// Whether the node has been neither listed nor responding for a minute and has no attempt in flight.
+// Trade-off: a node that returns later after draining is treated as new.
 bool EndpointList::hasDeparted(const NodeState& node) const {
   return node.endpoint.health == Health::removed &&
-         state_.now - std::max(node.lastListedAt, node.lastHeardAt) > kForgetAfter &&
+         state_.now - std::max(node.lastListedAt, node.lastResponseAt) > kRetentionTime &&
          node.inFlightAttempts.empty();
 }
 
@@ -51,8 +51,8 @@
   std::erase(state_.groupOf(node.endpoint.group).nodes, &node);
 }
 
-// Guards against growing with every node that ever was.
-void EndpointList::forgetDeparted() {
+// Prevents memory from growing with every node that was ever listed.
+void EndpointList::deleteDeparted() {
   std::erase_if(state_.nodes, [&](const auto& entry) {
     const auto& [id, node] = entry;
     if (!hasDeparted(node)) return false;
--- a/src/routing/endpoint_list.h
+++ b/src/routing/endpoint_list.h
@@ -1,4 +1,4 @@
-// Keeps the shared state's nodes and groups to what endpoint lists say.
+// Applies endpoint updates to the nodes and groups of the shared routing state.
 #pragma once
 
 #include <vector>
@@ -8,18 +8,19 @@
 
 namespace gulltrestle::routing {
 
-// The only writer of RoutingState::nodes and RoutingState::groups as containers.
+// Adds and removes nodes and groups. The only writer of RoutingState::nodes and RoutingState::groups as
+// containers.
 class EndpointList {
  public:
   EndpointList(RoutingState& state, LatencyStatistics& latencies) : state_(state), latencies_(latencies) {}
 
-  // Takes a list: one that isn't a delta removes all nodes that it doesn't name. Then forgets nodes that left
-  // long ago, which the sink is told of.
+  // Applies an endpoint update; any kind but a delta marks all nodes that it doesn't name as removed. Then
+  // deletes the nodes that departed long ago and reports them to the sink.
   void apply(EndpointUpdateKind kind, const std::vector<EndpointEntry>& entries);
 
  private:
   void applyEntry(const EndpointEntry& entry);
-  void forgetDeparted();
+  void deleteDeparted();
   bool hasDeparted(const NodeState& node) const;
   void removeReferences(const NodeState& node);
 
--- a/src/routing/error_attribution.h
+++ b/src/routing/error_attribution.h
@@ -1,4 +1,4 @@
-// Whose fault an error is: the node's, or the transaction's own, which then fails everywhere.
+// Attributes errors either to the node or to the transaction, which in that case fails at every node.
 #pragma once
 
 #include <deque>
@@ -7,23 +7,25 @@
 
 namespace gulltrestle::routing {
 
-// Learns from retries at other nodes whether errors are inherent to transactions.
+// Infers from the outcomes of retries at other nodes whether errors are inherent to transactions.
 class ErrorAttribution {
  public:
   explicit ErrorAttribution(RoutingState& state) : state_(state) {}
 
-  // An attempt at the node ended with an error. Ends the transaction's attempts where another would most
-  // likely fail, too; `transaction` is null if nobody waits for it any more. May draw a fraction.
+  // Records that an attempt at the node ended with an error. Prevents further attempts of the transaction if
+  // they would most likely fail, too. `transaction` is null if it isn't pending any more. May draw a random
+  // fraction.
   void recordError(NodeState& node, PendingTransaction* transaction);
 
-  // The node committed the transaction: an error that it got at another node was that one's fault.
+  // Records that the node committed the transaction: an earlier error at another node is attributed to that
+  // node.
   void recordCommit(const NodeState& node, const PendingTransaction& transaction);
 
  private:
   bool areErrorsInherent() const;
 
   RoutingState& state_;
-  std::deque<bool> retrySuccesses_;  // of the last transactions with an error: another node committed them
+  std::deque<bool> retrySuccesses_;  // true: another node committed a transaction after an error
 };
 
 }  // namespace gulltrestle::routing
--- a/src/routing/health_tracking.cpp
+++ b/src/routing/health_tracking.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-// Outliers: fewer outcomes than this don't judge a node, and this fraction of them has to be answers.
-constexpr std::size_t kFewestOutcomes = 3;
-constexpr double kHealthyFraction = 0.5;
+// Outlier ejection: the minimum number of outcomes, and the minimum fraction of them that must be answers.
+constexpr std::size_t kMinOutcomes = 3;
+constexpr double kMinAnsweredFraction = 0.5;
 
-// Over all routers four trials a second with idempotent reads, as the node may just be full; one a second
-// with what is lost by a failure.
+// Trials of an unhealthy node over all routers: four per second with idempotent reads, as the node may only
+// be at capacity; one per second with transactions that are lost by a failure.
 constexpr Duration kReadTrialPause = Duration::millis(250);
 constexpr Duration kOtherTrialPause = Duration::millis(1000);
 
-// While the primary is looked for each node is asked once in this time.
-constexpr Duration kSearchPause = Duration::millis(150);
+// During a search for the primary each node is queried at most once in this time.
+constexpr Duration kPrimarySearchPause = Duration::millis(150);
 
-// Position checks: so many nodes of a group at a time, the next ones after this pause, and each node once in
-// a longer one, which is about how often load reports are renewed.
-constexpr std::size_t kPositionChecksAtATime = 2;
+// Position checks: the number of nodes of a group in one batch, the pause between batches, and the longer
+// pause between checks of the same node, which is about the interval at which load reports are refreshed.
+constexpr std::size_t kPositionCheckBatch = 2;
 constexpr Duration kPositionCheckPause = Duration::millis(25);
 constexpr Duration kSameNodeCheckPause = Duration::millis(100);
-// The factor of the first pause while background work is limited.
+// Factor of the pause between batches while background work is limited.
 constexpr double kLimitedCheckFactor = 2;
-// Positions that are older than this count as equal.
+// Positions older than this are treated as equal.
 constexpr Duration kComparablePosition = Duration::seconds(1);
 
 bool isAnswer(AttemptOutcome outcome) {
@@ -43,10 +43,10 @@
 
 void HealthTracker::recordOutcome(NodeState& node, const EndedAttempt& attempt) {
   const bool isCommitted = attempt.isCommitted();
-  if (isAnswer(attempt.outcome)) node.lastHeardAt = state_.now;
+  if (isAnswer(attempt.outcome)) node.lastResponseAt = state_.now;
   if (attempt.outcome == AttemptOutcome::rejected) node.lastRejectedAt = state_.now;
   if (isCommitted && !state_.isRoundDelayed) node.consecutiveErrors = 0;
-  // A trial that was answered clears the node.
+  // A successful trial makes the node healthy again.
   if (isCommitted && node.lastTrialAt >= attempt.sent.sentAt) node.lastOutcomes.clear();
   const bool isFailed = isFailure(attempt);
   if (isFailed) node.lastFailedAt = state_.now;
@@ -54,28 +54,29 @@
     pushBounded(node.lastOutcomes, isCommitted, kRecentOutcomes);
 }
 
-// A hung node looks idle: it takes attempts and answers none. Guards against every kind of silence (hang, cut
-// link, a machine that is gone without notice). May hurt when all of a node's few transactions are long at
-// once.
+// A hung node looks idle because it accepts attempts and answers none. The check detects every cause of
+// silence (a hang, a broken link, a machine that disappeared without notice). Trade-off: may eject a node
+// whose few transactions are all long at the same time.
 bool HealthTracker::isUnresponsive(const NodeState& node) const {
   if (node.inFlightAttempts.empty()) return false;
   const InFlightAttempt& oldest = node.inFlightAttempts.front();
   const Duration timeout = latencies_.silenceTimeout(oldest.transactionClass);
-  return state_.now - oldest.sentAt > timeout && state_.now - node.lastHeardAt > timeout;
+  return state_.now - oldest.sentAt > timeout && state_.now - node.lastResponseAt > timeout;
 }
 
 bool HealthTracker::isHealthy(const NodeState& node) const {
   if (isUnresponsive(node)) return false;
-  return node.lastOutcomes.size() < kFewestOutcomes || fractionTrue(node.lastOutcomes) >= kHealthyFraction;
+  return node.lastOutcomes.size() < kMinOutcomes || fractionTrue(node.lastOutcomes) >= kMinAnsweredFraction;
 }
 
-// Without trials by other transactions than reads, a primary that gets no read would stay out for ever.
+// Without trials by transactions other than reads, an ejected primary that receives no reads would never
+// become healthy again.
 bool HealthTracker::mayReceive(const NodeState& node, const TransactionClass& type) const {
   if (isHealthy(node)) return true;
-  const bool mayFail = type.effect == Effect::idempotent && type.level < ReadLevel::linearizable;
-  if (isUnresponsive(node) && !mayFail) return false;
-  const Instant last = mayFail ? node.lastTrialAt : std::max(node.lastTrialAt, node.lastFailedAt);
-  const Duration pause = state_.scaledPause(mayFail ? kReadTrialPause : kOtherTrialPause);
+  const bool isIdempotentRead = type.effect == Effect::idempotent && type.level < ReadLevel::linearizable;
+  if (isUnresponsive(node) && !isIdempotentRead) return false;
+  const Instant last = isIdempotentRead ? node.lastTrialAt : std::max(node.lastTrialAt, node.lastFailedAt);
+  const Duration pause = state_.scaledPause(isIdempotentRead ? kReadTrialPause : kOtherTrialPause);
   return state_.now - last > pause * state_.config.routerCount;
 }
 
@@ -87,11 +88,11 @@
 }
 
 bool HealthTracker::isSearchDue(const NodeState& node) const {
-  return state_.now - node.lastCheckedAt >= state_.sharedPause(kSearchPause);
+  return state_.now - node.lastCheckedAt >= state_.sharedPause(kPrimarySearchPause);
 }
 
-// The nodes that were furthest come first. Chance decides between equals: else all routers would check, and
-// overload, the same ones.
+// Nodes with the highest known position are checked first. Nodes with equal positions are shuffled; otherwise
+// all routers would check, and overload, the same nodes.
 void HealthTracker::checkPositions(GroupState& group, const NodeState* primary) {
   const double factor = group.degradation.limitsBackgroundWork ? kLimitedCheckFactor : 1;
   if (state_.now - group.lastPositionCheckAt < state_.sharedPause(kPositionCheckPause) * factor) return;
@@ -108,7 +109,7 @@
   std::stable_sort(candidates.begin(), candidates.end(), [&](const NodeState* left, const NodeState* right) {
     return comparablePosition(left) > comparablePosition(right);
   });
-  for (std::size_t i = 0; i < candidates.size() && i < kPositionChecksAtATime; ++i)
+  for (std::size_t i = 0; i < candidates.size() && i < kPositionCheckBatch; ++i)
     sendHealthCheck(*candidates[i]);
 }
 
--- a/src/routing/health_tracking.h
+++ b/src/routing/health_tracking.h
@@ -1,10 +1,11 @@
-// Which nodes are fit to be sent to, by the outcomes of attempts, and the health checks that this router asks
-// for. What an error of a transaction says of its node is worked out in error_attribution.h.
+// Failure detector for nodes: determines from the outcomes of attempts which nodes may receive transactions,
+// and sends the health checks of this router. error_attribution.h decides whether an error counts against the
+// node.
 //
-//   state of a node | when                                               | gets
-//   healthy         | heard lately, half of its last outcomes answered   | all
-//   unresponsive    | attempts are in flight and nothing is heard of it  | a trial with an idempotent read
-//   outlier         | most of its last outcomes failed                   | a trial with any transaction
+//   state of a node | condition                                          | receives
+//   healthy         | responded recently, half of last outcomes answered | all transactions
+//   unresponsive    | attempts are in flight, but it doesn't respond     | a trial with an idempotent read
+//   outlier         | most of its last outcomes are failures             | a trial with any transaction
 #pragma once
 
 #include "routing/latency_statistics.h"
@@ -12,31 +13,32 @@
 
 namespace gulltrestle::routing {
 
-// Judges nodes by what NodeState holds of their attempts; has no state of its own.
+// Evaluates the attempts recorded in NodeState; has no state of its own.
 class HealthTracker {
  public:
   HealthTracker(RoutingState& state, const LatencyStatistics& latencies)
       : state_(state), latencies_(latencies) {}
 
-  // An attempt at the node ended; errors are judged by ErrorAttribution.
+  // Records the outcome of an attempt at the node. Errors are evaluated by ErrorAttribution.
   void recordOutcome(NodeState& node, const EndedAttempt& attempt);
 
-  // Whether attempts at the node have been without any answer for too long.
+  // Whether the node has attempts in flight and has not responded for longer than the silence timeout.
   bool isUnresponsive(const NodeState& node) const;
 
-  // Whether the node answers and is no outlier.
+  // Whether the node is responsive and is not an outlier.
   bool isHealthy(const NodeState& node) const;
 
-  // Whether the node is healthy, or is due for a trial with a transaction of the class.
+  // Whether the node is healthy, or a trial with a transaction of the class is due.
   bool mayReceive(const NodeState& node, const TransactionClass& type) const;
 
-  // Sends a health check, unless that is not allowed, one is in flight, or the node is draining.
+  // Sends a health check, unless health checks are not allowed, one is in flight, or the node is draining.
   void sendHealthCheck(NodeState& node);
 
-  // Whether the node may be asked (again) if it is the primary, while that is looked for.
+  // Whether the node may be queried (again) for its role during a search for the primary.
   bool isSearchDue(const NodeState& node) const;
 
-  // Checks the replicas that are likeliest to have what held reads need, at a bounded rate for the group.
+  // Sends health checks to the replicas that most probably have the position that queued reads require, at a
+  // bounded rate for the group.
   void checkPositions(GroupState& group, const NodeState* primary);
 
  private:
--- a/src/routing/latency_statistics.cpp
+++ b/src/routing/latency_statistics.cpp
@@ -6,30 +6,31 @@
 
 namespace {
 
-// How many samples are kept: few enough to follow a change within a second or so under load.
-constexpr std::size_t kLatenciesPerClass = 32;
-constexpr std::size_t kLatenciesOfAllClasses = 64;
-constexpr std::size_t kRatiosPerNode = 16;
-constexpr std::size_t kRatiosPerKind = 64;
-constexpr std::size_t kPressuresPerGroup = 16;
-
-// Of the latency target: the guess before there is any sample.
+// Maximum numbers of samples, small enough to follow a change within about a second under load.
+constexpr std::size_t kMaxLatenciesPerClass = 32;
+constexpr std::size_t kMaxLatenciesOfAllClasses = 64;
+constexpr std::size_t kMaxRatiosPerNode = 16;
+constexpr std::size_t kMaxRatiosPerKind = 64;
+constexpr std::size_t kMaxPressuresPerGroup = 16;
+
+// Fraction of the latency target that is assumed as the usual latency before the first sample.
 constexpr double kUnmeasuredLatencyFraction = 0.2;
-// Keeps divisions by the usual latency in bounds.
-constexpr Duration kShortestUsualLatency = Duration::millis(1);
+// Bounds the results of divisions by the usual latency.
+constexpr Duration kMinUsualLatency = Duration::millis(1);
 
-// Service times spread widely, so that less than six times the usual says nothing.
-constexpr double kSilenceFactor = 6;
-// A few quick answers must not make short delays look like silence.
-constexpr Duration kShortestSilence = Duration::millis(200);
+// Service times vary widely, so that silence for less than six times the usual latency indicates no fault.
+constexpr double kSilenceTimeoutFactor = 6;
+// Prevents short delays from counting as silence after a few fast answers.
+constexpr Duration kMinSilenceTimeout = Duration::millis(200);
 
-// A node may have next to no answers of its own: so many of its kind are counted in.
-constexpr double kRatiosOfKindCountedIn = 4;
-// A lower bound, as the ratio divides the weight of a node.
-constexpr double kLowestLatencyRatio = 0.1;
+// Number of samples by which the mean of the machine kind is weighted, as a node may have few samples of its
+// own.
+constexpr double kKindRatioWeight = 4;
+// Lower bound, as the weight of a node is divided by the ratio.
+constexpr double kMinLatencyRatio = 0.1;
 
-// Fewer latencies than this are no median.
-constexpr std::size_t kFewestPressures = 3;
+// Minimum number of samples for a median.
+constexpr std::size_t kMinPressures = 3;
 
 }  // namespace
 
@@ -41,22 +42,22 @@
 void LatencyStatistics::recordLatency(std::size_t transactionClass, Duration latency) {
   Samples& ofClass = latencies_[transactionClass];
   if (isOutdated(ofClass, state_.now)) ofClass.clear();
-  pushBounded(ofClass, {state_.now, latency.inSeconds()}, kLatenciesPerClass);
+  pushBounded(ofClass, {state_.now, latency.inSeconds()}, kMaxLatenciesPerClass);
   usualLatency_[transactionClass] = Duration();
-  pushBounded(allLatencies_, {state_.now, latency.inSeconds()}, kLatenciesOfAllClasses);
+  pushBounded(allLatencies_, {state_.now, latency.inSeconds()}, kMaxLatenciesOfAllClasses);
 }
 
 void LatencyStatistics::recordAnswer(NodeState& node, std::size_t transactionClass, Duration latency) {
   const Sample ratio{state_.now, latency / usualLatency(transactionClass)};
-  pushBounded(node.latencyRatios, ratio, kRatiosPerNode);
-  pushBounded(ratiosByKind_[node.endpoint.kind], ratio, kRatiosPerKind);
+  pushBounded(node.latencyRatios, ratio, kMaxRatiosPerNode);
+  pushBounded(ratiosByKind_[node.endpoint.kind], ratio, kMaxRatiosPerKind);
 }
 
 void LatencyStatistics::recordPressure(const NodeState& node, double latencyTargetFraction) {
   GroupState& group = state_.groupOf(node.endpoint.group);
   Samples& fractions = node.lastKnownPrimaryAt > node.lastKnownReplicaAt ? group.primaryLatencyPressure
                                                                          : group.replicaLatencyPressure;
-  pushBounded(fractions, {state_.now, latencyTargetFraction}, kPressuresPerGroup);
+  pushBounded(fractions, {state_.now, latencyTargetFraction}, kMaxPressuresPerGroup);
 }
 
 Duration LatencyStatistics::usualLatency(std::size_t transactionClass) const {
@@ -67,12 +68,13 @@
   if (usual == Duration())
     usual = std::max(
         Duration::seconds(quantile(ofClass, isOutdated(ofClass, state_.now) ? kLowerQuartile : kMedian)),
-        kShortestUsualLatency);
+        kMinUsualLatency);
   return usual;
 }
 
 Duration LatencyStatistics::silenceTimeout(std::size_t transactionClass) const {
-  return std::max(usualLatency(transactionClass) * kSilenceFactor, state_.scaledPause(kShortestSilence));
+  return std::max(usualLatency(transactionClass) * kSilenceTimeoutFactor,
+                  state_.scaledPause(kMinSilenceTimeout));
 }
 
 double LatencyStatistics::probabilityWithin(std::size_t transactionClass, Duration available) const {
@@ -82,21 +84,21 @@
   const auto inTime = std::count_if(ofClass.begin(), ofClass.end(), [&](const Sample& latency) {
     return latency.value <= available.inSeconds();
   });
-  // One more that was in time: a few slow answers leave some probability.
+  // Counts one additional answer in time, so that a few slow answers leave some probability.
   return static_cast<double>(inTime + 1) / static_cast<double>(ofClass.size() + 1);
 }
 
 double LatencyStatistics::smoothedLatencyRatio(const NodeState& node) const {
   const Samples& ofKind = ratiosByKind_.at(node.endpoint.kind);
   const double usualOfKind = ofKind.empty() ? 1 : mean(ofKind);
-  return std::max((sum(node.latencyRatios) + kRatiosOfKindCountedIn * usualOfKind) /
-                      (static_cast<double>(node.latencyRatios.size()) + kRatiosOfKindCountedIn),
-                  kLowestLatencyRatio);
+  return std::max((sum(node.latencyRatios) + kKindRatioWeight * usualOfKind) /
+                      (static_cast<double>(node.latencyRatios.size()) + kKindRatioWeight),
+                  kMinLatencyRatio);
 }
 
 double LatencyStatistics::latencyPressure(const Samples& fractions) const {
-  const bool isKnown = state_.isOneOfManyRouters() && fractions.size() >= kFewestPressures &&
-                       !isOutdated(fractions, state_.now);
+  const bool isKnown =
+      state_.isOneOfManyRouters() && fractions.size() >= kMinPressures && !isOutdated(fractions, state_.now);
   return isKnown ? quantile(fractions, kMedian) : 0;
 }
 
--- a/src/routing/load_shedding.h
+++ b/src/routing/load_shedding.h
@@ -1,5 +1,5 @@
-// What is given up before its time, so that the rest is served: by levels of degradation, by latency, and by
-// the connections that held transactions take.
+// Load shedding: abandons transactions early, so that the others are served. Decides by degradation level, by
+// latency, and by the number of client connections that queued transactions take.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 namespace gulltrestle::routing {
 
-// The modules that load shedding asks.
+// The modules that load shedding depends on.
 struct SheddingInputs {
   const LatencyStatistics& latencies;
   const ConcurrencyLimit& concurrency;
@@ -24,22 +24,24 @@
   const ReplicaSelector& selector;
 };
 
-// Decides only whom to give up; the caller ends these transactions.
+// Decides only which transactions to shed; the caller ends them.
 class LoadShedding {
  public:
   LoadShedding(RoutingState& state, SheddingInputs inputs) : state_(state), inputs_(inputs) {}
 
-  // Called first in each round's decisions.
+  // Must be called before the decisions of each round.
   void startRound() { queuedForPrimary_.clear(); }
 
-  // Whether a new transaction is not let in. Asked once for each; draws.
+  // Whether a new transaction is rejected. Must be called once per transaction; draws random fractions.
   bool isShed(const PendingTransaction& transaction);
 
-  // Whether the transaction waits for a slow primary behind so many others that it would hardly be answered.
-  // Asked in the order of sending, as each one asked about counts as ahead of the next ones of its group.
+  // Whether so many transactions are queued for a slow primary ahead of this one that an answer in time is
+  // unlikely. Must be called in the order of sending, as each call adds its transaction to the queue ahead of
+  // the next ones of the group.
   bool isQueueTooLong(const PendingTransaction& transaction);
 
-  // The held transactions to be given up as nearly all client connections are taken, in this order.
+  // The queued transactions to abandon because most client connections are in use, in the order of
+  // abandonment.
   std::vector<TxnId> transactionsToEvict() const;
 
  private:
@@ -47,7 +49,7 @@
 
   RoutingState& state_;
   SheddingInputs inputs_;
-  std::map<GroupId, std::size_t> queuedForPrimary_;  // in this round, to be sent before the next one
+  std::map<GroupId, std::size_t> queuedForPrimary_;  // in this round, ahead of the next transaction
 };
 
 }  // namespace gulltrestle::routing
--- a/src/routing/read_consistency.h
+++ b/src/routing/read_consistency.h
@@ -1,11 +1,11 @@
-// Which data a read may be answered from: what sessions have committed, and which commits nodes are known to
-// have applied.
+// Read consistency: determines which data a read may be answered from, by the commits of sessions and by the
+// commits that nodes are known to have applied.
 //
 //   read level   | position that the answering node must have applied
 //   any          | none
-//   bounded      | the present less the class's bound (RoutingState::requiredPosition)
+//   bounded      | the present minus the staleness bound (RoutingState::requiredPosition)
 //   session      | the session's last commit (requiredBySession)
-//   linearizable | goes to the primary
+//   linearizable | none: sent to the primary
 #pragma once
 
 #include <deque>
@@ -15,25 +15,27 @@
 
 namespace gulltrestle::routing {
 
-// Records replication positions and session commits, and works out what a read requires.
+// Records replication positions and session commits, and computes the position that a read requires.
 class ReadConsistency {
  public:
   explicit ReadConsistency(RoutingState& state) : state_(state) {}
 
-  // Takes what a node said of itself in the answer to an attempt. Called first when an attempt ends.
+  // Records the role and position that a node reported in its answer to an attempt. Must be called first when
+  // an attempt ends.
   void recordAnswer(NodeState& node, const EndedAttempt& attempt, const LoadReport& answer);
 
-  // Takes what a node said of itself in a report, which has a position.
+  // Records the role and position from a load report. The report must have a position.
   void recordReport(NodeState& node, const LoadReport& report);
 
-  // What the attempt's end tells of the node's data and of its session's commits. After the above.
+  // Updates the applied position of the node and the commits of the session from the outcome of an attempt.
+  // Must be called after recordAnswer() and recordReport().
   void recordOutcome(NodeState& node, const EndedAttempt& attempt, const LoadReport& answer);
 
-  // The position that a session read has to see: zero where the session has not written.
+  // The position that a session read requires; zero if the session has not written.
   Instant requiredBySession(const Transaction& read) const;
 
-  // Until when a read waits for a replica before the primary may answer it.
-  Instant holdEnd(const PendingTransaction& read) const;
+  // The time until which a read waits for a replica; after it the primary may answer the read.
+  Instant replicaWaitEnd(const PendingTransaction& read) const;
 
  private:
   struct SessionCommit {
@@ -41,12 +43,14 @@
     Instant committedAt;
   };
 
-  // Takes what a node said, at `saidAt`, of its role and position. `roundedUpBy`: how far the position may
-  // have been rounded up. Positions are kept only if newer and not ahead of the clock.
-  void recordReplication(NodeState& node, const LoadReport& report, Instant saidAt, Duration roundedUpBy);
+  // Records the role and position that a node reported at `reportedAt`. `maxRoundingUp` is the amount by
+  // which the position may have been rounded up. Ignores positions that are older than the known one or ahead
+  // of the clock.
+  void recordReplication(NodeState& node, const LoadReport& report, Instant reportedAt,
+                         Duration maxRoundingUp);
 
-  // A write of the session was committed, or may have been, at `committedAt`. Kept for a minute, for a
-  // bounded number of sessions; beyond that it holds for all sessions.
+  // Records that a write of the session was, or may have been, committed at `committedAt`. The commit is kept
+  // for a minute and for a bounded number of sessions; after that it counts as a commit of every session.
   void recordSessionCommit(SessionId session, Instant committedAt);
 
   bool isWrite(const InFlightAttempt& attempt) const;
@@ -54,8 +58,8 @@
 
   RoutingState& state_;
   std::map<SessionId, Instant> lastCommits_;
-  std::deque<SessionCommit> commitsByAge_;  // all that were recorded, oldest first
-  Instant commitFloor_;                     // the newest commit among sessions that are forgotten
+  std::deque<SessionCommit> commitsByAge_;  // all recorded commits, oldest first
+  Instant commitFloor_;                     // the newest commit among the deleted sessions
 };
 
 }  // namespace gulltrestle::routing
--- a/src/routing/replica_selection.h
+++ b/src/routing/replica_selection.h
@@ -1,5 +1,5 @@
-// Which node a transaction goes to: a replica by weighted draw, the primary, or a node that may be the
-// primary.
+// Selects the node that a transaction is sent to: a replica by weighted random choice, the primary, or a node
+// that may be the primary.
 #pragma once
 
 #include <vector>
@@ -13,8 +13,8 @@
 
 namespace gulltrestle::routing {
 
-// The modules whose judgement of nodes the selection combines.
-struct NodeJudgement {
+// The modules whose evaluations of nodes the selection combines.
+struct SelectionPolicies {
   const LatencyStatistics& latencies;
   const ConcurrencyLimit& concurrency;
   SlowStart& slowStart;
@@ -22,27 +22,31 @@
   const ReadConsistency& consistency;
 };
 
-// Combines the judgements of all other modules into one choice; sends nothing but health checks.
+// Combines the evaluations of the other modules into the choice of a node. Sends health checks, but no
+// attempts.
 class ReplicaSelector {
  public:
-  ReplicaSelector(RoutingState& state, NodeJudgement judgement) : state_(state), judge_(judgement) {}
+  ReplicaSelector(RoutingState& state, SelectionPolicies policies) : state_(state), policies_(policies) {}
 
-  // The node last known to be primary, or else listed as primary, that isn't draining; null if there is none.
+  // The node that was last known as primary or, if there is none, that is listed as primary. Ignores draining
+  // nodes. Null if no node qualifies.
   NodeState* primaryOf(GroupId group) const;
 
-  // Whether the node may get the transaction now, apart from the data it has. `stretch`: how many times
-  // longer than usual the transaction may stay there; below 1 it leaves room for others. May draw a fraction.
+  // Whether the transaction may be sent to the node now, regardless of the data it has applied. `stretch` is
+  // the factor by which the transaction may stay at the node for longer than usual; a value below 1 reserves
+  // capacity for other transactions. May draw a random fraction.
   bool isUsable(NodeState& node, const PendingTransaction& transaction, double stretch = 1) const;
 
-  // The node that the transaction is to be sent to; null: it is held for now. Draws, and may send health
-  // checks.
+  // The node that the transaction is to be sent to; null: the transaction stays queued. Draws random values
+  // and may send health checks.
   NodeState* select(const PendingTransaction& transaction);
 
  private:
   struct Candidates {
     std::vector<NodeState*> nodes;
-    std::vector<double> weights;  // one a node
+    std::vector<double> weights;  // one per node
   };
+  // Whether a candidate must be known to have applied the required position, or may have applied it.
   enum class DataKnowledge { known, possible };
 
   bool hasCapacity(NodeState& node, const PendingTransaction& transaction, double stretch) const;
@@ -56,7 +60,7 @@
   double weightOf(const NodeState& node) const;
 
   RoutingState& state_;
-  NodeJudgement judge_;
+  SelectionPolicies policies_;
 };
 
 }  // namespace gulltrestle::routing
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -7,67 +7,73 @@
 
 namespace {
 
-constexpr std::size_t kAbandoned = 256;
-// A client that comes back does so within this time.
-constexpr Duration kReturnsWithin = Duration::seconds(1);
-
-// First tries of all classes are given up after one fraction of the deadline. A client's timeout is common if
-// one in six of the last ones was the same but for 1%; the rule holds while one in four was common.
-constexpr std::size_t kClientTimeouts = 64;
-constexpr std::size_t kFewestClientTimeouts = 16;
-constexpr double kSameTimeout = 0.01;
-constexpr int kCommonOneIn = 6;
-constexpr int kRuleHoldsOneIn = 4;
-
-// What is sent at worse odds than a fifth is mostly wasted.
-constexpr double kHopelessBelow = 0.2;
-
-// A repeat gets older on its way: so many rounds of the deduplication window are left for it.
+constexpr std::size_t kMaxAbandoned = 256;
+// A client that retries an abandoned transaction does so within this time.
+constexpr Duration kClientRetryWindow = Duration::seconds(1);
+
+// For first requests of all classes, the client timeout is the same fraction of the deadline. A client
+// timeout is common if one in six of the last ones differs from it by less than 1% of the deadline; the rule
+// is applied while one in four of them is common.
+constexpr std::size_t kMaxClientTimeouts = 64;
+constexpr std::size_t kMinClientTimeouts = 16;
+constexpr double kTimeoutTolerance = 0.01;
+constexpr int kCommonTimeoutOneIn = 6;
+constexpr int kRuleAppliesOneIn = 4;
+
+// A transaction that is expected to yield less than a fifth of its value is mostly wasted work.
+constexpr double kMinExpectedValueFraction = 0.2;
+
+// Rounds reserved at the end of the deduplication window for the time that a retry is in transit.
 constexpr double kResendReserveRounds = 2;
 
 }  // namespace
 
-// A later try has what the deadline leaves, which dates it. May hurt the few clients whose timeout is their
-// own.
-bool RetryPolicy::isLaterTry(const Transaction& transaction) {
+// A client's retry has the rest of the deadline as its remaining time, which tells when the first request was
+// sent. Trade-off: misjudges the few clients that have a timeout of their own.
+bool RetryPolicy::isClientRetry(const Transaction& transaction) {
   const double fraction =
       transaction.remainingTime / state_.config.transactionClasses[transaction.type].deadline;
-  const auto same = std::count_if(
-      clientTimeouts_.begin(), clientTimeouts_.end(),
-      [&](const ClientTimeout& other) { return std::abs(other.deadlineFraction - fraction) < kSameTimeout; });
-  const bool isCommon = same * kCommonOneIn >= std::ssize(clientTimeouts_);
-  pushBounded(clientTimeouts_, {fraction, isCommon}, kClientTimeouts);
+  const auto same =
+      std::count_if(clientTimeouts_.begin(), clientTimeouts_.end(), [&](const ClientTimeout& other) {
+        return std::abs(other.deadlineFraction - fraction) < kTimeoutTolerance;
+      });
+  const bool isCommon = same * kCommonTimeoutOneIn >= std::ssize(clientTimeouts_);
+  pushBounded(clientTimeouts_, {fraction, isCommon}, kMaxClientTimeouts);
   const auto common = std::count_if(clientTimeouts_.begin(), clientTimeouts_.end(),
                                     [](const ClientTimeout& other) { return other.isCommon; });
-  return !isCommon && clientTimeouts_.size() >= kFewestClientTimeouts &&
-         common * kRuleHoldsOneIn >= std::ssize(clientTimeouts_);
+  return !isCommon && clientTimeouts_.size() >= kMinClientTimeouts &&
+         common * kRuleAppliesOneIn >= std::ssize(clientTimeouts_);
 }
 
-// The latency target runs from the first try; tries that come when it is past earn nothing, and crowd out
-// others in an overload. A session that asks for the same soon after it was abandoned comes back, unless the
-// first try has expired: then it asks anew.
-Duration RetryPolicy::timeInEarlierTries(const Transaction& transaction) {
+// The latency target is measured from the client's first request; retries after it yield nothing, and
+// displace other transactions in an overload. A request of the same session and class soon after an abandoned
+// one is treated as its retry, unless the deadline of the first request has passed: then it is a new
+// transaction.
+Duration RetryPolicy::estimateEarlierWait(const Transaction& transaction) {
   const Duration deadline = state_.config.transactionClasses[transaction.type].deadline;
   const auto earlier =
       std::find_if(abandoned_.rbegin(), abandoned_.rend(), [&](const AbandonedTransaction& other) {
         return transaction.session == other.session && transaction.type == other.transactionClass &&
-               state_.now - other.abandonedAt < kReturnsWithin && state_.now - other.firstTryAt < deadline;
+               state_.now - other.abandonedAt < kClientRetryWindow &&
+               state_.now - other.firstRequestAt < deadline;
       });
   if (earlier != abandoned_.rend()) {
-    const Duration waited = state_.now - earlier->firstTryAt;
+    const Duration waited = state_.now - earlier->firstRequestAt;
     abandoned_.erase(std::next(earlier).base());
     return waited;
   }
-  return isLaterTry(transaction) ? deadline - transaction.remainingTime : Duration();
+  return isClientRetry(transaction) ? deadline - transaction.remainingTime : Duration();
 }
 
 void RetryPolicy::recordAbandoned(const PendingTransaction& transaction) {
   const Transaction& request = transaction.request;
   if (request.session && !transaction.erringNode)
-    pushBounded(abandoned_, {*request.session, request.type, transaction.firstTryAt, state_.now}, kAbandoned);
+    pushBounded(abandoned_, {*request.session, request.type, transaction.firstRequestAt, state_.now},
+                kMaxAbandoned);
 }
 
-// A repeat is known for a window from the first send on.
+// Nodes recognise a duplicate for one deduplication window, measured from the time the first attempt was
+// sent.
 Instant RetryPolicy::resendBy(const PendingTransaction& transaction) const {
   return transaction.mayHaveRunAt + state_.classOf(transaction).deduplicationWindow -
          state_.config.roundInterval * kResendReserveRounds;
@@ -84,7 +90,7 @@
 }
 
 bool RetryPolicy::isHopeless(const PendingTransaction& transaction) const {
-  return !maySend(transaction) || expectedValueFraction(transaction) < kHopelessBelow;
+  return !maySend(transaction) || expectedValueFraction(transaction) < kMinExpectedValueFraction;
 }
 
 double RetryPolicy::expectedValueFraction(const PendingTransaction& transaction) const {
@@ -107,10 +113,11 @@
 Instant RetryPolicy::sendBy(const PendingTransaction& transaction, const NodeState& node) const {
   const TransactionClass& type = state_.classOf(transaction);
   Instant latest = transaction.answerBy;
-  // A bounded read may wait for a connection, but not until what its replica has falls out of the bound.
+  // A bounded read may wait for a connection only while the data of its replica is within the staleness
+  // bound.
   if (type.level == ReadLevel::bounded && node.appliedPosition >= state_.requiredPosition(transaction))
     latest = std::min(latest, node.appliedPosition + type.maxStaleness);
-  // Nor may a repeat, once its first is forgotten.
+  // A retry may wait only within the deduplication window of the first attempt.
   if (type.effect == Effect::deduplicated && transaction.mayHaveRunAt != Instant())
     latest = std::min(latest, resendBy(transaction));
   return latest;
@@ -118,8 +125,8 @@
 
 bool RetryPolicy::isSafeToReject(const PendingTransaction& transaction) const {
   const TransactionClass& type = state_.classOf(transaction);
-  const bool isRepeatDropped = type.effect == Effect::deduplicated && type.deduplicatesAcrossGroups;
-  return type.effect == Effect::idempotent || transaction.hasRunNowhere() || isRepeatDropped;
+  const bool isRetryDeduplicated = type.effect == Effect::deduplicated && type.deduplicatesAcrossGroups;
+  return type.effect == Effect::idempotent || transaction.hasNotRun() || isRetryDeduplicated;
 }
 
 }  // namespace gulltrestle::routing
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -1,9 +1,10 @@
-// Whether a transaction may be sent, once or again, and what can still be earned by it.
+// Retry policy: whether a transaction may be sent for the first time or again, and the value that it can
+// still yield.
 //
-//   effect       | sent again after an attempt that may have run | given up after such an attempt
-//   idempotent   | yes                                           | rejected
-//   deduplicated | within the deduplication window               | rejected if repeats are known everywhere
-//   atMostOnce   | no                                            | rolled back
+//   effect       | retried after an attempt that may have run | final answer when abandoned after it
+//   idempotent   | yes                                        | rejection
+//   deduplicated | within the deduplication window            | rejection if every node deduplicates it
+//   atMostOnce   | no                                         | rollback
 #pragma once
 
 #include <deque>
@@ -13,56 +14,57 @@
 
 namespace gulltrestle::routing {
 
-// Judges one transaction by its effect, its attempts and the time that its client has left.
+// Evaluates a transaction by its effect, its attempts and its remaining time.
 class RetryPolicy {
  public:
   RetryPolicy(const RoutingState& state, const LatencyStatistics& latencies)
       : state_(state), latencies_(latencies) {}
 
-  // How long the transaction's client has waited in earlier tries, as far as can be told. Called once for
-  // each transaction that comes without that figure.
-  Duration timeInEarlierTries(const Transaction& transaction);
+  // Estimates how long the client has already waited for the transaction in earlier requests. Must be called
+  // once for each transaction that is received without that time.
+  Duration estimateEarlierWait(const Transaction& transaction);
 
-  // The transaction ends here without a result; its client may come back with it.
+  // Records that the transaction ended without a result; its client may send it again.
   void recordAbandoned(const PendingTransaction& transaction);
 
-  // Whether one more attempt is allowed at all.
+  // Whether another attempt is allowed.
   bool maySend(const PendingTransaction& transaction) const;
 
-  // Whether so little can be earned that the transaction is better not sent.
+  // Whether no attempt is allowed any more, or the expected value is too low to send the transaction.
   bool isHopeless(const PendingTransaction& transaction) const;
 
-  // The fraction of its value that the transaction can be expected to earn if it is sent now.
+  // The fraction of its full value that the transaction is expected to yield if it is sent now.
   double expectedValueFraction(const PendingTransaction& transaction) const;
 
-  // Whether a second attempt may be in flight beside the first once hedgeAt() is past.
+  // Whether a hedge may be sent after hedgeAt().
   bool mayHedge(const PendingTransaction& transaction) const;
-  // When the attempt in flight has been silent for too long.
+  // The time at which the attempt in flight exceeds the silence timeout.
   Instant hedgeAt(const PendingTransaction& transaction) const;
 
-  // By when an attempt at the node has to be written, else it must not be.
+  // The latest time at which an attempt may be written to the node.
   Instant sendBy(const PendingTransaction& transaction, const NodeState& node) const;
 
-  // Whether the client may be told to try again: the transaction has not run, or may run twice.
+  // Whether a rejection is safe, after which the client may retry: the transaction has not run, or may run
+  // twice.
   bool isSafeToReject(const PendingTransaction& transaction) const;
 
  private:
   struct AbandonedTransaction {
     SessionId session;
     std::size_t transactionClass;
-    Instant firstTryAt, abandonedAt;
+    Instant firstRequestAt, abandonedAt;
   };
   struct ClientTimeout {
     double deadlineFraction;
-    bool isCommon;  // among the ones before it
+    bool isCommon;  // among the timeouts before it
   };
 
   Instant resendBy(const PendingTransaction& transaction) const;
-  bool isLaterTry(const Transaction& transaction);
+  bool isClientRetry(const Transaction& transaction);
 
   const RoutingState& state_;
   const LatencyStatistics& latencies_;
-  std::deque<AbandonedTransaction> abandoned_;  // the last ones of sessions
+  std::deque<AbandonedTransaction> abandoned_;  // the last ones that have a session
   std::deque<ClientTimeout> clientTimeouts_;    // of the last transactions
 };
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,10 +1,10 @@
-// Takes a router's events into the modules of this folder, in rounds: first the events that came in since the
-// last one, then the decisions (dispatcher.h).
+// Passes the events of a router to the modules of this folder, in rounds: first the events that arrived since
+// the last round, then the decisions (dispatcher.h).
 //
-// The ordinary path (docs/design.md): among the replicas whose known position has reached a read's
-// requirement one is drawn at random, with a weight that falls with smoothed latency x (1 + load). Without
-// any the read is held while the group's positions are checked, then goes to the primary. Writes and
-// linearizable reads go to the known primary.
+// The ordinary path (docs/design.md): a read is sent to a random replica among those whose known position has
+// reached the position that the read requires. The weight of a replica is inversely proportional to
+// smoothed latency x (1 + load). If there is no such replica, the read is queued while the positions of the
+// group are checked, then sent to the primary. Writes and linearizable reads are sent to the known primary.
 
 #include "routing/router.h"
 
@@ -47,17 +47,19 @@
 
 namespace {
 
-// An unanswered attempt counts as late after so many times the usual latency.
+// An unanswered attempt counts as late after this many times the usual latency.
 constexpr double kLateFactor = 3;
 
-// One service serves the endpoint list to all routers: no storm of polls when one fails.
+// One service provides the endpoint list to all routers: the backoff prevents a storm of polls after a
+// failure.
 constexpr Duration kListPollBackoff = Duration::seconds(1);
-// Longer than any router runs: a list that is followed isn't polled again unless that fails.
-constexpr Duration kNoListPoll = Duration::seconds(1e9);
+// Longer than any router runs: an endpoint list is polled again only if the subscription fails.
+constexpr Duration kListPollDisabled = Duration::seconds(1e9);
 
 }  // namespace
 
-// The modules, each built over those before it, and what joins their records of one event.
+// The modules, each of which depends only on those before it, and the functions that pass one event to
+// several of them.
 struct Router::State {
   State(RoutingConfig config, std::uint64_t seed)
       : shared(std::move(config), seed),
@@ -93,18 +95,19 @@
   std::optional<InFlightAttempt> takeInFlight(NodeState& node, TxnId transaction, unsigned attempt);
   EndedAttempt endedAttempt(const InFlightAttempt& sent, AttemptOutcome outcome, Duration latency) const;
   void recordLatency(NodeState& node, const EndedAttempt& attempt);
-  void settle(PendingTransaction& transaction, const NodeState& node, const EndedAttempt& attempt,
-              bool isOver);
+  void updateTransaction(PendingTransaction& transaction, const NodeState& node, const EndedAttempt& attempt,
+                         bool isOver);
 };
 
-// A delayed round is the router's own fault, and what it measures is its own delay: no node counts as silent.
+// A delayed round is a fault of the router, which would measure its own delay: no node counts as
+// unresponsive.
 void Router::State::startRound(Instant now, DecisionSink& sink) {
   shared.now = now;
   shared.sink = &sink;
   latencies.startRound();
   shared.isRoundDelayed = dispatcher.startRound();
   if (shared.isRoundDelayed)
-    for (auto& [id, node] : shared.nodes) node.lastHeardAt = now;
+    for (auto& [id, node] : shared.nodes) node.lastResponseAt = now;
 }
 
 void Router::State::receive(const Transaction& request) {
@@ -113,18 +116,19 @@
   transaction.request = request;
   transaction.receivedAt = shared.now;
   transaction.answerBy = shared.now + request.remainingTime;
-  const Duration extraForWork =
-      request.expectedWork ? *request.expectedWork * type.latencyTargetPerWork : Duration();
-  // Earlier tries that the front knows of count as attempts of this one: what may have run then may have run.
+  const Duration extraLatencyTarget =
+      request.expectedWork ? *request.expectedWork * type.latencyTargetPerServiceTime : Duration();
+  // Earlier attempts reported by the front end count as attempts of this request: if one of them may have
+  // run, the transaction may have run.
   const PriorAttempts& earlier = request.priorAttempts;
-  transaction.firstTryAt =
-      shared.now - (earlier.firstAttemptAge ? *earlier.firstAttemptAge : retries.timeInEarlierTries(request));
+  transaction.firstRequestAt = shared.now - (earlier.firstAttemptAge ? *earlier.firstAttemptAge
+                                                                     : retries.estimateEarlierWait(request));
   if (earlier.ambiguousAttemptAge) transaction.mayHaveRunAt = shared.now - *earlier.ambiguousAttemptAge;
   for (const NodeId& id : earlier.attemptedNodes)
     if (const auto found = shared.nodes.find(id); found != shared.nodes.end())
       transaction.attemptedNodes.push_back(&found->second);
   transaction.latencyTargetAt =
-      transaction.firstTryAt + std::min(type.latencyTarget + extraForWork, type.deadline);
+      transaction.firstRequestAt + std::min(type.latencyTarget + extraLatencyTarget, type.deadline);
   if (type.level == ReadLevel::session) transaction.requiredPosition = consistency.requiredBySession(request);
   slowStart.recordArrival(request.type);
 }
@@ -169,8 +173,8 @@
         node, isCommitted ? attempt.latency / shared.config.transactionClasses[type].latencyTarget : 1);
 }
 
-void Router::State::settle(PendingTransaction& transaction, const NodeState& node,
-                           const EndedAttempt& attempt, bool isOver) {
+void Router::State::updateTransaction(PendingTransaction& transaction, const NodeState& node,
+                                      const EndedAttempt& attempt, bool isOver) {
   if (transaction.attemptsInFlight > 0) --transaction.attemptsInFlight;
   if (attempt.mayHaveRun() && transaction.mayHaveRunAt == Instant())
     transaction.mayHaveRunAt = attempt.sent.sentAt;
@@ -188,7 +192,7 @@
   state_->startRound(now, sink);
   events.deliver(*this);
   if (state_->shared.config.endpointListIsPolled && now >= state_->nextListPollAt) {
-    state_->nextListPollAt = now + kNoListPoll;
+    state_->nextListPollAt = now + kListPollDisabled;
     sink.followEndpointList();
   }
   state_->dispatcher.decide();
@@ -214,14 +218,14 @@
   pending.erase(found);
 }
 
-void Router::setDegradation(GroupId group, const DegradationRules& level, const DegradationRules& below,
-                            double trial) {
+void Router::setDegradation(GroupId group, const DegradationRules& level, const DegradationRules& relaxed,
+                            double relaxedFraction) {
   auto& groups = state_->shared.groups;
   const auto found = groups.find(group);
   if (found == groups.end()) return;
   found->second.degradation = level;
-  found->second.relaxedDegradation = below;
-  found->second.relaxedDegradationFraction = trial;
+  found->second.relaxedDegradation = relaxed;
+  found->second.relaxedDegradationFraction = relaxedFraction;
 }
 
 void Router::onStreamStarted(TxnId transaction) {
@@ -239,15 +243,15 @@
   const auto sent = state.takeInFlight(nodeState, transaction, attempt);
   if (!sent) return;
   const EndedAttempt ended = state.endedAttempt(*sent, outcome, latency);
-  const auto waiting = state.shared.pending.find(transaction);
-  PendingTransaction* pending = waiting == state.shared.pending.end() ? nullptr : &waiting->second;
+  const auto foundPending = state.shared.pending.find(transaction);
+  PendingTransaction* pending = foundPending == state.shared.pending.end() ? nullptr : &foundPending->second;
   state.consistency.recordAnswer(nodeState, ended, answer);
   state.recordReport(nodeState, report);
   state.consistency.recordOutcome(nodeState, ended, answer);
   state.recordLatency(nodeState, ended);
   state.health.recordOutcome(nodeState, ended);
   if (outcome == AttemptOutcome::error) state.errors.recordError(nodeState, pending);
-  if (pending) state.settle(*pending, nodeState, ended, isOver);
+  if (pending) state.updateTransaction(*pending, nodeState, ended, isOver);
 }
 
 void Router::onHealthCheckEnded(const NodeId& node, AttemptOutcome outcome, const LoadReport& report) {
@@ -257,8 +261,9 @@
   if (outcome == AttemptOutcome::committed) state_->recordReport(found->second, report);
 }
 
-// It may have been down, and have lost the end of its log: what was known to be applied may be gone. Guards
-// against stale reads until the list tells of its start. Hurts where it was a link that failed.
+// The node may have crashed and lost the end of its log, so that the known applied position is no longer
+// valid. Prevents stale reads until the endpoint list reports the restart. Trade-off: discards a valid
+// position if only the connection failed.
 void Router::onNodeDisconnected(const NodeId& node) {
   const auto found = state_->shared.nodes.find(node);
   if (found != state_->shared.nodes.end()) found->second.appliedPosition = Instant();
--- a/src/routing/routing_state.cpp
+++ b/src/routing/routing_state.cpp
@@ -9,15 +9,15 @@
 
 constexpr Duration kSampleLifetime = Duration::seconds(2);
 
-// Stands in where no class is a bounded read: sessions read soon after they write.
+// Used where no class is a bounded read, because sessions read soon after they write.
 constexpr Duration kDefaultStalenessBound = Duration::seconds(2);
 
-// One in flight from each of a dozen routers is twice the least concurrency that a node is meant to have (six
-// over all routers, see concurrency_limit.cpp).
+// One transaction in flight from each of a dozen routers is twice the minimum concurrency limit of a node
+// (six over all routers, see concurrency_limit.cpp).
 constexpr unsigned kManyRouters = 12;
 
-// The shortest latency target of the deployments that pauses were tuned with.
-constexpr Duration kTunedLatencyTarget = Duration::millis(200);
+// The shortest latency target for which pauses are specified.
+constexpr Duration kReferenceLatencyTarget = Duration::millis(200);
 
 }  // namespace
 
@@ -60,17 +60,17 @@
 
 bool RoutingState::isOneOfManyRouters() const { return config.routerCount > kManyRouters; }
 
-Duration RoutingState::scaledPause(Duration tuned) const {
-  return tuned * std::min(1.0, shortestLatencyTarget / kTunedLatencyTarget);
+Duration RoutingState::scaledPause(Duration pause) const {
+  return pause * std::min(1.0, shortestLatencyTarget / kReferenceLatencyTarget);
 }
 
-Duration RoutingState::sharedPause(Duration tuned) const {
-  return scaledPause(tuned) * std::max(1.0, config.routerCount / static_cast<double>(kManyRouters));
+Duration RoutingState::sharedPause(Duration pause) const {
+  return scaledPause(pause) * std::max(1.0, config.routerCount / static_cast<double>(kManyRouters));
 }
 
 Instant RoutingState::requiredPosition(const PendingTransaction& transaction) const {
   const TransactionClass& type = classOf(transaction);
-  // One round is left for the way there.
+  // One round is reserved for the transit to the node.
   return type.level == ReadLevel::bounded ? now - type.maxStaleness + config.roundInterval
                                           : transaction.requiredPosition;
 }
--- a/src/routing/routing_state.h
+++ b/src/routing/routing_state.h
@@ -1,7 +1,8 @@
-// The data model that the routing modules share: nodes, groups and the transactions that wait for their final
-// answer. It holds what was learnt and answers questions of a line or two; policies stand in the modules.
+// The data model shared by the routing modules: nodes, groups and pending transactions. It stores what has
+// been observed and provides simple queries; policies are implemented in the modules.
 //
-// An Instant that was never set lies before all others ("never"), so that "long ago" needs no special case.
+// An Instant that was never set ("never") is earlier than all others, so that "long ago" needs no special
+// case.
 #pragma once
 
 #include <cstddef>
@@ -17,15 +18,15 @@
 
 namespace gulltrestle::routing {
 
-// After this a departed node and a session's commit are forgotten: no transaction, outdated endpoint list or
-// replication lag lasts as long.
-constexpr Duration kForgetAfter = Duration::seconds(60);
+// Time after which a departed node and a session's commit are deleted. No transaction, outdated endpoint list
+// or replication lag lasts that long.
+constexpr Duration kRetentionTime = Duration::seconds(60);
 
-// How many of a node's last outcomes its health is judged by.
+// Number of last outcomes that determine the health of a node.
 constexpr std::size_t kRecentOutcomes = 8;
 
-// Whether samples are too old to describe the present: 2 s, as long as a queue takes to drain. No samples at
-// all count as outdated.
+// Whether the last sample is older than 2 s, the time that a queue takes to drain, and thus says nothing
+// about the present. An empty series is outdated.
 bool isOutdated(const Samples& samples, Instant now);
 
 // An attempt that was sent and has not ended.
@@ -34,7 +35,7 @@
   unsigned number;
   std::size_t transactionClass;  // row in RoutingConfig::transactionClasses
   Instant sentAt;
-  Instant requiredPosition;  // what the answering node must have applied; never: any position will do
+  Instant requiredPosition;  // position that the answering node must have applied; never: any
   std::optional<SessionId> session;
 };
 
@@ -43,116 +44,119 @@
   InFlightAttempt sent;
   AttemptOutcome outcome;
   Duration latency;
-  // It got no answer and was in flight for much longer than usual, which counts as a failure that took at
-  // least as long: else a node that answers nothing, or only what nobody waits for any more, is never found
-  // out, and looks as quick as its answers.
+  // Whether it ended unanswered after much longer than the usual latency. It then counts as a failure with at
+  // least that latency; otherwise a node that answers nothing, or only attempts that are no longer needed,
+  // would never be detected and would look as fast as its answers.
   bool isLate;
 
   bool isCommitted() const { return outcome == AttemptOutcome::committed; }
   bool isUnanswered() const {
     return outcome == AttemptOutcome::cancelled || outcome == AttemptOutcome::timeout;
   }
-  // Whether it may have run, and whether it did is not known.
+  // Whether it may have run, but its outcome is unknown.
   bool isLost() const { return isUnanswered() || outcome == AttemptOutcome::connectionLost; }
   bool mayHaveRun() const { return isLost() || outcome == AttemptOutcome::error; }
 };
 
-// What is known of one node.
+// The state of one node as known to this router.
 struct NodeState {
-  EndpointEntry endpoint;  // as last listed; its startedAt is the latest that was ever listed
-  Instant lastListedAt;    // when a list last named it as live or draining
+  EndpointEntry endpoint;  // as last listed; startedAt is the latest ever listed
+  Instant lastListedAt;    // when it was last listed as live or draining
   bool wasListedDraining = false;
   bool isHealthCheckInFlight = false;
 
-  Instant appliedPosition;  // all commits up to here are known to be applied
-  Duration replicationLag;  // how far that position was behind when it was reported
+  Instant appliedPosition;  // all commits up to this time are known to be applied
+  Duration replicationLag;  // lag of that position when it was reported
   Instant lastKnownPrimaryAt, lastKnownReplicaAt;
 
-  Instant lastHeardAt;
-  Instant lastCheckedAt;   // when it was last sent a health check, or a write that looks for the primary
-  Instant loadReportedAt;  // when it counted reportedInFlight
+  Instant lastResponseAt;
+  Instant lastCheckedAt;   // last health check, or write that searches for the primary
+  Instant loadReportedAt;  // when reportedInFlight was counted
   double reportedInFlight = 0;
 
-  Instant lastRejectedAt;          // when it last rejected a transaction untouched
-  Instant lastRejectedAsStaleAt;   // when it last rejected one as the wrong node for a read
-  Instant latestAnsweredSentAt;    // when the latest sent of its answered attempts was sent
-  Instant lastTrialAt;             // when it was last sent an attempt while unhealthy
-  Instant lastFailedAt;            // when an attempt there last failed
-  Instant nextSlowStartSendAt;     // while it warms up, it gets its next transaction after this
-  Samples latencyRatios;           // latencies as multiples of what is usual for the transaction class
+  Instant lastRejectedAt;          // last rejection of a transaction without execution
+  Instant lastRejectedAsStaleAt;   // last rejection of a read as the wrong node
+  Instant latestAnsweredSentAt;    // latest send time among its answered attempts
+  Instant lastTrialAt;             // last attempt sent while it was unhealthy
+  Instant lastFailedAt;            // last failure of an attempt
+  Instant nextSlowStartSendAt;     // earliest time of its next transaction during slow start
+  Samples latencyRatios;           // latencies as multiples of the usual latency of the transaction class
   std::deque<bool> lastOutcomes;   // true: answered
   unsigned consecutiveErrors = 0;  // since its last answer
   std::vector<InFlightAttempt> inFlightAttempts;  // in the order of sending
 };
 
-// The nodes that hold the same data, and what holds for them together.
+// The nodes that store the same data, and the state that they share.
 struct GroupState {
   std::vector<NodeState*> nodes;          // in the order of ids
-  Instant lastPositionCheckAt;            // when its replicas were last checked for held reads
+  Instant lastPositionCheckAt;            // last position check of its replicas for queued reads
   DegradationRules degradation;           // in force
-  DegradationRules relaxedDegradation;    // a level less
-  double relaxedDegradationFraction = 0;  // of transactions, judged by the level less as a trial
+  DegradationRules relaxedDegradation;    // of the next less strict level
+  double relaxedDegradationFraction = 0;  // fraction of transactions subject to it, as a trial
   // Last latencies as fractions of the latency target; a rejection counts as the whole target.
   Samples replicaLatencyPressure, primaryLatencyPressure;
 };
 
-// A transaction that is owed its final answer.
+// A transaction that has not received its final answer.
 struct PendingTransaction {
   Transaction request;
   Instant receivedAt;
-  Instant firstTryAt;  // when its client's first try came, as far as can be told
+  Instant firstRequestAt;  // when the client's first request was received, as far as known
   Instant latencyTargetAt;
-  Instant answerBy;          // when its client gives up this try
-  Instant requiredPosition;  // session reads: what the answering node must have applied
-  unsigned attempts = 0;     // sent from here, and the next one's number; RoutingConfig::maxAttempts: no more
+  Instant answerBy;          // when the client times out this request
+  Instant requiredPosition;  // session reads: position that the answering node must have applied
+  // Number sent by this router, and the number of the next one; RoutingConfig::maxAttempts: no more are
+  // allowed.
+  unsigned attempts = 0;
   unsigned attemptsInFlight = 0;
   Instant lastSentAt;
-  Instant mayHaveRunAt;  // when the first attempt that may have run was sent; never: none may have
+  Instant mayHaveRunAt;  // when the first attempt that may have run was sent; never: none
   std::vector<const NodeState*> attemptedNodes;
-  NodeState* erringNode = nullptr;  // where it got an error, while the cause of the error is not known
-  bool isStreaming = false;         // its answer has begun
-  bool isAdmissionDecided = false;  // whether it may be sent at all is decided once
+  NodeState* erringNode = nullptr;  // node that returned an error, while its cause is unknown
+  bool isStreaming = false;         // its answer has started
+  bool isAdmissionDecided = false;  // admission is decided once
 
   bool wasAttemptedAt(const NodeState& node) const;
-  bool hasRunNowhere() const { return attemptsInFlight == 0 && mayHaveRunAt == Instant(); }
+  bool hasNotRun() const { return attemptsInFlight == 0 && mayHaveRunAt == Instant(); }
 };
 
-// All of it, with the settings and the present round's time.
+// The whole routing state, with the configuration and the time of the present round.
 struct RoutingState {
   RoutingState(RoutingConfig routingConfig, std::uint64_t seed);
 
   const RoutingConfig config;
   RandomSource random;
-  Instant now;                   // of the present round
-  DecisionSink* sink = nullptr;  // set while a round runs
-  bool isRoundDelayed = false;   // the round came long after it was asked for: measured times are its own
+  Instant now;                   // time of the present round
+  DecisionSink* sink = nullptr;  // set during a round
+  bool isRoundDelayed = false;   // the round started late: measured times include its delay
   Duration shortestLatencyTarget;
   Duration shortestStalenessBound;  // of bounded reads
   std::map<NodeId, NodeState> nodes;
   std::map<GroupId, GroupState> groups;
   std::map<TxnId, PendingTransaction> pending;
 
-  // Clients may name any group, but only the list makes one: all others share one that is empty.
+  // Clients may name any group, but only the endpoint list creates groups: all unlisted groups share an empty
+  // one.
   GroupState& groupOf(GroupId id);
   const GroupState& groupOf(GroupId id) const;
   const TransactionClass& classOf(const PendingTransaction& transaction) const;
 
-  // Whether the node gets nothing new since it is being removed.
+  // Whether the node receives no new attempts because it is being removed.
   bool isDraining(const NodeState& node) const;
 
-  // Whether so many routers share the nodes that each has one transaction or none in flight to a node: its
-  // own counts then say next to nothing of the node's load.
+  // Whether so many routers share the nodes that each has at most one transaction in flight to a node. The
+  // own counts of a router then say next to nothing about the load of the node.
   bool isOneOfManyRouters() const;
 
-  // A pause that was tuned where the shortest latency target is 200 ms or more; shorter in proportion where
-  // transactions are quicker.
-  Duration scaledPause(Duration tuned) const;
-  // The same for what each router asks of nodes on its own account: longer in proportion beyond a dozen
-  // routers, so that nodes are not asked more often.
-  Duration sharedPause(Duration tuned) const;
+  // Scales a pause that applies where the shortest latency target is 200 ms or more: proportionally shorter
+  // where the target is shorter.
+  Duration scaledPause(Duration pause) const;
+  // The same for requests that each router sends to nodes independently: proportionally longer for more than
+  // a dozen routers, so that nodes don't receive more requests.
+  Duration sharedPause(Duration pause) const;
 
-  // How old the applied data must be at most at this moment. A bounded read's bound moves on while it
-  // travels.
+  // The position that a node must have applied at this time to answer the transaction. The position that a
+  // bounded read requires advances while the read is in transit.
   Instant requiredPosition(const PendingTransaction& transaction) const;
 
  private:
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr std::size_t kArrivals = 64;
-// Fewer arrivals don't tell a share.
-constexpr std::size_t kFewestArrivals = 8;
-// Arrivals of one round have no time between them.
-constexpr Duration kShortestArrivalSpan = Duration::millis(1);
+constexpr std::size_t kMaxArrivals = 64;
+// Minimum number of arrivals to compute the share of a node.
+constexpr std::size_t kMinArrivals = 8;
+// Lower bound, as all arrivals of one round have the same time.
+constexpr Duration kMinArrivalSpan = Duration::millis(1);
 
 }  // namespace
 
 void SlowStart::recordArrival(std::size_t transactionClass) {
-  pushBounded(arrivals_, {state_.now, latencies_.usualLatency(transactionClass).inSeconds()}, kArrivals);
+  pushBounded(arrivals_, {state_.now, latencies_.usualLatency(transactionClass).inSeconds()}, kMaxArrivals);
 }
 
 double SlowStart::warmUpFraction(const NodeState& node) const {
@@ -26,19 +26,22 @@
   return initial + (1 - initial) * std::max(0.0, (state_.now - startedAt) / window);
 }
 
-// The node gets its warm fraction of what this router would send each if all recent arrivals were spread
-// evenly. Over all routers, however unequal their shares, that is far from too much.
+// The node receives its warm-up fraction of the share that each node would have if this router spread all
+// recent arrivals evenly. Summed over all routers, however unequal their shares, this is far below the
+// capacity of the node.
 Duration SlowStart::pauseBetweenSends(const NodeState& node, std::size_t transactionClass) const {
-  const Duration span = std::max(state_.now - arrivals_.front().at, kShortestArrivalSpan);
-  const double workOfNode = sum(arrivals_) * warmUpFraction(node) / static_cast<double>(state_.nodes.size());
-  return span * (latencies_.usualLatency(transactionClass).inSeconds() / workOfNode);
+  const Duration span = std::max(state_.now - arrivals_.front().at, kMinArrivalSpan);
+  const double serviceTimeShare =
+      sum(arrivals_) * warmUpFraction(node) / static_cast<double>(state_.nodes.size());
+  return span * (latencies_.usualLatency(transactionClass).inSeconds() / serviceTimeShare);
 }
 
-// The first send after a start waits for a random part of the pause, as all routers hear of a start at once.
-// Guards what starts, one node or a whole group; may hurt where nodes warm up early.
+// Delays the first transaction after a start by a random fraction of the pause, as all routers learn of the
+// start at the same time. Prevents the overload of nodes that start, be it one or a whole group. Trade-off:
+// leaves capacity unused where nodes warm up early.
 bool SlowStart::hasCapacity(NodeState& node, std::size_t transactionClass) {
   if (warmUpFraction(node) >= 1) return true;
-  if (arrivals_.size() < kFewestArrivals) return false;
+  if (arrivals_.size() < kMinArrivals) return false;
   if (node.nextSlowStartSendAt < node.endpoint.startedAt)
     node.nextSlowStartSendAt =
         state_.now + pauseBetweenSends(node, transactionClass) * state_.random.fraction();
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -1,4 +1,5 @@
-// Slow start: a node that has just started gets less than its share until its caches are warm.
+// Slow start: a node that has just started receives less than its share of transactions until its caches are
+// warm.
 #pragma once
 
 #include "routing/latency_statistics.h"
@@ -6,22 +7,23 @@
 
 namespace gulltrestle::routing {
 
-// Paces what each warming node gets by the rate of arrivals at this router.
+// Limits the rate of transactions to each node in slow start, relative to the rate of arrivals at this
+// router.
 class SlowStart {
  public:
   SlowStart(RoutingState& state, const LatencyStatistics& latencies) : state_(state), latencies_(latencies) {}
 
-  // A transaction came in; the rate of these sets what a node's share is.
+  // Records the arrival of a transaction. The arrival rate determines the share of a node.
   void recordArrival(std::size_t transactionClass);
 
-  // The fraction of its capacity that the node has: 1 once it is warm.
+  // The fraction of its capacity that the node has; 1 after slow start.
   double warmUpFraction(const NodeState& node) const;
 
-  // Whether the node may get a transaction of the class now. Draws a fraction of the first pause after a
-  // start.
+  // Whether the node may receive a transaction of the class now. Draws a random fraction of the first pause
+  // after a start.
   bool hasCapacity(NodeState& node, std::size_t transactionClass);
 
-  // The node is sent a transaction: sets when it may get the next, while it warms up.
+  // Records that the node is sent a transaction: sets the earliest time of the next one during slow start.
   void recordSent(NodeState& node, std::size_t transactionClass);
 
  private:
@@ -29,7 +31,7 @@
 
   RoutingState& state_;
   const LatencyStatistics& latencies_;
-  Samples arrivals_;  // the last transactions taken, and the time they usually take in seconds
+  Samples arrivals_;  // the last transactions received, with their usual latency in seconds
 };
 
 }  // namespace gulltrestle::routing
