--- a/src/endpoint_leases/attempt_outcome.cpp
+++ b/src/endpoint_leases/attempt_outcome.cpp
@@ -9,7 +9,7 @@
 // The values of the node's outcome header.
 constexpr std::string_view kCommitted = "committed", kWrongNode = "miss", kRejected = "turned-away";
 
-// Statuses of HTTP (RFC 9110, RFC 6585).
+// HTTP status codes (RFC 9110, RFC 6585).
 constexpr int kFirstSuccess = 200, kMisdirectedRequest = 421, kTooManyRequests = 429, kFirstServerError = 500,
               kGatewayTimeout = 504;
 
@@ -17,7 +17,7 @@
   return report.sentToAddress && *report.sentToAddress != leasedAddress;
 }
 
-// A node that was sent nothing has run nothing; what is known is why.
+// If nothing was sent to the node, it has run nothing; the report only gives the reason.
 AttemptOutcome outcomeOfUnwritten(const ProxyReport& report) {
   if (report.nodeOutcome == kRejected) return AttemptOutcome::rejected;
   return isFromNode(report) ? AttemptOutcome::notSent : AttemptOutcome::noConnection;
@@ -29,11 +29,11 @@
   return nodeOutcome == kRejected ? AttemptOutcome::rejected : AttemptOutcome::error;
 }
 
-// Read so that nothing that may have run counts as never run: a 503 or 429 may come from a proxy or node that
-// had started, unless the report says that nothing was written. By 421 a node states that it is the wrong
-// one, and did nothing. Guards rule 2 against statuses that promise more than is known; may hurt at-most-once
-// transactions at nodes that reject with a bare 503: they are rolled back, where a node that reports
-// `turned-away` lets them be retried elsewhere.
+// Interprets the status conservatively, so that an attempt that may have run never counts as not run: a 503
+// or 429 may come from a proxy or node that had started to execute it, unless the report says that nothing
+// was written. By 421 a node states that it is the wrong one and did nothing. Prevents violations of rule 2
+// by statuses that promise more than is known. Trade-off: at-most-once transactions at nodes that reject with
+// a bare 503 are rolled back, whereas a node that reports `turned-away` allows a retry elsewhere.
 AttemptOutcome outcomeOfStatus(const ProxyReport& report) {
   const int status = report.httpStatus;
   if (status == kMisdirectedRequest && isFromNode(report)) return AttemptOutcome::wrongNode;
@@ -58,9 +58,9 @@
 }
 
 LoadReport loadReportOf(const ProxyReport& report, const std::string& leasedAddress) {
-  const bool isOfLeasedNode =
+  const bool isFromLeasedNode =
       report.writeProgress != WriteProgress::none && !wasSentElsewhere(report, leasedAddress);
-  return isOfLeasedNode ? report.loadReport : LoadReport();
+  return isFromLeasedNode ? report.loadReport : LoadReport();
 }
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/lease_duration.cpp
+++ b/src/endpoint_leases/lease_duration.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-// The fraction of the grace period that a lease may use. The other half is for what lies between granting it
-// and the node: the answer's way to the proxy, its queue, and the first byte's way on. Guards the drain rule
-// where the announcement of a drain crosses a lease; may hurt proxies that wait longer for a connection: they
-// retry with nothing written.
+// The fraction of the grace period that a lease may use. The other half covers the delays between granting
+// the lease and the node: the answer's transit to the proxy, the proxy's queue, and the transit of the first
+// byte to the node. Prevents violations of the drain rule if the announcement of a drain and a lease cross in
+// transit. Trade-off: proxies that wait longer for a connection must retry, with nothing written.
 constexpr double kGraceFraction = 0.5;
 
-// A shorter lease is not worth granting: it would expire in transit.
+// A shorter lease is not granted because it would expire in transit.
 constexpr Duration kMinLease = Duration::millis(5);
 
 // An extension is requested after this fraction of the timeout: most requests are answered long before, and
-// what is left is ample for the message to arrive.
+// the rest is ample time for the message to arrive.
 constexpr double kExtensionRequestFraction = 0.5;
 
-// An answer leaves this long before the proxy's timeout: a twentieth of it, and at least 5 ms for a turn on
-// either side.
+// An answer is sent this long before the proxy's timeout: a twentieth of the timeout, and at least 5 ms, to
+// allow for one turn on either side.
 constexpr double kAnswerMarginFraction = 0.05;
 constexpr Duration kMinAnswerMargin = Duration::millis(5);
 
@@ -30,11 +30,11 @@
 
 }  // namespace
 
-// Guards against drains that are announced late: a list that was silent for longer than its keepalive
-// interval may hold back a drain that counts as announced `notifiedWithin` after it was due. From then on the
-// grace period is running, and a lease must be used before it can be over. May hurt while discovery is
-// unavailable for long: where the rule counts what was never received, no lease is granted in the end, and
-// requests are rejected.
+// Handles drains that are announced late: if discovery was silent for longer than its keepalive interval, a
+// drain may be pending that counts as announced `notifiedWithin` after it was due. The grace period runs from
+// then on, and a lease must be used before that period can end. Trade-off: during a long outage of discovery,
+// if the rule counts lists that were never received, no lease is granted eventually and requests are
+// rejected.
 Duration leaseDuration(Instant now, Instant sendBy, const DrainRule& rule, const EndpointListAge& list) {
   const Duration graceForLease = rule.grace * kGraceFraction;
   Duration duration = std::min(graceForLease, sendBy - now);
@@ -48,7 +48,7 @@
 HoldDeadlines holdDeadlines(Instant now, Duration remainingTime, const MessageTimeout& message) {
   HoldDeadlines hold;
   hold.answerBy = now + std::min(remainingTime, message.timeout - answerMargin(message.timeout));
-  // No extension exceeds what the client waits, and none is requested if it gains nothing.
+  // An extension never exceeds the time that the client waits, and none is requested if it gains nothing.
   const Duration untilRequest = message.timeout * kExtensionRequestFraction;
   const Duration extension = std::min(message.maxExtension, remainingTime - untilRequest);
   if (remainingTime <= message.timeout || untilRequest + extension <= message.timeout) return hold;
--- a/src/endpoint_leases/lease_registry.cpp
+++ b/src/endpoint_leases/lease_registry.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-// How long a retry waits for the end of the attempt before it, which the proxy has abandoned already: the
-// reset and the retry cross in transit, milliseconds apart. After that the earlier attempt may have run.
+// How long a retry waits for the end of the previous attempt, which the proxy has abandoned already: the
+// reset and the retry cross in transit, milliseconds apart. After that, the previous attempt counts as one
+// that may have run.
 constexpr Duration kMaxResetDelay = Duration::millis(50);
 
 LeaseDecision answerWith(FinalOutcome outcome, std::string_view reason) {
@@ -77,7 +78,7 @@
   return deny(entry, "the id names an open txn");
 }
 
-// Passes the transaction to the router with what is known of its earlier attempts.
+// Passes the transaction to the router with the known facts about its earlier attempts.
 LeaseDecision LeaseRegistry::route(Instant now, const Entry& entry) const {
   LeaseDecision decision;
   PriorAttempts& prior = decision.priorAttempts;
@@ -89,22 +90,23 @@
   return decision;
 }
 
-// Guards rule 2 where this start of the program knows nothing: it was killed between a lease and its outcome,
-// and the proxy retries. Also covers ids that were forgotten, and proxies that moved here from another
-// instance. May hurt at-most-once transactions whose proxy does not report that nothing was written: they are
-// rolled back.
+// Prevents violations of rule 2 if this incarnation knows nothing of the transaction: the previous one was
+// killed between a lease and its outcome, and the proxy retries. Also covers ids that were forgotten, and
+// proxies that moved to this instance from another one. Trade-off: at-most-once transactions whose proxy does
+// not report that nothing was written are rolled back.
 LeaseDecision LeaseRegistry::routeUnknown(Instant now, StreamKey stream, const LeaseRequest& request) {
-  // Guards against an unbounded number of ids: what is not idempotent must be remembered to be denied.
+  // Prevents an unbounded number of ids: transactions that are not idempotent must be remembered so that
+  // retries can be denied.
   if (!isIdempotent(request.transactionClass) && otherExpiries_.size() >= bounds_.maxTransactionsPerKind)
     return answerWith(FinalOutcome::rejected, "too many txns are remembered");
   Entry& entry = startEntry(now, stream, request);
   const bool hasEarlierAttempts = request.attempt > 1 || !request.token.empty();
   if (hasEarlierAttempts && request.writeProgress != WriteProgress::none) {
-    // Its first attempt can't have come longer ago than its client waits in all.
+    // The first attempt can't be older than the total time that the client waits.
     const Duration maxAge =
         std::max(classes_[request.transactionClass].deadline - request.remainingTime, Duration::millis(1));
     entry.mayHaveRunAt = now - maxAge;
-    entry.firstRequestedAt = Instant();  // not known either
+    entry.firstRequestedAt = Instant();  // also unknown
     entry.leaseCount = std::max(1u, request.attempt - 1);
   }
   return route(now, entry);
@@ -112,14 +114,15 @@
 
 LeaseDecision LeaseRegistry::routeRetry(Instant now, StreamKey stream, const LeaseRequest& request,
                                         Entry& entry) {
-  // That nothing was written refers to the leases that the requester has seen. Guards rule 2 against two
-  // clients that use one id: what one did not write the other may have. May hurt a proxy that cancelled just
-  // as it got a lease: it has not seen that lease, and its at-most-once transaction is rolled back.
+  // A report that nothing was written only covers the leases that the requester has seen. Prevents violations
+  // of rule 2 if two clients use the same id: one may have written what the other has not. Trade-off: if a
+  // proxy cancels just as it is granted a lease, it has not seen that lease, and its at-most-once transaction
+  // is rolled back.
   const bool wroteNothing = request.writeProgress == WriteProgress::none && request.token == entry.token;
   const bool wasGranted = entry.state == State::leased;
   if (wasGranted) {
     if (!entry.waitingRetry) entry.waitingRetry = {stream, now + kMaxResetDelay};
-    // A third stream that comes meanwhile replaces the second.
+    // A third stream that arrives meanwhile replaces the second.
     entry.waitingRetry->stream = stream;
     if (now < entry.waitingRetry->until && !wroteNothing) return waitUntil(entry.waitingRetry->until);
     if (!wroteNothing && entry.mayHaveRunAt == Instant()) entry.mayHaveRunAt = entry.grantedAt;
@@ -140,13 +143,15 @@
 
 // --- Denials
 
-// For a stream beside another one of the same transaction. A retry is harmless only if it is idempotent.
+// For a stream that is concurrent with another one of the same transaction. A retry is safe only if the
+// transaction is idempotent.
 LeaseDecision LeaseRegistry::deny(const Entry& entry, std::string_view reason) const {
   return answerWith(isIdempotent(entry.transactionClass) ? FinalOutcome::rejected : FinalOutcome::rolledBack,
                     reason);
 }
 
-// The proxy goes on after the final answer, which it gets again. None: it may be executed again.
+// The proxy retries after the final answer and gets that answer again. Returns nullopt if the transaction may
+// be executed again.
 std::optional<LeaseDecision> LeaseRegistry::denyRetryOfFinished(const Entry& entry) const {
   if (entry.outcome == FinalOutcome::committed && isIdempotent(entry.transactionClass)) return std::nullopt;
   const FinalOutcome outcome =
@@ -154,7 +159,8 @@
   return answerWith(outcome, "the txn had its final answer");
 }
 
-// Another client, or another request, has the id of a finished transaction. None: it is a new transaction.
+// Another client, or another request, uses the id of a finished transaction. Returns nullopt if it counts as
+// a new transaction.
 std::optional<LeaseDecision> LeaseRegistry::denyReuseOfFinished(const Entry& entry) const {
   const bool neverRan = entry.outcome == FinalOutcome::rejected && entry.mayHaveRunAt == Instant();
   if (isIdempotent(entry.transactionClass) || neverRan) return std::nullopt;
@@ -187,8 +193,8 @@
   Entry* entry = find(id, stream);
   if (!entry) return;
   entry->outcome = outcome;
-  // An attempt that had a lease and was rejected for its outcome may be followed by another: the proxy is
-  // configured so. A rejection without a lease is final.
+  // An attempt that had a lease and was rejected because of its outcome may be followed by another one, as
+  // configured in the proxy. A rejection without a lease is final.
   const bool mayBeRetried = placement_ == ProxyPlacement::perAttempt && outcome == FinalOutcome::rejected &&
                             entry->state != State::requested;
   remember(now, id, *entry, mayBeRetried ? State::betweenAttempts : State::finished);
@@ -203,8 +209,8 @@
 
 // --- Expiry
 
-// Stores an entry in state betweenAttempts or finished for as long as its client may retry. Idempotent ones
-// beyond the bound drop the oldest; the others are bounded by routeUnknown().
+// Stores an entry in state betweenAttempts or finished for as long as its client may retry. An idempotent
+// entry beyond the bound replaces the oldest one; routeUnknown() bounds the number of the others.
 void LeaseRegistry::remember(Instant now, const std::string& id, Entry& entry, State state) {
   entry.state = state;
   const Instant expiresAt = now + classes_[entry.transactionClass].deadline;
@@ -224,7 +230,7 @@
   for (ExpiryQueue* queue : {&idempotentExpiries_, &otherExpiries_}) {
     while (!queue->empty() && queue->front().at <= now) {
       const auto found = entries_.find(queue->front().id);
-      // It may have been renewed, or be open again, since.
+      // The entry may have been renewed, or opened again, since then.
       if (found != entries_.end() && found->second.expiresAt == queue->front().at &&
           (found->second.state == State::betweenAttempts || found->second.state == State::finished))
         entries_.erase(found);
--- a/src/endpoint_leases/lease_registry.h
+++ b/src/endpoint_leases/lease_registry.h
@@ -1,30 +1,30 @@
-// Decides which ext_proc streams are attempts of one transaction, and stores what is known of its earlier
-// ones: whether a stream's request goes to the router at all, with which prior attempts, or what it is
-// answered instead. The choice of a node, retries and rejections are the router's, which is given the prior
-// attempts (PriorAttempts). No I/O, no clock.
+// Determines which ext_proc streams are attempts of the same transaction, and records its earlier attempts.
+// Decides whether a stream's request is passed to the router, and with which prior attempts, or which answer
+// it gets instead. The router, which is given the prior attempts (PriorAttempts), selects nodes and decides
+// on retries and rejections. No I/O, no clock.
 //
-// A transaction is identified by the id that its client gave it. Its states, and what a further stream with
-// its id gets:
+// A transaction is identified by the id that its client gave to it. Its states, and the result for a further
+// stream with the same id:
 //
 //   state            meaning                        a retry of it            any other stream
-//   requested        a stream waits, no lease       replaces the one that    denied: rejected, or rolled
-//                    granted                        waits                    back if it is not idempotent
-//   leased           a lease is outstanding, its    waits a moment for the   denied likewise
-//                    end not reported               end, then goes on as
+//   requested        a stream waits, no lease       replaces the waiting     denied: rejected, or rolled
+//                    granted                        stream                   back if it is not idempotent
+//   leased           a lease is outstanding, its    waits briefly for the    denied likewise
+//                    end not reported               end, then proceeds as
 //                                                   one that may have run
-//   betweenAttempts  the last attempt ended, and    goes on, with what is    denied likewise; a new
-//                    another may come               known of the earlier     transaction if no lease was
-//                                                   ones                     granted
-//   finished         it had its final answer        the same answer again    a new transaction if it is
+//   betweenAttempts  the last attempt ended, and    proceeds, with the       denied likewise; a new
+//                    another may follow             record of the earlier    transaction if no lease was
+//                                                   attempts                 granted
+//   finished         the final answer was given     the same answer again    a new transaction if it is
 //                                                                            idempotent or never ran;
-//                                                                            else denied
-//   (unknown)        never seen, or by another      treated as new; with a retry's count or another
-//                    start of this program, or      start's lease, as one that may have run unless
+//                                                                            otherwise denied
+//   (unknown)        never seen, or only by         treated as new; if its attempt count is above 1 or it
+//                    another incarnation, or        has a lease token, as one that may have run, unless
 //                    forgotten                      nothing was written
 //
-// A retry is a stream whose attempt count is above the last that was seen. What is not idempotent is
-// remembered until its client's time is up by its class's deadline; where there is no capacity for that, no
-// such transaction is admitted.
+// A retry is a stream whose attempt count is above the last one seen. Transactions that are not idempotent
+// are remembered until the deadline of their class, when their clients stop waiting. Without capacity for
+// that, no such transaction is admitted.
 #pragma once
 
 #include <cstdint>
@@ -40,68 +40,69 @@
 
 namespace gulltrestle::endpoint_leases {
 
-using StreamKey = std::uint64_t;  // a stream's own number; never 0
+using StreamKey = std::uint64_t;  // unique number of a stream; never 0
 
 // A transaction's final answer.
 enum class FinalOutcome { committed, rejected, rolledBack };
 
-// Where in its filter chain a proxy calls the processor: it requests once per HTTP request, and what ends
-// without effect is over; or once per attempt, and the next attempt may go on.
+// Where in its filter chain a proxy calls the processor. perRequest: it requests a lease once per HTTP
+// request, and an attempt that ends without effect is final. perAttempt: it requests one per attempt, and
+// another attempt may follow.
 enum class ProxyPlacement { perRequest, perAttempt };
 
-// What a stream requests.
+// A stream's request for a lease.
 struct LeaseRequest {
-  std::string id;                                        // of the transaction, as its client gave it
-  std::size_t transactionClass = 0;                      // row in RoutingConfig::transactionClasses
-  unsigned attempt = 1;                                  // the proxy's count, from 1
+  std::string id;                                        // of the transaction, as given by its client
+  std::size_t transactionClass = 0;                      // index into RoutingConfig::transactionClasses
+  unsigned attempt = 1;                                  // the proxy's attempt count, from 1
   WriteProgress writeProgress = WriteProgress::unknown;  // of the earlier attempts
-  std::string token;  // of the last lease that the proxy knows of; empty: none
+  std::string token;                                     // of the last lease known to the proxy; empty: none
   Duration remainingTime;
 };
 
-// What a stream gets. The comments name the actions that each field belongs to.
+// The response to a stream's request. The comments name the action that each field belongs to.
 struct LeaseDecision {
   enum class Action {
     route,  // pass the request to the router
-    wait,   // request again at `waitUntil`: an earlier attempt's end is awaited
-    answer  // it gets `outcome` without the router
+    wait,   // request again at `waitUntil`: the end of an earlier attempt is awaited
+    answer  // answer with `outcome`, without the router
   } action = Action::route;
   PriorAttempts priorAttempts;                    // route
   Instant waitUntil;                              // wait
   FinalOutcome outcome = FinalOutcome::rejected;  // answer
   std::string_view reason;                        // answer; static
-  // Route: this stream waited for the same transaction, and is to be rejected; 0: none did.
+  // Route: this stream waited for the same transaction and must be rejected; 0: none.
   StreamKey supersededStream = 0;
-  // Route: this stream's lease counts as ended, and its attempt may have run; 0: none does.
+  // Route: this stream's lease counts as ended, and its attempt may have run; 0: none.
   StreamKey unreportedStream = 0;
 };
 
-// Of the registry's memory.
+// Limits on the registry's memory.
 struct RegistryBounds {
-  // Remembered transactions: as many idempotent ones, and as many others.
+  // Number of remembered transactions: this many idempotent ones, and this many others.
   std::size_t maxTransactionsPerKind = 65536;
 };
 
-// Called by the ext_proc request streams, in the order of their events.
+// The ext_proc request streams call it in the order of their events.
 class LeaseRegistry {
  public:
-  // `incarnation`: names this start of the program in tokens; no other start has the same.
+  // `incarnation`: identifies this run of the program in tokens; unique to each start.
   LeaseRegistry(std::vector<TransactionClass> classes, ProxyPlacement placement, RegistryBounds bounds,
                 std::string incarnation);
 
-  // A stream requests a lease. Called again for one that was to wait.
+  // A stream requests a lease. Must be called again after a decision to wait.
   LeaseDecision requestLease(Instant now, StreamKey stream, const LeaseRequest& request);
-  // The requesting stream was granted a lease at the node. Returns the lease's token; empty, without effect,
-  // if the stream's request is superseded.
+  // The requesting stream was granted a lease for the node. Returns the lease's token; empty, without effect,
+  // if the stream's request was superseded.
   std::string onLeaseGranted(Instant now, const std::string& id, StreamKey stream, const NodeId& node);
-  // That attempt has ended.
+  // The attempt under the stream's lease has ended.
   void onAttemptEnded(Instant now, const std::string& id, StreamKey stream, AttemptOutcome outcome);
-  // The router answered the stream; that is the transaction's final answer unless another attempt may come.
+  // The router answered the stream; this is the transaction's final answer unless another attempt may follow.
   void onAnswered(Instant now, const std::string& id, StreamKey stream, FinalOutcome outcome);
   // The stream ended without an answer: its proxy cancelled it, or its connection was lost.
   void onStreamCancelled(Instant now, const std::string& id, StreamKey stream);
 
-  // Drops expired transactions. Returns when the next ones expire; never: none is left.
+  // Drops expired transactions. Returns when the next ones expire; Instant() if none is left.
   Instant dropExpired(Instant now);
 
   // The number of remembered transactions.
@@ -109,7 +110,7 @@
 
  private:
   enum class State { requested, leased, betweenAttempts, finished };
-  // A retry that waits for the end of the attempt before it, until a point in time.
+  // A retry that waits for the end of the previous attempt, at most until `until`.
   struct WaitingRetry {
     StreamKey stream = 0;
     Instant until;
@@ -117,10 +118,10 @@
   struct Entry {
     State state = State::requested;
     std::size_t transactionClass = 0;
-    StreamKey stream = 0;  // that requests or has the lease; 0: none
+    StreamKey stream = 0;  // the stream that requests or has the lease; 0: none
     unsigned attempt = 1, leaseCount = 0;
-    Instant firstRequestedAt;  // by its first attempt; never: not known
-    Instant mayHaveRunAt;      // when the first attempt that may have run was granted; never: none was
+    Instant firstRequestedAt;  // by the first attempt; Instant(): unknown
+    Instant mayHaveRunAt;      // when the first attempt that may have run was granted; Instant(): none
     Instant grantedAt, expiresAt;
     std::vector<NodeId> attemptedNodes;
     std::string token;  // of the last lease
--- a/src/gateway/effects.h
+++ b/src/gateway/effects.h
@@ -1,4 +1,4 @@
-// What the gateway requests: the server carries it out on sockets; a test prints it.
+// The I/O actions that the gateway requests. The server performs them on sockets; tests print them.
 #pragma once
 
 #include <string>
@@ -13,13 +13,14 @@
 using transactions::ConnectionCloseReason;
 using upstream::postgres::NodeConnectionId;
 
-// Implemented by the server. Calls may come from within any event and endTurn().
+// Implemented by the server. May be called from within any event and endTurn().
 class Effects : public downstream::postgres::Effects, public upstream::postgres::Effects {
  public:
+  // Stops accepting connections of clients.
   virtual void stopListening() = 0;
-  // The router wants the endpoint list, where lists are polled.
+  // Requests the endpoint list, if lists are polled.
   virtual void requestEndpointList() = 0;
-  // Discovery is at this address (address:port) from now on: its whole list is wanted at once.
+  // Discovery is at this address (address:port) from now on; its full list must be fetched at once.
   virtual void followDiscovery(const std::string& address) = 0;
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// For this long after the signal to terminate a router goes on as before: the load balancer ahead of it still
-// sends new clients, for 0.4 s at most; the rest is for what is in transit.
-constexpr Duration kShutDownGrace = Duration::millis(500);
+// For this long after the signal to terminate, the router continues as before: the load balancer still sends
+// new clients for up to 0.4 s, and the rest is for data in transit.
+constexpr Duration kShutdownGracePeriod = Duration::millis(500);
 
 }  // namespace
 
@@ -107,9 +107,9 @@
   const bool isMoved = discoveryAddress_ != discovery;
   const bool isReload = !discoveryAddress_.empty();
   for (const std::string& key : keysNeedingRestart)
-    effects_.log("configuration: " + key + " has changed: after a restart");
+    effects_.log("configuration: " + key + " has changed, takes effect after a restart");
   if (isReload)
-    effects_.log("configuration read anew: discovery at " + discovery + (isMoved ? "" : ", as before"));
+    effects_.log("configuration reloaded: discovery at " + discovery + (isMoved ? "" : ", unchanged"));
   if (!isMoved) return;
   discoveryAddress_ = discovery;
   effects_.followDiscovery(discovery);
@@ -117,7 +117,7 @@
 
 void Gateway::onConfigRejected(Instant now, std::string_view fault) {
   transactions_.advanceTo(now);
-  effects_.log("configuration not taken, all goes on as it was: " + std::string(fault));
+  effects_.log("configuration rejected, keeping the previous one: " + std::string(fault));
 }
 
 void Gateway::reloadConfig(Instant now) {
@@ -130,7 +130,7 @@
 void Gateway::shutDown(Instant now) {
   transactions_.advanceTo(now);
   if (std::exchange(isShuttingDown_, true)) return;
-  stopAt_ = transactions_.now() + kShutDownGrace;
+  stopAt_ = transactions_.now() + kShutdownGracePeriod;
   effects_.log("told to end: serving on for a while, then answering what was taken");
 }
 
@@ -140,14 +140,15 @@
                      [](const Component* component) { return component->empty(); });
 }
 
-// The order binds: connections and clients that are due end first, then the components have their turn, then
-// the router decides by all of that.
+// The order matters: due connections and clients end first, then the components run their turns, so that the
+// router's decisions take all of that into account.
 Instant Gateway::endTurn(Instant now) {
   transactions_.advanceTo(now);
   connectionPool_.endTurn();
   clientSessions_.endTurn();
   for (Component* component : components_) component->endTurn();
-  // One turn after it is due: what came while this process was held up is seen first.
+  // Stops one turn after the stop is due, so that events that arrived while the process was stalled are
+  // handled first.
   const bool stopsNow = std::exchange(isStopDue_, isShuttingDown_ && transactions_.now() >= stopAt_);
   if (stopsNow) stop();
   const Instant transactionsDue = transactions_.endTurn();
@@ -161,7 +162,7 @@
     clientSessions_.stop();
     for (Component* component : components_) component->stop();
   }
-  // In each turn, for clients that had just come and have sent nothing since.
+  // Runs in each turn, for clients that had just connected and have sent nothing since.
   clientSessions_.closeIdleAtShutDown();
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,7 +1,6 @@
-// The core of a router on sockets: passes each event, with its time, to the part that owns the state it
-// changes (the table of transactions, the client sessions, the connection pool), runs their turns in order,
-// and holds what concerns the whole router: endpoint list, configuration, shutdown. It reads no socket and no
-// clock.
+// The core of a router that runs on sockets. Dispatches each event, with its time, to the component that owns
+// the affected state (transaction table, client sessions, connection pool), runs their turns in order, and
+// handles the concerns of the whole router: endpoint list, configuration, shutdown. No socket I/O, no clock.
 #pragma once
 
 #include <string>
@@ -15,79 +14,81 @@
 
 using transactions::ResolvedEndpoint;
 
-// What the settings and the process's limits leave for connections.
+// Limits on connections, derived from the settings and the process's limits.
 struct Bounds {
-  Duration idleLimit;                  // nodes close connections that were idle for this long
-  Duration connectLimit;               // for a connection to be established; also for a health check
-  std::size_t maxNodeConnections = 0;  // connections to nodes that may be open at a time
-  std::size_t maxBufferedBytes = 0;    // of the statements of open transactions
-  std::size_t maxActiveClients = 0;    // connections that clients keep for transactions; 0: any number
+  Duration idleLimit;                  // nodes close connections that are idle for this long
+  Duration connectLimit;               // time limit for establishing a connection, and for a health check
+  std::size_t maxNodeConnections = 0;  // connections to nodes that may be open at the same time
+  std::size_t maxBufferedBytes = 0;    // total size of the statements of open transactions
+  std::size_t maxActiveClients = 0;    // connections that clients keep for transactions; 0: unlimited
 };
 
-// A part of the process beside the PostgreSQL clients, on the same table of transactions: a further
-// downstream handler with sockets of its own, or an observer.
+// A part of the process that shares the transaction table with the PostgreSQL clients: a further downstream
+// handler with sockets of its own, or an observer.
 class Component {
  public:
   virtual ~Component() = default;
-  virtual void onDiscoveryActivity() = 0;  // discovery sent something, be it nothing new
-  virtual void endTurn() = 0;              // ahead of the router's round
-  virtual void flush() = 0;                // after it
-  virtual Instant nextDue() const = 0;     // when the next turn is wanted; never: none is
-  virtual void stop() = 0;                 // nothing new may be taken from now on
-  virtual bool empty() const = 0;          // all is answered after stop()
-  virtual void reloadConfig() {}           // its own configuration, after a signal
+  virtual void onDiscoveryActivity() = 0;  // discovery sent something, even if nothing new
+  virtual void endTurn() = 0;              // called before the router's round
+  virtual void flush() = 0;                // called after the router's round
+  virtual Instant nextDue() const = 0;     // when the next turn is needed; Instant(): none
+  virtual void stop() = 0;                 // nothing new may be accepted from now on
+  virtual bool empty() const = 0;          // after stop(): whether everything is answered
+  virtual void reloadConfig() {}           // reloads its own configuration, after a signal
 };
 
-// One per process. The effects must outlive it.
+// One per process. `effects` must outlive it.
 class Gateway final {
  public:
-  // `classNames`: of the transaction classes, in the same order.
+  // `classNames`: the names of the transaction classes, in the same order.
   Gateway(const RoutingConfig& config, const std::vector<std::string>& classNames, std::uint64_t seed,
           Bounds bounds, Effects& effects);
 
-  // Before the first event. The component must outlive the gateway's last event.
+  // Must be called before the first event. The component must outlive the gateway's last event.
   void add(Component& component) { components_.push_back(&component); }
   transactions::TransactionTable& transactions() { return transactions_; }
 
-  // --- Events. `now`: when each was seen.
+  // --- Events. `now`: when the event was observed.
 
   void clientOpened(Instant now, ClientId client);
-  // Returns how many bytes were consumed; the rest is offered again, with more behind it, after readClient().
-  // `unreadSince`: since when the latest bytes had been left unread; never: they were read as they came.
+  // Returns how many bytes were consumed; the rest is passed again, followed by newer bytes, after
+  // readClient(). `unreadSince`: since when the latest bytes had been left unread; Instant() if they were
+  // read on arrival.
   std::size_t clientReceived(Instant now, ClientId client, std::string_view bytes, Instant unreadSince = {});
   void clientHalfClosed(Instant now, ClientId client);
   void clientClosed(Instant now, ClientId client, ConnectionCloseReason reason);
   void nodeConnected(Instant now, NodeConnectionId connection);
   void nodeWritten(Instant now, NodeConnectionId connection);
-  // Returns how many bytes were consumed; the rest is offered again, with more behind it.
+  // Returns how many bytes were consumed; the rest is passed again, followed by newer bytes.
   std::size_t nodeReceived(Instant now, NodeConnectionId connection, std::string_view bytes);
   void nodeConnectionClosed(Instant now, NodeConnectionId connection, ConnectionCloseReason reason);
   void onEndpointList(Instant now, EndpointUpdateKind kind, std::vector<ResolvedEndpoint> list,
                       std::uint64_t version = 0);
   void onEndpointListFailed(Instant now);
   void onDiscoveryActivity(Instant now);
-  // The configuration was read, at the start or for a reload. `discovery`: its address. `keysNeedingRestart`:
-  // that differ, and take effect after a restart only.
+  // The configuration was read, at the start or for a reload. `discovery`: the address of discovery.
+  // `keysNeedingRestart`: the keys whose values have changed and take effect only after a restart.
   void onConfigLoaded(Instant now, const std::string& discovery,
                       const std::vector<std::string>& keysNeedingRestart);
-  // It can't be used, and the former one stays in effect.
+  // The configuration can't be used; the previous one stays in effect.
   void onConfigRejected(Instant now, std::string_view fault);
-  // Has the components reload their own configurations.
+  // Makes the components reload their own configurations.
   void reloadConfig(Instant now);
-  // Starts the shutdown: new clients are still served for a while, then only what was taken is answered.
+  // Starts the graceful shutdown: new clients are still served for a grace period, then only accepted
+  // transactions are answered.
   void shutDown(Instant now);
 
-  // Ends a turn: handles what is due, and runs a round of the router if one is needed. Returns when the next
-  // turn is needed at the latest; never: none is.
+  // Ends a turn: handles everything that is due, and runs a round of the router if one is needed. Returns
+  // when the next turn is needed at the latest; Instant() if none is.
   Instant endTurn(Instant now);
 
-  // All is answered after shutDown().
+  // Returns whether everything is answered after shutDown().
   bool finished() const;
-  // Closes the clients that have been idle longest, `max` at most; false if none is idle.
+  // Closes up to `max` of the clients that have been idle longest. Returns false if none is idle.
   bool closeIdleClients(std::size_t max = 1) { return clientSessions_.closeIdle(max); }
-  // There is no memory for what the client sends.
+  // Rejects the client because there is no memory for the data that it sends.
   void rejectClient(Instant now, ClientId client);
-  // Whether the client awaits an answer.
+  // Returns whether the client awaits an answer.
   bool isWaiting(ClientId client) const { return clientSessions_.isWaiting(client); }
 
  private:
@@ -102,8 +103,8 @@
   downstream::postgres::ClientSessions clientSessions_;
   std::vector<Component*> components_;
   std::string discoveryAddress_;
-  // Shutting down: serving on until stopAt_. Stop due: that time was over in the last turn. Stopped: nothing
-  // new is taken.
+  // Shutting down: still serving until stopAt_. Stop due: stopAt_ had passed in the last turn. Stopped:
+  // nothing new is accepted.
   bool isShuttingDown_ = false, isStopDue_ = false, isStopped_ = false;
   Instant stopAt_;
 };
--- a/src/invariants/invariants.cpp
+++ b/src/invariants/invariants.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// A node may be given a little more time than its client has left: the protocol's allowance for transit.
+// A node's time limit may exceed the client's remaining time by this: the protocol's allowance for transit.
 constexpr Duration kDeadlineSlack = Duration::millis(150);
-// The deployment's time limit for a start.
+// The deployment's time limit for a process start.
 constexpr Duration kMaxStartDuration = Duration::seconds(10);
-// A repeated violation is logged once in this time.
+// Repeated violations of a check are logged at most once per interval.
 constexpr Duration kLogInterval = Duration::seconds(10);
 
 }  // namespace
@@ -65,7 +65,7 @@
   return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
-// Always false, for the checks to return.
+// Always returns false, so that checks can return its result.
 bool Invariants::recordViolation(Instant now, Check check, std::string_view rule, const Subject& subject) {
   const auto index = static_cast<std::size_t>(check);
   ++counts_[index];
--- a/src/transactions/admission_controller.h
+++ b/src/transactions/admission_controller.h
@@ -1,6 +1,6 @@
-// Admits or rejects new transactions, such as during the time after a start, when not all may come at once.
-// Called by the transaction table for each new transaction, and notified of the outcome of those admitted.
-// Without an admission controller all are admitted.
+// Interface that admits or rejects new transactions, e.g. during the admission ramp after a start, when not
+// all of them may be served at once. The transaction table calls it for each new transaction and notifies it
+// of the outcome of each admitted one. Without an admission controller, all transactions are admitted.
 #pragma once
 
 #include <optional>
@@ -9,26 +9,27 @@
 
 namespace gulltrestle::transactions {
 
-// Implemented by whoever limits new transactions; see above.
+// Implemented by components that limit new transactions; see above.
 class AdmissionController {
  public:
   virtual ~AdmissionController() = default;
-  // None: the transaction is admitted. Else it is rejected at once, and its client may retry after this.
-  // `transactionClass`: row in RoutingConfig::transactionClasses.
+  // Returns nullopt if the transaction is admitted. Otherwise the transaction is rejected at once, and its
+  // client may retry after the returned time. `transactionClass`: index into
+  // RoutingConfig::transactionClasses.
   virtual std::optional<Duration> rejectsWithRetryAfter(GroupId group, std::size_t transactionClass) = 0;
-  // How an admitted transaction ended.
+  // The outcome of an admitted transaction.
   struct AdmittedResult {
-    bool wasSent = false;  // at least one attempt of it started
+    bool wasSent = false;  // at least one of its attempts was started
     bool isCommitted = false;
-    double latencyTargetFraction = 0;  // the time that it took, as a fraction of its latency target
+    double latencyTargetFraction = 0;  // the time it took, as a fraction of its latency target
   };
-  // Notified once per admitted transaction, when it has its final answer or its client left.
+  // Called once per admitted transaction, when it gets its final answer or its client leaves.
   virtual void onTransactionEnded(GroupId group, std::size_t transactionClass,
                                   const AdmittedResult& result) = 0;
-  // A node reported this of itself, with an answer or to a health check.
+  // Called when a node sends a load report, with an answer or in response to a health check.
   virtual void onLoadReport(const NodeId& node, const LoadReport& report) = 0;
-  // The node took no connection, or ended the last one: it may have been down, and have lost the end of its
-  // log.
+  // Called when the node accepts no connection or closes the last one: it may have been down and may have
+  // lost the end of its log.
   virtual void onNodeDisconnected(const NodeId& node) = 0;
 };
 
--- a/src/transactions/connection_close.h
+++ b/src/transactions/connection_close.h
@@ -1,4 +1,5 @@
-// The reasons for which a connection ends, and what each means for the attempt that it carried.
+// The reasons for which a connection is closed, and the outcome that each gives to the attempt in flight on
+// it.
 #pragma once
 
 #include <string_view>
@@ -7,33 +8,33 @@
 
 namespace gulltrestle::transactions {
 
-// Why the connection of a client or to a node ended.
+// Why a connection of a client or to a node was closed.
 enum class ConnectionCloseReason {
   noDescriptor,    // no file descriptor or address was available for it
-  refused,         // the other side accepted no connection
+  refused,         // the peer refused the connection
   connectTimeout,  // it was not established within its time limit
-  rejected,        // a node rejected the session before it took a query
-  broken,          // reset, or closed by the other side
-  malformed,       // the other side sent what can't be parsed
+  rejected,        // a node rejected the session before it accepted a query
+  broken,          // reset, or closed by the peer
+  malformed,       // the peer sent data that can't be parsed
   cancelled,       // its answer is no longer awaited
-  unanswered,      // no answer came while it was awaited
-  retired,         // closed here after a long idle time, or to make room for another
-  nodeDrained,     // closed here as its node is draining or removed
-  clientFinished,  // the client terminated the session, or has all its answers and sends no more
-  clientStalled,   // the client did not read its answer for long
-  shuttingDown,    // this router shuts down
+  unanswered,      // no answer arrived while it was awaited
+  retired,         // closed by this router after a long idle time, or to make room for another one
+  nodeDrained,     // closed by this router because its node is draining or removed
+  clientFinished,  // the client terminated the session, or has all its answers and sends nothing more
+  clientStalled,   // the client did not read its answer for too long
+  shuttingDown,    // this router is shutting down
 };
 
-// The outcome of an attempt whose connection ended for that reason. `isFullyWritten`: its last byte had been
-// written, so that the node may have run it.
+// Returns the outcome of an attempt whose connection was closed for `reason`. `isFullyWritten`: the attempt's
+// last byte was written, so the node may have run it.
 AttemptOutcome outcomeOf(ConnectionCloseReason reason, bool isFullyWritten);
-// The same for an attempt that was not written, or in part only.
+// The same for an attempt that was not written, or only partly.
 inline AttemptOutcome outcomeOfUnwritten(ConnectionCloseReason reason) { return outcomeOf(reason, false); }
 
-// Whether a node may have run an attempt with that outcome.
+// Returns whether a node may have run an attempt with this outcome.
 bool mayHaveRun(AttemptOutcome outcome);
 
-// As in log lines.
+// Returns the name used in log lines.
 std::string_view nameOf(ConnectionCloseReason reason);
 std::string_view nameOf(AttemptOutcome outcome);
 
--- a/src/transactions/degradation_updates.h
+++ b/src/transactions/degradation_updates.h
@@ -1,6 +1,6 @@
-// Connects the transaction table to the degradation controller: passes observations on to it, has it decide
-// when that is due, and returns the groups whose rules have changed for the router. Does nothing until
-// enabled. No I/O, no clock.
+// Connects the transaction table to the degradation controller: forwards observations to the controller, runs
+// its decisions when they are due, and returns the groups whose rules have changed, for the router. Does
+// nothing until enabled. No I/O, no clock.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
  public:
   // Notified of each change of a group's level.
   using Listener = std::function<void(const degradation::Change&)>;
-  // `controller` must outlive this. Called again: replaces the table and the listener.
+  // `controller` must outlive this object. A further call replaces the table and the listener.
   void enable(degradation::DegradationController& controller, degradation::AdmissionTable table,
               Listener listener);
 
@@ -25,22 +25,23 @@
   void recordAbandoned(Instant now, const OpenTransaction& open);
   void onProcessStalled(Instant now);
 
-  // The rules that hold for a group from now on.
+  // The rules that apply to a group from now on.
   struct GroupRules {
     GroupId group = 0;
-    DegradationRules rules, rulesBelow;  // of its level, and of the level below
-    double trialFraction = 0;            // of its transactions that are judged by the level below
+    DegradationRules rules, rulesBelow;  // of the group's level, and of the level below
+    double trialFraction = 0;            // fraction of its transactions decided by rulesBelow, 0 to 1
   };
   bool isDecisionDue(Instant now) const;
-  // Has the controller decide, notifies the listener, and returns the groups whose rules differ from what was
-  // returned before. `ownUtilization`: the fullest of this router's own limits, 0 to 1.
+  // Runs the controller's decision, notifies the listener of each change, and returns the groups whose rules
+  // differ from those returned before. `ownUtilization`: the highest utilization among this router's own
+  // limits, 0 to 1.
   [[nodiscard]] std::vector<GroupRules> decide(Instant now, double ownUtilization);
-  // When the next decision is due; never: none is, or it is due at once.
+  // When the next decision is due; Instant() if none is, or if it is due at once.
   Instant nextDue() const { return controller_ ? controller_->nextDue() : Instant(); }
 
-  // 0 where degradation is not enabled.
+  // Returns 0 if degradation is not enabled.
   degradation::Level levelOf(GroupId group) const;
-  // Some group is at a level above 0, as returned by decide().
+  // Returns whether any group is at a level above 0, as returned by decide().
   bool isDegraded() const;
 
  private:
--- a/src/transactions/endpoint_exclusions.cpp
+++ b/src/transactions/endpoint_exclusions.cpp
@@ -21,7 +21,7 @@
   const std::set<NodeId> before = std::exchange(excludedNodes_, std::move(current));
   upcomingNodes_ = std::move(upcoming);
   upcomingStartsAt_ = upcomingNodes_.empty() ? Instant() : startsAt;
-  // The lease that puts the start off is over already, or was never had.
+  // The lease that postpones the start has expired already, or was never granted.
   if (!upcomingNodes_.empty() && startsAt <= now) startUpcoming();
   return changedSince(before);
 }
--- a/src/transactions/endpoint_exclusions.h
+++ b/src/transactions/endpoint_exclusions.h
@@ -1,6 +1,6 @@
-// Nodes that nothing new may go to, whatever the endpoint lists say, as the execution gate knows of them.
-// Stores the entry of each node in the last lists, so that a node counts as it is listed once its exclusion
-// ends. Used by the transaction table where there is an execution gate. No I/O, no clock.
+// Nodes that must not get new attempts regardless of the endpoint lists, as reported by the execution gate.
+// Stores each node's entry of the last lists, so that the listed health applies again once the node's
+// exclusion ends. Used by the transaction table if there is an execution gate. No I/O, no clock.
 #pragma once
 
 #include <map>
@@ -14,21 +14,22 @@
 // One per transaction table, which is its only caller.
 class EndpointExclusions {
  public:
-  // Stores a list, and changes the live entries of excluded nodes in it to draining.
+  // Stores an endpoint list, and changes the entries of excluded nodes in it from live to draining.
   void applyTo(EndpointUpdateKind kind, std::vector<ResolvedEndpoint>& list);
 
-  // The next three return the entries that differ since, for a delta.
+  // The next three functions return the entries that changed, to be applied as a delta.
 
-  // Replaces the exclusions: of `current` at once, of `upcoming` from `startsAt` on. Never: at once, too.
+  // Replaces the exclusions: `current` are excluded at once, `upcoming` from `startsAt` on. If `startsAt` is
+  // Instant(), the latter are excluded at once, too.
   [[nodiscard]] std::vector<ResolvedEndpoint> exclude(std::set<NodeId> current, std::set<NodeId> upcoming,
                                                       Instant startsAt, Instant now);
-  // Starts the upcoming exclusions once they are due.
+  // Starts the upcoming exclusions if they are due.
   [[nodiscard]] std::vector<ResolvedEndpoint> advanceTo(Instant now);
-  // Stores the live nodes among these as draining.
+  // Changes the stored entries of these nodes from live to draining.
   [[nodiscard]] std::vector<ResolvedEndpoint> markDraining(const std::vector<NodeId>& nodes);
 
   bool isExcluded(const NodeId& node) const { return excludedNodes_.contains(node); }
-  // By node, the entries of the last lists.
+  // The entries of the last endpoint lists, by node.
   const std::map<NodeId, ResolvedEndpoint>& lastEndpointList() const { return lastEndpointList_; }
 
  private:
@@ -37,7 +38,7 @@
 
   std::map<NodeId, ResolvedEndpoint> lastEndpointList_;
   std::set<NodeId> excludedNodes_, upcomingNodes_;
-  Instant upcomingStartsAt_;  // never: none are upcoming
+  Instant upcomingStartsAt_;  // Instant() if none are upcoming
 };
 
 }  // namespace gulltrestle::transactions
--- a/src/transactions/endpoint_registry.h
+++ b/src/transactions/endpoint_registry.h
@@ -1,6 +1,6 @@
-// The nodes that endpoint lists have named: the address of each, and its health by the last list. Upstream
-// transports read it, and store what concerns only them elsewhere. Has one entry per node until the router
-// forgets that node. No I/O, no clock.
+// The nodes named by endpoint lists, each with its address and its health according to the last list.
+// Upstream transports read the registry and store their own state of a node elsewhere. It has one entry per
+// node until the router forgets that node. No I/O, no clock.
 #pragma once
 
 #include <map>
@@ -11,13 +11,13 @@
 
 namespace gulltrestle::transactions {
 
-// An entry of an endpoint list, and where that node is reached, as address:port.
+// An entry of an endpoint list with the node's network address, as address:port.
 struct ResolvedEndpoint {
   EndpointEntry entry;
   std::string address;
 };
 
-// One per transaction table, which alone changes it.
+// One per transaction table, which is the only one to change it.
 class EndpointRegistry {
  public:
   struct Node {
@@ -25,19 +25,20 @@
     Health health = Health::live;
   };
 
-  // `excludesRemovedNodes`: removed nodes count as draining, too; else only those listed as draining do.
+  // `excludesRemovedNodes`: removed nodes count as draining, too; otherwise only those listed as draining do.
   explicit EndpointRegistry(bool excludesRemovedNodes) : excludesRemovedNodes_(excludesRemovedNodes) {}
 
-  // Applies a list. Returns the nodes whose address has changed (new ones are not among them), in the list's
-  // order.
+  // Applies an endpoint list. Returns the nodes whose address has changed, in the list's order; new nodes are
+  // not included.
   std::vector<NodeId> apply(EndpointUpdateKind kind, const std::vector<ResolvedEndpoint>& list);
 
   const Node* find(const NodeId& id) const;
-  // The node that has this address and is not removed; null: none has.
+  // Returns the node that has this address and is not removed, or null.
   const NodeId* findByAddress(const std::string& address) const;
-  // Whether nothing new may go to the node; true for one that no list named.
+  // Returns whether the node must not get new attempts; true for a node that is in no list.
   bool isDraining(const NodeId& id) const;
-  // Drops a removed node's entry. False, without effect, if there is none or a newer list names the node.
+  // Drops a removed node's entry. Returns false, without effect, if there is none or if a newer list names
+  // the node.
   bool forget(const NodeId& id);
 
   const std::map<NodeId, Node>& all() const { return nodes_; }
--- a/src/transactions/open_transaction.cpp
+++ b/src/transactions/open_transaction.cpp
@@ -27,7 +27,7 @@
   return first;
 }
 
-// What a proxy reports of prior attempts elsewhere is never taken as proof that the transaction did not run.
+// A proxy's report on prior attempts elsewhere is never accepted as proof that the transaction did not run.
 ExecutionOutcome OpenTransaction::executionOutcome() const {
   bool mayHaveExecuted = ambiguousPriorSentAt != Instant();
   for (const AttemptRecord& attempt : attempts) {
--- a/src/transactions/open_transaction.h
+++ b/src/transactions/open_transaction.h
@@ -1,4 +1,4 @@
-// What the transaction table stores of one open transaction and of its attempts. No I/O, no clock.
+// The state that the transaction table stores for one open transaction and its attempts. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -17,9 +17,9 @@
 // One attempt, from the router's decision to its end.
 struct AttemptRecord {
   NodeId node;
-  Instant sentAt;     // when the router decided it
+  Instant sentAt;     // when the router decided to send it
   Instant sendBy;     // it must not be written later than this
-  Instant abandonAt;  // its answer is not awaited beyond this
+  Instant abandonAt;  // its answer is not awaited longer than this
   bool hasEnded = false;
   AttemptOutcome outcome = AttemptOutcome::notSent;  // valid once it has ended
 };
@@ -32,27 +32,27 @@
   RequestMessage message;
   std::vector<AttemptRecord> attempts;
   GroupId group = 0;
-  std::size_t transactionClass = 0;  // row in RoutingConfig::transactionClasses
+  std::size_t transactionClass = 0;  // index into RoutingConfig::transactionClasses
   Instant openedAt;
   Duration latencyTarget;        // at least 1 us
   bool usesGate = false;         // the execution gate decides, and is notified of the outcome
-  Instant ambiguousPriorSentAt;  // when the first prior attempt that may have run was sent; never: none was
+  Instant ambiguousPriorSentAt;  // when the first prior attempt that may have run was sent; Instant(): none
   bool isAdmitted = false;       // the admission controller has yet to be notified of the outcome
-  std::optional<Transaction> awaitingGate;  // set until the gate decides: the router has not seen it yet
+  std::optional<Transaction> awaitingGate;  // set until the gate decides; not yet passed to the router
 
-  // The client's own id; empty where the message has none.
+  // The id that the client gave to the transaction; empty if the message contains none.
   std::string_view id() const {
     return std::string_view(message.bytes).substr(message.idOffset, message.idSize);
   }
-  // The time since it was opened, as a fraction of its latency target.
+  // The time since the transaction was opened, as a fraction of its latency target.
   double elapsedTargetFraction(Instant now) const { return (now - openedAt) / latencyTarget; }
-  // None of its attempts is in flight any more.
+  // Returns whether none of its attempts is in flight any more.
   bool haveAllAttemptsEnded() const;
   bool hasAttemptInFlightAt(const std::set<NodeId>& nodes) const;
-  // When the first attempt other than `attempt` that may have run, or is in flight, was sent; never: none
-  // was.
+  // Returns when the first attempt other than `attempt` was sent that may have run or is in flight; Instant()
+  // if there is none.
   Instant firstAmbiguousSentAt(unsigned attempt) const;
-  // What its attempts amount to. Call it once all have ended.
+  // Returns the outcome that results from its attempts. Must be called only after all of them have ended.
   ExecutionOutcome executionOutcome() const;
 };
 
--- a/src/transactions/session_id.h
+++ b/src/transactions/session_id.h
@@ -1,5 +1,5 @@
-// Sessions are identified by a 64-bit hash of their names (FNV-1a). In the worst case two names with one hash
-// make a read wait for the other session's write.
+// Identifies sessions by a 64-bit hash (FNV-1a) of their names. If two names have the same hash, the worst
+// case is a read that waits for the other session's write.
 #pragma once
 
 #include <string_view>
@@ -8,6 +8,7 @@
 
 namespace gulltrestle::transactions {
 
+// Returns the id of the session called `name`.
 inline SessionId sessionOf(std::string_view name) {
   constexpr SessionId kFnvOffsetBasis = 14695981039346656037U, kFnvPrime = 1099511628211U;
   SessionId hash = kFnvOffsetBasis;
--- a/src/transactions/trace.h
+++ b/src/transactions/trace.h
@@ -1,5 +1,5 @@
-// Trace lines on the course of each transaction and connection, for troubleshooting. Off by default: the text
-// of a line is put together only while a sink is set.
+// Trace lines about the progress of each transaction and connection, for troubleshooting. Off by default: the
+// text of a line is only built while a sink is set.
 #pragma once
 
 #include <functional>
@@ -8,15 +8,16 @@
 
 namespace gulltrestle::transactions {
 
-// Writes trace lines to a sink; copies nothing and owns no file.
+// Writes trace lines to a sink. Stores no lines and owns no file.
 class Trace {
  public:
   using Sink = std::function<void(const std::string& line)>;
-  // Null: turns the trace off.
+  // An empty sink turns the trace off.
   void setSink(Sink sink) { sink_ = std::move(sink); }
   bool isOn() const { return static_cast<bool>(sink_); }
 
-  // `line`: returns the text of one line, "event=... key=value ...".
+  // `line`: function that returns the text of one line, "event=... key=value ..."; called only if the trace
+  // is on.
   template <typename Line>
   void write(Line line) const {
     if (sink_) sink_(line());
--- a/src/transactions/transaction_admission.cpp
+++ b/src/transactions/transaction_admission.cpp
@@ -1,19 +1,19 @@
-// The part of the transaction table that asks the admission controller and the execution gate before a
-// transaction goes to the router, and notifies them of its outcome.
+// The part of the transaction table that consults the admission controller and the execution gate before a
+// transaction is passed to the router, and notifies them of its outcome.
 #include <algorithm>
 
 #include "transactions/transaction_table.h"
 
 namespace gulltrestle::transactions {
 
-// `gateId`: the name by which the execution gate knows the transaction.
+// `gateId`: the id that identifies the transaction to the execution gate.
 void TransactionTable::submit(TxnId txn, OpenTransaction& open, const Transaction& transaction,
                               std::string_view gateId) {
   if (admissionController_) {
     const std::optional<Duration> retryAfter =
         admissionController_->rejectsWithRetryAfter(transaction.group, transaction.type);
     if (retryAfter) {
-      // Answered at the end of the turn: the handler is still within its call of openTransaction().
+      // Answered at the end of the turn because the handler is still within its call of openTransaction().
       admissionRejections_.push_back({txn, *retryAfter});
       return;
     }
@@ -31,7 +31,7 @@
   OpenTransaction* open = findAwaitingAnswer(txn);
   if (!open || !open->awaitingGate) return;
   Transaction transaction = *std::exchange(open->awaitingGate, std::nullopt);
-  // The time that the gate took is part of the client's.
+  // The time that the gate took counts towards the client's remaining time.
   const Duration waited = now_ - open->openedAt;
   transaction.remainingTime = transaction.remainingTime - waited;
   if (transaction.maxHold) transaction.maxHold = *transaction.maxHold - waited;
@@ -45,7 +45,7 @@
 
 void TransactionTable::answerCommitted(TxnId txn, const ResultValue& value) {
   if (!stopAwaitingGate(txn)) return;
-  traceAnswer(txn, "committed before, as the guard knows");
+  traceAnswer(txn, "committed earlier, as recorded by the execution gate");
   const bool isEmpty =
       std::all_of(value.begin(), value.end(), [](std::string_view slice) { return slice.empty(); });
   finish(txn, [&](DownstreamHandler& handler, OwnerId owner) {
@@ -59,19 +59,19 @@
 
 void TransactionTable::answerRejected(TxnId txn, Duration retryAfter) {
   if (!stopAwaitingGate(txn)) return;
-  traceAnswer(txn, "refused by the guard");
+  traceAnswer(txn, "rejected by the execution gate");
   finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rejected(owner, retryAfter, 0); });
 }
 
 void TransactionTable::answerRolledBack(TxnId txn) {
   if (!stopAwaitingGate(txn)) return;
-  traceAnswer(txn, "rolled back by the guard");
+  traceAnswer(txn, "rolled back by the execution gate");
   finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rolledBack(owner); });
 }
 
 void TransactionTable::answerRejectedByAdmission() {
   for (const AdmissionRejection& rejection : std::exchange(admissionRejections_, {})) {
-    traceAnswer(rejection.txn, "refused by the ramp of a start");
+    traceAnswer(rejection.txn, "rejected by the admission ramp");
     finish(rejection.txn, [&](DownstreamHandler& handler, OwnerId owner) {
       handler.rejected(owner, rejection.retryAfter, 0);
     });
--- a/src/transactions/transaction_rounds.cpp
+++ b/src/transactions/transaction_rounds.cpp
@@ -1,5 +1,5 @@
-// The part of the transaction table that runs the router's rounds: endpoint lists and other events to it, and
-// its decisions back.
+// The part of the transaction table that runs the router's rounds: delivers endpoint lists and other events
+// to the router and carries out its decisions.
 #include <algorithm>
 
 #include "transactions/transaction_table.h"
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A turn that comes later than this after the requested time shows that the process was held up, so that
-// latencies measured meanwhile are its own. Well above the scheduling delay of a machine under load.
+// A turn that starts more than this after the requested time means that the process was stalled and that
+// latencies measured meanwhile include its own delay. Well above the scheduling delay on a loaded machine.
 constexpr Duration kStallThreshold = Duration::millis(50);
 
 }  // namespace
@@ -85,7 +85,7 @@
     });
 }
 
-// Attempts that end at once, by what the router decides meanwhile, are events of the next round.
+// Attempts that end immediately, through a decision made during the round, are events of the next round.
 void TransactionTable::deliver(Router& router) {
   for (const RouterEvent& event : std::exchange(events_, {})) event(router);
 }
@@ -98,8 +98,8 @@
   const AttemptId attemptId{txn, static_cast<unsigned>(open->attempts.size())};
   open->attempts.push_back({.node = node, .sentAt = now_, .sendBy = sendBy, .abandonAt = abandonAt});
   traceAttemptStarted(trace_, *open, now_);
-  // Guards against a decision made before the exclusion reached the router: nothing at all may go to the
-  // node. May hurt a transaction that no other node can take: it is decided anew, and may be rejected.
+  // Prevents attempts that the router decided before it received the exclusion: nothing at all may be sent to
+  // the node. Trade-off: the transaction is routed again, and may be rejected if no other node can serve it.
   if (exclusions_.isExcluded(node)) return onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
   open->transport->startAttempt(attemptId, node);
 }
@@ -108,7 +108,7 @@
   const AttemptId attemptId{txn, number};
   const AttemptRecord* attempt = this->attempt(attemptId);
   if (!attempt || attempt->hasEnded) return;
-  // The node's name is copied: the attempt may end, and its record be dropped, during the call.
+  // The node's name is copied because the attempt may end, and its record be dropped, during the call.
   openTransactions_.at(txn).transport->cancelAttempt(attemptId, NodeId(attempt->node));
 }
 
@@ -119,7 +119,7 @@
     const bool isRejectedOnArrival = open->attempts.empty() && open->openedAt == now_;
     if (isRejectedOnArrival) level = degradation_.levelOf(open->group);
   }
-  traceAnswer(txn, "refused", level);
+  traceAnswer(txn, "rejected", level);
   finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rejected(owner, retryAfter, level); });
   withdrawAttempts(txn);
 }
--- a/src/transactions/transaction_table.cpp
+++ b/src/transactions/transaction_table.cpp
@@ -16,7 +16,8 @@
       transactionClasses_(config.transactionClasses),
       endpoints_(!config.onlyDrainingExcludes) {}
 
-// Starts due exclusions ahead of any event: a process that stood still must not send by what was true before.
+// Starts due exclusions before any event is handled: after a stall, the process must not send attempts based
+// on outdated exclusions.
 void TransactionTable::advanceTo(Instant now) {
   now_ = std::max(now_, now);
   applyChangedEndpoints(exclusions_.advanceTo(now_));
@@ -67,7 +68,7 @@
 void TransactionTable::onClientLeft(TxnId txn) {
   OpenTransaction* open = findAwaitingAnswer(txn);
   if (!open) return;
-  traceAnswer(txn, "none, its client left");
+  traceAnswer(txn, "none, client left");
   notifyAdmissionController(*open, false);
   open->handler = nullptr;
   const bool isKnownToRouter = !std::exchange(open->awaitingGate, std::nullopt);
@@ -92,7 +93,7 @@
     traceTransactionAnswered(trace_, *open, now_, answer, level);
 }
 
-// A transaction that has its final answer is stored only while attempts of it are in flight.
+// A transaction that has its final answer is stored only while some of its attempts are in flight.
 void TransactionTable::forgetIfFinished(TxnId txn) {
   const auto found = openTransactions_.find(txn);
   if (found == openTransactions_.end()) return;
@@ -131,7 +132,7 @@
                                 .effect = transactionClass.effect,
                                 .window = transactionClass.deduplicationWindow,
                                 .firstSentAt = open.firstAmbiguousSentAt(attemptId.attempt)};
-  // Called for a violation only: this check runs for every attempt, and its text is rarely needed.
+  // Called for violations only: this check runs for every attempt, and the text is rarely needed.
   const auto subject = [&] { return "txn " + std::string(open.id()) + " to node " + node; };
   return invariants_.maySend(send, subject) && invariants_.mayRetry(retry, subject);
 }
@@ -158,14 +159,15 @@
   forgetIfFinished(attemptId.txn);
 }
 
-// Guards against attempts that start for nobody: one that waits for a connection, or is written in part,
-// would go on as soon as it can, long after its transaction was answered or its client left. Withdrawing is
-// harmless: the attempt has not run, and its answer is not awaited.
+// Prevents attempts that run although no client awaits them: an attempt that waits for a connection or is
+// partly written would otherwise continue as soon as it can, long after its transaction was answered or its
+// client left. Withdrawing is safe: the attempt has not run, and its answer is not awaited.
 void TransactionTable::withdrawAttempts(TxnId txn) {
   const OpenTransaction* open = find(txn);
   if (!open) return;
   UpstreamTransport& transport = *open->transport;
-  // Copied first: withdrawing may end an attempt at once, and with the last one the transaction.
+  // Copied first: withdrawing may end an attempt at once, and the last attempt to end also ends the
+  // transaction.
   struct Withdrawal {
     AttemptId attemptId;
     NodeId node;
--- a/src/transactions/transaction_trace.h
+++ b/src/transactions/transaction_trace.h
@@ -1,5 +1,5 @@
-// The trace lines of the transaction table: one function per kind of event. Each writes nothing, and puts no
-// text together, while the trace is off.
+// The trace lines of the transaction table, one function per kind of event. While the trace is off, they
+// write nothing and build no text.
 #pragma once
 
 #include <string_view>
@@ -9,16 +9,18 @@
 
 namespace gulltrestle::transactions {
 
+// `open` was opened for `transaction`.
 void traceTransactionOpened(const Trace& trace, const OpenTransaction& open, const Transaction& transaction);
 
-// `answer`: the final answer, in words. `level`: the degradation level that rejected it; 0: none did.
+// `answer`: text that describes the final answer. `level`: the degradation level that rejected the
+// transaction; 0 if none did.
 void traceTransactionAnswered(const Trace& trace, const OpenTransaction& open, Instant now,
                               std::string_view answer, unsigned level);
 
-// The newest attempt of `open` has started.
+// The latest attempt of `open` has started.
 void traceAttemptStarted(const Trace& trace, const OpenTransaction& open, Instant now);
 
-// The attempt of that number has ended.
+// Attempt `number` of `open` has ended.
 void traceAttemptEnded(const Trace& trace, const OpenTransaction& open, Instant now, unsigned number);
 
 }  // namespace gulltrestle::transactions
--- a/src/transactions/upstream_transport.h
+++ b/src/transactions/upstream_transport.h
@@ -1,4 +1,4 @@
-// The node side of the transaction table: whatever carries attempts and health checks to nodes.
+// Interface between the transaction table and the components that carry attempts and health checks to nodes.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,8 @@
 
 namespace gulltrestle::transactions {
 
-// A message in consecutive slices, written without being copied into one buffer. Valid during the call only.
+// A message in consecutive slices, so that it is written without a copy into one buffer. Valid during the
+// call only.
 using ByteSlices = std::initializer_list<std::string_view>;
 
 // Identifies one attempt of a transaction, or a health check.
@@ -23,15 +24,15 @@
 };
 
 // The part of a transaction that is forwarded to nodes. Offsets and sizes are in bytes. A transport that
-// sends the node a time limit writes it in place of the timeout's digits.
+// sends a time limit to the node writes it in place of the timeout's digits.
 struct RequestMessage {
   std::string bytes;
   std::size_t timeoutOffset = 0, timeoutSize = 0;
-  std::size_t idOffset = 0, idSize = 0;  // the client's own id of the transaction
+  std::size_t idOffset = 0, idSize = 0;  // the id that the client gave to the transaction
 };
 
-// Carries attempts to nodes. Reports the end of each by one call of TransactionTable::onAttemptEnded(), from
-// within startAttempt() or later.
+// Carries attempts to nodes. Reports the end of each attempt by one call of
+// TransactionTable::onAttemptEnded(), from within startAttempt() or later.
 class UpstreamTransport {
  public:
   virtual ~UpstreamTransport() = default;
@@ -39,13 +40,13 @@
   virtual void startAttempt(AttemptId attemptId, const NodeId& node) = 0;
   // The answer is no longer awaited. The attempt has not ended yet and must end soon.
   virtual void cancelAttempt(AttemptId attemptId, const NodeId& node) = 0;
-  // Its transaction has its final answer, or its client left. An attempt that the node has not received
-  // completely must not reach it any more, and ends at once; any other goes on to its end.
+  // The transaction has its final answer, or its client has left. An attempt that the node has not received
+  // completely must not reach it any more and ends at once; any other attempt continues to its end.
   virtual void withdrawAttempt(AttemptId, const NodeId&) {}
-  // The endpoint registry has applied a list. `moved`: the nodes whose address has changed; others may be
-  // draining now.
+  // The endpoint registry has applied an endpoint list. `moved`: the nodes whose address has changed. Other
+  // nodes may have started to drain.
   virtual void onEndpointList(const std::vector<NodeId>& moved) = 0;
-  // The node is no longer known: whatever waits for it must end.
+  // The node is not known any more: attempts and health checks that wait for it must end.
   virtual void forgetNode(const NodeId& node) = 0;
 };
 
--- a/tests/lease_registry.cpp
+++ b/tests/lease_registry.cpp
@@ -1,6 +1,6 @@
-// The lease registry against a small world that knows the truth: every history up to a length is played, and
-// in none may an at-most-once transaction run twice, or be rejected though it ran. Run as `lease_registry
-// all-short-histories`: prints what was found.
+// Model check of the lease registry: explores every history of a given number of steps. In none of them may
+// an at-most-once transaction run twice, or be rejected although it ran. Run as `lease_registry
+// all-short-histories`: prints the findings.
 #include "endpoint_leases/lease_registry.h"
 
 #include <functional>
@@ -22,16 +22,16 @@
   return transactionClass;
 }
 
-// Whose request a stream carries: the proxy that retries, or another client that uses the same id.
-enum class Requester { proxy, stranger };
+// The sender of a stream's request: the proxy that retries, or another client that uses the same id.
+enum class Requester { proxy, otherClient };
 
-// One id, requested by a proxy that retries and by a stranger. Both report the truth where they report
-// anything; what they don't know they don't report.
-class World {
+// A model of one id that is requested by a proxy that retries and by another client, and that records what
+// actually ran. Both requesters report only what they know, and truthfully.
+class RegistryModel {
  public:
-  World(Effect effect, ProxyPlacement ofProxy)
+  RegistryModel(Effect effect, ProxyPlacement placement)
       : transactionClass_(classOf(effect)),
-        placement_(ofProxy),
+        placement_(placement),
         registry_({transactionClass_}, placement_, {.maxTransactionsPerKind = 100}, "start0") {}
 
   struct Stream {
@@ -39,7 +39,7 @@
     Requester requester = Requester::proxy;
     bool hasLease = false, hasRun = false, isWaiting = false;
   };
-  using Step = std::function<void(World&)>;
+  using Step = std::function<void(RegistryModel&)>;
   struct NamedStep {
     std::string name;
     Step step;
@@ -58,7 +58,7 @@
     leaseRequest.remainingTime = Duration::millis(1000);
     if (isProxy) {
       leaseRequest.token = proxyToken_;
-      // A proxy that retries uses no lease of an earlier attempt any more.
+      // A proxy that retries does not use leases of earlier attempts any more.
       for (auto& [key, stream] : streams_)
         if (stream.requester == Requester::proxy) stream.hasLease = stream.hasLease && stream.hasRun;
     }
@@ -79,7 +79,7 @@
       return;
     }
     if (decision.supersededStream != 0) streams_.erase(decision.supersededStream);
-    // The router's rule on what may have run.
+    // The router's rule: an at-most-once transaction that may have run is rolled back.
     if (decision.priorAttempts.ambiguousAttemptAge && isAtMostOnce()) {
       registry_.onAnswered(now_, kId, key, FinalOutcome::rolledBack);
       streams_.erase(key);
@@ -87,7 +87,7 @@
     }
     const std::string token = registry_.onLeaseGranted(now_, kId, key, "n");
     if (token.empty()) {
-      fault = "taken and not granted";
+      fault = "routed but not granted";
       return;
     }
     if (stream.requester == Requester::proxy) proxyToken_ = token;
@@ -99,7 +99,7 @@
     stream.hasRun = true;
     hasProxyWritten_ = hasProxyWritten_ || stream.requester == Requester::proxy;
     ++runCount;
-    if (isAtMostOnce() && runCount > 1) fault = "ran twice";
+    if (isAtMostOnce() && runCount > 1) fault = "ran more than once";
   }
 
   void report(StreamKey key, AttemptOutcome attemptOutcome) {
@@ -121,7 +121,7 @@
     streams_.clear();
   }
 
-  void passTime() {
+  void advanceTime() {
     now_ = now_ + Duration::millis(60);
     std::vector<StreamKey> waiting;
     for (const auto& [key, stream] : streams_)
@@ -130,13 +130,14 @@
       if (streams_.contains(key)) requestLease(key);
   }
 
-  // What can happen next.
+  // The steps that are possible next.
   std::vector<NamedStep> nextSteps() const {
     std::vector<NamedStep> steps;
     addRequests(steps);
     for (const auto& [key, stream] : streams_) addStreamSteps(steps, key, stream);
-    if (restartCount_ < 2 && !hasStranger_) steps.push_back({"restart", [](World& w) { w.restart(); }});
-    steps.push_back({"pass", [](World& w) { w.passTime(); }});
+    if (restartCount_ < 2 && !hasOtherClient_)
+      steps.push_back({"restart", [](RegistryModel& model) { model.restart(); }});
+    steps.push_back({"advance-time", [](RegistryModel& model) { model.advanceTime(); }});
     return steps;
   }
 
@@ -145,7 +146,7 @@
 
  private:
   void checkRejection() {
-    if (isAtMostOnce() && runCount > 0) fault = "refused though it ran";
+    if (isAtMostOnce() && runCount > 0) fault = "rejected although it ran";
   }
 
   FinalOutcome finalOutcomeOf(AttemptOutcome outcome) const {
@@ -156,30 +157,35 @@
 
   void addRequests(std::vector<NamedStep>& steps) const {
     if (proxyAttempts_ < 3) {
-      steps.push_back({"try", [](World& w) { w.request(Requester::proxy, WriteProgress::unknown); }});
+      steps.push_back(
+          {"request", [](RegistryModel& model) { model.request(Requester::proxy, WriteProgress::unknown); }});
       if (proxyAttempts_ > 0 && !hasProxyWritten_)
-        steps.push_back({"try,none", [](World& w) { w.request(Requester::proxy, WriteProgress::none); }});
+        steps.push_back({"request,nothing-written",
+                         [](RegistryModel& model) { model.request(Requester::proxy, WriteProgress::none); }});
     }
-    // A restart forgets ids: two clients that use one are not told apart across it
+    // A restart forgets ids: two clients that use the same id can't be distinguished across a restart
     // (docs/external-processor.md).
     if (lastStream_ < 4 && restartCount_ == 0)
-      steps.push_back({"stranger", [](World& w) {
-                         w.hasStranger_ = true;
-                         w.request(Requester::stranger, WriteProgress::unknown);
+      steps.push_back({"other-client-request", [](RegistryModel& model) {
+                         model.hasOtherClient_ = true;
+                         model.request(Requester::otherClient, WriteProgress::unknown);
                        }});
   }
 
   static void addStreamSteps(std::vector<NamedStep>& steps, StreamKey key, const Stream& stream) {
     const std::string number = std::to_string(key);
     if (stream.hasLease && !stream.hasRun) {
-      steps.push_back({"run" + number, [key](World& w) { w.run(key); }});
-      steps.push_back({"never" + number, [key](World& w) { w.report(key, AttemptOutcome::noConnection); }});
+      steps.push_back({"run" + number, [key](RegistryModel& model) { model.run(key); }});
+      steps.push_back({"no-connection" + number,
+                       [key](RegistryModel& model) { model.report(key, AttemptOutcome::noConnection); }});
     }
     if (stream.hasLease && stream.hasRun) {
-      steps.push_back({"commit" + number, [key](World& w) { w.report(key, AttemptOutcome::committed); }});
-      steps.push_back({"lost" + number, [key](World& w) { w.report(key, AttemptOutcome::connectionLost); }});
+      steps.push_back({"committed" + number,
+                       [key](RegistryModel& model) { model.report(key, AttemptOutcome::committed); }});
+      steps.push_back({"connection-lost" + number,
+                       [key](RegistryModel& model) { model.report(key, AttemptOutcome::connectionLost); }});
     }
-    steps.push_back({"reset" + number, [key](World& w) { w.resetStream(key); }});
+    steps.push_back({"reset" + number, [key](RegistryModel& model) { model.resetStream(key); }});
   }
 
   TransactionClass transactionClass_;
@@ -191,8 +197,8 @@
   std::map<StreamKey, Stream> streams_;
   std::string proxyToken_;  // of the last lease that the proxy has seen
   unsigned proxyAttempts_ = 0;
-  bool hasProxyWritten_ = false;  // some attempt of the proxy was written
-  bool hasStranger_ = false;      // a stranger has used the id
+  bool hasProxyWritten_ = false;  // at least one attempt of the proxy was written
+  bool hasOtherClient_ = false;   // another client has used the id
 };
 
 struct Findings {
@@ -200,36 +206,40 @@
   std::string firstFault;
 };
 
-void playAll(const World& world, int stepsLeft, const std::string& history, Findings& findings) {
+// Explores all histories of `stepsLeft` further steps from the state of `model`.
+void exploreHistories(const RegistryModel& model, int stepsLeft, const std::string& history,
+                      Findings& findings) {
   if (stepsLeft == 0) {
     ++findings.histories;
-    ++(world.runCount == 0 ? findings.neverRan : world.runCount == 1 ? findings.ranOnce : findings.ranMore);
+    ++(model.runCount == 0 ? findings.neverRan : model.runCount == 1 ? findings.ranOnce : findings.ranMore);
     return;
   }
-  for (const auto& [name, step] : world.nextSteps()) {
-    World after = world;
+  for (const auto& [name, step] : model.nextSteps()) {
+    RegistryModel after = model;
     step(after);
     if (!after.fault.empty()) {
       if (findings.faults++ == 0) findings.firstFault = history + " " + name + ": " + after.fault;
       continue;
     }
-    playAll(after, stepsLeft - 1, history + " " + name, findings);
+    exploreHistories(after, stepsLeft - 1, history + " " + name, findings);
   }
 }
 
 void printFindings(const char* subject, Effect effect, ProxyPlacement placement) {
   constexpr int kSteps = 8;
   Findings findings;
-  playAll(World(effect, placement), kSteps, "", findings);
+  exploreHistories(RegistryModel(effect, placement), kSteps, "", findings);
   std::cout << subject << ": " << findings.histories << " histories of " << kSteps << " steps, never ran in "
             << findings.neverRan << ", ran once in " << findings.ranOnce << ", more often in "
             << findings.ranMore << "; faults " << findings.faults << findings.firstFault << "\n";
 }
 
 void allShortHistories() {
-  printFindings("once-only, asked once a try", Effect::atMostOnce, ProxyPlacement::perAttempt);
-  printFindings("once-only, asked once a request", Effect::atMostOnce, ProxyPlacement::perRequest);
-  printFindings("repeatable, asked once a try", Effect::idempotent, ProxyPlacement::perAttempt);
+  printFindings("at-most-once, one lease request per attempt", Effect::atMostOnce,
+                ProxyPlacement::perAttempt);
+  printFindings("at-most-once, one lease request per HTTP request", Effect::atMostOnce,
+                ProxyPlacement::perRequest);
+  printFindings("idempotent, one lease request per attempt", Effect::idempotent, ProxyPlacement::perAttempt);
 }
 
 }  // namespace
