--- a/src/idempotency/claim_coordinator.cpp
+++ b/src/idempotency/claim_coordinator.cpp
@@ -6,13 +6,15 @@
 
 namespace {
 
-// Fraction of a client's remaining time that may be spent on votes: the transaction has to run in the rest.
+// Fraction of the client's remaining time that may be spent waiting for votes. The transaction runs in the
+// rest.
 constexpr double kVoteTimeFraction = 0.4;
-// Fraction of the time of retention that a client may wait at most: beyond it the transaction could be sent
-// after its votes were removed. Half leaves as much again for clocks that run at different speeds.
+// Maximum remaining time of a client, as a fraction of the retention time. With a longer one the transaction
+// could be sent after its votes have expired. The other half is a margin for clocks that run at different
+// speeds.
 constexpr double kRetentionFraction = 0.5;
-// Jitter of retryAfter, as factors: transactions that were rejected at the same time don't retry at the same
-// time.
+// Factors that bound the jitter of retryAfter. The jitter keeps transactions that were rejected at the same
+// time from retrying at the same time.
 constexpr double kMinRetryJitter = 0.5, kMaxRetryJitter = 1.5;
 
 }  // namespace
@@ -20,7 +22,7 @@
 ClaimCoordinator::ClaimCoordinator(ClaimCoordinatorLimits limits, std::uint64_t seed)
     : limits_(limits), random_(seed) {}
 
-Duration ClaimCoordinator::drawRetryAfter() {
+Duration ClaimCoordinator::jitteredRetryAfter() {
   return limits_.retryAfter *
          std::uniform_real_distribution<double>(kMinRetryJitter, kMaxRetryJitter)(random_);
 }
@@ -48,16 +50,17 @@
   decisions_.push_back({.kind = Decision::Kind::rejected,
                         .txn = txn,
                         .value = {},
-                        .retryAfter = drawRetryAfter(),
+                        .retryAfter = jitteredRetryAfter(),
                         .reason = *reason});
 }
 
 std::optional<std::string_view> ClaimCoordinator::rejectReason(const std::string& id,
                                                                Duration remaining) const {
-  if (id.empty()) return "it has no id";
-  if (remaining > limits_.retention * kRetentionFraction) return "its time is too long for retention";
+  if (id.empty()) return "the transaction has no id";
+  if (remaining > limits_.retention * kRetentionFraction)
+    return "the remaining time is too long for the retention time";
   if (claims_.size() >= limits_.maxClaims) return "too many claims are open";
-  if (reachable_.size() < majorityOf(limits_.voterCount)) return "too few keepers can be reached";
+  if (reachable_.size() < majorityOf(limits_.voterCount)) return "too few voters are reachable";
   return std::nullopt;
 }
 
@@ -66,7 +69,7 @@
   Claim& claim = claims_[number];
   claim.txn = txn;
   claim.id = id;
-  claim.votesUntil = now + std::min(remaining * kVoteTimeFraction, limits_.maxVoteWait);
+  claim.voteDeadline = now + std::min(remaining * kVoteTimeFraction, limits_.maxVoteWait);
   for (VoterIndex voter = 0; voter < limits_.voterCount; ++voter) {
     if (reachable_.contains(voter))
       messages_.push_back(
@@ -74,8 +77,8 @@
     else
       claim.withoutVote.insert(voter);
   }
-  numberOfTxn_[txn] = number;
-  voteDeadlines_.emplace(claim.votesUntil, number);
+  claimOfTxn_[txn] = number;
+  voteDeadlines_.emplace(claim.voteDeadline, number);
 }
 
 void ClaimCoordinator::onVote(VoterIndex voter, ClaimNumber number, const Vote& vote) {
@@ -90,7 +93,7 @@
     case Vote::Kind::takenByOther:
       claim.takenBy.insert(voter);
       if (vote.isCommitted)
-        return decide(number, Decision::Kind::alreadyCommitted, vote.value, "it was committed");
+        return decide(number, Decision::Kind::alreadyCommitted, vote.value, "another claim was committed");
       break;
     case Vote::Kind::abstained:
       claim.withoutVote.insert(voter);
@@ -107,12 +110,13 @@
   if (granted >= majority) return decide(number, Decision::Kind::admitted, "", "");
   const std::size_t unanswered =
       limits_.voterCount - granted - claim.takenBy.size() - claim.withoutVote.size();
-  // A voter that has not answered may know of a commit: worth waiting for once another claim was seen.
+  // Once another claim was seen, waits for all voters: one that has not answered may know of a commit.
   const bool maySuffice = granted + unanswered >= majority;
   if (!isTimeOver && unanswered > 0 && (maySuffice || !claim.takenBy.empty())) return;
   if (!claim.takenBy.empty())
-    return decide(number, Decision::Kind::rolledBack, "", "another claim has its votes");
-  decide(number, Decision::Kind::rejected, "", isTimeOver ? "votes came too late" : "too few keepers vote");
+    return decide(number, Decision::Kind::rolledBack, "", "another claim has votes for the id");
+  decide(number, Decision::Kind::rejected, "",
+         isTimeOver ? "timed out waiting for votes" : "too few voters granted their vote");
 }
 
 void ClaimCoordinator::decide(ClaimNumber number, Decision::Kind kind, std::string value,
@@ -121,7 +125,7 @@
   claim.isDecided = true;
   claim.isAdmitted = kind == Decision::Kind::admitted;
   count(kind);
-  const Duration retryAfter = kind == Decision::Kind::rejected ? drawRetryAfter() : Duration();
+  const Duration retryAfter = kind == Decision::Kind::rejected ? jitteredRetryAfter() : Duration();
   decisions_.push_back({.kind = kind,
                         .txn = claim.txn,
                         .value = std::move(value),
@@ -154,27 +158,27 @@
 }
 
 void ClaimCoordinator::onCommitted(TxnKey txn, std::string value) {
-  const auto found = numberOfTxn_.find(txn);
-  if (found == numberOfTxn_.end()) return;
+  const auto found = claimOfTxn_.find(txn);
+  if (found == claimOfTxn_.end()) return;
   Claim& claim = claims_.at(found->second);
   if (!claim.isAdmitted || std::exchange(claim.isCommitSent, true)) return;
   sendToAll(ClaimMessage::Kind::commit, claim, found->second, value);
 }
 
 void ClaimCoordinator::onTransactionEnded(TxnKey txn, ExecutionOutcome outcome) {
-  const auto found = numberOfTxn_.find(txn);
-  if (found == numberOfTxn_.end()) return;
+  const auto found = claimOfTxn_.find(txn);
+  if (found == claimOfTxn_.end()) return;
   const ClaimNumber number = found->second;
   const Claim& claim = claims_.at(number);
   const bool isOutcomeOpen = claim.isAdmitted && !claim.isCommitSent;
-  if (!claim.isDecided)  // its client left
+  if (!claim.isDecided)  // the client disconnected
     sendToAll(ClaimMessage::Kind::release, claim, number);
   else if (isOutcomeOpen && outcome == ExecutionOutcome::neverRan)
     sendToAll(ClaimMessage::Kind::release, claim, number);
   else if (isOutcomeOpen && outcome == ExecutionOutcome::committed)
     sendToAll(ClaimMessage::Kind::commit, claim, number);
   claims_.erase(number);
-  numberOfTxn_.erase(found);
+  claimOfTxn_.erase(found);
 }
 
 Instant ClaimCoordinator::runTimers(Instant now) {
--- a/src/idempotency/claim_coordinator.h
+++ b/src/idempotency/claim_coordinator.h
@@ -1,21 +1,21 @@
-// A claim coordinator decides whether an at-most-once transaction may be sent, by the votes of the voters. No
-// I/O, no clock.
+// ClaimCoordinator decides from the votes of the voters whether an at-most-once transaction may be sent. It
+// does no I/O and reads no clock.
 //
-//   state of a claim  what it is                        ends by
-//   claiming          its votes have been requested     admitted: more than half of the voters granted theirs
-//                                                       alreadyCommitted: a voter knows another claim that
-//                                                       was rolledBack: another claim has a vote, and a
-//                                                       majority
-//                                                         is out of reach, or was not had in time
-//                                                       rejected: likewise, and no other claim was seen; or
-//                                                         too few voters can be reached to begin with
-//   admitted          its transaction may be sent       onTransactionEnded(): committed, never ran (its votes
-//                                                       are released), or unknown (they stay)
+//   claim state  meaning                    next state
+//   claiming     votes have been requested  admitted: more than half of the voters granted their votes
+//                                           alreadyCommitted: a voter reports that another claim was
+//                                             committed
+//                                           rolledBack: another claim has a vote, and a majority is out
+//                                             of reach or was not obtained in time
+//                                           rejected: as rolledBack, but no other claim was seen; or too
+//                                             few voters are reachable to start with
+//   admitted     the transaction may be     onTransactionEnded(): committed, never ran (the votes are
+//                  sent                       released), or unknown (the votes are kept)
 //
-// A claim that ends without being admitted releases the votes that it may have got: its transaction was never
-// sent. No answer of one voter or of a minority, nor a missing one, lets a transaction run. A voter that
-// answers falsely can make transactions be rejected, rolled back or answered as committed; it takes more than
-// half of the voters to run one twice.
+// A claim that ends without admission releases any votes it may have received, as its transaction was never
+// sent. An answer of one voter or of a minority never lets a transaction run, and neither does a missing
+// answer. A voter that answers falsely can cause transactions to be rejected, rolled back or reported as
+// committed; running a transaction twice takes more than half of the voters.
 #pragma once
 
 #include <map>
@@ -31,68 +31,70 @@
 
 namespace gulltrestle::idempotency {
 
-using TxnKey = std::uint64_t;  // the caller's id of a transaction
+using TxnKey = std::uint64_t;  // the caller's identifier of a transaction
 using ClaimNumber = std::uint64_t;
 using VoterIndex = std::size_t;  // position in the list of voters
 
-// From the settings, which are the same at all routers.
+// Configured limits. All routers use the same values.
 struct ClaimCoordinatorLimits {
   std::size_t voterCount = 0;
-  Duration retention;                             // the voters' own
-  std::size_t maxClaims = 65536;                  // open at a time, admitted ones included
-  Duration maxVoteWait = Duration::millis(1000);  // for votes
-  Duration retryAfter = Duration::millis(250);    // of rejected transactions, on average
+  Duration retention;                             // how long voters keep a vote
+  std::size_t maxClaims = 65536;                  // open at the same time, including admitted ones
+  Duration maxVoteWait = Duration::millis(1000);  // upper bound of the time spent waiting for votes
+  Duration retryAfter = Duration::millis(250);    // average suggested to rejected transactions
 };
 
-// All claims of one router. Driven by cluster/claim_dispatcher.h: it passes in votes and the ends of
-// transactions, calls runTimers() when that is due, and carries out what takeDecisions() and takeMessages()
-// return after each call.
+// Coordinates all claims of one router. cluster/claim_dispatcher.h drives it: it passes in votes and ends of
+// transactions, calls runTimers() when due, and after each call executes the results of takeDecisions() and
+// takeMessages().
 class ClaimCoordinator {
  public:
-  // `seed`: for the jitter of retryAfter.
+  // `seed`: initializes the random generator for the jitter of retryAfter.
   ClaimCoordinator(ClaimCoordinatorLimits limits, std::uint64_t seed);
 
+  // The result of a claim.
   struct Decision {
     enum class Kind { admitted, alreadyCommitted, rolledBack, rejected } kind = Kind::rejected;
     TxnKey txn = 0;
-    std::string value;        // alreadyCommitted: of the commit; empty where it is not known
-    Duration retryAfter;      // rejected
-    std::string_view reason;  // a constant text
+    std::string value;        // alreadyCommitted: the value of the commit; empty if unknown
+    Duration retryAfter;      // rejected only
+    std::string_view reason;  // refers to a string literal
   };
-  // To be sent to a voter, in this order.
+  // A message to send to a voter. Messages are sent in the order in which they are returned.
   struct ClaimMessage {
     enum class Kind { claim, release, commit } kind = Kind::claim;
     VoterIndex voter = 0;
     std::string id;
     ClaimNumber number = 0;
-    std::string value;  // commit
+    std::string value;  // commit only
   };
 
-  // Whether the voter can be reached from now on. Claims that wait for the vote of one that can't be are
-  // decided where the votes that are left don't suffice.
+  // Records whether the voter is reachable. When a voter becomes unreachable, claims that wait for its vote
+  // are decided if the remaining votes cannot suffice.
   void setReachable(VoterIndex voter, bool isReachable);
 
-  // Claims the id for the transaction; its decision comes by takeDecisions(), perhaps at once. `remaining`:
-  // how long the transaction's client waits.
+  // Claims the id for the transaction. takeDecisions() returns the decision, possibly right after this call.
+  // `remaining`: how long the transaction's client still waits.
   void beginClaim(Instant now, TxnKey txn, const std::string& id, Duration remaining);
-  // A voter's answer to the claim of that number; one that comes after the decision is ignored.
+  // Handles a voter's answer to the claim with this number. Answers received after the decision are ignored.
   void onVote(VoterIndex voter, ClaimNumber number, const Vote& vote);
-  // The transaction was committed with this value. Called before onTransactionEnded().
+  // Records that the transaction was committed with this value. Must be called before onTransactionEnded().
   void onCommitted(TxnKey txn, std::string value);
   enum class ExecutionOutcome { committed, neverRan, unknown };
-  // No attempt of the transaction is in flight any more, whether its claim was decided or not.
+  // Must be called when no attempt of the transaction is in flight any more, whether or not its claim was
+  // decided.
   void onTransactionEnded(TxnKey txn, ExecutionOutcome outcome);
 
-  // Decides claims whose time for votes is over. Returns when the next call is due; never: none is.
+  // Decides claims whose vote deadline has passed. Returns when the next call is due, or Instant() for never.
   Instant runTimers(Instant now);
 
-  // Since the last call, oldest first.
+  // Return and clear what was produced since the last call, oldest first.
   [[nodiscard]] std::vector<Decision> takeDecisions() { return std::exchange(decisions_, {}); }
   [[nodiscard]] std::vector<ClaimMessage> takeMessages() { return std::exchange(messages_, {}); }
 
   std::size_t openClaims() const { return claims_.size(); }
   std::size_t reachableVoters() const { return reachable_.size(); }
-  // Of claims, since the program started.
+  // Numbers of claims since the program started.
   struct Counts {
     std::uint64_t requested = 0, admitted = 0, committed = 0, rolledBack = 0, rejected = 0;
   };
@@ -102,30 +104,30 @@
   struct Claim {
     TxnKey txn = 0;
     std::string id;
-    Instant votesUntil;
+    Instant voteDeadline;
     bool isDecided = false, isAdmitted = false;
-    bool isCommitSent = false;  // to the voters, with its value
+    bool isCommitSent = false;  // the commit and its value were sent to the voters
     std::set<VoterIndex> grantedBy, takenBy, withoutVote;
   };
-  // Why no claim may begin now; none: it may.
+  // Returns why no claim may begin now, or nullopt if it may.
   std::optional<std::string_view> rejectReason(const std::string& id, Duration remaining) const;
   void openClaim(Instant now, TxnKey txn, const std::string& id, Duration remaining);
-  // Whether a claim waits for further votes.
+  // Whether a claim may wait for further votes.
   enum class VoteWait { pending, over };
-  // Decides the claim if its votes suffice or no longer can.
+  // Decides the claim if its votes suffice or can no longer suffice.
   void decideIfPossible(ClaimNumber number, VoteWait wait);
   void decide(ClaimNumber number, Decision::Kind kind, std::string value, std::string_view reason);
   void count(Decision::Kind kind);
   void sendToAll(ClaimMessage::Kind kind, const Claim& claim, ClaimNumber number,
                  const std::string& value = {});
-  Duration drawRetryAfter();
+  Duration jitteredRetryAfter();
 
   ClaimCoordinatorLimits limits_;
   std::knuth_b random_;
   std::set<VoterIndex> reachable_;
   std::map<ClaimNumber, Claim> claims_;
-  std::map<TxnKey, ClaimNumber> numberOfTxn_;
-  std::multimap<Instant, ClaimNumber> voteDeadlines_;  // also of claims that were decided since
+  std::map<TxnKey, ClaimNumber> claimOfTxn_;
+  std::multimap<Instant, ClaimNumber> voteDeadlines_;  // includes claims decided since
   ClaimNumber lastNumber_ = 0;
   std::vector<Decision> decisions_;
   std::vector<ClaimMessage> messages_;
--- a/src/idempotency/voting_member.cpp
+++ b/src/idempotency/voting_member.cpp
@@ -14,7 +14,7 @@
     : limits_(limits),
       isComplete_(stored.isComplete),
       lists_(std::move(stored.voterLists)),
-      onCurrentList_{name},
+      votersOnCurrentList_{name},
       ownStarts_(std::move(stored.ownStarts)),
       newSince_(stored.newSince),
       otherVoters_(lists_.current.names),
@@ -39,9 +39,11 @@
   changes_.push_back(lists_);
 }
 
-// Lists that are superseded stay so: no disk returns to an earlier list.
+// A superseded list stays superseded, as no disk returns to an earlier list.
 void VotingMember::finishListChangeIfSuperseded() {
-  const auto isListSuperseded = [&](const VoterList& list) { return isSuperseded(list, onCurrentList_); };
+  const auto isListSuperseded = [&](const VoterList& list) {
+    return isSuperseded(list, votersOnCurrentList_);
+  };
   if (std::all_of(lists_.previous.begin(), lists_.previous.end(), isListSuperseded)) finishListChange();
 }
 
@@ -67,7 +69,7 @@
 std::optional<VoterIncarnation> VotingMember::onGreeting(const std::string& voter,
                                                          const VoterIncarnation& start) {
   if (!otherVoters_.contains(voter)) return VoterIncarnation();
-  onCurrentList_.insert(voter);
+  votersOnCurrentList_.insert(voter);
   finishListChangeIfSuperseded();
   if (state_ == State::changingLists) return std::nullopt;
   VoterIncarnation& newest = otherStarts_[voter];
@@ -81,14 +83,15 @@
 
 bool VotingMember::onGreetingReply(Instant now, const std::string& voter, std::uint64_t greetedStart,
                                    const VoterIncarnation& knownStart) {
-  // A reply to an older greeting says nothing about this start.
+  // A reply to an earlier greeting says nothing about this start.
   if (!otherVoters_.contains(voter) || greetedStart != start().number) return false;
   finishListChange();  // the other voter replies only once earlier lists are superseded
-  const bool isOurs = std::any_of(ownStarts_.begin(), ownStarts_.end(),
-                                  [&](const auto& own) { return own.draw == knownStart.draw; });
-  // A start that this disk has not seen: it was another disk's, or this one's after this copy was made.
-  // Numbers alone don't show that: starts that no other voter was notified of are counted, too.
-  if (knownStart.number > 0 && knownStart.number >= newSince_ && !isOurs) {
+  const bool isKnownStart = std::any_of(ownStarts_.begin(), ownStarts_.end(),
+                                        [&](const auto& own) { return own.draw == knownStart.draw; });
+  // A start that is not on this disk belongs to another disk, or to this one after this copy was made.
+  // Comparing the numbers is not enough to detect this, as they also count starts that no other voter was
+  // notified of.
+  if (knownStart.number > 0 && knownStart.number >= newSince_ && !isKnownStart) {
     restartVerification(knownStart);
     return true;
   }
@@ -112,7 +115,8 @@
 std::optional<Vote> VotingMember::onClaim(Instant now, const std::string& id, const ClaimToken& token) {
   if (const auto found = claims_.find(id); found != claims_.end())
     return onRepeatedClaim(found->second, token);
-  // Expiries are counted, not claims: one that was released and claimed again has its first expiry still.
+  // The limit counts expiries and not claims: an id that was released and claimed again still has its first
+  // expiry.
   if (state_ != State::voting || expiries_.size() >= limits_.maxClaims ||
       pendingWrites_ >= limits_.maxPendingWrites)
     return Vote{};
@@ -137,7 +141,7 @@
   if (pendingWrites_ > 0) --pendingWrites_;
   const auto found = claims_.find(id);
   if (found == claims_.end() || found->second.record.token != token) return std::nullopt;
-  // A claim that could not be written stays here: no other claim gets the vote, and this one doesn't either.
+  // A claim that could not be written stays in memory, so that neither it nor any other claim gets the vote.
   if (!isDurable) return Vote{};
   found->second.isDurable = true;
   const auto kind = state_ == State::voting ? Vote::Kind::granted : Vote::Kind::abstained;
@@ -149,7 +153,7 @@
   if (value.size() > limits_.maxValueBytes) value.clear();
   const auto found = claims_.find(id);
   if (found == claims_.end()) {
-    // The claim did not reach this voter, but its commit counts all the same.
+    // The claim was not received by this voter, but its commit still counts.
     if (expiries_.size() >= limits_.maxClaims) return;
     claims_[id] = {.record = {.id = id, .token = token, .isCommitted = true, .value = std::move(value)},
                    .isDurable = false};
@@ -159,7 +163,7 @@
   }
   ClaimRecord& record = found->second.record;
   if (record.isCommitted && record.token == token) return;
-  // Where another claim has the vote it lost: this one was committed.
+  // If another claim has the vote, the committed claim replaces it.
   const bool isOtherClaim = record.token != token;
   record = {.id = id, .token = token, .isCommitted = true, .value = std::move(value)};
   changes_.push_back(record);
@@ -182,7 +186,7 @@
     isComplete_ = true;
     changes_.push_back(VotingRecord{.isComplete = true, .newSince = newSince_});
   }
-  dropExpired(now);
+  removeExpired(now);
   const Instant nextExpiry = expiries_.empty() ? Instant() : expiries_.front().when;
   if (state_ != State::abstaining) return nextExpiry;
   return nextExpiry == Instant() ? abstainsUntil_ : std::min(nextExpiry, abstainsUntil_);
@@ -192,12 +196,12 @@
   expiries_.push_back({.when = now + limits_.retention, .id = id, .token = claims_.at(id).record.token});
 }
 
-void VotingMember::dropExpired(Instant now) {
+void VotingMember::removeExpired(Instant now) {
   while (!expiries_.empty() && expiries_.front().when <= now) {
     const ClaimExpiry expired = std::move(expiries_.front());
     expiries_.pop_front();
     const auto found = claims_.find(expired.id);
-    // Released and claimed again since: the later claim has an expiry of its own.
+    // The id was released and claimed again: the later claim has its own expiry.
     if (found == claims_.end() || found->second.record.token != expired.token) continue;
     claims_.erase(found);
     changes_.push_back(ClaimRemoval{expired.id});
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -79,7 +79,7 @@
   const Duration gap = now - lastCalledAt_;
   lastCalledAt_ = now;
   const bool wasSuspended = gap > kCheckInterval * 2;
-  // A busy voter calls this in each of its many turns.
+  // Limits the rate of full checks: a busy voter calls this in every event loop turn.
   if (!wasSuspended && now - lastCheckedAt_ < kCheckInterval) return;
   lastCheckedAt_ = now;
   for (auto& [router, member] : members_) {
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,16 +1,16 @@
-// A voter's failure detector: which routers are members, which start of each is the current one here, and
-// which are alive. No I/O, no clock.
+// The failure detector of a voter: which routers are members, which start of each router is current at this
+// voter, and which routers are alive. Does no I/O and reads no clock.
 //
-//   liveness of a router  what it is                                       goes to
-//   awaited               it sent nothing since this voter started         alive, or silent
-//   alive                 its current start sent a message                 silent: none for kTimeout
-//   silent                it sent no message for that long                 alive
-//   removed               an operator took it off the list: its messages   awaited: back on the list
-//                         don't count
+//   liveness  meaning                                              next state
+//   awaited   nothing received since this voter started            alive, or silent
+//   alive     a message of the current start was received          silent: no message for kTimeout
+//   silent    no message received for kTimeout                     alive
+//   removed   an operator removed the router from the list: its    awaited: back on the list
+//             messages don't count
 //
-// A start is the current one from when its number is on this voter's disk until a higher one is. A voter that
-// was suspended itself has received nothing meanwhile, which says nothing about others: that time is not
-// counted.
+// A start is current from when its number is on this voter's disk until a higher number is. If this voter was
+// suspended, it received nothing during that time, which says nothing about other routers, so that time is
+// not counted.
 #pragma once
 
 #include <cstddef>
@@ -25,42 +25,44 @@
 
 namespace gulltrestle::membership {
 
-// The routers as one voter sees them. Used by cluster/membership_service.h at routers that are voters.
+// One voter's view of the routers. Used by cluster/membership_service.h at routers that are voters.
 class FailureDetector {
  public:
-  // Three heartbeats (membership/heartbeat_timer.h), and what a busy machine may delay one.
+  // Three heartbeat intervals (membership/heartbeat_timer.h), plus the delay that a busy machine may add.
   static constexpr Duration kTimeout = Duration::millis(3500);
-  // How often checkTimeouts() has to be called; in a gap of twice that this voter was suspended.
+  // Maximum interval between calls of checkTimeouts(). A gap of more than twice this means that this voter
+  // was suspended.
   static constexpr Duration kCheckInterval = Duration::millis(500);
 
-  // `stored`: the newest starts on disk, also of routers that are no members any more.
+  // `stored`: the newest starts on disk, including those of routers that are no longer members.
   FailureDetector(Instant now, const std::set<std::string>& members,
                   std::map<std::string, Incarnation> stored);
 
-  // The operators' list of routers was read again.
+  // Applies a reloaded list of routers.
   void setMembers(Instant now, const std::set<std::string>& members);
   bool isMember(const std::string& router) const { return memberNames_.contains(router); }
 
-  // The newest start that is known, on disk or on the way there.
+  // The newest known start, whether already on disk or still being written.
   Incarnation newestIncarnation(const std::string& router) const;
-  // A start requests to be this incarnation. It is answered by newestIncarnation() once changes are durable.
+  // Handles a join request for this incarnation. The reply is newestIncarnation(), sent once the changes are
+  // durable.
   void onJoinRequest(Instant now, const std::string& router, const Incarnation& requested);
-  // Whether the start of that draw is the router's current one here.
+  // Whether the start with this draw is the router's current one at this voter.
   bool isCurrent(const std::string& router, std::uint64_t draw) const;
-  // A message of that start came; it counts only where the start is the current one. `progress`: none where
-  // the message has none.
+  // Handles a message of this start, which counts only if the start is current. `progress`: nullopt if the
+  // message carries none.
   void onHeartbeat(Instant now, const std::string& router, std::uint64_t draw,
                    std::optional<MemberProgress> progress);
 
-  // Marks routers as silent whose timeout has passed. To be called every kCheckInterval or more often.
+  // Marks routers whose timeout has passed as silent. Must be called at least once per kCheckInterval.
   void checkTimeouts(Instant now);
 
-  // Reports that changed after `version`, at most `maxReports`, oldest change first. Sets `version` to that
-  // of the last one.
+  // Returns reports that changed after `version`, oldest change first, at most `maxReports`. Sets `version`
+  // to the version of the last one returned.
   std::vector<LivenessReport> reportsSince(std::uint64_t& version, std::size_t maxReports) const;
-  // Of all members, and of those removed since this voter started.
+  // Returns the reports of all members, and of members removed since this voter started.
   std::vector<LivenessReport> allReports() const;
-  // Since the last call; to be made durable before any answer is sent.
+  // Returns and clears the changes since the last call. They must be durable before any answer is sent.
   [[nodiscard]] std::vector<IncarnationChange> takeChanges() { return std::exchange(changes_, {}); }
 
  private:
@@ -69,7 +71,7 @@
     Liveness liveness = Liveness::awaited;
     Instant lastReceivedAt;
     MemberProgress progress;
-    std::uint64_t version = 0;  // of its last change
+    std::uint64_t version = 0;  // version of its last change
   };
   LivenessReport reportOf(const std::string& router, const Member& member) const {
     return {.router = router,
@@ -82,12 +84,12 @@
   void advanceVersion(const std::string& router, Member& member);
 
   std::set<std::string> memberNames_;
-  std::map<std::string, Member> members_;                // present ones, and those removed since
-  std::map<std::string, Incarnation> storedNonMembers_;  // on disk and no members
-  std::map<std::uint64_t, std::string> byVersion_;       // each of members_ once
+  std::map<std::string, Member> members_;  // current members, and those removed since the voter started
+  std::map<std::string, Incarnation> storedNonMembers_;  // on disk but not members
+  std::map<std::uint64_t, std::string> byVersion_;       // has each of members_ once
   std::uint64_t version_ = 0;
   Instant lastCalledAt_;   // checkTimeouts()
-  Instant lastCheckedAt_;  // when it last looked at all members
+  Instant lastCheckedAt_;  // when checkTimeouts() last checked all members
   std::vector<IncarnationChange> changes_;
 };
 
--- a/src/membership/join_protocol.cpp
+++ b/src/membership/join_protocol.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Bounds of the random pause: of two processes that start with one name at the same time, one joins after a
-// few of them.
-constexpr Duration kMinPause = Duration::millis(50), kMaxPause = Duration::millis(500);
+// Bounds of the random backoff. When two processes start with one name at the same time, one of them joins
+// after a few backoffs.
+constexpr Duration kMinBackoff = Duration::millis(50), kMaxBackoff = Duration::millis(500);
 
 }  // namespace
 
@@ -42,13 +42,13 @@
   updateState(now);
 }
 
-// A voter reports what it has on disk again when it is back.
+// The voter reports what it has on disk again when it is reachable again.
 void JoinProtocol::onVoterLost(VoterIndex voter) {
   newestKnown_.erase(voter);
   joinedAt_.erase(voter);
 }
 
-// A number far above the median is false and is ignored: the other voters would reject one above it.
+// A number far above the median is false and is ignored: the other voters would reject a number above it.
 std::uint64_t JoinProtocol::nextNumber() const {
   std::vector<std::uint64_t> numbers;
   for (const auto& [voter, newest] : newestKnown_) numbers.push_back(newest.number);
@@ -77,17 +77,17 @@
   if (state_ == State::joined && higher >= majority) state_ = State::superseded;
   if (state_ == State::joining && higher > voterCount_ - majority) {
     state_ = State::backingOff;
-    backsOffUntil_ = now + drawPause();
+    backoffUntil_ = now + randomBackoff();
   }
 }
 
-Duration JoinProtocol::drawPause() {
-  return kMinPause + (kMaxPause - kMinPause) * std::uniform_real_distribution<double>(0, 1)(random_);
+Duration JoinProtocol::randomBackoff() {
+  return kMinBackoff + (kMaxBackoff - kMinBackoff) * std::uniform_real_distribution<double>(0, 1)(random_);
 }
 
 Instant JoinProtocol::runTimers(Instant now) {
   if (state_ != State::backingOff) return Instant();
-  if (now < backsOffUntil_) return backsOffUntil_;
+  if (now < backoffUntil_) return backoffUntil_;
   if (newestKnown_.size() < majorityOf(voterCount_)) {
     state_ = State::discovering;
     return Instant();
--- a/src/membership/membership_types.h
+++ b/src/membership/membership_types.h
@@ -1,5 +1,6 @@
-// Membership: which start of a router is the current one for its name, and which routers are alive. Voters
-// store the numbers of starts and receive heartbeats; the report of a single voter changes nothing.
+// Types of the membership protocol, which determines the current start of each router name and the routers
+// that are alive. Voters store the numbers of starts and receive heartbeats; the report of a single voter
+// changes nothing.
 #pragma once
 
 #include <cstddef>
@@ -12,53 +13,53 @@
 
 using VoterIndex = std::size_t;  // position in the list of voters
 
-// One start of a router's program: a number that only grows from start to start, and that more than half of
-// the voters have on disk before the start is the current one; and a random draw that tells apart two
-// processes of one name.
+// Identifies one start of a router's program: a number that increases from start to start, which more than
+// half of the voters must have on disk before the start is current; and a random number that distinguishes
+// two processes with the same name.
 struct Incarnation {
-  std::uint64_t number = 0;  // 0: none is known
+  std::uint64_t number = 0;  // 0: no start is known
   std::uint64_t draw = 0;
   bool operator==(const Incarnation&) const = default;
 };
 
-// The highest number that a voter may name, far beyond those of any installation.
+// Exclusive upper limit of incarnation numbers, far beyond the numbers of any installation.
 constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 62;
-// How far a start's number may be above the one that a voter knows. No router starts so often while a voter
-// is away.
+// Maximum difference between a start's number and the number that a voter knows. No router starts so often
+// while a voter is unreachable.
 constexpr std::uint64_t kMaxIncarnationStep = 1'000'000;
 
-// Whether one voter receives messages from a router. On the wire as these numbers.
+// Whether one voter receives messages from a router. The numeric values are part of the wire format.
 enum class Liveness {
-  awaited,  // none since this voter started, and the timeout has not passed
+  awaited,  // no message since this voter started, and the timeout has not passed
   alive,
-  silent,   // none for FailureDetector::kTimeout
-  removed,  // from the list of routers
+  silent,   // no message for FailureDetector::kTimeout
+  removed,  // removed from the list of routers
 };
 
-// What a router reports of itself with each heartbeat.
+// The progress that a router reports with each heartbeat.
 struct MemberProgress {
-  unsigned recoveryStage = 0;        // that all its groups have reached
-  std::uint64_t planVersion = 0;     // of the maintenance plan that it follows
-  std::uint64_t drainedVersion = 0;  // of the plan on whose draining nodes it has nothing in flight any more
+  unsigned recoveryStage = 0;        // reached by all its groups
+  std::uint64_t planVersion = 0;     // version of the maintenance plan that it follows
+  std::uint64_t drainedVersion = 0;  // of the plan with no more in-flight work on its draining nodes
   bool operator==(const MemberProgress&) const = default;
 };
 
-// A new start of a router, which is the newest now.
+// A new start of a router, which becomes the newest one.
 struct IncarnationChange {
   std::string router;
   Incarnation incarnation;
 };
 
-// What one voter knows of one router by itself. Never forwarded.
+// What one voter observed about one router. Never forwarded to other routers.
 struct LivenessReport {
   std::string router;
-  Incarnation incarnation;  // the newest that is known there
+  Incarnation incarnation;  // the newest start known to the voter
   Liveness liveness = Liveness::awaited;
-  MemberProgress progress;  // as the router reported it
+  MemberProgress progress;  // as reported by the router
   bool operator==(const LivenessReport&) const = default;
 };
 
-// More than half: any two majorities share a voter.
+// The size of a majority: more than half, so that any two majorities share a voter.
 constexpr std::size_t majorityOf(std::size_t voters) { return voters / 2 + 1; }
 
 }  // namespace gulltrestle::membership
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Names that voters may report: beyond this one of them reports falsely, or the fleet is larger than
-// supported.
+// Maximum number of router names from the voters' reports. More names mean that a voter reports falsely or
+// that the fleet is larger than supported.
 constexpr std::size_t kMaxRouters = 10'000;
 
 }  // namespace
@@ -20,8 +20,9 @@
   return kNames[static_cast<int>(state)];
 }
 
-// Counted by start: where one voter has not noticed yet that a start died, and another receives messages from
-// the next one, each start has one voter, and the router is not alive by two.
+// Voters are counted separately for each start. If one voter has not detected yet that a start ended, and
+// another receives messages of the next start, each start is supported by one voter, and the two do not add
+// up.
 MembershipView::VoterSupport MembershipView::widestSupport(const Router& router) {
   std::map<std::uint64_t, std::size_t> votersOfIncarnation;
   VoterSupport widest;
@@ -33,17 +34,17 @@
   return widest;
 }
 
-MemberProgress MembershipView::leastProgress(const Router& router) {
-  std::optional<MemberProgress> least;
+MemberProgress MembershipView::minimumProgress(const Router& router) {
+  std::optional<MemberProgress> minimum;
   for (const auto& [voter, report] : router.reports) {
     if (report.liveness != Liveness::alive) continue;
     const MemberProgress& progress = report.progress;
-    if (!least) least = progress;
-    least->recoveryStage = std::min(least->recoveryStage, progress.recoveryStage);
-    least->planVersion = std::min(least->planVersion, progress.planVersion);
-    least->drainedVersion = std::min(least->drainedVersion, progress.drainedVersion);
+    if (!minimum) minimum = progress;
+    minimum->recoveryStage = std::min(minimum->recoveryStage, progress.recoveryStage);
+    minimum->planVersion = std::min(minimum->planVersion, progress.planVersion);
+    minimum->drainedVersion = std::min(minimum->drainedVersion, progress.drainedVersion);
   }
-  return least.value_or(MemberProgress());
+  return minimum.value_or(MemberProgress());
 }
 
 std::uint64_t MembershipView::incarnationReached(const Router& router) const {
@@ -60,7 +61,7 @@
   const VoterSupport support = widestSupport(router);
   const bool isAlive = support.voters >= majority;
   Member member;
-  member.progress = leastProgress(router);
+  member.progress = minimumProgress(router);
   member.incarnation = isAlive ? support.incarnation : incarnationReached(router);
   for (const auto& [voter, report] : router.reports) {
     if (report.liveness == Liveness::alive || report.liveness == Liveness::awaited) continue;
@@ -98,10 +99,10 @@
 }
 
 void MembershipView::onVoterLost(VoterIndex voter) {
-  for (auto at = routers_.begin(); at != routers_.end();) {
-    auto& [name, router] = *at;
+  for (auto entry = routers_.begin(); entry != routers_.end();) {
+    auto& [name, router] = *entry;
     if (router.reports.erase(voter) > 0) updateState(name, router);
-    at = router.reports.empty() ? routers_.erase(at) : std::next(at);
+    entry = router.reports.empty() ? routers_.erase(entry) : std::next(entry);
   }
 }
 
@@ -117,8 +118,8 @@
 }
 
 std::size_t MembershipView::count(State state) const {
-  return static_cast<std::size_t>(std::count_if(routers_.begin(), routers_.end(),
-                                                [&](const auto& one) { return one.second.state == state; }));
+  return static_cast<std::size_t>(std::count_if(
+      routers_.begin(), routers_.end(), [&](const auto& entry) { return entry.second.state == state; }));
 }
 
 }  // namespace gulltrestle::membership
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -1,5 +1,5 @@
-// Which routers are alive, by the reports of several voters. No I/O, no clock: a voter's reports count while
-// it can be reached.
+// Determines which routers are alive from the reports of several voters. Does no I/O and reads no clock: the
+// reports of a voter count while it is reachable.
 //
 //   state      reported by voters
 //   alive      alive, with the same start, by more than half
@@ -7,9 +7,9 @@
 //   suspected  silent or removed, by some
 //   unknown    none of these
 //
-// One voter that receives nothing (cut off in one direction, slow, or reporting falsely) makes no router
-// dead; nor is one dead to a router that reaches no voter, for which all are unknown. A router that more than
-// half of the voters receive messages from again is alive again.
+// One voter that receives nothing (cut off in one direction, slow, or reporting falsely) cannot make a router
+// dead. A router that reaches no voter sees all routers as unknown and none as dead. A dead router becomes
+// alive again when more than half of the voters receive its messages again.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 
 namespace gulltrestle::membership {
 
-// The routers as one router sees them. Used by cluster/membership_service.h.
+// One router's view of the routers. Used by cluster/membership_service.h.
 class MembershipView {
  public:
   explicit MembershipView(std::size_t voterCount) : voterCount_(voterCount) {}
@@ -31,32 +31,33 @@
   enum class State { unknown, suspected, alive, dead };
   struct Member {
     State state = State::unknown;
-    // The number of the start that is alive; else the one that more than half of the voters know was reached.
+    // The number of the start that is alive; otherwise the highest number that more than half of the voters
+    // report as reached.
     std::uint64_t incarnation = 0;
-    MemberProgress progress;               // the least of each field, over the voters that report it alive
-    std::vector<VoterIndex> silentVoters;  // that report it silent or removed
-    std::size_t removedCount = 0;          // of those, that report it removed
+    MemberProgress progress;  // minimum of each field over the voters that report the router alive
+    std::vector<VoterIndex> silentVoters;  // voters that report it silent or removed
+    std::size_t removedCount = 0;          // number of those that report it removed
   };
 
-  // What the voter reports now of these routers.
+  // Applies the voter's latest reports of these routers.
   void onReports(VoterIndex voter, const std::vector<LivenessReport>& reports);
-  // The voter can't be reached: its reports don't count any more.
+  // Discards the reports of a voter that is no longer reachable.
   void onVoterLost(VoterIndex voter);
 
   Member memberState(const std::string& router) const;
-  // That any reachable voter reports.
+  // Names of the routers that any reachable voter reports.
   std::vector<std::string> routers() const;
-  // How many routers are in this state.
+  // The number of routers in this state.
   std::size_t count(State state) const;
 
-  // A router is dead now, or alive after it was dead.
+  // A router became dead, or alive after it was dead.
   struct Transition {
     std::string router;
     State to;
     std::uint64_t incarnation;
     std::size_t silentVoterCount;
   };
-  // Since the last call.
+  // Returns and clears the transitions since the last call.
   [[nodiscard]] std::vector<Transition> takeTransitions() { return std::exchange(transitions_, {}); }
 
  private:
@@ -65,14 +66,14 @@
     State state = State::unknown;
     bool wasDead = false;
   };
-  // The start that most voters report alive, and how many do.
+  // The start that most voters report alive, and the number of these voters.
   struct VoterSupport {
     std::size_t voters = 0;
     std::uint64_t incarnation = 0;
   };
   static VoterSupport widestSupport(const Router& router);
-  static MemberProgress leastProgress(const Router& router);
-  // The number that more than half of the voters know was reached; 0 where too few report.
+  static MemberProgress minimumProgress(const Router& router);
+  // The highest number that more than half of the voters report as reached; 0 if too few voters report.
   std::uint64_t incarnationReached(const Router& router) const;
   Member memberOf(const Router& router) const;
   void updateState(const std::string& name, Router& router);
@@ -82,7 +83,7 @@
   std::vector<Transition> transitions_;
 };
 
-// As status documents and logs have it.
+// The state's name in status documents and logs.
 std::string_view nameOf(MembershipView::State state);
 
 }  // namespace gulltrestle::membership
--- a/tests/claims.cpp
+++ b/tests/claims.cpp
@@ -1,4 +1,4 @@
-// Claims among routers: the voters' and coordinators' decisions, step by step and in simulated fleets. Run as
+// Tests the decisions of voters and claim coordinators, step by step and in simulated fleets. Run as
 // `claims CASE [SEEDS]`: prints the case's trace.
 #include <functional>
 #include <map>
@@ -16,7 +16,7 @@
   const std::map<std::string, Case> cases{
       {"voting-member", {[](std::uint64_t) { printVotingMemberTrace(); }, 0}},
       {"claim-coordinator", {[](std::uint64_t) { printClaimCoordinatorTrace(); }, 0}},
-      {"fleets", {playFleets, 400}},
+      {"fleets", {runFleets, 400}},
       {"injected-bugs", {findInjectedBugs, 3000}}};
   const auto found = cases.find(argc > 1 ? argv[1] : "");
   if (found == cases.end()) return 2;
--- a/tests/claims/cases.h
+++ b/tests/claims/cases.h
@@ -8,17 +8,17 @@
 
 namespace gulltrestle::idempotency {
 
-// As traces have it.
-std::string shown(const Vote& vote);
+// Describes the vote for traces.
+std::string describe(const Vote& vote);
 
 // --- Step by step
 void printVotingMemberTrace();
 void printClaimCoordinatorTrace();
 
 // --- In simulated fleets
-// As many fleets as there are seeds, without a bug: nothing may break.
-void playFleets(std::uint64_t seeds);
-// Each bug that is built in has to be found within so many seeds: a verdict that can't fail shows nothing.
+// Runs one fleet without an injected bug for each seed and checks that no invariant is violated.
+void runFleets(std::uint64_t seeds);
+// Checks that each injected bug is found within this number of seeds: a check that cannot fail shows nothing.
 void findInjectedBugs(std::uint64_t seeds);
 
 }  // namespace gulltrestle::idempotency
--- a/tests/claims/claim_coordinator_cases.cpp
+++ b/tests/claims/claim_coordinator_cases.cpp
@@ -1,4 +1,4 @@
-// A claim coordinator's decisions, step by step.
+// Tests the decisions of a claim coordinator, step by step.
 #include <iostream>
 
 #include "claims/cases.h"
@@ -16,19 +16,19 @@
 const Vote kTakenAndCommitted{.kind = Vote::Kind::takenByOther, .isCommitted = true, .value = "done"};
 const Vote kAbstained{};
 
-// A coordinator of three voters, whose decisions and messages are printed after each call.
+// A coordinator with three voters that prints its decisions and messages after each call.
 class PrintedCoordinator {
  public:
   PrintedCoordinator() : coordinator_(limits(), 7) {}
 
-  ClaimCoordinator& quietly() { return coordinator_; }
+  ClaimCoordinator& underlying() { return coordinator_; }
   void begin(TxnKey txn, const std::string& id) {
     std::cout << "txn " << txn << ", " << id << "\n";
     coordinator_.beginClaim(kBegin, txn, id, Duration::millis(2000));
     print();
   }
   void vote(VoterIndex voter, ClaimNumber number, const Vote& answer) {
-    std::cout << " keeper " << voter << ": " << shown(answer) << "\n";
+    std::cout << " voter " << voter << ": " << describe(answer) << "\n";
     coordinator_.onVote(voter, number, answer);
     print();
   }
@@ -44,7 +44,7 @@
     for (const auto& decision : coordinator_.takeDecisions()) printDecision(decision);
     const auto messages = coordinator_.takeMessages();
     if (messages.empty()) return;
-    std::cout << "  said:";
+    std::cout << "  messages:";
     for (const auto& message : messages) printMessage(message);
     std::cout << "\n";
   }
@@ -58,18 +58,18 @@
   }
   static void printDecision(const ClaimCoordinator::Decision& decision) {
     using Kind = ClaimCoordinator::Decision::Kind;
-    constexpr const char* kKinds[] = {"admit", "committed", "roll back", "refuse"};
+    constexpr const char* kKinds[] = {"admitted", "committed", "rolled back", "rejected"};
     std::cout << "  " << decision.txn << ": " << kKinds[static_cast<int>(decision.kind)];
     if (decision.kind == Kind::alreadyCommitted) std::cout << " '" << decision.value << "'";
     if (decision.kind == Kind::rejected) {
       const Duration after = decision.retryAfter;
-      const bool isSpread = after >= Duration::millis(125) && after <= Duration::millis(375);
-      std::cout << (isSpread ? ", come back" : ", come back when?");
+      const bool isWithinJitter = after >= Duration::millis(125) && after <= Duration::millis(375);
+      std::cout << (isWithinJitter ? ", retry later" : ", RETRY OUT OF RANGE");
     }
     std::cout << (decision.reason.empty() ? "" : ", ") << decision.reason << "\n";
   }
   static void printMessage(const ClaimCoordinator::ClaimMessage& message) {
-    constexpr const char* kKinds[] = {"claim", "release", "committed"};
+    constexpr const char* kKinds[] = {"claim", "release", "commit"};
     std::cout << " " << kKinds[static_cast<int>(message.kind)] << " " << message.id << "/" << message.number
               << " to " << message.voter << (message.value.empty() ? "" : " '" + message.value + "'") << ";";
   }
@@ -78,67 +78,67 @@
 };
 
 void admitWithMajority(PrintedCoordinator& coordinator) {
-  coordinator.quietly().setReachable(0, true);
+  coordinator.underlying().setReachable(0, true);
   coordinator.begin(1, "a");
-  coordinator.quietly().setReachable(1, true);
+  coordinator.underlying().setReachable(1, true);
   coordinator.begin(2, "b");
   coordinator.vote(0, 1, kGranted);
   coordinator.vote(0, 1, kGranted);
   coordinator.vote(1, 1, kGranted);
   coordinator.vote(1, 1, kTaken);
-  coordinator.quietly().onCommitted(2, "done");
+  coordinator.underlying().onCommitted(2, "done");
   coordinator.end(2, ExecutionOutcome::committed);
 }
 
-void concedeToOtherClaims(PrintedCoordinator& coordinator) {
-  coordinator.quietly().setReachable(2, true);
+void yieldToOtherClaims(PrintedCoordinator& coordinator) {
+  coordinator.underlying().setReachable(2, true);
   coordinator.begin(3, "c");
   coordinator.vote(0, 2, kTaken);
   coordinator.vote(1, 2, kTaken);
   coordinator.vote(2, 2, kTakenAndCommitted);
-  coordinator.quietly().onTransactionEnded(3, ExecutionOutcome::neverRan);
+  coordinator.underlying().onTransactionEnded(3, ExecutionOutcome::neverRan);
   coordinator.begin(4, "d");
   coordinator.vote(0, 3, kTaken);
   coordinator.vote(1, 3, kGranted);
   coordinator.vote(2, 3, kAbstained);
-  coordinator.quietly().onTransactionEnded(4, ExecutionOutcome::neverRan);
+  coordinator.underlying().onTransactionEnded(4, ExecutionOutcome::neverRan);
 }
 
 void rejectWithoutVotes(PrintedCoordinator& coordinator) {
   coordinator.begin(5, "e");
   coordinator.vote(2, 4, kAbstained);
-  std::cout << " keeper 1 is gone\n";
-  coordinator.quietly().setReachable(1, false);
+  std::cout << " voter 1 is unreachable\n";
+  coordinator.underlying().setReachable(1, false);
   coordinator.print();
-  coordinator.quietly().onTransactionEnded(5, ExecutionOutcome::neverRan);
+  coordinator.underlying().onTransactionEnded(5, ExecutionOutcome::neverRan);
   coordinator.begin(6, "f");
   coordinator.vote(0, 5, kGranted);
-  std::cout << " time goes by\n";
+  std::cout << " the vote deadline passes\n";
   coordinator.runTimers(Duration::millis(799));
   coordinator.runTimers(Duration::millis(800));
   coordinator.vote(2, 5, kGranted);
-  coordinator.quietly().onTransactionEnded(6, ExecutionOutcome::neverRan);
+  coordinator.underlying().onTransactionEnded(6, ExecutionOutcome::neverRan);
 }
 
-void releaseOnlyWhatNeverRan(PrintedCoordinator& coordinator) {
+void releaseOnlyIfNeverRan(PrintedCoordinator& coordinator) {
   for (const auto outcome : {ExecutionOutcome::neverRan, ExecutionOutcome::unknown}) {
     const bool isUnknown = outcome == ExecutionOutcome::unknown;
     coordinator.begin(7, "g");
     const ClaimNumber number = isUnknown ? 7 : 6;
     coordinator.vote(0, number, kGranted);
     coordinator.vote(2, number, kGranted);
-    std::cout << " it is over, " << (isUnknown ? "unknown" : "never ran") << "\n";
+    std::cout << " the transaction ended: " << (isUnknown ? "unknown" : "never ran") << "\n";
     coordinator.end(7, outcome);
   }
   coordinator.begin(8, "h");
-  std::cout << " its client leaves\n";
+  std::cout << " the client disconnects\n";
   coordinator.end(8, ExecutionOutcome::neverRan);
 }
 
 void rejectInvalidClaims(PrintedCoordinator& coordinator) {
   coordinator.begin(9, "");
-  std::cout << "one that would be sent after its votes were forgotten\n";
-  coordinator.quietly().beginClaim(kBegin, 10, "i", Duration::millis(40'000));
+  std::cout << "a transaction that could be sent after its votes have expired\n";
+  coordinator.underlying().beginClaim(kBegin, 10, "i", Duration::millis(40'000));
   coordinator.print();
 }
 
@@ -147,11 +147,11 @@
 void printClaimCoordinatorTrace() {
   PrintedCoordinator coordinator;
   admitWithMajority(coordinator);
-  concedeToOtherClaims(coordinator);
+  yieldToOtherClaims(coordinator);
   rejectWithoutVotes(coordinator);
-  releaseOnlyWhatNeverRan(coordinator);
+  releaseOnlyIfNeverRan(coordinator);
   rejectInvalidClaims(coordinator);
-  std::cout << "open: " << coordinator.quietly().openClaims() << "\n";
+  std::cout << "open: " << coordinator.underlying().openClaims() << "\n";
 }
 
 }  // namespace gulltrestle::idempotency
--- a/tests/claims/fleet_cases.cpp
+++ b/tests/claims/fleet_cases.cpp
@@ -1,4 +1,4 @@
-// Claims in simulated fleets: as they are, and with a bug built in.
+// Tests claims in simulated fleets, with and without injected bugs.
 #include <iostream>
 
 #include "claims/cases.h"
@@ -10,23 +10,25 @@
 using simulation::InjectedBug;
 using simulation::SimulatedFleet;
 
-void playFleets(std::uint64_t seeds) {
+void runFleets(std::uint64_t seeds) {
   FleetStatistics statistics;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    const std::string fault = SimulatedFleet(seed, InjectedBug::none, statistics).play();
-    if (fault.empty()) continue;
-    const std::string id = fault.substr(0, fault.find(' '));
-    SimulatedFleet(seed, InjectedBug::none, statistics, id).play();
-    std::cout << "seed " << seed << ": " << fault << "\n";
+    const std::string failure = SimulatedFleet(seed, InjectedBug::none, statistics).runScenario();
+    if (failure.empty()) continue;
+    const std::string id = failure.substr(0, failure.find(' '));
+    SimulatedFleet(seed, InjectedBug::none, statistics, id).runScenario();
+    std::cout << "seed " << seed << ": " << failure << "\n";
     return;
   }
-  std::cout << seeds << " worlds: nothing ran twice, nothing false was told, each got its decision\n"
-            << "asked " << statistics.requests << " (repeats " << statistics.repeatedRequests
-            << "), admitted " << statistics.admitted << ", ran " << statistics.executed
-            << ", told from the keepers " << statistics.reportedCommitted << "\nkills " << statistics.kills
-            << ", power losses " << statistics.powerLosses << ", disks lost " << statistics.disksLost
-            << ", restored " << statistics.disksRestored << ", stalls " << statistics.stalls << ", lists "
-            << statistics.listChanges << "\n";
+  std::cout
+      << seeds
+      << " simulated fleets: nothing ran twice, no false outcome was reported, each request was decided\n"
+      << "requested " << statistics.requests << " (repeated " << statistics.repeatedRequests << "), admitted "
+      << statistics.admitted << ", executed " << statistics.executed << ", reported as committed by voters "
+      << statistics.reportedCommitted << "\nkills " << statistics.kills << ", power losses "
+      << statistics.powerLosses << ", disks lost " << statistics.disksLost << ", restored "
+      << statistics.disksRestored << ", stalls " << statistics.stalls << ", list changes "
+      << statistics.listChanges << "\n";
 }
 
 void findInjectedBugs(std::uint64_t seeds) {
@@ -35,24 +37,24 @@
     const char* description;
     std::uint64_t firstSeed = 1;
   };
-  // The one that takes a late restart, a new voter and a repeat between them is rare.
+  // listChangedAtOnce is rarely found: it takes a late restart, a new voter and a repeat between them.
   constexpr std::uint64_t kFirstSeedOfListChange = 2470;
   const BugCase cases[] = {
-      {InjectedBug::voteBeforeDurable, "a vote is told before it is durable"},
-      {InjectedBug::abstentionForgotten, "a keeper that was to be silent votes after its next start"},
-      {InjectedBug::staleDiskTrusted, "an old copy of a disk is taken for the newest"},
+      {InjectedBug::voteBeforeDurable, "a vote is sent before it is durable"},
+      {InjectedBug::abstentionForgotten, "a voter that has to abstain votes after its next start"},
+      {InjectedBug::staleDiskTrusted, "an old copy of a disk is accepted as the newest"},
       {InjectedBug::tokensRepeated, "a start repeats the tokens of an earlier one"},
-      {InjectedBug::quorumTooSmall, "some claimants think that there are fewer keepers"},
-      {InjectedBug::unknownOutcomeReleased, "the end of what may have run is told as never ran"},
-      {InjectedBug::listChangedAtOnce, "a keeper votes by a new list while the one before may count",
+      {InjectedBug::quorumTooSmall, "some coordinators count fewer voters than there are"},
+      {InjectedBug::unknownOutcomeReleased, "a transaction that may have run is reported as never ran"},
+      {InjectedBug::listChangedAtOnce, "a voter votes under a new list while the previous one may count",
        kFirstSeedOfListChange},
-      {InjectedBug::newVoterVotesAtOnce, "a new keeper votes at once"}};
+      {InjectedBug::newVoterVotesAtOnce, "a new voter votes at once"}};
   for (const auto& [bug, description, firstSeed] : cases) {
     FleetStatistics statistics;
     std::string found = "NOT FOUND";
     for (std::uint64_t seed = firstSeed; seed < firstSeed + seeds && found == "NOT FOUND"; ++seed)
-      if (const std::string fault = SimulatedFleet(seed, bug, statistics).play(); !fault.empty())
-        found = "found by seed " + std::to_string(seed) + ": " + fault;
+      if (const std::string failure = SimulatedFleet(seed, bug, statistics).runScenario(); !failure.empty())
+        found = "found by seed " + std::to_string(seed) + ": " + failure;
     std::cout << description << ": " << found << "\n";
   }
 }
--- a/tests/claims/simulated_claims.cpp
+++ b/tests/claims/simulated_claims.cpp
@@ -1,4 +1,4 @@
-// The fleet's requests, and what becomes of their claims.
+// Requests of the simulated fleet, and the handling of their claims.
 #include <algorithm>
 
 #include "claims/simulated_fleet.h"
@@ -13,13 +13,13 @@
 constexpr Duration kClientTimeout = Duration::millis(2000);
 constexpr Duration kReplyDelay = Duration::millis(30);
 
-std::string logged(const ClaimMessage& message) {
-  constexpr const char* kVerbs[] = {" claims ", " gives back ", " tells as committed "};
+std::string logText(const ClaimMessage& message) {
+  constexpr const char* kVerbs[] = {" claims ", " releases ", " commits "};
   return kVerbs[static_cast<int>(message.kind)] + std::to_string(message.number);
 }
 
-std::string logged(const Vote& vote) {
-  constexpr const char* kVotes[] = {" yours", " taken", " silent"};
+std::string logText(const Vote& vote) {
+  constexpr const char* kVotes[] = {" granted", " taken by other", " abstained"};
   return kVotes[static_cast<int>(vote.kind)];
 }
 
@@ -32,7 +32,7 @@
   if (isRepeat) ++statistics_.repeatedRequests;
   std::size_t id = idsRequestedAt_.size();
   if (isRepeat) {
-    // What is repeated later than that is more than a client may do.
+    // Clients must not repeat a request later than this.
     const Duration longestRepeat = kRetention - Duration::millis(3000);
     std::size_t first = idsRequestedAt_.size() - 1;
     while (first > 0 && now_ - idsRequestedAt_[first - 1] < longestRepeat) --first;
@@ -52,13 +52,13 @@
   const TxnKey txn = ++lastTxn_;
   requested.waiting[txn] = id;
   requested.coordinator->beginClaim(now_, txn, id, kClientTimeout);
-  carryOut(router);
-  afterAt(router, kClientTimeout, [this, router, txn, id] {
-    if (routers_[router].waiting.contains(txn)) fail(id + " got no decision in its time");
+  processCoordinatorOutput(router);
+  scheduleOnRouter(router, kClientTimeout, [this, router, txn, id] {
+    if (routers_[router].waiting.contains(txn)) fail(id + " got no decision before its deadline");
   });
 }
 
-void SimulatedFleet::carryOut(std::size_t router) {
+void SimulatedFleet::processCoordinatorOutput(std::size_t router) {
   Router& sender = routers_[router];
   for (const ClaimMessage& message : sender.coordinator->takeMessages()) {
     const SentClaim sent{.router = router,
@@ -66,7 +66,7 @@
                          .startCount = sender.startCount,
                          .token = {name(router), sender.tokenStart, message.number},
                          .message = message};
-    log(message.id, name(router) + logged(message) + " at " + name(sent.voter));
+    log(message.id, name(router) + logText(message) + " at " + name(sent.voter));
     send(router, sent.voter, router, sent.voter, [=, this] { onMessage(sent); });
   }
   for (const auto& decision : sender.coordinator->takeDecisions()) onDecision(router, decision);
@@ -94,19 +94,19 @@
   if (vote) return sendVote(sent, *vote);
   if (sendsEarly) sendVote(sent, {.kind = Vote::Kind::granted, .isCommitted = false, .value = {}});
   write(sent.voter, [=, this] {
-    const bool isDurable = isCalm_ || !oneIn(50);
+    const bool isDurable = areFaultsOver_ || !oneIn(50);
     const auto written = routers_[sent.voter].voter->onWritten(sent.message.id, sent.token, isDurable);
     if (written && !sendsEarly) sendVote(sent, *written);
   });
 }
 
-// On the connection that the claim came on, or not at all.
+// Sends the vote on the connection on which the claim was received. Drops it if that connection is closed.
 void SimulatedFleet::sendVote(const SentClaim& sent, const Vote& vote) {
-  log(sent.message.id, name(sent.voter) + " to " + name(sent.router) + logged(vote));
+  log(sent.message.id, name(sent.voter) + " to " + name(sent.router) + logText(vote));
   if (routers_[sent.router].startCount != sent.startCount) return;
   send(sent.voter, sent.router, sent.router, sent.voter, [=, this] {
     routers_[sent.router].coordinator->onVote(sent.message.voter, sent.message.number, vote);
-    carryOut(sent.router);
+    processCoordinatorOutput(sent.router);
   });
 }
 
@@ -114,15 +114,16 @@
   using Kind = ClaimCoordinator::Decision::Kind;
   Router& decided = routers_[router];
   const auto found = decided.waiting.find(decision.txn);
-  if (found == decided.waiting.end()) return fail("decided twice");
+  if (found == decided.waiting.end()) return fail("a transaction was decided twice");
   const std::string id = found->second;
   decided.waiting.erase(found);
   log(id, name(router) + " decides " + std::to_string(static_cast<int>(decision.kind)) + " " +
               std::string(decision.reason));
   if (decision.kind == Kind::alreadyCommitted) {
     ++statistics_.reportedCommitted;
-    if (!executions_[id]) fail(id + " told as committed and never ran");
-    if (!decision.value.empty() && decision.value != valueOf(id)) fail(id + " told with a wrong value");
+    if (!executions_[id]) fail(id + " was reported as committed and never ran");
+    if (!decision.value.empty() && decision.value != valueOf(id))
+      fail(id + " was reported with a wrong value");
   }
   if (decision.kind != Kind::admitted)
     return endTransaction(router, decision.txn, ExecutionOutcome::neverRan);
@@ -131,19 +132,20 @@
   execute(router, decision.txn, id);
 }
 
-// It is sent after a while, and what comes of it is known after another; a kill may come between.
+// Executes the transaction after a delay and reports its outcome after another delay. The router may be
+// killed in between.
 void SimulatedFleet::execute(std::size_t router, TxnKey txn, const std::string& id) {
   if (oneIn(6))
-    return afterAt(router, kReplyDelay,
-                   [=, this] { endTransaction(router, txn, ExecutionOutcome::neverRan); });
-  afterAt(router, pickMillis(0, 60), [=, this] {
+    return scheduleOnRouter(router, kReplyDelay,
+                            [=, this] { endTransaction(router, txn, ExecutionOutcome::neverRan); });
+  scheduleOnRouter(router, pickMillis(0, 60), [=, this] {
     const bool isExecuted = !oneIn(8);
-    after(pickMillis(0, 100), [=, this] {
+    schedule(pickMillis(0, 100), [=, this] {
       log(id, (isExecuted ? "runs for " : "is lost for ") + name(router));
       if (isExecuted && ++executions_[id] > 1) fail(id + " ran twice");
       if (isExecuted) ++statistics_.executed;
       const bool isAnswered = isExecuted && !oneIn(4);
-      afterAt(router, kReplyDelay, [=, this] { endExecution(router, txn, id, isAnswered); });
+      scheduleOnRouter(router, kReplyDelay, [=, this] { endExecution(router, txn, id, isAnswered); });
     });
   });
 }
@@ -151,7 +153,7 @@
 void SimulatedFleet::endExecution(std::size_t router, TxnKey txn, const std::string& id, bool isAnswered) {
   if (isAnswered) {
     routers_[router].coordinator->onCommitted(txn, oneIn(3) ? "" : valueOf(id));
-    carryOut(router);
+    processCoordinatorOutput(router);
     return endTransaction(router, txn, ExecutionOutcome::committed);
   }
   const bool isReleased = bug_ == InjectedBug::unknownOutcomeReleased;
@@ -160,7 +162,7 @@
 
 void SimulatedFleet::endTransaction(std::size_t router, TxnKey txn, ExecutionOutcome outcome) {
   routers_[router].coordinator->onTransactionEnded(txn, outcome);
-  afterAt(router, Duration(), [this, router] { carryOut(router); });
+  scheduleOnRouter(router, Duration(), [this, router] { processCoordinatorOutput(router); });
 }
 
 }  // namespace gulltrestle::idempotency::simulation
--- a/tests/claims/simulated_faults.cpp
+++ b/tests/claims/simulated_faults.cpp
@@ -1,4 +1,4 @@
-// What goes wrong in a fleet, and what operators do meanwhile.
+// Faults and operator actions in the simulated fleet.
 #include <algorithm>
 
 #include "claims/simulated_fleet.h"
@@ -26,14 +26,14 @@
   }
 }
 
-// All, or all but one; each comes back when it does.
+// Kills all routers, or all except `spared`. Each restarts after a random pause of its own.
 void SimulatedFleet::losePower(std::size_t spared) {
   ++statistics_.powerLosses;
   for (std::size_t router = 0; router < routers_.size(); ++router)
     if (router != spared) killFor(router, pickMillis(50, 3000));
 }
 
-// A voter's disk is lost, or an old copy is put in its place.
+// Loses a voter's disk or replaces it by an old copy.
 void SimulatedFleet::loseDisk(std::size_t router, Duration pause) {
   if (!isVoter(router) || !mayLoseDisk(router)) return;
   kill(router);
@@ -42,13 +42,13 @@
   const bool isRestored = oneIn(2) && isNewestStartKnown(router);
   lost.disk = isRestored ? lost.diskBefore : Disk();
   ++(isRestored ? statistics_.disksRestored : statistics_.disksLost);
-  log("", name(router) + (isRestored ? " gets an old copy of its disk" : " has lost its disk"));
-  after(pause, [this, router] {
+  log("", name(router) + (isRestored ? " restarts with an old copy of its disk" : " has lost its disk"));
+  schedule(pause, [this, router] {
     if (!routers_[router].isUp) boot(router);
   });
 }
 
-// Nothing arrives for a while, in one direction.
+// Delays all messages in one direction of one connection.
 void SimulatedFleet::stall(std::size_t router, Duration pause) {
   ++statistics_.stalls;
   Instant& arrival = routers_[router].lastArrival[pick(routers_.size()) * 2 + pick(2)];
@@ -68,10 +68,10 @@
   if (disk(voter).ownStarts.empty()) return false;
   const std::uint64_t draw = disk(voter).ownStarts.back().draw;
   const auto voters = votersOf(voter);
-  std::size_t know = 0;
+  std::size_t knowingVoters = 0;
   for (const std::size_t other : voters)
-    if (other != voter && disk(other).voterStarts[name(voter)].draw == draw) ++know;
-  return voters.size() > 1 && know + majorityOf(voters.size()) - 1 > voters.size() - 1;
+    if (other != voter && disk(other).voterStarts[name(voter)].draw == draw) ++knowingVoters;
+  return voters.size() > 1 && knowingVoters + majorityOf(voters.size()) - 1 > voters.size() - 1;
 }
 
 void SimulatedFleet::changeList() {
@@ -91,13 +91,13 @@
   }
   for (std::size_t router = 0; router < routers_.size(); ++router)
     if (routers_[router].list != lists_.size() - 1 || !disk(router).lists.previous.empty())
-      return;  // a change is under way
+      return;  // an earlier change is still in progress
   ++statistics_.listChanges;
   lists_.push_back(list);
-  log("", "the list changes");
+  log("", "the voter list changes");
   for (std::size_t router = 0; router < routers_.size(); ++router) {
     const auto restart = [this, router] { killFor(router, pickMillis(50, 500)); };
-    after(pickMillis(0, oneIn(4) ? 35'000 : 2000), restart);
+    schedule(pickMillis(0, oneIn(4) ? 35'000 : 2000), restart);
   }
 }
 
--- a/tests/claims/simulated_fleet.cpp
+++ b/tests/claims/simulated_fleet.cpp
@@ -1,4 +1,4 @@
-// The fleet's clock, routers, links and disks.
+// Clock, routers, connections and disks of the simulated fleet.
 #include "claims/simulated_fleet.h"
 
 #include <algorithm>
@@ -19,26 +19,26 @@
   }
 }
 
-std::string SimulatedFleet::play() {
+std::string SimulatedFleet::runScenario() {
   constexpr std::int64_t kEndMillis = 40'000;
   constexpr int kFaults = 30;
   for (std::int64_t at = 0; at < kEndMillis; at += 20 + static_cast<std::int64_t>(pick(200)))
-    after(Duration::millis(at), [this] { sendRequest(); });
-  for (int i = 0; i < kFaults; ++i) after(pickMillis(0, kEndMillis), [this] { injectFault(); });
+    schedule(Duration::millis(at), [this] { sendRequest(); });
+  for (int i = 0; i < kFaults; ++i) schedule(pickMillis(0, kEndMillis), [this] { injectFault(); });
   run(Duration::millis(kEndMillis));
-  // All is well again, and has been for the time of retention: a new id is admitted at every router.
-  isCalm_ = true;
+  // After all faults have ended and the retention time has passed, every router must admit a new id.
+  areFaultsOver_ = true;
   for (std::size_t i = 0; i < routers_.size(); ++i)
     if (!routers_[i].isUp || routers_[i].list != lists_.size() - 1) killFor(i, Duration::millis(50));
   run(kRetention + kRetention + Duration::millis(10'000));
   admittedAt_.clear();
   for (std::size_t i = 0; i < routers_.size(); ++i)
-    after(Duration(), [=, this] { request(i, "new" + name(i)); });
+    schedule(Duration(), [=, this] { request(i, "new" + name(i)); });
   run(Duration::millis(2000));
-  if (fault_.empty() && admittedAt_.size() < routers_.size())
+  if (failure_.empty() && admittedAt_.size() < routers_.size())
     fail("only " + std::to_string(admittedAt_.size()) + " of " + std::to_string(routers_.size()) +
-         " routers serve when all is well again");
-  return fault_;
+         " routers admit claims after all faults ended");
+  return failure_;
 }
 
 void SimulatedFleet::log(const std::string& id, const std::string& text) const {
@@ -47,7 +47,7 @@
 }
 
 void SimulatedFleet::fail(const std::string& text) {
-  if (fault_.empty()) fault_ = text;
+  if (failure_.empty()) failure_ = text;
 }
 
 std::size_t SimulatedFleet::pick(std::size_t count) {
@@ -71,19 +71,19 @@
 
 // --- Time
 
-void SimulatedFleet::after(Duration delay, std::function<void()> call) {
+void SimulatedFleet::schedule(Duration delay, std::function<void()> call) {
   events_.push({.at = now_ + delay, .order = ++eventCount_, .call = std::move(call)});
 }
 
-void SimulatedFleet::afterAt(std::size_t router, Duration delay, std::function<void()> call) {
-  after(delay, [this, router, startCount = routers_[router].startCount, call = std::move(call)] {
+void SimulatedFleet::scheduleOnRouter(std::size_t router, Duration delay, std::function<void()> call) {
+  schedule(delay, [this, router, startCount = routers_[router].startCount, call = std::move(call)] {
     if (routers_[router].isUp && routers_[router].startCount == startCount) call();
   });
 }
 
 void SimulatedFleet::run(Duration span) {
   const Instant end = now_ + span;
-  while (fault_.empty() && events_.top().at < end) {
+  while (failure_.empty() && events_.top().at < end) {
     const Event event = events_.top();
     events_.pop();
     now_ = std::max(now_, event.at);
@@ -92,15 +92,15 @@
   now_ = end;
 }
 
-// --- A router's life
+// --- Router lifecycle
 
 void SimulatedFleet::boot(std::size_t router) {
   Router& booted = routers_[router];
   booted.list = lists_.size() - 1;
-  log("", name(router) + (isVoter(router) ? " starts as a keeper" : " starts") + " by list " +
+  log("", name(router) + (isVoter(router) ? " starts as a voter" : " starts") + " under list " +
               std::to_string(booted.list + 1) +
               (booted.disk.claims.contains(loggedId_)
-                   ? ", holds it for " + booted.disk.claims[loggedId_].token.router
+                   ? ", stores the claim of " + booted.disk.claims[loggedId_].token.router
                    : ""));
   booted.isUp = true;
   ++booted.startCount;
@@ -134,7 +134,7 @@
   onDisk.ownStarts.push_back({.number = previousNumber + 1, .draw = random_()});
   const auto decision = transitionTo(onDisk.lists, lists_, name(router));
   if (const auto* rejection = std::get_if<VoterListRejection>(&decision)) {
-    fail("did not start: keepers " + rejection->reason);
+    fail("did not start: " + rejection->reason);
     return false;
   }
   const auto& transition = std::get<VoterListTransition>(decision);
@@ -173,8 +173,8 @@
   Router& ticking = routers_[router];
   if (ticking.voter) ticking.voter->runTimers(now_);
   ticking.coordinator->runTimers(now_);
-  carryOut(router);
-  afterAt(router, Duration::millis(50), [this, router] { tick(router); });
+  processCoordinatorOutput(router);
+  scheduleOnRouter(router, Duration::millis(50), [this, router] { tick(router); });
 }
 
 void SimulatedFleet::kill(std::size_t router) {
@@ -182,7 +182,7 @@
   if (!killed.isUp) return;
   log("", name(router) + " is killed");
   killed.isUp = false;
-  // Of what was not durable yet any part from the front may be.
+  // Any prefix of the pending writes may have become durable.
   for (const PendingWrite& pending : killed.writes) {
     if (oneIn(2)) break;
     apply(killed.disk, pending.changes);
@@ -196,23 +196,23 @@
 
 void SimulatedFleet::killFor(std::size_t router, Duration pause) {
   kill(router);
-  after(pause, [this, router] {
+  schedule(pause, [this, router] {
     if (!routers_[router].isUp) boot(router);
   });
 }
 
-// --- Links
+// --- Connections
 
 void SimulatedFleet::connect(std::size_t from, std::size_t to) {
   Router& connecting = routers_[from];
   if (connecting.connections[to] & 1) return;
-  // Who is down, serves under another list, or is no voter by its own rejects.
+  // A voter that is down or serves under another list rejects the connection, so retry later.
   if (!routers_[to].isUp || routers_[to].list != connecting.list)
-    return afterAt(from, Duration::millis(200), [this, from, to] { connect(from, to); });
+    return scheduleOnRouter(from, Duration::millis(200), [this, from, to] { connect(from, to); });
   ++connecting.connections[to];
   connecting.coordinator->setReachable(indexOf(from, to), true);
   greet(from, to);
-  carryOut(from);
+  processCoordinatorOutput(from);
 }
 
 void SimulatedFleet::disconnect(std::size_t from, std::size_t to) {
@@ -220,8 +220,8 @@
   if (!disconnected.isUp || !(disconnected.connections[to] & 1)) return;
   ++disconnected.connections[to];
   disconnected.coordinator->setReachable(indexOf(from, to), false);
-  carryOut(from);
-  afterAt(from, pickMillis(100, 1000), [this, from, to] { connect(from, to); });
+  processCoordinatorOutput(from);
+  scheduleOnRouter(from, pickMillis(100, 1000), [this, from, to] { connect(from, to); });
 }
 
 void SimulatedFleet::send(std::size_t from, std::size_t to, std::size_t owner, std::size_t voter,
@@ -231,10 +231,9 @@
   if (!(generation & 1)) return;
   Instant& arrival = ownerState.lastArrival[voter * 2 + (from == owner)];
   arrival = std::max(arrival, now_ + pickMillis(1, 20));
-  // What was sent on a link that broke since may arrive all the same, late, when it is a coordinator's
-  // message.
+  // A coordinator's message that was sent on a connection that broke meanwhile may still arrive, late.
   const bool isStray = from == owner && oneIn(3);
-  after(arrival - now_, [=, this, startCount = routers_[to].startCount, call = std::move(call)] {
+  schedule(arrival - now_, [=, this, startCount = routers_[to].startCount, call = std::move(call)] {
     Router& ownerNow = routers_[owner];
     const bool isConnected = ownerNow.isUp && ownerNow.connections[voter] == generation;
     if (routers_[to].isUp && routers_[to].startCount == startCount && (isConnected || isStray)) call();
@@ -248,7 +247,7 @@
     const auto knownStart = routers_[to].voter->onGreeting(name(from), start);
     if (!knownStart) return disconnect(from, to);
     write(to, [=, this, known = *knownStart] { replyToGreeting(to, from, start, known); });
-    carryOut(to);
+    processCoordinatorOutput(to);
   });
 }
 
@@ -277,8 +276,8 @@
 
 void SimulatedFleet::writeNext(std::size_t router) {
   constexpr Duration kSlowWrite = Duration::millis(800);
-  const bool isSlow = !isCalm_ && oneIn(20);
-  afterAt(router, isSlow ? kSlowWrite : pickMillis(1, 10), [this, router] {
+  const bool isSlow = !areFaultsOver_ && oneIn(20);
+  scheduleOnRouter(router, isSlow ? kSlowWrite : pickMillis(1, 10), [this, router] {
     Router& writing = routers_[router];
     const PendingWrite written = std::move(writing.writes.front());
     writing.writes.pop_front();
--- a/tests/claims/simulated_fleet.h
+++ b/tests/claims/simulated_fleet.h
@@ -1,6 +1,6 @@
-// A simulated fleet of routers, some of them voters: the real decisions of claims, over links that break and
-// stall, on disks and machines that lose their power, and with clients that repeat their ids at any router.
-// The simulation knows what truly ran. One seed gives one run.
+// A simulated fleet of routers, some of them voters. It runs the production claim code over connections that
+// break and stall, on disks and machines that lose power, with clients that repeat their ids at any router.
+// The simulation knows which transactions really ran. A seed determines the whole run.
 #pragma once
 
 #include <deque>
@@ -18,40 +18,40 @@
 
 namespace gulltrestle::idempotency::simulation {
 
-// Bugs that are built into a fleet, to see that its verdict finds them.
+// Bugs that can be injected into a fleet, to verify that its checks find them.
 enum class InjectedBug {
   none,
   voteBeforeDurable,       // a vote is sent before it is durable
   abstentionForgotten,     // a voter that has to abstain votes after its next start
-  staleDiskTrusted,        // an old copy of a disk is taken for the newest
+  staleDiskTrusted,        // an old copy of a disk is accepted as the newest
   tokensRepeated,          // a start repeats the tokens of an earlier one
   quorumTooSmall,          // some coordinators count fewer voters than there are
-  unknownOutcomeReleased,  // the end of what may have run is reported as never ran
-  listChangedAtOnce,       // a voter votes by a new list while the one before may count
+  unknownOutcomeReleased,  // a transaction that may have run is reported as never ran
+  listChangedAtOnce,       // a voter votes under a new list while the previous one may count
   newVoterVotesAtOnce,
 };
 
-// What happened, over all fleets of a test.
+// Event counts over all fleets of a test.
 struct FleetStatistics {
   std::uint64_t requests = 0, repeatedRequests = 0;
   std::uint64_t admitted = 0, executed = 0, reportedCommitted = 0;
   std::uint64_t kills = 0, powerLosses = 0, disksLost = 0, disksRestored = 0, stalls = 0, listChanges = 0;
 };
 
-// One run.
+// One simulation run.
 class SimulatedFleet {
  public:
-  // `loggedId`: an id whose history is printed, to find out why a seed fails; empty: none.
+  // `loggedId`: prints the history of this id, to find out why a seed fails. Empty: prints nothing.
   SimulatedFleet(std::uint64_t seed, InjectedBug bug, FleetStatistics& statistics, std::string loggedId = {});
 
-  // Plays requests and faults, then repairs all and sees whether every router serves again. Returns what
-  // broke; empty: nothing.
-  std::string play();
+  // Simulates requests and faults, then ends all faults and checks that every router admits claims again.
+  // Returns a description of the first violation, or an empty string if there is none.
+  std::string runScenario();
 
  private:
   static constexpr Duration kRetention = Duration::millis(20'000);
 
-  // What is durable at one router.
+  // The durable state of one router.
   struct Disk {
     std::vector<VoterIncarnation> ownStarts;
     std::uint64_t newSince = 0;
@@ -66,18 +66,20 @@
   };
   struct Router {
     bool isUp = false;
-    std::size_t list = 0;          // that it serves under: its index among all
-    std::uint64_t startCount = 0;  // what was under way for an earlier start is void
+    std::size_t list = 0;          // index of the voter list that it serves under
+    std::uint64_t startCount = 0;  // callbacks of an earlier start are ignored
     std::unique_ptr<VotingMember> voter;
     std::unique_ptr<ClaimCoordinator> coordinator;
-    std::uint64_t tokenStart = 0;  // of its claims' tokens
-    Disk disk, diskBefore;         // diskBefore: as it was when the last start began
+    std::uint64_t tokenStart = 0;  // the start number in its claims' tokens
+    Disk disk, diskBefore;         // diskBefore: copy made at the beginning of the last start
     std::deque<PendingWrite> writes;
     bool isWriting = false;
-    Instant diskLostAt;                                // never: its disk was not touched
-    std::map<std::size_t, std::uint64_t> connections;  // to each voter: its generation; odd: up
-    std::map<std::size_t, Instant> lastArrival;        // of the messages on each, by direction
-    std::map<TxnKey, std::string> waiting;             // ids of transactions without a decision
+    Instant diskLostAt;  // never: its disk was not lost
+    std::map<std::size_t, std::uint64_t>
+        connections;  // generation of the connection to each voter; odd: connected
+    std::map<std::size_t, Instant>
+        lastArrival;                        // last arrival time of a message, by connection and direction
+    std::map<TxnKey, std::string> waiting;  // ids of undecided transactions
   };
   struct Event {
     Instant at;
@@ -87,10 +89,10 @@
       return std::pair(other.at, other.order) < std::pair(at, order);
     }
   };
-  // One claim's message on its way to a voter.
+  // A message about a claim in flight to a voter.
   struct SentClaim {
     std::size_t router, voter;  // indices of routers
-    std::uint64_t startCount;   // of the router, when it was sent
+    std::uint64_t startCount;   // of the router, when the message was sent
     ClaimToken token;
     ClaimCoordinator::ClaimMessage message;
   };
@@ -99,38 +101,38 @@
   void fail(const std::string& text);
   std::size_t pick(std::size_t count);
   bool oneIn(std::size_t count) { return pick(count) == 0; }
-  // From `shortest` on, up to `range` longer.
+  // Returns a random duration: at least `shortest` milliseconds and less than `range` milliseconds longer.
   Duration pickMillis(std::int64_t shortest, std::size_t range);
 
   static std::string name(std::size_t router) { return "r" + std::to_string(router); }
   Disk& disk(std::size_t router) { return routers_[router].disk; }
   const VoterList& listOf(std::size_t router) const { return lists_[routers_[router].list]; }
   bool isVoter(std::size_t router) const { return listOf(router).names.contains(name(router)); }
-  // The voters by the router's list, each at its index there.
+  // The voters of the router's list, in the order of that list.
   std::vector<std::size_t> votersOf(std::size_t router) const;
   VoterIndex indexOf(std::size_t router, std::size_t voter) const;
 
   // --- Time
-  void after(Duration delay, std::function<void()> call);
-  // Only if that router has not been down meanwhile.
-  void afterAt(std::size_t router, Duration delay, std::function<void()> call);
+  void schedule(Duration delay, std::function<void()> call);
+  // Calls back only if the router has not been down in between.
+  void scheduleOnRouter(std::size_t router, Duration delay, std::function<void()> call);
   void run(Duration span);
 
-  // --- A router's life
+  // --- Router lifecycle
   void boot(std::size_t router);
   void bootCoordinator(std::size_t router);
   void bootVoter(std::size_t router);
-  // False: the voter must not start.
+  // Returns false if the voter must not start.
   bool changeListOnDisk(std::size_t router);
   StoredState storedStateOf(const Disk& disk) const;
   void tick(std::size_t router);
   void kill(std::size_t router);
   void killFor(std::size_t router, Duration pause);
 
-  // --- Links: messages arrive in order, or the link breaks and those under way are lost
+  // --- Connections: messages arrive in order, or the connection breaks and messages in flight are lost
   void connect(std::size_t from, std::size_t to);
   void disconnect(std::size_t from, std::size_t to);
-  // On the connection from `owner` to `voter`, in one of its directions.
+  // Sends on the connection from `owner` to `voter`, in one of its directions.
   void send(std::size_t from, std::size_t to, std::size_t owner, std::size_t voter,
             std::function<void()> call);
   void greet(std::size_t from, std::size_t to);
@@ -138,17 +140,17 @@
                        const VoterIncarnation& knownStart);
 
   // --- Disks
-  // Writes what the voter has changed up to now, in order, and calls back then.
+  // Writes the voter's changes so far, in order, and calls back when they are durable.
   void write(std::size_t router, std::function<void()> whenDurable);
   void writeNext(std::size_t router);
   static void apply(Disk& disk, const std::vector<DiskChange>& changes);
 
   // --- Claims
-  // A client's request: for a new id, or once more for one of the last few, at any router, or at two at once.
+  // Sends a client's request for a new id, or repeats a recent one, to any router or to two at the same time.
   void sendRequest();
   void request(std::size_t router, const std::string& id);
-  // Sends messages and carries out decisions of the router's coordinator.
-  void carryOut(std::size_t router);
+  // Sends the messages and applies the decisions of the router's coordinator.
+  void processCoordinatorOutput(std::size_t router);
   void onMessage(const SentClaim& sent);
   void onClaim(const SentClaim& sent);
   void sendVote(const SentClaim& sent, const Vote& vote);
@@ -162,29 +164,30 @@
   void losePower(std::size_t spared);
   void loseDisk(std::size_t router, Duration pause);
   void stall(std::size_t router, Duration pause);
-  // An operator names another voter, or two more, in a new list. The routers take it one by one as they are
-  // restarted, some of them late.
+  // An operator replaces a voter, or adds two, in a new list. The routers adopt the list one by one as they
+  // are restarted, some of them late.
   void changeList();
-  // Whether the disk may be lost without more than a minority being lost within the time of retention.
+  // Whether at most a minority of the disks is lost within the retention time if this one is lost, too.
   bool mayLoseDisk(std::size_t router) const;
-  // Whether an old copy of the disk would be noticed: by all but fewer than the voter has to hear.
+  // Whether an old copy of the disk would be detected: the voters that do not know the newest start are fewer
+  // than the replies that the voter needs.
   bool isNewestStartKnown(std::size_t voter);
 
   std::knuth_b random_;
   InjectedBug bug_;
   FleetStatistics& statistics_;
   std::string loggedId_;
-  std::vector<VoterList> lists_;  // all that there were, the newest last
+  std::vector<VoterList> lists_;  // all lists so far, the newest last
   std::vector<Router> routers_;
   Instant now_ = Instant() + Duration::millis(1'000'000);
   std::uint64_t eventCount_ = 0;
   std::priority_queue<Event> events_;
-  std::vector<Instant> idsRequestedAt_;  // first
+  std::vector<Instant> idsRequestedAt_;  // time of the first request of each id
   std::map<std::string, int> executions_;
   std::set<std::size_t> admittedAt_;  // routers
   TxnKey lastTxn_ = 0;
-  bool isCalm_ = false;  // disks are quick, and none fails
-  std::string fault_;
+  bool areFaultsOver_ = false;  // writes are quick and none fails
+  std::string failure_;
 };
 
 }  // namespace gulltrestle::idempotency::simulation
--- a/tests/claims/voting_member_cases.cpp
+++ b/tests/claims/voting_member_cases.cpp
@@ -1,4 +1,4 @@
-// A voting member's decisions, step by step.
+// Tests the decisions of a voting member, step by step.
 #include <iostream>
 
 #include "claims/cases.h"
@@ -6,8 +6,8 @@
 
 namespace gulltrestle::idempotency {
 
-std::string shown(const Vote& vote) {
-  constexpr const char* kKinds[] = {"yours", "taken", "silent"};
+std::string describe(const Vote& vote) {
+  constexpr const char* kKinds[] = {"granted", "taken by other", "abstained"};
   return std::string(kKinds[static_cast<int>(vote.kind)]) +
          (vote.isCommitted ? " committed '" + vote.value + "'" : "");
 }
@@ -19,14 +19,14 @@
 const VoterList kThreeVoters{.version = 1, .names = {"k1", "k2", "k3"}};
 const ClaimToken kTokenA{"a", 11, 1}, kTokenB{"b", 22, 1};
 
-std::string shown(const std::optional<Vote>& vote) {
-  return vote ? idempotency::shown(*vote) : "once it is durable";
+std::string describe(const std::optional<Vote>& vote) {
+  return vote ? idempotency::describe(*vote) : "pending until durable";
 }
 
-std::string shown(const DiskChange& change) {
+std::string describe(const DiskChange& change) {
   if (const auto* claim = std::get_if<ClaimRecord>(&change))
-    return "put " + claim->id + " of " + claim->token.router + (claim->isCommitted ? " committed" : "");
-  if (const auto* removal = std::get_if<ClaimRemoval>(&change)) return "drop " + removal->id;
+    return "store " + claim->id + " of " + claim->token.router + (claim->isCommitted ? " committed" : "");
+  if (const auto* removal = std::get_if<ClaimRemoval>(&change)) return "remove " + removal->id;
   if (const auto* start = std::get_if<VoterStartRecord>(&change))
     return "start " + start->voter + "=" + std::to_string(start->incarnation.number);
   if (const auto* voting = std::get_if<VotingRecord>(&change))
@@ -35,11 +35,11 @@
 }
 
 void printState(VotingMember& voter) {
-  std::cout << "  " << nameOf(voter.state()) << ", start " << voter.start().number << ", holds "
+  std::cout << "  " << nameOf(voter.state()) << ", start " << voter.start().number << ", claims "
             << voter.claimCount();
-  for (const auto& name : voter.unverifiedVoters()) std::cout << ", waits for " << name;
+  for (const auto& name : voter.unverifiedVoters()) std::cout << ", unverified " << name;
   std::cout << "; to disk:";
-  for (const DiskChange& change : voter.takeChanges()) std::cout << " " << shown(change);
+  for (const DiskChange& change : voter.takeChanges()) std::cout << " " << describe(change);
   std::cout << "\n";
 }
 
@@ -62,10 +62,11 @@
 }
 
 void printVerification(VotingMember& voter) {
-  std::cout << "it has started: " << shown(voter.onClaim(kBegin, "id1", kTokenA))
-            << "; of what it holds: " << shown(voter.onClaim(kBegin, "old", kTokenB)) << "\n";
+  std::cout << "after the start: " << describe(voter.onClaim(kBegin, "id1", kTokenA))
+            << "; for a stored claim: " << describe(voter.onClaim(kBegin, "old", kTokenB)) << "\n";
   printState(voter);
-  std::cout << "an answer to an older greeting, one of a stranger, then one of its own start\n";
+  std::cout
+      << "a reply to an earlier greeting, one from an unknown voter, then one with a start on its disk\n";
   voter.onGreetingReply(kBegin, "k2", 4, {});
   voter.onGreetingReply(kBegin, "k9", 5, {});
   printState(voter);
@@ -74,48 +75,48 @@
 }
 
 void printClaims(VotingMember& voter) {
-  std::cout << "a claims id1: " << shown(voter.onClaim(kBegin, "id1", kTokenA))
-            << "; b: " << shown(voter.onClaim(kBegin, "id1", kTokenB)) << "\n";
+  std::cout << "a claims id1: " << describe(voter.onClaim(kBegin, "id1", kTokenA))
+            << "; b claims it: " << describe(voter.onClaim(kBegin, "id1", kTokenB)) << "\n";
   printState(voter);
-  std::cout << "durable: " << shown(voter.onWritten("id1", kTokenA, true))
-            << "; a again: " << shown(voter.onClaim(kBegin, "id1", kTokenA)) << "\n";
-  std::cout << "b gives back what it never had, a what it has; b: ";
+  std::cout << "durable: " << describe(voter.onWritten("id1", kTokenA, true))
+            << "; a again: " << describe(voter.onClaim(kBegin, "id1", kTokenA)) << "\n";
+  std::cout << "b releases a vote that it does not have, a releases its own; b claims: ";
   voter.onReleased("id1", kTokenB);
   voter.onReleased("id1", kTokenA);
-  std::cout << shown(voter.onClaim(kBegin, "id1", kTokenB))
-            << "; not durable: " << shown(voter.onWritten("id1", kTokenB, false))
-            << "; b again: " << shown(voter.onClaim(kBegin, "id1", kTokenB)) << "\n";
+  std::cout << describe(voter.onClaim(kBegin, "id1", kTokenB))
+            << "; not durable: " << describe(voter.onWritten("id1", kTokenB, false))
+            << "; b again: " << describe(voter.onClaim(kBegin, "id1", kTokenB)) << "\n";
   printState(voter);
 }
 
 void printOutcomes(VotingMember& voter) {
-  std::cout << "committed by b, with a value; its end again by a release; a asks\n";
+  std::cout << "committed by b with a value, then released by b; a claims\n";
   voter.onCommitted(kBegin, "id1", kTokenB, "value");
   voter.onReleased("id1", kTokenB);
-  std::cout << "  " << shown(voter.onClaim(kBegin, "id1", kTokenA)) << "\n";
-  std::cout << "committed by a elsewhere, with a value that is too long\n";
+  std::cout << "  " << describe(voter.onClaim(kBegin, "id1", kTokenA)) << "\n";
+  std::cout << "another id is committed by a, with a value that is too long\n";
   voter.onCommitted(kBegin, "id2", kTokenA, "a value of some length");
   printState(voter);
-  std::cout << "it is full: " << shown(voter.onClaim(kBegin, "id3", kTokenA)) << "\n";
-  std::cout << "after the time of retention\n";
+  std::cout << "at the limit of stored ids: " << describe(voter.onClaim(kBegin, "id3", kTokenA)) << "\n";
+  std::cout << "after the retention time\n";
   voter.runTimers(kBegin + kRetention);
   printState(voter);
 }
 
 void printLostDisk() {
-  std::cout << "others know a start of it that its disk doesn't\n";
+  std::cout << "other voters know a start of this voter that its disk lacks\n";
   VotingMember voter(kBegin, "k1", smallLimits(), completeState(kThreeVoters, {{5, 1}}));
-  std::cout << "  to be told anew: " << voter.onGreetingReply(kBegin, "k2", 5, {3, 9}) << "\n";
+  std::cout << "  must greet again: " << voter.onGreetingReply(kBegin, "k2", 5, {3, 9}) << "\n";
   printState(voter);
   voter.onGreetingReply(kBegin, "k2", 5, {});
   voter.onGreetingReply(kBegin, "k3", 6, {3, 9});
   printState(voter);
-  std::cout << "  " << shown(voter.onClaim(kBegin, "id1", kTokenA)) << "\n";
+  std::cout << "  " << describe(voter.onClaim(kBegin, "id1", kTokenA)) << "\n";
   voter.runTimers(kBegin + kRetention);
   printState(voter);
-  std::cout << "others greet: knew " << voter.onGreeting("k2", {3, 1})->number << ", then "
+  std::cout << "other voters greet: known before " << voter.onGreeting("k2", {3, 1})->number << ", then "
             << voter.onGreeting("k2", {2, 5})->number << ", then " << voter.onGreeting("k2", {4, 5})->number
-            << "; a stranger " << voter.onGreeting("k9", {4, 5})->number << "\n";
+            << "; unknown voter " << voter.onGreeting("k9", {4, 5})->number << "\n";
   printState(voter);
 }
 
@@ -123,12 +124,12 @@
   VotingMemberLimits limits;
   limits.maxPendingWrites = 2;
   VotingMember voter(kBegin, "k1", limits, completeState({.version = 1, .names = {"k1"}}, {{1, 1}}));
-  std::cout << "a slow disk, two votes may wait: " << shown(voter.onClaim(kBegin, "w1", kTokenA)) << ", "
-            << shown(voter.onClaim(kBegin, "w2", kTokenA)) << ", "
-            << shown(voter.onClaim(kBegin, "w3", kTokenA)) << ", again "
-            << shown(voter.onClaim(kBegin, "w1", kTokenA));
-  std::cout << "; one is durable: " << shown(voter.onWritten("w1", kTokenA, true)) << ", "
-            << shown(voter.onClaim(kBegin, "w3", kTokenA)) << "\n";
+  std::cout << "a slow disk, limit of two pending votes: " << describe(voter.onClaim(kBegin, "w1", kTokenA))
+            << ", " << describe(voter.onClaim(kBegin, "w2", kTokenA)) << ", "
+            << describe(voter.onClaim(kBegin, "w3", kTokenA)) << ", repeated "
+            << describe(voter.onClaim(kBegin, "w1", kTokenA));
+  std::cout << "; one becomes durable: " << describe(voter.onWritten("w1", kTokenA, true)) << ", "
+            << describe(voter.onClaim(kBegin, "w3", kTokenA)) << "\n";
 }
 
 }  // namespace
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -1,5 +1,6 @@
-// Membership: the join protocol, a voter's failure detector and the view by several voters, step by step; and
-// starts in simulated fleets. Run as `members CASE [SEEDS]`: prints the case's trace.
+// Tests the join protocol, a voter's failure detector and the membership view from several voters' reports,
+// step by step; and starts of routers in simulated fleets. Run as `members CASE [SEEDS]`: prints the case's
+// trace.
 #include <functional>
 #include <iostream>
 #include <map>
@@ -23,12 +24,12 @@
 
 // --- Step by step
 
-// A join protocol with three voters, whose state and requests are printed after each call.
+// A join protocol with three voters that prints its state and requests after each call.
 class PrintedJoin {
  public:
   explicit PrintedJoin(std::uint64_t draw) : joinProtocol_(3, draw) {}
 
-  JoinProtocol& quietly() { return joinProtocol_; }
+  JoinProtocol& underlying() { return joinProtocol_; }
   void newestKnown(VoterIndex voter, const Incarnation& newest, const char* description) {
     joinProtocol_.onNewestKnown(kBegin, voter, newest);
     print(description);
@@ -41,7 +42,7 @@
     std::cout << description << ": " << nameOf(joinProtocol_.state()) << " "
               << joinProtocol_.incarnation().number << ";";
     for (const auto& [voter, number] : joinProtocol_.takeJoinRequests())
-      std::cout << " wishes " << number << " of " << voter;
+      std::cout << " requests " << number << " from " << voter;
     std::cout << "\n";
   }
 
@@ -51,32 +52,32 @@
 
 void printJoinThenSuperseded() {
   PrintedJoin join(7);
-  join.newestKnown(0, {4, 1}, "one keeper of three tells start 4");
-  join.newestKnown(1, {900'000'000, 2}, "another one far from the future, which is passed over");
-  join.joinReply(0, {5, 7}, "the first has it on disk");
-  join.newestKnown(2, {3, 3}, "the third greets, behind");
-  join.joinReply(2, {5, 7}, "and has it");
-  std::cout << "may speak at 0, 1, 2: " << join.quietly().isJoinedAt(0) << join.quietly().isJoinedAt(1)
-            << join.quietly().isJoinedAt(2) << "\n";
-  join.quietly().onVoterLost(2);
-  join.newestKnown(2, {5, 7}, "one that was lost is back, and has it");
-  join.joinReply(0, {6, 9}, "one knows another start");
-  join.joinReply(2, {6, 9}, "more than half do");
+  join.newestKnown(0, {4, 1}, "one voter of three reports start 4");
+  join.newestKnown(1, {900'000'000, 2}, "another reports an implausibly high number, which is ignored");
+  join.joinReply(0, {5, 7}, "the first voter has it on disk");
+  join.newestKnown(2, {3, 3}, "the third voter reports an earlier start");
+  join.joinReply(2, {5, 7}, "the third voter has it on disk");
+  std::cout << "joined at 0, 1, 2: " << join.underlying().isJoinedAt(0) << join.underlying().isJoinedAt(1)
+            << join.underlying().isJoinedAt(2) << "\n";
+  join.underlying().onVoterLost(2);
+  join.newestKnown(2, {5, 7}, "a lost voter is reachable again and has it on disk");
+  join.joinReply(0, {6, 9}, "one voter knows another start");
+  join.joinReply(2, {6, 9}, "more than half of the voters know it");
 }
 
 void printTwoProcessesOfOneName() {
   PrintedJoin join(8);
-  std::cout << "two processes of one name start at a time\n";
-  join.newestKnown(0, {}, "nothing is known");
-  join.newestKnown(1, {}, "nor there");
-  join.joinReply(0, {1, 5}, "the other was first");
-  join.joinReply(1, {1, 5}, "at both");
-  std::cout << "it rests for some time: " << (join.quietly().runTimers(kBegin) > kBegin) << "\n";
-  join.quietly().runTimers(kBegin + ms(500));
-  join.print("then");
-  join.quietly().onVoterLost(0);
-  join.quietly().onVoterLost(1);
-  join.print("all are lost");
+  std::cout << "two processes with one name start at the same time\n";
+  join.newestKnown(0, {}, "one voter knows no start");
+  join.newestKnown(1, {}, "another voter knows none either");
+  join.joinReply(0, {1, 5}, "the other process was first at one voter");
+  join.joinReply(1, {1, 5}, "and at the other");
+  std::cout << "it backs off: " << (join.underlying().runTimers(kBegin) > kBegin) << "\n";
+  join.underlying().runTimers(kBegin + ms(500));
+  join.print("after the backoff");
+  join.underlying().onVoterLost(0);
+  join.underlying().onVoterLost(1);
+  join.print("both voters are lost");
 }
 
 void printJoinProtocolTrace() {
@@ -85,7 +86,7 @@
 }
 
 void print(const std::vector<LivenessReport>& reports) {
-  constexpr const char* kLiveness[] = {"awaited", "heard", "silent", "left"};
+  constexpr const char* kLiveness[] = {"awaited", "alive", "silent", "removed"};
   for (const auto& report : reports)
     std::cout << "  " << report.router << " " << report.incarnation.number << " "
               << kLiveness[static_cast<int>(report.liveness)] << " " << report.progress.recoveryStage << "\n";
@@ -103,33 +104,34 @@
   const auto checkTimeoutsUntil = [&](std::int64_t endMillis) {
     for (std::int64_t t = 500; t <= endMillis; t += 500) detector.checkTimeouts(kBegin + ms(t));
   };
-  printChanges("it starts, and knows b's last start from its disk");
+  printChanges("the voter starts and knows b's last start from its disk");
   detector.onJoinRequest(kBegin, "a", {1, 10});
   detector.onJoinRequest(kBegin, "b", {4, 41});
   detector.onJoinRequest(kBegin, "c", {1, 1});
   detector.onJoinRequest(kBegin, "b", {5'000'000, 41});
-  printChanges("a enters; b by a number that is taken, and by one from the future; c is a stranger");
-  std::cout << "speaks: a " << detector.isCurrent("a", 10) << ", another a " << detector.isCurrent("a", 11)
-            << ", b before " << detector.isCurrent("b", 40) << ", b now " << detector.isCurrent("b", 41)
-            << "\n";
+  printChanges("a joins; b requests a number in use, then an implausibly high one; c is not a member");
+  std::cout << "current: a " << detector.isCurrent("a", 10) << ", another start of a "
+            << detector.isCurrent("a", 11) << ", earlier start of b " << detector.isCurrent("b", 40)
+            << ", new start of b " << detector.isCurrent("b", 41) << "\n";
   checkTimeoutsUntil(3500);
-  printChanges("neither is heard for the time of silence");
+  printChanges("neither sends a message during the timeout");
   detector.onHeartbeat(kBegin + ms(3500), "a", 11, MemberProgress{3});
   detector.onHeartbeat(kBegin + ms(3500), "a", 10, MemberProgress{2});
-  printChanges("a is heard, and one that does not speak for it");
+  printChanges("a heartbeat from another start of a, then one from its current start");
   detector.onHeartbeat(kBegin + ms(3500), "a", 10, std::nullopt);
-  printChanges("a says something that tells no progress: nothing changes");
+  printChanges("a message from a without progress: nothing changes");
   detector.checkTimeouts(kBegin + ms(60'000));
-  printChanges("this keeper stood still for a minute: it misses nobody for that");
+  printChanges("this voter was suspended for a minute: no router becomes silent");
   detector.checkTimeouts(kBegin + ms(60'500));
   detector.setMembers(kBegin + ms(60'500), {"b", "old"});
   detector.onHeartbeat(kBegin + ms(60'500), "a", 10, MemberProgress{2});
-  printChanges("a is taken off the list, one that was on it long ago is put back");
-  std::cout << "its next number is above what it had: " << detector.newestIncarnation("old").number << "\n";
-  std::cout << "told in slices\n";
+  printChanges("a is removed from the list, a former member is added again");
+  std::cout << "the former member's newest known number: " << detector.newestIncarnation("old").number
+            << "\n";
+  std::cout << "reports in batches\n";
   printedVersion = 0;
   print(detector.reportsSince(printedVersion, 2));
-  std::cout << "  and\n";
+  std::cout << "  next batch\n";
   print(detector.reportsSince(printedVersion, 2));
 }
 
@@ -142,26 +144,26 @@
     std::cout << description << ": " << nameOf(member.state) << " " << member.incarnation << ", progress "
               << member.progress.recoveryStage;
     for (const auto& transition : view.takeTransitions())
-      std::cout << "; step to " << nameOf(transition.to) << " " << transition.incarnation << ", silent at "
-                << transition.silentVoterCount;
+      std::cout << "; transition to " << nameOf(transition.to) << " " << transition.incarnation
+                << ", silent at " << transition.silentVoterCount;
     std::cout << "\n";
   };
-  report(0, 4, Liveness::awaited, 0, "one waits");
-  report(1, 4, Liveness::alive, 2, "one hears it");
-  report(0, 5, Liveness::alive, 4, "another hears its next start");
-  report(0, 4, Liveness::alive, 4, "two hear it");
-  report(2, 1'000'000, Liveness::silent, 0, "one tells falsely that a start from the future is silent");
-  report(2, 4, Liveness::silent, 0, "one does not hear it");
-  report(1, 4, Liveness::silent, 0, "two do not");
-  report(1, 5, Liveness::alive, 1, "its next start is heard by one");
-  report(0, 5, Liveness::alive, 1, "and by two");
-  report(0, 5, Liveness::removed, 0, "one has it off the list");
-  report(1, 5, Liveness::removed, 0, "two have");
+  report(0, 4, Liveness::awaited, 0, "one voter awaits it");
+  report(1, 4, Liveness::alive, 2, "one reports it alive");
+  report(0, 5, Liveness::alive, 4, "another reports its next start alive");
+  report(0, 4, Liveness::alive, 4, "two report it alive");
+  report(2, 1'000'000, Liveness::silent, 0, "one falsely reports that a much later start is silent");
+  report(2, 4, Liveness::silent, 0, "one reports it silent");
+  report(1, 4, Liveness::silent, 0, "two report it silent");
+  report(1, 5, Liveness::alive, 1, "one reports its next start alive");
+  report(0, 5, Liveness::alive, 1, "two report its next start alive");
+  report(0, 5, Liveness::removed, 0, "one reports it removed");
+  report(1, 5, Liveness::removed, 0, "two report it removed");
   for (const VoterIndex voter : {0, 1}) view.onVoterLost(voter);
-  std::cout << "the keepers that told so are lost: " << nameOf(view.memberState("r").state) << ", "
-            << view.takeTransitions().size() << " steps\n";
+  std::cout << "the voters that reported this are lost: " << nameOf(view.memberState("r").state) << ", "
+            << view.takeTransitions().size() << " transitions\n";
   view.onVoterLost(2);
-  std::cout << "names left: " << view.routers().size() << "\n";
+  std::cout << "routers still reported: " << view.routers().size() << "\n";
 }
 
 void printHeartbeatTimerTrace() {
@@ -172,29 +174,29 @@
     ++firstByTenth[(timer.next() - kBegin).inMicros() / 100'000];
     for (std::int64_t t = 0; t < 60'000; t += 10) sent += timer.isDue(kBegin + ms(t));
   }
-  int most = 0;
-  for (const auto& [tenth, count] : firstByTenth) most = std::max(most, count);
-  std::cout << "300 routers that start together: " << sent << " beats in a minute, at most "
-            << (most < 60 ? "a fifth" : "TOO MANY") << " of them in one tenth of a second\n";
+  int maxCount = 0;
+  for (const auto& [tenth, count] : firstByTenth) maxCount = std::max(maxCount, count);
+  std::cout << "300 routers that start together: " << sent << " heartbeats in a minute, at most "
+            << (maxCount < 60 ? "a fifth" : "TOO MANY") << " of them in one tenth of a second\n";
   HeartbeatTimer timer(kBegin, 1);
   int sentAtOnce = 0;
   for (int n = 0; n < 10; ++n) sentAtOnce += timer.isDue(kBegin + ms(30'000));
-  std::cout << "one that slept for half a minute: " << sentAtOnce << " beat at once\n";
+  std::cout << "a router suspended for half a minute: " << sentAtOnce << " heartbeat at once\n";
 }
 
-// --- Simulated fleets: several processes of a few names start, end, are suspended and resume; voters lose
-// power, with what was not durable; messages come late, and in any order. What must hold, whatever fails: a
-// start that joins does so by a number above all by which its name had joined before it started, and by one
-// that no other has; and all join in the end.
+// --- Simulated fleets: several processes with a few names start, end, are suspended and resume; voters lose
+// power and the state that was not durable yet; messages arrive late and in any order. Checks, whatever
+// fails, that a start joins with a number higher than all with which its name had joined before it started,
+// that no two starts join with the same number, and that all join in the end.
 
 enum class InjectedBug { none, replyBeforeDurable, quorumTooSmall, diskLostOnRestart };
 
-// Over all fleets of a test.
+// Totals over all fleets of a test.
 struct FleetStatistics {
   std::uint64_t starts = 0, joined = 0, superseded = 0, powerLosses = 0, messages = 0;
 };
 
-// One run, by its seed.
+// One simulation run, determined by its seed.
 class SimulatedFleet {
  public:
   SimulatedFleet(std::uint64_t seed, InjectedBug bug, FleetStatistics& statistics)
@@ -203,16 +205,16 @@
     for (std::size_t n = 1 + pick(3); n > 0; --n) names_.insert("r" + std::to_string(n));
     for (std::size_t voterIndex = 0; voterIndex < voters_.size(); ++voterIndex) startVoter(voterIndex);
   }
-  // What broke; empty: nothing.
-  std::string play() {
+  // Runs the simulation. Returns a description of the first violation, or an empty string if there is none.
+  std::string runScenario() {
     constexpr std::int64_t kEnd = 20'000;
     for (std::int64_t at = 0; at < kEnd; at += 50 + static_cast<std::int64_t>(pick(1500)))
-      later(ms(at), [this] { injectFault(); });
+      schedule(ms(at), [this] { injectFault(); });
     run(ms(kEnd));
-    isCalm_ = true;
+    areFaultsOver_ = true;
     for (auto& voter : voters_)
       if (!voter.detector) startVoter(static_cast<std::size_t>(&voter - voters_.data()));
-    // One process a name is left; it joins, or has joined.
+    // Only the last process of each name continues, and a new one starts, which must join.
     std::map<std::string, std::size_t> last;
     for (std::size_t processIndex = 0; processIndex < processes_.size(); ++processIndex)
       if (processes_[processIndex].joinProtocol) last[processes_[processIndex].name] = processIndex;
@@ -224,10 +226,10 @@
     run(ms(10'000));
     for (std::size_t processIndex = processes_.size() - names_.size(); processIndex < processes_.size();
          ++processIndex)
-      if (fault_.empty() && processes_[processIndex].joinProtocol->state() != JoinProtocol::State::joined)
-        fault_ = processes_[processIndex].name + " does not enter when all is well: " +
-                 std::string(nameOf(processes_[processIndex].joinProtocol->state()));
-    return fault_;
+      if (failure_.empty() && processes_[processIndex].joinProtocol->state() != JoinProtocol::State::joined)
+        failure_ = processes_[processIndex].name + " has not joined after all faults ended: " +
+                   std::string(nameOf(processes_[processIndex].joinProtocol->state()));
+    return failure_;
   }
 
  private:
@@ -240,18 +242,18 @@
     std::string name;
     std::uint64_t draw = 0;
     std::optional<JoinProtocol> joinProtocol;
-    std::uint64_t highestJoinedBefore = 0;  // the highest that had joined when it started
+    std::uint64_t highestJoinedBefore = 0;  // highest number that had joined when it started
     bool isSuspended = false, isCountedJoined = false, isCountedSuperseded = false;
-    std::map<std::size_t, std::uint64_t> connections;  // to each voter: its generation
+    std::map<std::size_t, std::uint64_t> connections;  // generation of the connection to each voter
   };
 
   std::size_t pick(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_); }
-  void later(Duration after, std::function<void()> call) {
+  void schedule(Duration after, std::function<void()> call) {
     events_.push({now_ + after, ++order_, std::move(call)});
   }
   void run(Duration span) {
     const Instant end = now_ + span;
-    while (fault_.empty() && !events_.empty() && events_.top().at < end) {
+    while (failure_.empty() && !events_.empty() && events_.top().at < end) {
       const auto event = events_.top();
       events_.pop();
       now_ = std::max(now_, event.at);
@@ -259,7 +261,7 @@
     }
     now_ = end;
   }
-  Duration delay() { return ms(1 + static_cast<std::int64_t>(pick(isCalm_ || pick(10) ? 20 : 2000))); }
+  Duration delay() { return ms(1 + static_cast<std::int64_t>(pick(areFaultsOver_ || pick(10) ? 20 : 2000))); }
 
   void startVoter(std::size_t voterIndex) {
     VoterState& voter = voters_[voterIndex];
@@ -289,7 +291,7 @@
       processes_[processIndex].joinProtocol->runTimers(now_);
       sendRequests(processIndex);
     }
-    later(ms(50), [this, processIndex] { tick(processIndex); });
+    schedule(ms(50), [this, processIndex] { tick(processIndex); });
   }
   bool isUp(std::size_t processIndex, std::size_t voterIndex, std::uint64_t generation,
             std::uint64_t startCount) {
@@ -297,20 +299,20 @@
            processes_[processIndex].connections[voterIndex] == generation && voters_[voterIndex].detector &&
            voters_[voterIndex].startCount == startCount;
   }
-  // A message from the voter's disk to the process, once all up to now is durable there.
-  void answer(std::size_t processIndex, std::size_t voterIndex, std::uint64_t generation,
-              std::uint64_t startCount, bool isGreeting) {
+  // Sends the voter's newest known start to the process once all its changes so far are durable.
+  void replyWhenDurable(std::size_t processIndex, std::size_t voterIndex, std::uint64_t generation,
+                        std::uint64_t startCount, bool isGreeting) {
     const std::string name = processes_[processIndex].name;
     const auto changes = voters_[voterIndex].detector->takeChanges();
     const auto reply = [=, this] {
       const Incarnation newest = voters_[voterIndex].detector->newestIncarnation(name);
-      later(delay(), [=, this] {
+      schedule(delay(), [=, this] {
         if (isUp(processIndex, voterIndex, generation, startCount))
           onReply(processIndex, voterIndex, newest, isGreeting);
       });
     };
     if (bug_ == InjectedBug::replyBeforeDurable) reply();
-    later(ms(static_cast<std::int64_t>(pick(30))), [=, this] {
+    schedule(ms(static_cast<std::int64_t>(pick(30))), [=, this] {
       if (!voters_[voterIndex].detector || voters_[voterIndex].startCount != startCount) return;
       for (const auto& [router, start] : changes)
         if (start.number > voters_[voterIndex].disk[router].number) voters_[voterIndex].disk[router] = start;
@@ -324,15 +326,15 @@
     const std::uint64_t generation = ++process.connections[voterIndex];
     if (!voters_[voterIndex].detector) return;
     const std::uint64_t startCount = voters_[voterIndex].startCount;
-    later(delay(), [=, this] {
+    schedule(delay(), [=, this] {
       if (isUp(processIndex, voterIndex, generation, startCount))
-        answer(processIndex, voterIndex, generation, startCount, true);
+        replyWhenDurable(processIndex, voterIndex, generation, startCount, true);
     });
   }
   void onReply(std::size_t processIndex, std::size_t voterIndex, const Incarnation& newest, bool isGreeting) {
     Process& process = processes_[processIndex];
     if (process.isSuspended)
-      return later(ms(200), [=, this] {
+      return schedule(ms(200), [=, this] {
         if (processes_[processIndex].joinProtocol) onReply(processIndex, voterIndex, newest, isGreeting);
       });
     ++statistics_.messages;
@@ -348,11 +350,11 @@
       const std::size_t voterIndex = voter;
       const std::uint64_t generation = process.connections[voterIndex],
                           startCount = voters_[voterIndex].startCount;
-      later(delay(), [=, this, n = number] {
+      schedule(delay(), [=, this, n = number] {
         if (!isUp(processIndex, voterIndex, generation, startCount)) return;
         voters_[voterIndex].detector->onJoinRequest(now_, processes_[processIndex].name,
                                                     {n, processes_[processIndex].draw});
-        answer(processIndex, voterIndex, generation, startCount, false);
+        replyWhenDurable(processIndex, voterIndex, generation, startCount, false);
       });
     }
     if (process.joinProtocol->state() == JoinProtocol::State::superseded &&
@@ -364,10 +366,10 @@
     ++statistics_.joined;
     const std::uint64_t number = process.joinProtocol->incarnation().number;
     if (number <= process.highestJoinedBefore)
-      fault_ = process.name + " entered by " + std::to_string(number) + ", and " +
-               std::to_string(process.highestJoinedBefore) + " had entered before it started";
+      failure_ = process.name + " joined with " + std::to_string(number) + ", although " +
+                 std::to_string(process.highestJoinedBefore) + " had joined before it started";
     if (!joinedNumbers_[process.name].insert(number).second)
-      fault_ = process.name + " entered by " + std::to_string(number) + " twice";
+      failure_ = process.name + " joined with " + std::to_string(number) + " twice";
   }
   void injectFault() {
     switch (pick(5)) {
@@ -385,7 +387,7 @@
         for (std::size_t processIndex = 0; processIndex < processes_.size(); ++processIndex)
           if (processes_[processIndex].joinProtocol)
             processes_[processIndex].joinProtocol->onVoterLost(voterIndex);
-        return later(ms(static_cast<std::int64_t>(pick(3000))), [this, voterIndex] {
+        return schedule(ms(static_cast<std::int64_t>(pick(3000))), [this, voterIndex] {
           if (!voters_[voterIndex].detector) startVoter(voterIndex);
         });
       }
@@ -395,8 +397,8 @@
         if (pick(2)) return process.joinProtocol.reset();
         process.isSuspended = true;
         const auto processIndex = static_cast<std::size_t>(&process - processes_.data());
-        return later(ms(static_cast<std::int64_t>(pick(4000))),
-                     [this, processIndex] { processes_[processIndex].isSuspended = false; });
+        return schedule(ms(static_cast<std::int64_t>(pick(4000))),
+                        [this, processIndex] { processes_[processIndex].isSuspended = false; });
       }
       case 4:
         if (!processes_.empty()) connect(pick(processes_.size()), pick(voters_.size()));
@@ -417,45 +419,46 @@
   std::set<std::string> names_;
   std::vector<VoterState> voters_;
   std::vector<Process> processes_;
-  std::map<std::string, std::set<std::uint64_t>> joinedNumbers_;  // of the starts of a name that have joined
+  std::map<std::string, std::set<std::uint64_t>>
+      joinedNumbers_;  // by name: numbers of its starts that have joined
   Instant now_ = kBegin;
   std::uint64_t order_ = 0;
   std::priority_queue<Event> events_;
-  bool isCalm_ = false;
-  std::string fault_;
+  bool areFaultsOver_ = false;
+  std::string failure_;
 };
 
-void playFleets(std::uint64_t seeds) {
+void runFleets(std::uint64_t seeds) {
   FleetStatistics statistics;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed)
-    if (const std::string fault = SimulatedFleet(seed, InjectedBug::none, statistics).play();
-        !fault.empty()) {
-      std::cout << "seed " << seed << ": " << fault << "\n";
+    if (const std::string failure = SimulatedFleet(seed, InjectedBug::none, statistics).runScenario();
+        !failure.empty()) {
+      std::cout << "seed " << seed << ": " << failure << "\n";
       return;
     }
-  std::cout << seeds << " worlds: numbers only grow, all enter in the end\n"
-            << "starts " << statistics.starts << ", entered " << statistics.joined << ", superseded "
-            << statistics.superseded << ", keepers lost power " << statistics.powerLosses << ", words "
+  std::cout << seeds << " simulated fleets: numbers only increase, all join in the end\n"
+            << "starts " << statistics.starts << ", joined " << statistics.joined << ", superseded "
+            << statistics.superseded << ", voter power losses " << statistics.powerLosses << ", messages "
             << statistics.messages << "\n";
 }
 
-// Each bug that is built in has to be found: a verdict that can't fail shows nothing.
+// The checks must find each injected bug: a check that cannot fail shows nothing.
 void findInjectedBugs(std::uint64_t seeds) {
   struct BugCase {
     InjectedBug bug;
     const char* description;
   };
   const BugCase cases[] = {
-      {InjectedBug::replyBeforeDurable, "told before it is durable"},
-      {InjectedBug::quorumTooSmall, "half of the keepers are enough"},
-      {InjectedBug::diskLostOnRestart, "a keeper's roll is lost with its power"},
+      {InjectedBug::replyBeforeDurable, "a start is reported before it is durable"},
+      {InjectedBug::quorumTooSmall, "fewer than half of the voters suffice"},
+      {InjectedBug::diskLostOnRestart, "a voter loses its stored starts with its power"},
   };
   for (const auto& [bug, description] : cases) {
     FleetStatistics statistics;
     std::string found = "NOT FOUND";
     for (std::uint64_t seed = 1; seed <= seeds && found == "NOT FOUND"; ++seed)
-      if (const std::string fault = SimulatedFleet(seed, bug, statistics).play(); !fault.empty())
-        found = "found by seed " + std::to_string(seed) + ": " + fault;
+      if (const std::string failure = SimulatedFleet(seed, bug, statistics).runScenario(); !failure.empty())
+        found = "found by seed " + std::to_string(seed) + ": " + failure;
     std::cout << description << ": " << found << "\n";
   }
 }
@@ -472,7 +475,7 @@
       {"failure-detector", {[](std::uint64_t) { printFailureDetectorTrace(); }, 0}},
       {"membership-view", {[](std::uint64_t) { printMembershipViewTrace(); }, 0}},
       {"heartbeat-timer", {[](std::uint64_t) { printHeartbeatTimerTrace(); }, 0}},
-      {"fleets", {playFleets, 1000}},
+      {"fleets", {runFleets, 1000}},
       {"injected-bugs", {findInjectedBugs, 5000}}};
   const auto found = cases.find(argc > 1 ? argv[1] : "");
   if (found == cases.end()) return 2;
