--- a/src/maintenance/acceptor.cpp
+++ b/src/maintenance/acceptor.cpp
@@ -10,7 +10,7 @@
 Acceptor::Acceptor(const std::string& stored, bool isComplete)
     : isComplete_(isComplete), isDurablyComplete_(isComplete) {
   if (stored.empty()) return;
-  // The store has verified its checksum: the text is what was written.
+  // The store has verified the checksum, so the text is what was written.
   const Json all = Json::parse(stored, nullptr, false);
   if (all.is_discarded()) {
     markIncomplete();
--- a/src/maintenance/acceptor.h
+++ b/src/maintenance/acceptor.h
@@ -1,20 +1,20 @@
-// A voter's part in agreeing on the maintenance plan: a Paxos acceptor for a single register whose value is
-// replaced by round after round. A value that a majority of the voters has accepted in one round is chosen;
-// any two majorities share a voter, so a round that a majority has promised knows what was chosen before. No
-// I/O, no clock.
+// The acceptor role of a voter in the consensus on the maintenance plan: a Paxos acceptor for a single
+// register whose value is replaced by successive rounds. A value that a majority of the voters has accepted
+// in one round is chosen. Any two majorities share a voter, so a round that a majority has promised knows the
+// value that was chosen before. No I/O, no clock.
 //
-//   state       what it is                               replies to
-//   complete    the disk holds all that it ever          prepare and accept requests with a ballot at or
+//   state       condition                                replies to
+//   complete    the disk holds everything that it ever   prepare and accept requests with a ballot at or
 //               promised                                 above the highest that it promised
-//   incomplete  the disk was lost or is an old copy      accept requests alone; once one is durable it is
-//                                                        complete
+//   incomplete  the disk was lost or is an old copy      accept requests only; becomes complete once one is
+//                                                        durable
 //
-// A reply is sent once the state that it reports is durable. Guards against a voter that lost its state:
-// while incomplete it counts in no prepare quorum, so the value that it lost is read from others, and the
-// next accept request brings it the value. That a round which it had promised to reject comes to it again is
-// ruled out by time: it takes part again only once it votes (idempotency/voting_member.h: after the retention
-// time), and rounds last a fraction of that. Limit: where a majority of the disks is lost at once nothing is
-// chosen any more until operators start over.
+// A reply is sent once the state that it reports is durable. This protects against a voter that lost its
+// state: while incomplete it is not part of any prepare quorum, so the lost value is read from other voters,
+// and the next accept request restores it. A round that the voter had promised to reject cannot reach it
+// again: it takes part only once it votes (idempotency/voting_member.h: after the retention time), and rounds
+// last a fraction of that time. Limitation: if a majority of the disks is lost at the same time, no further
+// value is chosen until operators start over.
 #pragma once
 
 #include <deque>
@@ -26,47 +26,47 @@
 
 namespace gulltrestle::maintenance {
 
-// Owned by the maintenance service of a voter, which makes its state durable and delivers its replies.
+// Owned by the maintenance service of a voter, which makes the state durable and sends the replies.
 class Acceptor {
  public:
-  // `stored`: the last serialized() state on disk; empty: none was ever written. `isComplete`: whether that
-  // includes all that it ever promised.
+  // `stored`: the last serialized() state on disk; empty if none was ever written. `isComplete`: whether it
+  // includes every promise that this voter ever made.
   Acceptor(const std::string& stored, bool isComplete);
 
   // The reply to a prepare or an accept request.
   struct AcceptorReply {
     enum class Kind { promised, accepted, rejected } kind = Kind::rejected;
-    Ballot ballot;           // of the request
-    Ballot promised;         // rejected: the highest ballot that was promised here
-    AcceptedValue accepted;  // promised: the value that was accepted here last
+    Ballot ballot;           // ballot of the request
+    Ballot promised;         // rejected: highest ballot promised by this acceptor
+    AcceptedValue accepted;  // promised: value last accepted by this acceptor
   };
 
-  // What a request led to. Neither: there is no reply.
+  // The effect of a request. If neither field is set, there is no reply.
   struct RequestOutcome {
-    bool needsWrite = false;  // serialized() is to be made durable; onWritten() returns the reply
-    std::optional<AcceptorReply> rejection;  // the reply, to be sent at once
+    bool needsWrite = false;  // serialized() has to be made durable; onWritten() then returns the reply
+    std::optional<AcceptorReply> rejection;  // reply to be sent immediately
   };
-  // Phase 1.
+  // Phase 1 of the consensus.
   [[nodiscard]] RequestOutcome prepare(const Ballot& ballot);
-  // Phase 2.
+  // Phase 2 of the consensus.
   [[nodiscard]] RequestOutcome accept(const AcceptedValue& proposed);
-  // The oldest write that has not been reported yet is durable, or has failed. Returns the reply to the
-  // request behind it; none where it failed: the proposer begins another round.
+  // Reports that the oldest pending write is durable or has failed. Returns the reply to the request that
+  // caused it, or nullopt if the write failed: the proposer then starts another round.
   std::optional<AcceptorReply> onWritten(bool durable);
 
-  // The disk turned out not to hold all that this voter ever promised.
+  // Called when the disk turns out to lack promises that this voter made.
   void markIncomplete() { isComplete_ = isDurablyComplete_ = false; }
-  // Whether it is complete by what is durable: only then heartbeat replies of this voter make a lease.
+  // Whether the durable state is complete. Heartbeat replies of this voter count towards a lease only then.
   bool isComplete() const { return isDurablyComplete_; }
-  // The accepted value that is durable.
+  // The durable accepted value.
   const AcceptedValue& accepted() const { return durableValue_; }
-  // The state to be stored, with all requests up to now.
+  // The state to be stored, including the effects of all requests so far.
   std::string serialized() const;
 
  private:
   struct PendingWrite {
     AcceptorReply reply;
-    AcceptedValue accepted;  // the accepted value with that write
+    AcceptedValue accepted;  // accepted value that the write makes durable
   };
   RequestOutcome replyWhenDurable(AcceptorReply reply);
   RequestOutcome rejected(const Ballot& ballot) const;
@@ -74,7 +74,7 @@
   bool isComplete_, isDurablyComplete_;
   Ballot promised_;
   AcceptedValue accepted_, durableValue_;
-  std::deque<PendingWrite> pendingWrites_;  // in the order of the writes
+  std::deque<PendingWrite> pendingWrites_;  // in write order
 };
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/lease.h
+++ b/src/maintenance/lease.h
@@ -1,12 +1,12 @@
-// A router's lease on nodes whose maintenance is next: it may send to them for as long as a majority of the
-// voters has lately answered its heartbeats. No I/O, no clock.
+// A router's lease on nodes of machines in Phase::next: the router may send to them while a majority of the
+// voters has recently replied to its heartbeats. No I/O, no clock.
 //
-// The lease counts from when the answered heartbeat was sent: of whatever plan was chosen before that moment,
-// one of the voters that answered had accepted it, and reported it ahead of its answer. A voter takes a
-// router for silent after membership::FailureDetector::kTimeout, by its own monotonic clock, from when it
-// received the heartbeat: that is after it was sent, and the timeout is half a second longer than a lease,
-// more than two clocks drift apart in that time. So once a majority takes a router for silent, that router
-// holds no lease.
+// The lease starts when the answered heartbeat was sent. If a plan was chosen before that moment, at least
+// one of the voters that replied had accepted it and reported it before its reply. A voter considers a router
+// silent membership::FailureDetector::kTimeout after receiving its last heartbeat, by the voter's own
+// monotonic clock. The heartbeat is received after it was sent, and the timeout is half a second longer than
+// a lease, which exceeds the drift between two clocks in that time. So once a majority considers a router
+// silent, that router holds no lease.
 #pragma once
 
 #include <algorithm>
@@ -20,19 +20,20 @@
 
 namespace gulltrestle::maintenance {
 
-// Each router has one, fed by the heartbeats that it sends and the replies of voters that count.
+// Each router has one. It processes the heartbeats that the router sends and the replies of voters whose
+// state is complete.
 class Lease {
  public:
-  // Below membership::FailureDetector::kTimeout, above the time that two lost heartbeats take.
+  // Less than membership::FailureDetector::kTimeout, and long enough to tolerate two lost heartbeats.
   static constexpr Duration kDuration = Duration::millis(3000);
 
   explicit Lease(std::size_t voters) : voters_(voters) {}
 
-  // `number`: identifies the heartbeat; the reply carries it. Numbers grow.
+  // `number` identifies the heartbeat and is repeated in the reply. Numbers increase.
   void onHeartbeatSent(Instant now, VoterIndex voter, std::uint64_t number) {
     auto& unanswered = unanswered_[voter];
     unanswered.push_back({number, now});
-    // An older one is of no use: a lease counted from then has expired.
+    // Older heartbeats can be dropped: a lease that starts when they were sent has expired.
     if (unanswered.size() > kMaxUnanswered) unanswered.pop_front();
   }
   void onHeartbeatReply(VoterIndex voter, std::uint64_t number) {
@@ -42,10 +43,10 @@
       unanswered.pop_front();
     }
   }
-  // Heartbeats on a stream that ended are not answered any more.
+  // Drops the unanswered heartbeats of a closed stream, since no reply to them can arrive.
   void onVoterLost(VoterIndex voter) { unanswered_.erase(voter); }
 
-  // When the lease expires or has expired; never: there was none yet.
+  // When the lease expires or has expired; never if there has been no lease yet.
   Instant until() const {
     if (lastAnswered_.size() < majorityOf(voters_)) return Instant();
     std::vector<Instant> newestFirst;
@@ -59,11 +60,11 @@
     std::uint64_t number = 0;
     Instant sentAt;
   };
-  // At one heartbeat a second, more than fit into kDuration.
+  // At one heartbeat per second, more than are sent within kDuration.
   static constexpr std::size_t kMaxUnanswered = 8;
   std::size_t voters_;
   std::map<VoterIndex, std::deque<SentHeartbeat>> unanswered_;
-  std::map<VoterIndex, Instant> lastAnswered_;  // when the last heartbeat that was answered was sent
+  std::map<VoterIndex, Instant> lastAnswered_;  // send time of the newest answered heartbeat
 };
 
 }  // namespace gulltrestle::maintenance
--- a/src/maintenance/maintenance_leader.cpp
+++ b/src/maintenance/maintenance_leader.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-// Finished machines that stay in the plan for operators to look at.
+// Number of finished machines that are kept in the plan for operators to inspect.
 constexpr std::size_t kMaxFinished = 50;
-// observe() is called twice a second; after a longer pause the process has stalled.
+// observe() is called twice per second; a longer pause means that the process stalled.
 constexpr Duration kStallThreshold = Duration::millis(2000);
-// How long each voter ahead has to get something chosen: some rounds with their backoffs.
+// Time that each preceding voter has to get a value chosen: several rounds with their backoffs.
 constexpr Duration kTakeoverDelay = Duration::millis(5000);
-// Names that a reason lists.
+// Maximum number of names listed in a reason.
 constexpr std::size_t kMaxNamesListed = 5;
 
 std::string joined(const std::vector<std::string>& names) {
@@ -51,9 +51,9 @@
   }
 }
 
-// Keeps `since` at when a condition began to hold; never: it does not hold.
-void updateSince(Instant now, bool holds, Instant& since) {
-  if (!holds)
+// Sets `since` to the time at which the condition became true, or to never while it is false.
+void updateSince(Instant now, bool isConditionMet, Instant& since) {
+  if (!isConditionMet)
     since = Instant();
   else if (since == Instant())
     since = now;
@@ -64,7 +64,7 @@
 // --- Observation
 
 void MaintenanceLeader::observe(Instant now, const Plan& plan, const FleetState& fleet) {
-  // Guards against a voter that stalled and goes on by what it had observed before.
+  // Prevents a voter that stalled from acting on observations made before the stall.
   if (observedAt_ != Instant() && now - observedAt_ > kStallThreshold) {
     routers_.clear();
     machines_.clear();
@@ -131,7 +131,7 @@
   std::vector<std::string> names;
   for (const auto& [name, router] : fleet.routers) {
     if (router.wasRemoved && isFenced(now, routers_.at(name).removedSince)) continue;
-    // It had ended before its own machine was released, and is sent the plan first when it starts.
+    // The router had ended before its own machine was released, and receives the plan first when it starts.
     if (!router.isAlive && runsOnReleased(plan, name)) continue;
     if (router.wasRemoved || !router.isAlive || router.planVersion < machine.phaseVersion)
       names.push_back(name);
@@ -144,7 +144,7 @@
   std::vector<std::string> names;
   for (const auto& [name, router] : fleet.routers) {
     const ObservedRouter& observed = routers_.at(name);
-    // A router that runs on the machine itself has to have ended.
+    // A router that runs on the machine itself must have ended.
     const bool runsThere = contains(machine.routers, name);
     const bool hasDrained = !runsThere && !router.wasRemoved && router.isAlive &&
                             router.drainedVersion >= machine.phaseVersion &&
@@ -239,7 +239,7 @@
 std::vector<PhaseTransition> MaintenanceLeader::scheduleWaiting(Instant now, Plan& plan,
                                                                 const FleetState& fleet) const {
   std::map<std::string, Duration> waited;
-  // The plan without machines that wait out their retry delay, or have not been observed yet.
+  // The plan without machines that are in their retry delay or have not been observed yet.
   Plan eligible;
   eligible.version = plan.version;
   for (const Machine& machine : plan.machines) {
--- a/src/maintenance/maintenance_plan.cpp
+++ b/src/maintenance/maintenance_plan.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// In the order of the enum. Stored plans, logs and status documents have these names.
+// The names of the phases in stored plans, logs and status documents, in the order of the enum.
 constexpr std::string_view kPhaseNames[] = {"waits", "next", "leaves", "free", "returns", "over"};
 
-// A plan of many machines has to fit a message between routers.
+// In bytes. Limited so that a plan of many machines fits into a message between routers.
 constexpr std::size_t kMaxReasonLength = 160;
 
 Json encodedMachine(const Machine& machine) {
@@ -91,7 +91,7 @@
     plan.version = object.at("version");
     plan.appliedRequests = object.at("taken").get<std::vector<std::string>>();
     for (const Json& machine : object.at("machines")) plan.machines.push_back(readMachine(machine));
-  } catch (const Json::exception& bad) { throw MalformedPlan(bad.what()); }
+  } catch (const Json::exception& error) { throw MalformedPlan(error.what()); }
   return plan;
 }
 
--- a/src/maintenance/operator_requests.cpp
+++ b/src/maintenance/operator_requests.cpp
@@ -14,14 +14,16 @@
 
 constexpr std::int64_t kMaxMillis = 7 * 24 * 3'600'000LL;
 constexpr std::size_t kMaxNameLength = 200;
-// Half of what a message between routers may hold: the other half is for the reasons that are added later.
+// Half of the size limit of a message between routers. The other half is reserved for reasons that are added
+// later.
 constexpr std::size_t kMaxPlanBytes = 64 * 1024;
-// Machines that are not finished. The plan has to fit a message between routers.
-constexpr std::size_t kMaxOpenMachines = 200;
-// Far more than are repeated: a request is repeated by an operator's retry, or by a router that restarts.
+// Maximum number of unfinished machines. Limited so that the plan fits into a message between routers.
+constexpr std::size_t kMaxUnfinishedMachines = 200;
+// Number of request ids that are kept to detect duplicates. Requests are repeated only by an operator's retry
+// or by a router that restarts, so far fewer than this are repeated.
 constexpr std::size_t kMaxAppliedRequests = 200;
 
-// --- Reading
+// --- Parsing
 
 void rejectUnknownKeys(const Json& object, const std::string& path, const std::set<std::string>& known) {
   for (const auto& [key, value] : object.items())
@@ -121,30 +123,31 @@
   return names;
 }
 
-// Why what runs on the machine may not be requested: it was named before in the same request (`named`, which
-// grows), or by another machine of the plan. Empty: nothing.
+// Returns why the nodes and routers of the machine cannot be requested, or an empty string if they can: a
+// name occurs twice in the request, or belongs to another unfinished machine of the plan. `named` collects
+// the names of the request.
 std::string conflictReason(const Plan& plan, const Machine& machine, std::set<std::string>& named) {
   for (const auto& name : namesOn(machine)) {
     if (!named.insert(name).second) return "'" + name + "' is named twice";
     for (const Machine& other : plan.machines) {
       if (other.phase == Phase::finished || other.name == machine.name) continue;
-      const auto taken = namesOn(other);
-      if (std::find(taken.begin(), taken.end(), name) != taken.end())
+      const auto otherNames = namesOn(other);
+      if (std::find(otherNames.begin(), otherNames.end(), name) != otherNames.end())
         return "'" + name + "' stands on '" + other.name + "', by '" + other.requestedBy + "'";
     }
   }
   return "";
 }
 
-// Why the machines may not be added to the plan; empty: they may.
+// Returns why the machines cannot be added to the plan, or an empty string if they can.
 std::string rejectionReason(const Plan& plan, const std::vector<Machine>& machines, const FleetState& fleet,
                             const Bounds& bounds) {
   if (machines.empty()) return "it names no machine";
-  const auto open = static_cast<std::size_t>(
+  const auto unfinished = static_cast<std::size_t>(
       std::count_if(plan.machines.begin(), plan.machines.end(),
                     [](const Machine& machine) { return machine.phase != Phase::finished; }));
-  if (open + machines.size() > kMaxOpenMachines)
-    return "more than " + std::to_string(kMaxOpenMachines) + " machines would be open";
+  if (unfinished + machines.size() > kMaxUnfinishedMachines)
+    return "more than " + std::to_string(kMaxUnfinishedMachines) + " machines would be open";
   std::set<std::string> machineNames, namesOnThem;
   for (const Machine& machine : machines) {
     const std::string prefix = "machine '" + machine.name + "': ";
@@ -203,11 +206,12 @@
                          const FleetState& fleet, const Bounds& bounds) {
   switch (request.kind) {
     case OperatorRequest::Kind::plan: {
-      Plan longer = plan;
-      const std::string reason = addMachines(longer, requestId, request.machines, fleet, bounds);
+      Plan extended = plan;
+      const std::string reason = addMachines(extended, requestId, request.machines, fleet, bounds);
       if (!reason.empty()) return reason;
-      if (encoded(longer).size() > kMaxPlanBytes) return "the plan would be too long: ask for fewer machines";
-      plan = std::move(longer);
+      if (encoded(extended).size() > kMaxPlanBytes)
+        return "the plan would be too long: ask for fewer machines";
+      plan = std::move(extended);
       return "";
     }
     case OperatorRequest::Kind::stop:
--- a/src/maintenance/operator_requests.h
+++ b/src/maintenance/operator_requests.h
@@ -1,5 +1,5 @@
-// Operators' requests to plan, stop or complete maintenance, as text: a JSON object that is validated key by
-// key.
+// Operators' requests to plan, stop or complete maintenance. Their text form is a JSON object in which every
+// key is validated.
 #pragma once
 
 #include <stdexcept>
@@ -12,7 +12,8 @@
 
 namespace gulltrestle::maintenance {
 
-// A request that is no valid one; the text names the key at fault. The same request fails again.
+// Thrown for an invalid request. what() starts with the offending key. Not transient: the same request fails
+// again.
 class InvalidRequest : public std::runtime_error {
  public:
   InvalidRequest(const std::string& key, const std::string& fault)
@@ -23,25 +24,27 @@
   std::string key_;
 };
 
-// One request, as the command line or an operator's file makes it.
+// One request, from the command line or an operator's file.
 struct OperatorRequest {
   enum class Kind { plan, stop, done } kind = Kind::plan;
-  std::string requestedBy;        // the operator
-  std::vector<Machine> machines;  // plan: to be added
-  std::string machine;            // done, stop: which one; stop with an empty name: all of them
+  std::string requestedBy;        // name of the operator
+  std::vector<Machine> machines;  // plan: machines to add
+  std::string machine;            // done, stop: name of the machine; empty with stop: all machines
 };
 
-// Throws InvalidRequest. A key that is not known is a fault, too.
+// Parses a request. Throws InvalidRequest, also for unknown keys.
 [[nodiscard]] OperatorRequest readOperatorRequest(std::string_view text);
+// Encodes the request as text that readOperatorRequest() parses.
 [[nodiscard]] std::string encoded(const OperatorRequest& request);
 
-// Applies the request to a plan. `requestId` identifies it: one that was applied before is successful and
-// changes nothing. Returns why it was rejected; empty: it was applied.
+// Applies the request to a plan. `requestId` identifies it: a request that was applied before succeeds
+// without effect. Returns why the request was rejected, or an empty string if it was applied.
 [[nodiscard]] std::string applyRequest(Plan& plan, const std::string& requestId,
                                        const OperatorRequest& request, const FleetState& fleet,
                                        const Bounds& bounds);
 
-// The requests of each kind, with applyRequest()'s guarantees.
+// Apply a request of one kind, with the guarantees of applyRequest(). addMachines() does not limit the
+// encoded size of the plan.
 std::string addMachines(Plan& plan, const std::string& requestId, const std::vector<Machine>& machines,
                         const FleetState& fleet, const Bounds& bounds);
 std::string stopMaintenance(Plan& plan, const std::string& requestId, const std::string& machine,
--- a/src/maintenance/plan_view.cpp
+++ b/src/maintenance/plan_view.cpp
@@ -6,7 +6,7 @@
 
 bool PlanView::onAccepted(VoterIndex voter, const AcceptedValue& accepted) {
   const auto last = reports_.find(voter);
-  // A voter that lost its disk reports older values again: what it reported before is still true.
+  // A voter that lost its disk reports older values again; its earlier report remains valid.
   if (last != reports_.end() && accepted.ballot <= last->second.accepted.ballot) return false;
   reports_[voter] = {accepted, readPlan(accepted.value)};
   updateChosen();
@@ -14,13 +14,14 @@
   return true;
 }
 
-// By the ballot, not by the value: one value proposed in several rounds may be chosen in none of them.
+// Counts voters by ballot rather than by value: a value that is proposed in several rounds may be chosen in
+// none of them.
 void PlanView::updateChosen() {
-  std::map<Ballot, std::size_t> holders;
-  for (const auto& [voter, report] : reports_) ++holders[report.accepted.ballot];
+  std::map<Ballot, std::size_t> voterCounts;
+  for (const auto& [voter, report] : reports_) ++voterCounts[report.accepted.ballot];
   for (const auto& [voter, report] : reports_) {
     const Ballot& ballot = report.accepted.ballot;
-    if (ballot <= chosenBallot_ || holders[ballot] < majorityOf(voters_)) continue;
+    if (ballot <= chosenBallot_ || voterCounts[ballot] < majorityOf(voters_)) continue;
     if (report.plan.version >= chosen_.version) chosen_ = report.plan;
     chosenBallot_ = ballot;
   }
--- a/src/maintenance/plan_view.h
+++ b/src/maintenance/plan_view.h
@@ -1,9 +1,11 @@
-// What a router knows of the maintenance plan, and which nodes it may not send to by it. No I/O, no clock.
+// A router's view of the maintenance plan, and the nodes that the plan excludes from its traffic. No I/O, no
+// clock.
 //
-// Chosen is the plan that a majority of the voters has reported as accepted. A voter that reports a newer one
-// may know of a plan that is chosen already: until that is certain, a node that drains by either is excluded,
-// and so is one that the newer plan has just given back where this router does not know the plan before it.
-// A voter that reports an older one is behind, and counts for nothing.
+// The chosen plan is the one that a majority of the voters has reported as accepted. A voter that reports a
+// newer plan may have accepted one that is already chosen. Until that is known, a node that is draining in
+// either plan is excluded, and so is a node that the newer plan has just returned to service if this router
+// does not know the plan before it. Reports of an older plan come from voters that lag behind and are
+// ignored.
 #pragma once
 
 #include <map>
@@ -14,19 +16,19 @@
 
 namespace gulltrestle::maintenance {
 
-// Each router has one, fed by the voters' plan updates.
+// Each router has one and updates it from the plan reports of the voters.
 class PlanView {
  public:
   explicit PlanView(std::size_t voters) : voters_(voters) {}
 
-  // A voter reports the value that it has accepted. True: it is newer than that voter's last one. Throws
-  // MalformedPlan.
+  // Records the value that a voter has accepted. Returns whether it is newer than that voter's last one.
+  // Throws MalformedPlan.
   bool onAccepted(VoterIndex voter, const AcceptedValue& accepted);
 
   const Plan& chosen() const { return chosen_; }
-  // Nodes that get no new attempts.
+  // Nodes that receive no new attempts.
   const std::set<std::string>& excludedNodes() const { return excludedNodes_; }
-  // Nodes that get attempts only while this router holds a lease.
+  // Nodes that receive attempts only while this router holds a lease.
   const std::set<std::string>& leaseRequiredNodes() const { return leaseRequiredNodes_; }
   // Whether the router runs on a machine that is draining.
   bool isRouterDraining(const std::string& router) const { return drainingRouters_.contains(router); }
@@ -38,7 +40,7 @@
   };
   void updateChosen();
   void updateExclusions();
-  // `knowsPrevious`: the plan before this one is known here.
+  // `knowsPrevious`: whether the plan before this one is known.
   void addExclusions(const Plan& plan, bool knowsPrevious);
 
   std::size_t voters_;
--- a/src/maintenance/proposal_round.cpp
+++ b/src/maintenance/proposal_round.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A round over connected streams takes some milliseconds and two disk syncs; two competing ones separate
-// within a few such times.
+// A round over connected streams takes a few milliseconds plus two disk syncs. Two competing rounds separate
+// within a few times that duration.
 constexpr Duration kInitialBackoff = Duration::millis(20), kMaxBackoff = Duration::millis(1000);
 
 }  // namespace
@@ -39,11 +39,11 @@
   isPreparedTaken_ = true;
   const auto newest = std::max_element(promises_.begin(), promises_.end(),
                                        [](auto& a, auto& b) { return a.second.ballot < b.second.ballot; });
-  const auto holders =
+  const auto acceptedCount =
       static_cast<std::size_t>(std::count_if(promises_.begin(), promises_.end(), [&](auto& promise) {
         return promise.second.ballot == newest->second.ballot;
       }));
-  return PreparedValue{newest->second, holders >= majorityOf(voters_)};
+  return PreparedValue{newest->second, acceptedCount >= majorityOf(voters_)};
 }
 
 const AcceptedValue& ProposalRound::propose(const ValueVersion& version, std::string value) {
--- a/src/maintenance/scheduling.cpp
+++ b/src/maintenance/scheduling.cpp
@@ -14,7 +14,7 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// The names that run on other machines in progress.
+// The nodes or routers that run on other machines in progress.
 std::set<std::string> inProgressElsewhere(const Plan& plan, const Machine& machine,
                                           std::vector<std::string> Machine::*names) {
   std::set<std::string> found;
@@ -24,10 +24,10 @@
   return found;
 }
 
-// A group's nodes, on a machine and elsewhere.
+// Counts of a group's nodes on a machine and elsewhere.
 struct GroupCounts {
-  std::size_t nodes = 0, replicas = 0;   // in all
-  std::size_t unavailableElsewhere = 0;  // lost, draining by the endpoint list, or in progress
+  std::size_t nodes = 0, replicas = 0;   // total
+  std::size_t unavailableElsewhere = 0;  // lost, draining in the endpoint list, or in progress
   std::size_t servingElsewhere = 0, replicasServingElsewhere = 0;
   std::size_t onMachine = 0;
   bool isPrimaryOnMachine = false;
@@ -61,14 +61,14 @@
   return groups;
 }
 
-// Each router has to acknowledge the plan before a machine drains: maintenance that could not go on does not
-// begin.
-std::string silentRouterReason(const Plan& plan, const Machine& machine, const FleetState& fleet) {
-  std::set<std::string> expectedAway(machine.routers.begin(), machine.routers.end());
+// Every router has to acknowledge the plan before a machine is drained, so maintenance does not start while a
+// router is silent.
+std::string silentRouterBlockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet) {
+  std::set<std::string> expectedUnavailable(machine.routers.begin(), machine.routers.end());
   for (const Machine& other : plan.machines)
-    if (isInProgress(other.phase)) expectedAway.insert(other.routers.begin(), other.routers.end());
+    if (isInProgress(other.phase)) expectedUnavailable.insert(other.routers.begin(), other.routers.end());
   for (const auto& [name, router] : fleet.routers)
-    if (!router.wasRemoved && !router.isAlive && !expectedAway.contains(name))
+    if (!router.wasRemoved && !router.isAlive && !expectedUnavailable.contains(name))
       return "router '" + name + "' is not heard: bring it back, or take it off the list";
   return "";
 }
@@ -95,11 +95,11 @@
   return "";
 }
 
-// The order of machines that may begin, by the first field in which they differ; the least is first.
+// Orders the machines whose maintenance may start: compares the fields in order, lowest first.
 struct Rank {
-  std::int64_t slackMicros = 0;  // until the work has to begin, to be done by when it is wanted
+  std::int64_t slackMicros = 0;  // time until the work has to start in order to finish in time
   bool hasRouters = false;
-  std::int64_t negatedLagSeconds = 0;  // in whole seconds: smaller differences are noise
+  std::int64_t negatedLagSeconds = 0;  // whole seconds, since smaller differences are noise
   std::int64_t negatedWorkMicros = 0;
   std::string name;
   auto operator<=>(const Rank&) const = default;
@@ -140,7 +140,7 @@
 std::string startBlockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet,
                                 const Bounds& bounds) {
   const std::string reason = blockingReason(plan, machine, fleet, bounds);
-  return reason.empty() ? silentRouterReason(plan, machine, fleet) : reason;
+  return reason.empty() ? silentRouterBlockingReason(plan, machine, fleet) : reason;
 }
 
 const Machine* nextMachine(const Plan& plan, const FleetState& fleet, const Bounds& bounds,
--- a/src/recovery/admission_ramp.cpp
+++ b/src/recovery/admission_ramp.cpp
@@ -8,26 +8,29 @@
 
 namespace {
 
-// The rate is adjusted by the outcome of so many of the last transactions, and by half as many at least.
+// Number of recent transactions whose outcomes adjust the rate; fewer than half of it have no effect.
 constexpr std::size_t kSampledTransactions = 16;
-// Fraction of them in time: below the first the rate doubles no more, below the second it falls.
+// Fractions of the sampled transactions that were in time: below kGoodFraction the rate stops doubling, below
+// kBadFraction it is reduced.
 constexpr double kGoodFraction = 0.75, kBadFraction = 0.5;
-// Factors of the rate: while doubling, while enough are in time, while too few are.
+// Rate multipliers: while doubling, while enough transactions are in time, and while too few are.
 constexpr double kDoublingFactor = 2, kGrowthFactor = 1.25, kBackoffFactor = 0.67;
-// How often the rate changes. Adjusted sooner, by the number of answers, it overshot what cold nodes can do:
-// on the modelled storm (docs/fleet.md) 58 were overloaded, with a second none.
+// Interval between rate changes. Adjusting more often, by the number of completed transactions, exceeded the
+// capacity of cold nodes: in the simulated retry storm (docs/fleet.md) 58 nodes were overloaded, against none
+// with an interval of one second.
 constexpr Duration kAdjustInterval = Duration::millis(1000);
-// The ramp is finished once none was rejected for so long.
+// The ramp finishes after this time without a rejection.
 constexpr Duration kQuietTime = Duration::millis(3000);
-// Cold nodes are warm long before, and a router must serve in the end.
+// Upper limit on the length of the ramp, so that the router serves at its full rate eventually. Cold nodes
+// warm up in much less time.
 constexpr Duration kMaxDuration = Duration::millis(60'000);
 constexpr Duration kMinRetryAfter = Duration::millis(100);
-// Jitter of retryAfter, as a fraction of its mean to both sides.
+// Jitter of the retry-after time, in both directions, as a fraction of its mean.
 constexpr double kRetryJitter = 0.5;
-// The rate of rejections is measured over so many of them, and at least so much time.
+// The rejection rate is computed over at most this many rejections, and over at least this period.
 constexpr std::size_t kCountedRejections = 64;
 constexpr Duration kMinRejectionPeriod = Duration::millis(50);
-// Transactions a second, at least, where the rate is a divisor.
+// Transactions per second: lower bound on the admission rate where it is a divisor.
 constexpr double kMinDivisorRate = 0.1;
 
 }  // namespace
@@ -73,8 +76,8 @@
   }
 }
 
-// As long as it takes, at the present rate, until all that were rejected lately have been admitted, with
-// jitter, so that they don't retry together.
+// Returns the time needed to admit all recently rejected transactions at the current rate. Jitter keeps their
+// clients from retrying at the same moment.
 Duration AdmissionRamp::drawRetryAfter() {
   const Duration period = std::max(lastRejected_ - recentRejections_.front(), kMinRejectionPeriod);
   const double rejectionRate = static_cast<double>(recentRejections_.size()) / period.inSeconds();
@@ -83,7 +86,7 @@
   return mean * std::uniform_real_distribution<>(1 - kRetryJitter, 1 + kRetryJitter)(random_);
 }
 
-// Tokens of at most one second are saved up: no burst on cold nodes.
+// The bucket holds at most one second's worth of tokens, which prevents bursts on cold nodes.
 bool AdmissionRamp::takeToken(Instant now) {
   tokens_ = std::min(std::max(1.0, rate_), tokens_ + rate_ * (now - filledAt_).inSeconds());
   filledAt_ = now;
--- a/src/recovery/admission_ramp.h
+++ b/src/recovery/admission_ramp.h
@@ -1,17 +1,17 @@
-// Slow start of a router: how many transactions a second it admits once it has started, until it has seen
-// what the fleet can take. All routers and nodes may have started together, cold, with all clients retrying.
-// It needs no messages: each router knows how many routers there are. No I/O, no clock.
+// Slow start of a router: limits the rate of admitted transactions after a start, until the capacity of the
+// fleet is known. All routers and nodes may have started at the same time, with cold caches and every client
+// retrying. The ramp exchanges no messages: each router knows the number of routers. No I/O, no clock.
 //
-//   state     rate of admission                                goes to
-//   doubling  doubles each second                              steady: too many of the last forwarded
+//   state     admission rate                                   next state
+//   doubling  doubles every second                             steady: too many of the most recent forwarded
 //                                                              transactions were late
-//   steady    grows by a quarter each second, and falls by a   finished: none was rejected for the quiet
-//             third while most of them are late                time, or the longest time has passed
+//   steady    grows by a quarter every second, and shrinks     finished: no rejection during the quiet time,
+//             by a third while most transactions are late      or the maximum duration has passed
 //   finished  unlimited, until the next start
 //
-// Guards against a metastable failure: retries that keep cold nodes overloaded after the power is back. A
-// transaction that was never forwarded says nothing about the nodes and does not count. The cost, where
-// transactions are late for other reasons: fewer are admitted, until the longest time has passed.
+// Prevents a metastable failure in which retries keep cold nodes overloaded after a power outage. A
+// transaction that was never forwarded carries no information about the nodes and is not counted. Trade-off:
+// where transactions are late for other reasons, fewer are admitted until the maximum duration has passed.
 #pragma once
 
 #include <cstddef>
@@ -25,53 +25,55 @@
 
 namespace gulltrestle::recovery {
 
-// Transactions a second and node, over all routers, that are admitted at first: few enough for a cold node.
-// On the modelled storm twice as many overloaded nodes, and half as many took longer.
+// Initial admission rate in transactions per second per node, summed over all routers: low enough for a cold
+// node. In the simulated retry storm twice this rate overloaded nodes, and half of it took longer to recover.
 inline constexpr double kInitialRatePerNode = 8;
 
-// From the settings.
+// Configuration of the admission ramp.
 struct AdmissionRampConfig {
-  unsigned routers = 1;                             // that may start together
-  double initialRatePerNode = kInitialRatePerNode;  // transactions a second and node, over all routers
+  unsigned routers = 1;                             // number of routers that may start at the same time
+  double initialRatePerNode = kInitialRatePerNode;  // transactions per second per node, over all routers
   Duration maxRetryAfter;
-  std::uint64_t seed = 0;  // of retry times, which differ from router to router
+  std::uint64_t seed = 0;  // for the jitter of retry-after times, which differs between routers
 };
 
-// How an admitted transaction ended.
+// The outcome of an admitted transaction.
 struct AdmittedOutcome {
-  bool isForwarded = false;  // to a node
+  bool isForwarded = false;  // whether it was sent to a node
   bool isInTime = false;     // committed within its latency objective
 };
 
-// One router's. Used by cluster/recovery_service.h for transactions that the group's stage admits.
+// The admission ramp of one router. cluster/recovery_service.h applies it to transactions that the group's
+// recovery stage admits.
 class AdmissionRamp {
  public:
   enum class State { doubling, steady, finished };
 
   AdmissionRamp(Instant now, const AdmissionRampConfig& config);
 
-  // Nodes that the endpoint list names, of all groups.
+  // Sets the number of nodes in the endpoint list, over all groups.
   void setNodeCount(std::size_t nodes);
-  // Other routers report that service is as usual: this one starts alone.
+  // Finishes the ramp at once. Called when other routers report normal service, so that this router is the
+  // only one that starts.
   void skip() { finish(); }
 
-  // None: the transaction is admitted. Else after what time its client may retry.
+  // Returns nullopt if the transaction is admitted, and otherwise the time after which its client may retry.
   std::optional<Duration> rejectsWithRetryAfter(Instant now);
-  // A transaction that was admitted has ended.
+  // Records the outcome of an admitted transaction.
   void onTransactionEnded(Instant now, const AdmittedOutcome& outcome);
 
   State state() const { return state_; }
-  double rate() const { return rate_; }  // transactions a second
+  double rate() const { return rate_; }  // transactions per second
   std::uint64_t rejected() const { return rejected_; }
   Instant startedAt() const { return startedAt_; }
 
  private:
   void finish();
-  // Transactions a second: this router's part of the initial rate, below which the rate does not fall.
+  // Lower bound on the rate in transactions per second: this router's share of the initial rate.
   double minRate() const;
-  // Once a second, by how many of the last transactions were in time.
+  // Adjusts the rate once per second by the fraction of recent transactions that were in time.
   void adjustRate(Instant now);
-  // A token bucket of one second's rate. True: a token was taken.
+  // Token bucket with a capacity of one second's worth of tokens. Returns whether a token was available.
   bool takeToken(Instant now);
   Duration drawRetryAfter();
 
@@ -82,14 +84,14 @@
   std::mt19937_64 random_;
   Instant startedAt_, lastRejected_, adjustedAt_, filledAt_;
   std::size_t nodes_ = 0;
-  double rate_ = 0;                       // transactions a second
+  double rate_ = 0;                       // transactions per second
   double tokens_ = 1;                     // transactions
-  std::deque<bool> recentlyInTime_;       // of the last forwarded transactions: whether each was
-  std::deque<Instant> recentRejections_;  // when the last were
+  std::deque<bool> recentlyInTime_;       // for each recent forwarded transaction, whether it was in time
+  std::deque<Instant> recentRejections_;  // times of the most recent rejections
   std::uint64_t rejected_ = 0;
 };
 
-// As status documents and logs have it.
+// The name of the state in status documents and logs.
 std::string_view nameOf(AdmissionRamp::State state);
 
 }  // namespace gulltrestle::recovery
--- a/src/recovery/drain_registry.cpp
+++ b/src/recovery/drain_registry.cpp
@@ -5,7 +5,8 @@
 
 namespace gulltrestle::recovery {
 
-// A live node is stored with its version, too, so that an older update on its draining is ignored.
+// Live nodes are stored with their version as well, so that an older update that reports one as draining is
+// ignored.
 bool DrainRegistry::apply(const DrainUpdate& update) {
   const auto found = nodes_.find(update.node);
   bool wasDraining = false;
@@ -13,8 +14,8 @@
     const Node& known = found->second;
     wasDraining = known.isDraining;
     if (update.version < known.version) return false;
-    // Of two lists of one version, the one by which it drains counts: an idle node is better than a
-    // transaction on a node that drains.
+    // If two lists of the same version disagree, draining takes precedence: an idle node is preferable to a
+    // transaction on a draining node.
     if (update.version == known.version && (known.isDraining || !update.isDraining)) return false;
   }
   nodes_[update.node] = {.version = update.version, .isDraining = update.isDraining};
@@ -33,7 +34,8 @@
 std::vector<DrainUpdate> DrainRegistry::applyList(EndpointUpdateKind kind, ListVersion version,
                                                   std::vector<EndpointEntry*>& entries) {
   std::vector<DrainUpdate> updates;
-  // A restored list was stored before this start: other routers have seen it, and it may be of any age.
+  // A restored list was stored before this start: other routers have already received it, and its age is
+  // unknown.
   if (kind == EndpointUpdateKind::restored) return updates;
   newest_ = std::max(newest_, version);
   for (EndpointEntry* entry : entries) {
@@ -52,11 +54,11 @@
 
 std::vector<NodeId> DrainRegistry::unlistedNodes(ListVersion version,
                                                  const std::vector<EndpointEntry*>& entries) const {
-  std::set<NodeId> named;
-  for (const EndpointEntry* entry : entries) named.insert(entry->node);
+  std::set<NodeId> listed;
+  for (const EndpointEntry* entry : entries) listed.insert(entry->node);
   std::vector<NodeId> unlisted;
   for (const auto& [id, node] : nodes_)
-    if (!node.isDraining && node.version < version && !named.contains(id)) unlisted.push_back(id);
+    if (!node.isDraining && node.version < version && !listed.contains(id)) unlisted.push_back(id);
   return unlisted;
 }
 
--- a/src/recovery/drain_registry.h
+++ b/src/recovery/drain_registry.h
@@ -1,14 +1,15 @@
-// Which nodes are draining, as any router of the fleet has learned: a drain binds every router from then on,
-// also one that starts and reads an endpoint list older than the drain. No I/O, no clock.
+// Tracks which nodes are draining, from the endpoint lists that any router of the fleet has received. Once a
+// drain is known it applies to every router, including one that starts later and reads an endpoint list older
+// than the drain. No I/O, no clock.
 //
-//   known of a node           a list of version v                        then
-//   nothing, or live at w     names it draining or removed, or omits it  draining at v, others are notified
-//   draining at w             names it live, v > w                       live at v, others are notified
-//   draining at w             names it live, v <= w: an older list       changed to draining in the list
+//   known state of a node     received list of version v                 result
+//   unknown, or live at w     shows it draining or removed, or omits it  draining at v, peers are notified
+//   draining at w             shows it live, v > w                       live at v, peers are notified
+//   draining at w             shows it live, v <= w: an older list       changed to draining in the list
 //
-// Updates from other routers carry the version of the list that they come from; receiving one twice changes
-// nothing. A router that sends a false one, with a version from the future, keeps a node out of use until
-// lists reach that version: it can cost capacity, and never sends a transaction to a node that drains.
+// Updates from other routers carry the version of the list that they originate from; applying one twice has
+// no effect. A router that sends a false update with a future version keeps a node out of use until lists
+// reach that version. This can cost capacity, but never sends a transaction to a draining node.
 #pragma once
 
 #include <cstddef>
@@ -26,33 +27,34 @@
 // The state of a node in one endpoint list.
 struct DrainUpdate {
   NodeId node;
-  ListVersion version = 0;  // of that list
+  ListVersion version = 0;  // version of that list
   bool isDraining = false;
   bool operator==(const DrainUpdate&) const = default;
 };
 
-// One router's knowledge of drains. Used by cluster/claim_dispatcher.h, which applies it to endpoint lists
-// before any other module receives them.
+// The drains known to one router. cluster/claim_dispatcher.h applies them to endpoint lists before any other
+// module receives those lists.
 class DrainRegistry {
  public:
-  // Nodes that are stored. Beyond it those of the oldest lists are forgotten: they are not listed any more.
+  // Maximum number of stored nodes. Beyond it the nodes with the oldest list versions are evicted; these are
+  // no longer listed.
   static constexpr std::size_t kMaxNodes = 20'000;
   explicit DrainRegistry(std::size_t maxNodes = kMaxNodes) : maxNodes_(maxNodes) {}
 
-  // A list came. A node that it names live and that is known to be draining by a newer one is changed to
-  // draining in it. Returns the updates for other routers.
+  // Applies a received list. A node that the list shows as live, but that a list at least as new showed as
+  // draining, is changed to draining in `entries`. Returns the updates to send to other routers.
   [[nodiscard]] std::vector<DrainUpdate> applyList(EndpointUpdateKind kind, ListVersion version,
                                                    std::vector<EndpointEntry*>& entries);
-  // An update from another router, or from the disk. True: it changed whether the node drains.
+  // Applies an update from another router or from disk. Returns whether the node's draining state changed.
   bool learn(const DrainUpdate& update);
 
-  // The newest update of each node, draining or live.
+  // The newest update for each node, draining or live.
   std::vector<DrainUpdate> all() const;
-  // Nodes that were forgotten as there were more than the limit, since the last call.
+  // Returns the nodes evicted since the last call because the limit was exceeded.
   [[nodiscard]] std::vector<NodeId> takeForgotten() { return std::exchange(forgotten_, {}); }
-  // By the node's newest update.
+  // Whether the node is draining according to its newest update.
   bool isDraining(const NodeId& node) const;
-  // The newest version that any list or update had.
+  // The newest version of any list or update.
   ListVersion newest() const { return newest_; }
 
  private:
@@ -60,9 +62,9 @@
     ListVersion version = 0;
     bool isDraining = false;
   };
-  // True: whether the node drains has changed.
+  // Returns whether the node's draining state changed.
   bool apply(const DrainUpdate& update);
-  // Live nodes that a full list of that version no longer names.
+  // Live nodes that are missing from a full list of that version.
   std::vector<NodeId> unlistedNodes(ListVersion version, const std::vector<EndpointEntry*>& entries) const;
   void forgetOldest();
 
--- a/src/recovery/peer_observations.cpp
+++ b/src/recovery/peer_observations.cpp
@@ -47,12 +47,12 @@
 std::optional<LoadReport> PeerObservations::onObservation(Instant now, const std::string& peer,
                                                           const Observation& observation) {
   if (observation.age < Duration() || observation.age > kMaxAge) return {};
-  Node* node = nodeOf(observation);
+  Node* node = findOrAddNode(observation);
   if (!node) return {};
   node->byPeer[peer] = {
       .when = now - observation.age, .role = observation.role, .position = observation.position};
   std::erase_if(node->byPeer, [&](const auto& seen) { return now - seen.second.when > kMaxAge; });
-  const LoadReport before = std::exchange(node->proven, confirmedBy(node->byPeer));
+  const LoadReport before = std::exchange(node->proven, agreedState(node->byPeer));
   const LoadReport& proven = node->proven;
   if (!proven.position || !node->isListed) return {};
   const bool isFurther = !before.position || *proven.position > *before.position;
@@ -61,7 +61,7 @@
   return proven;
 }
 
-PeerObservations::Node* PeerObservations::nodeOf(const Observation& observation) {
+PeerObservations::Node* PeerObservations::findOrAddNode(const Observation& observation) {
   auto found = nodes_.find(observation.node);
   if (found == nodes_.end()) {
     if (unlisted_ >= maxUnlisted_) return nullptr;
@@ -72,7 +72,7 @@
   return found->second.start == observation.nodeStart ? &found->second : nullptr;
 }
 
-LoadReport PeerObservations::confirmedBy(const std::map<std::string, ObservedState>& peers) {
+LoadReport PeerObservations::agreedState(const std::map<std::string, ObservedState>& peers) {
   std::vector<Instant> positions;
   std::size_t primaries = 0, replicas = 0;
   for (const auto& [peer, seen] : peers) {
@@ -83,7 +83,7 @@
   std::sort(positions.begin(), positions.end(), std::greater<>());
   LoadReport confirmed;
   if (positions.size() > 1) confirmed.position = positions[1];
-  // Where they differ on the role it is unknown.
+  // If the peers disagree on the role, it remains unknown.
   if (primaries > 1 && replicas == 0) confirmed.role = Role::primary;
   if (replicas > 1 && primaries == 0) confirmed.role = Role::replica;
   return confirmed;
--- a/src/recovery/peer_observations.h
+++ b/src/recovery/peer_observations.h
@@ -1,19 +1,20 @@
-// What nodes reported of themselves, observed by this router itself or by its peers, which send it by gossip.
-// No I/O, no clock.
+// Log positions and roles that nodes reported, observed by this router directly or received by gossip from
+// its peers. No I/O, no clock.
 //
-//   source of a node's position                counts as
-//   its own report to this router              fact; the routing module receives it on its own
-//   two peers observed it at P or beyond       proven up to P: a lower bound, handed to the routing module
-//   one peer observed it                       nothing yet
-//   observed before the node's newest start    void: a node that lost power may have lost the end of its log
-//   observed longer ago than kMaxAge           void
+//   source of a node's position                trust
+//   its own report to this router              trusted; the routing module receives it separately
+//   two peers observed it at P or beyond       proven up to P: a lower bound, passed to the routing module
+//   one peer observed it                       not used until a second peer confirms it
+//   observed before the node's newest start    discarded: a power loss may have truncated the node's log
+//   observed longer ago than kMaxAge           discarded
 //
-// The same holds for its role. Observations of peers are never forwarded: that would make them no fresher,
-// and one could come back as if by a second witness. One router that sends false ones changes nothing; two
-// that agree can have reads sent to a replica that is behind, or a write to a node that rejects it.
+// The same rules apply to the node's role. Observations received from peers are never forwarded: forwarding
+// does not make them more recent, and an observation could return as if a second peer had made it. A single
+// router that sends false observations has no effect. Two that agree can cause reads to be sent to a replica
+// that lags behind, or a write to a node that rejects it.
 //
-// A node's start is the one that the endpoint list names, and is compared for equality only, never with a
-// clock: those of routers may differ by minutes.
+// The start time of a node is taken from the endpoint list and only compared for equality, never with a
+// clock: the clocks of routers may differ by minutes.
 #pragma once
 
 #include <cstddef>
@@ -28,46 +29,48 @@
 
 namespace gulltrestle::recovery {
 
-// A router's own observation of a node, as it is sent to its peers.
+// A router's own observation of a node, as sent to its peers.
 struct Observation {
   NodeId node;
-  Instant nodeStart;  // as the endpoint list named it when the node was observed; never: long ago
+  Instant nodeStart;  // start time in the endpoint list when the node was observed; never: long ago
   Role role = Role::unknown;
   std::optional<Instant> position;
-  Duration age;  // when it is sent
+  Duration age;  // at the time of sending
 };
 
-// One router's knowledge of nodes, by its own observations and its peers'. Used by
+// The states of nodes known to one router, from its own observations and those of its peers. Used by
 // cluster/recovery_service.h.
 class PeerObservations {
  public:
-  // Older observations are neither sent nor used: roles and starts change within minutes.
+  // Older observations are neither sent nor used: roles and start times change within minutes.
   static constexpr Duration kMaxAge = Duration::millis(60'000);
 
-  // Nodes that peers have observed and no list has named yet; beyond it their observations are dropped.
+  // Maximum number of nodes that peers have observed but no endpoint list has contained yet. Observations of
+  // further unlisted nodes are dropped.
   static constexpr std::size_t kMaxUnlisted = 20'000;
   explicit PeerObservations(std::size_t maxUnlisted = kMaxUnlisted) : maxUnlisted_(maxUnlisted) {}
 
-  // A list names the node with this start; observations of an earlier one are dropped. Returns what peers
-  // have proven about it ahead of the list; none: nothing.
+  // The endpoint list contains the node with this start time; observations of an earlier start are dropped.
+  // Returns the state that peers had proven before the list arrived, or nullopt if there is none.
   std::optional<LoadReport> onListed(const NodeId& node, Instant start);
-  // No list names the node any more.
+  // The endpoint list no longer contains the node.
   void forget(const NodeId& node);
-  // The node may have been down: earlier observations are void.
+  // Discards earlier observations, since the node may have been down.
   void onDisconnected(const NodeId& node);
-  // The node's own report to this router.
+  // Records the node's own report to this router.
   void observe(Instant now, const NodeId& node, const LoadReport& report);
-  // A peer's own observation, which replaces its earlier one of that node. Returns what is proven now; none:
-  // no more than before.
+  // Records a peer's own observation, which replaces the peer's earlier one of that node. Returns the proven
+  // state if this observation advanced it, and nullopt otherwise.
   std::optional<LoadReport> onObservation(Instant now, const std::string& peer,
                                           const Observation& observation);
 
-  // This router's own observations, for its peers.
+  // This router's own observations, to be sent to its peers.
   std::vector<Observation> firstHand(Instant now) const;
   bool hasObserved(const NodeId& node) const;
-  // By the node's own report, else by two peers; unknown: by neither.
+  // The role from the node's own report, or else the one that two peers agree on; unknown if there is
+  // neither.
   Role role(const NodeId& node) const;
-  // Whether the node's position is known, in the same way.
+  // Whether the node's position is known from its own report or from two peers.
   bool knowsPosition(const NodeId& node) const;
 
  private:
@@ -83,10 +86,11 @@
     std::map<std::string, ObservedState> byPeer;  // at most one for each router of the fleet
     LoadReport proven;
   };
-  // The node, added if there is room; null: there is none, or the observation is of another start.
-  Node* nodeOf(const Observation& observation);
-  // What at least two of the peers agree on.
-  static LoadReport confirmedBy(const std::map<std::string, ObservedState>& peers);
+  // Finds the observed node, or adds it within the limit on unlisted nodes. Returns null if the limit is
+  // reached, or if the observation belongs to another start of the node.
+  Node* findOrAddNode(const Observation& observation);
+  // The state that at least two of the peers agree on.
+  static LoadReport agreedState(const std::map<std::string, ObservedState>& peers);
 
   std::size_t maxUnlisted_;
   std::size_t unlisted_ = 0;
--- a/src/recovery/recovery_stages.cpp
+++ b/src/recovery/recovery_stages.cpp
@@ -6,17 +6,20 @@
 
 namespace {
 
-// How long a stage waits. A list: discovery answers within a second where it is up at all, and without it the
-// nodes that were known before are better than none. Positions: a few times what it takes to ask a node. The
-// primary: discovery names a new one within seconds. A quorum of voters: as long as the routers of one site
-// take to start; at-most-once transactions are rejected anyway while too few voters can be reached.
+// Maximum wait of each stage.
+//   list       discovery responds within a second if it is running at all; without it, the previously known
+//              nodes are better than none
+//   positions  a few times the duration of a request to a node
+//   primary    discovery publishes a new primary within seconds
+//   quorum     the time that the routers of one site take to start; at-most-once transactions are rejected
+//              anyway while too few voters are reachable
 constexpr Duration kMaxListWait = Duration::millis(5000);
 constexpr Duration kMaxPositionsWait = Duration::millis(2000);
 constexpr Duration kMaxPrimaryWait = Duration::millis(5000);
 constexpr Duration kMaxQuorumWait = Duration::millis(10'000);
-// To one node from all routers: a small part of what even a cold one can do.
+// Limit per node over all routers: a small fraction of the capacity of even a cold node.
 constexpr double kMaxRequestsPerSecond = 100;
-// To one node from one router.
+// Minimum interval between requests from one router to one node.
 constexpr Duration kMinRequestInterval = Duration::millis(300);
 
 bool isNonLinearizableRead(const TransactionClass& type) { return type.level < ReadLevel::linearizable; }
@@ -48,7 +51,7 @@
 
 void RecoveryStages::onEndpointList(Instant now, EndpointUpdateKind kind, ListVersion version,
                                     const std::vector<EndpointEntry*>& entries) {
-  // A restored list may be of any age: its version counts for nothing.
+  // The age of a restored list is unknown, so its version is ignored.
   const bool isRestored = kind == EndpointUpdateKind::restored;
   if (!isRestored) newestVersion_ = std::max(newestVersion_, version);
   if (kind == EndpointUpdateKind::snapshot)
@@ -56,7 +59,7 @@
       for (auto& [node, member] : group.members) member.isLive = false;
   for (const EndpointEntry* entry : entries) updateMember(now, *entry, isRestored);
   removeUnlisted();
-  dueBy(now);
+  scheduleDecision(now);
 }
 
 void RecoveryStages::updateMember(Instant now, const EndpointEntry& entry, bool isRestored) {
@@ -99,7 +102,8 @@
   return {};
 }
 
-// The last known primary is of no older list, and has not reported to be a replica since.
+// True if another node was last known as primary under a list at least as new as the current one, and has not
+// reported itself as a replica since.
 bool RecoveryStages::mayBeOutdated(const NodeId& reported, const Group& group,
                                    const PeerObservations& observations) const {
   const auto& known = group.knownPrimary;
@@ -114,7 +118,8 @@
   group.knownPrimary = confirmed;
 }
 
-// A primary that changed since the group passed this stage: its own report and the list agree.
+// Confirms a primary that changed after the group had passed the consistentReads stage, once its own report
+// and the endpoint list agree.
 void RecoveryStages::confirmListed(GroupId id, Group& group, const PeerObservations& observations) {
   for (const auto& [node, member] : group.members) {
     const bool isKnown = group.knownPrimary && group.knownPrimary->node == node;
@@ -188,41 +193,42 @@
 std::optional<TransitionReason> RecoveryStages::timedOutAfter(Duration maxWait, Instant now,
                                                               const Group& group) {
   if (now - group.since >= maxWait) return TransitionReason::timedOut;
-  dueBy(group.since + maxWait);
+  scheduleDecision(group.since + maxWait);
   return {};
 }
 
 void RecoveryStages::requestReports(Instant now, Group& group, const PeerObservations& observations) {
   if (!mayRequestReports_) return;
   for (auto& [node, member] : group.members) {
-    if (!isReportWanted(node, member, group, observations)) continue;
+    if (!needsReport(node, member, group, observations)) continue;
     if (member.nextRequestAt <= now) {
       reportRequests_.push_back(node);
       member.nextRequestAt = now + requestInterval();
     }
-    dueBy(member.nextRequestAt);
+    scheduleDecision(member.nextRequestAt);
   }
 }
 
-// For positions: every node whose position is not known. For the primary: the one that the list or other
-// routers name, and every node that has not reported to be a replica.
-bool RecoveryStages::isReportWanted(const NodeId& node, const Member& member, const Group& group,
-                                    const PeerObservations& observations) const {
+// To learn positions, requests reports from every node whose position is unknown. To find the primary,
+// requests reports from the primary of the endpoint list, the last known primary, and every node that has not
+// reported itself as a replica.
+bool RecoveryStages::needsReport(const NodeId& node, const Member& member, const Group& group,
+                                 const PeerObservations& observations) const {
   if (group.stage == Stage::anyReads) return !observations.knowsPosition(node);
   const bool isKnownPrimary = group.knownPrimary && group.knownPrimary->node == node;
   return member.isPrimary || isKnownPrimary || observations.role(node) != Role::replica;
 }
 
-void RecoveryStages::dueBy(Instant when) {
+void RecoveryStages::scheduleDecision(Instant when) {
   if (nextDue_ == Instant() || when < nextDue_) nextDue_ = when;
 }
 
-// --- What the stages mean
+// --- Admission and status
 
 bool RecoveryStages::admits(GroupId id, std::size_t classIndex) const {
   const auto found = groups_.find(id);
-  // Before the first list no group is known; after it, groups that no list names are the routing module's to
-  // reject.
+  // No group is known before the first list. After it, the routing module rejects transactions for groups
+  // that the list does not contain.
   if (found == groups_.end()) return !groups_.empty();
   const TransactionClass& type = classes_.at(classIndex);
   switch (found->second.stage) {
--- a/src/recovery/recovery_stages.h
+++ b/src/recovery/recovery_stages.h
@@ -1,29 +1,29 @@
-// The order in which service returns after a start, group by group. No I/O, no clock.
+// Restores service in stages after a start, separately for each group. No I/O, no clock.
 //
 //   stage            admits                           waits for                              at most
-//   closed           nothing                          a list that names a live node          5 s, with nodes
-//                                                     of the group                           known from
-//                                                     before
+//   closed           nothing                          an endpoint list with a live node of   5 s, with nodes
+//                                                     the group                              of the restored
+//                                                                                            list
 //   anyReads         reads of any age                 positions of half of its replicas,     2 s
 //                                                     or its primary's own report
-//   consistentReads  and bounded and session reads    its primary, by its own report or by   5 s; no limit
+//   consistentReads  also bounded and session reads   its primary, by its own report or by   5 s; no limit
 //                                                     two peers, and not contested           while contested
-//   writes           and linearizable reads,          more than half of the voters           10 s
+//   writes           also linearizable reads,         more than half of the voters           10 s
 //                    idempotent and deduplicated
 //                    writes
-//   all              and at-most-once transactions
+//   all              also at-most-once transactions
 //
-// A wait that reaches its limit ends, and the transition says so: a router whose peers and nodes report
-// nothing serves, as it would without stages. One wait has no limit, and ends by a newer list, the node's own
-// report, or an operator's command: that for a primary that is *contested*. That is, two nodes report to be
-// it, or one does that is named by a list no newer than the one by which another was last known to be it.
-// Writes to the wrong one of two are lost. Nodes are requested to report, each by some of the routers at a
-// time.
+// When a wait reaches its limit the group advances, and the transition records the timeout: a router whose
+// peers and nodes report nothing serves as it would without stages. The one wait without a limit is that for
+// a *contested* primary; it ends with a newer list, the node's own report, or an operator's command. A
+// primary is contested if two nodes report themselves as primary, or if one does while the endpoint list is
+// no newer than the list under which another node was last known as the primary. Writes sent to the wrong one
+// of the two are lost. Load reports are requested from the nodes, from each by some of the routers at a time.
 //
-// A group goes through the stages once a start; later changes are the routing module's. A primary that
-// changes later is confirmed, for the next start, once its own report and the list agree. This guards against
-// trusting an older list after a loss of power. The cost is at most the times above, where nodes don't
-// report.
+// A group passes through the stages once per start; the routing module handles later changes. A primary that
+// changes later is confirmed, for the next start, once its own report and the endpoint list agree. This
+// prevents the router from trusting an outdated list after a power loss. Trade-off: where nodes do not
+// report, service is delayed by at most the times above.
 #pragma once
 
 #include <cstddef>
@@ -41,34 +41,34 @@
 
 namespace gulltrestle::recovery {
 
-// Each admits what the one before does, and more.
+// Recovery stages in ascending order: each admits everything that the previous one admits, and more.
 enum class Stage { closed, anyReads, consistentReads, writes, all };
-// As settings, status documents and logs have it.
+// The name of the stage in settings, status documents and logs.
 std::string_view nameOf(Stage stage);
 
 // The last known primary of a group.
 struct Primary {
   NodeId node;
-  ListVersion version = 0;  // the newest endpoint list when it was
+  ListVersion version = 0;  // newest endpoint list at the time when the node was known as primary
   bool operator==(const Primary&) const = default;
 };
 
-// A primary that this router has confirmed, for the disk and for its peers.
+// A primary that this router has confirmed, to be stored on disk and sent to its peers.
 struct ConfirmedPrimary {
   GroupId group = 0;
   Primary primary;
 };
 
-// Why a group went on to its next stage.
+// Why a group advanced to its next stage.
 enum class TransitionReason {
-  evidence,  // what it waited for came
+  evidence,  // the stage's condition was met
   timedOut,
-  forced,  // by an operator
+  forced,  // an operator's command
 };
-// As logs have it.
+// The name of the reason in logs.
 std::string_view nameOf(TransitionReason reason);
 
-// A group went on to its next stage.
+// A group's advance to its next stage.
 struct StageTransition {
   GroupId group = 0;
   Stage from = Stage::closed, to = Stage::closed;
@@ -76,97 +76,100 @@
   Duration waited;
 };
 
-// From the settings.
+// Configuration of the recovery stages.
 struct RecoveryStagesConfig {
   std::vector<TransactionClass> classes;
-  unsigned routers = 1;            // that may start together
-  bool mayRequestReports = false;  // nodes can be asked for a load report
-  std::uint64_t seed = 0;          // of the times of requests, which differ from router to router
+  unsigned routers = 1;            // number of routers that may start at the same time
+  bool mayRequestReports = false;  // whether load reports can be requested from nodes
+  std::uint64_t seed = 0;          // for the times of requests, which differ between routers
 };
 
-// The stages of all groups at one router. Used by cluster/recovery_service.h.
+// Tracks the stages of all groups at one router. Used by cluster/recovery_service.h.
 class RecoveryStages {
  public:
   explicit RecoveryStages(RecoveryStagesConfig config);
 
   // --- Evidence
 
-  // A list came, with the drains that are known here applied to it (recovery/drain_registry.h).
+  // Processes a received list, to which the known drains have been applied (recovery/drain_registry.h).
   void onEndpointList(Instant now, EndpointUpdateKind kind, ListVersion version,
                       const std::vector<EndpointEntry*>& entries);
-  // This router's disk, or another router, knows of this primary.
+  // Records a primary that was stored on this router's disk or reported by another router.
   void onKnownPrimary(GroupId group, const Primary& primary);
-  // Whether more than half of the voters can be reached.
+  // Sets whether more than half of the voters are reachable.
   void setQuorumReached(bool isReached) { isQuorumReached_ = isReached; }
-  // An operator forces every group to this stage at least, whatever it waits for; none: no longer.
+  // Advances every group to at least this stage, on an operator's command, regardless of its wait. nullopt
+  // withdraws the command.
   void force(std::optional<Stage> stage) { forced_ = stage; }
 
   // --- Decisions
 
-  // Makes the transitions that are due, by what was observed of nodes, and returns them.
+  // Applies and returns the transitions that are due according to the observations of nodes.
   [[nodiscard]] std::vector<StageTransition> decide(Instant now, const PeerObservations& observations);
-  // Nodes to be asked for a load report now, for groups that wait for it.
+  // Returns the nodes from which a load report has to be requested now, for groups that wait for one.
   [[nodiscard]] std::vector<NodeId> takeReportRequests() { return std::exchange(reportRequests_, {}); }
-  // Primaries that were confirmed since the last call.
+  // Returns the primaries confirmed since the last call.
   [[nodiscard]] std::vector<ConfirmedPrimary> takeConfirmed() { return std::exchange(confirmed_, {}); }
-  // When decide() is due without further evidence; never: it is not.
+  // When decide() is due next if no further evidence arrives; never if it is not due.
   Instant nextDue() const { return nextDue_; }
 
-  // Whether transactions of that class, by its index among the configured ones, are admitted to the group.
-  // Groups that no list names are the routing module's to reject.
+  // Whether the group admits transactions of the class with this index in the configuration. The routing
+  // module rejects transactions for groups that the endpoint list does not contain.
   bool admits(GroupId group, std::size_t classIndex) const;
 
-  // For status documents.
+  // The state of a group for status documents.
   struct GroupStatus {
     Stage stage = Stage::closed;
     Instant since;
-    std::string_view awaits;         // empty: nothing
-    std::vector<NodeId> contenders;  // of a contested primary; empty: it is not
+    std::string_view awaits;         // condition that the stage waits for; empty if there is none
+    std::vector<NodeId> contenders;  // candidates for a contested primary; empty if it is not contested
   };
   GroupStatus statusOf(GroupId group) const;
   std::vector<GroupId> groups() const;
-  bool isFinished() const;  // all groups admit all
+  bool isFinished() const;  // whether every group has reached Stage::all
 
  private:
   struct Member {
-    bool isLive = false, isPrimary = false;  // as the list has it
-    Instant nextRequestAt;                   // for a load report, at the earliest
+    bool isLive = false, isPrimary = false;  // according to the endpoint list
+    Instant nextRequestAt;                   // earliest time of the next request for a load report
   };
   struct Group {
     std::map<NodeId, Member> members;
     Stage stage = Stage::closed;
     Instant since;
-    bool isListed = false;                // by discovery since this start; else only by a restored list
+    bool isListed = false;                // by discovery since this start, not only by a restored list
     std::optional<Primary> knownPrimary;  // from before this start, or from other routers
-    std::vector<NodeId> contenders;       // of a contested primary
+    std::vector<NodeId> contenders;       // candidates for a contested primary
   };
   void updateMember(Instant now, const EndpointEntry& entry, bool isRestored);
   void removeUnlisted();
 
-  // The primary, where it is not contested. Sets the group's contenders where it is.
+  // Returns the primary unless it is unknown or contested. If it is contested, sets the group's contenders.
   std::optional<NodeId> primaryOf(Group& group, const PeerObservations& observations) const;
-  // Whether the only node that reports to be the primary may be an older one than the last known.
+  // Whether the only node that reports itself as primary may predate the last known primary.
   bool mayBeOutdated(const NodeId& reported, const Group& group, const PeerObservations& observations) const;
 
-  // Goes through all transitions of the group that are due.
+  // Applies all transitions of the group that are due.
   void advance(Instant now, GroupId id, Group& group, const PeerObservations& observations,
                std::vector<StageTransition>& transitions);
-  // Why the group may go on to its next stage; none: not yet.
+  // Why the group may advance to its next stage; nullopt if it may not yet.
   std::optional<TransitionReason> reasonToAdvance(Instant now, Group& group,
                                                   const PeerObservations& observations);
   bool hasPositions(const Group& group, const PeerObservations& observations) const;
-  // Timed out; or none, and decide() is due when it is.
+  // Returns timedOut once the wait has reached its limit. Otherwise returns nullopt and schedules decide()
+  // for that time.
   std::optional<TransitionReason> timedOutAfter(Duration maxWait, Instant now, const Group& group);
 
   void confirmListed(GroupId id, Group& group, const PeerObservations& observations);
   void confirm(GroupId id, Group& group, const NodeId& primary);
   void requestReports(Instant now, Group& group, const PeerObservations& observations);
-  // Whether the node's report could advance the group.
-  bool isReportWanted(const NodeId& node, const Member& member, const Group& group,
-                      const PeerObservations& observations) const;
-  // Between two requests from this router to one node.
+  // Whether a report from the node could advance the group.
+  bool needsReport(const NodeId& node, const Member& member, const Group& group,
+                   const PeerObservations& observations) const;
+  // Interval between two requests from this router to one node.
   Duration requestInterval() const;
-  void dueBy(Instant when);
+  // Makes decide() due at `when` at the latest.
+  void scheduleDecision(Instant when);
 
   std::vector<TransactionClass> classes_;
   unsigned routers_;
@@ -175,7 +178,7 @@
   std::optional<Stage> forced_;
   std::mt19937_64 random_;
   std::map<GroupId, Group> groups_;
-  ListVersion newestVersion_ = 0;  // of endpoint lists
+  ListVersion newestVersion_ = 0;  // newest version of any endpoint list that was not restored
   std::vector<NodeId> reportRequests_;
   std::vector<ConfirmedPrimary> confirmed_;
   Instant nextDue_;
--- a/tests/maintenance.cpp
+++ b/tests/maintenance.cpp
@@ -1,7 +1,7 @@
-// Maintenance without processes: who takes over from a maintenance leader, the properties in simulated worlds
-// (maintenance/simulated_world.h), and the consensus on the plan in every order of events
-// (maintenance/consensus_search.h). Run as `maintenance CASE [SEEDS] [FROM]`: prints the case's trace, and
-// counts on the standard error stream.
+// Tests maintenance without real processes: which voter takes over from a maintenance leader, safety
+// properties in simulated fleets (maintenance/simulated_world.h), and the consensus on the plan in every
+// order of events (maintenance/consensus_search.h). Run as `maintenance CASE [SEEDS] [FROM]`: prints the
+// trace of the case, and counts on the standard error stream.
 #include <cstdint>
 #include <functional>
 #include <iostream>
@@ -18,25 +18,25 @@
 
 namespace {
 
-// The numbers behind the case's name; what is not given has a default.
+// Numeric arguments that follow the name of the case. Each is optional, and the case defines its default.
 struct Arguments {
   std::optional<std::uint64_t> first, second;
 };
 
-// Who begins rounds where transitions are due and nothing happens.
+// Which voter starts rounds while transitions are due and no value is chosen.
 void nextVoterTakesOver(const Arguments&) {
-  const Instant begin = Instant::atMicros(1'000'000'000);
+  const Instant start = Instant::atMicros(1'000'000'000);
   MaintenanceLeader first{Bounds()}, third{Bounds()};
   for (const int second : {0, 4, 6, 11}) {
-    const Instant now = begin + Duration::millis(second * 1000);
+    const Instant now = start + Duration::millis(second * 1000);
     std::cout << second << " s: the first " << first.shouldLead(now, true, 0) << ", the third "
               << third.shouldLead(now, true, 2) << "\n";
   }
   third.onChosen();
-  const Instant later = begin + Duration::millis(12'000), muchLater = begin + Duration::millis(30'000);
-  std::cout << "settled: the third " << third.shouldLead(later, true, 2)
-            << ", once both before it are silent " << third.shouldLead(later, true, 0) << ", nothing due "
-            << third.shouldLead(muchLater, false, 2) << "\n";
+  const Instant later = start + Duration::millis(12'000), muchLater = start + Duration::millis(30'000);
+  std::cout << "after a value was chosen: the third " << third.shouldLead(later, true, 2)
+            << ", after both preceding voters became silent " << third.shouldLead(later, true, 0)
+            << ", nothing due " << third.shouldLead(muchLater, false, 2) << "\n";
 }
 
 void propertiesHoldInSimulatedWorlds(const Arguments& arguments) {
@@ -49,14 +49,15 @@
     ++broken;
     std::cerr << "seed " << seed << ": " << fault << "\n";
   }
-  std::cout << "worlds in which a property broke: " << broken << "\n";
+  std::cout << "simulated worlds with a violated property: " << broken << "\n";
   std::cerr << seeds << " worlds: chosen " << totals.chosen << ", released " << totals.released
             << ", attempts " << totals.attempts << ", power losses " << totals.powerLosses << ", disk losses "
             << totals.diskLosses << ", stalls " << totals.stalls << ", cut links " << totals.cutLinks
             << ", kills " << totals.kills << "\n";
 }
 
-// Each is found by the first seeds from `from` on, and not by those before it from 1 on.
+// Checks that each injected fault violates a property within kSeeds seeds from `from` on. No seed from 1 up
+// to `from` finds it.
 void injectedFaultsBreakProperties(const Arguments&) {
   constexpr std::uint64_t kSeeds = 40;
   struct Case {
@@ -65,11 +66,13 @@
     const char* description;
   };
   constexpr Case kCases[] = {
-      {InjectedFault::forgottenState, 101, "a keeper that forgot and does not know it"},
+      {InjectedFault::forgottenState, 101, "a voter that lost its state without noticing"},
       {InjectedFault::sendWithoutLease, 1617, "a router that sends without a lease"},
-      {InjectedFault::earlyDrainReport, 363, "a router that says it is clear while something is out"},
-      {InjectedFault::replyBeforeDurable, 29, "a keeper that answers ahead of its disk"},
-      {InjectedFault::latePlanReport, 5, "a keeper that answers a beat ahead of telling what it holds"}};
+      {InjectedFault::earlyDrainReport, 363,
+       "a router that reports draining as complete while an attempt is in flight"},
+      {InjectedFault::replyBeforeDurable, 29, "a voter that replies before its state is durable"},
+      {InjectedFault::latePlanReport, 5,
+       "a voter that replies to a heartbeat before it reports its accepted plan"}};
   for (const auto& [fault, from, description] : kCases) {
     Totals totals;
     std::string broken;
@@ -85,30 +88,30 @@
 void chosenValuesLastInEveryOrder(const Arguments& arguments) {
   using Fault = ConsensusSearch::InjectedFault;
   const std::pair<Fault, const char*> cases[] = {
-      {Fault::none, "as it is"},
-      {Fault::forgottenState, "a keeper that forgot and does not know it"},
-      {Fault::replyBeforeDurable, "a keeper that answers ahead of its disk"},
-      {Fault::ignoredPromises, "one that passes over what it read"}};
+      {Fault::none, "no fault"},
+      {Fault::forgottenState, "a voter that lost its state without noticing"},
+      {Fault::replyBeforeDurable, "a voter that replies before its state is durable"},
+      {Fault::ignoredPromises, "a proposer that ignores the value it learned"}};
   for (const auto& [fault, description] : cases) {
     ConsensusSearch search(fault, arguments.first.value_or(1));
     const std::string broken = search.search();
-    std::cout << description << ": " << (broken.empty() ? "what was settled stays so" : broken) << "\n";
+    std::cout << description << ": " << (broken.empty() ? "chosen values are never lost" : broken) << "\n";
     std::cerr << description << ": " << search.states() << " states\n";
   }
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   const std::map<std::string, std::function<void(const Arguments&)>> cases{
       {"next-voter-takes-over", nextVoterTakesOver},
       {"properties-hold-in-simulated-worlds", propertiesHoldInSimulatedWorlds},
       {"injected-faults-break-properties", injectedFaultsBreakProperties},
       {"chosen-values-last-in-every-order", chosenValuesLastInEveryOrder}};
-  const auto found = cases.find(count > 1 ? words[1] : "");
+  const auto found = cases.find(argc > 1 ? argv[1] : "");
   if (found == cases.end()) return 2;
   Arguments arguments;
-  if (count > 2) arguments.first = std::stoull(words[2]);
-  if (count > 3) arguments.second = std::stoull(words[3]);
+  if (argc > 2) arguments.first = std::stoull(argv[2]);
+  if (argc > 3) arguments.second = std::stoull(argv[3]);
   found->second(arguments);
 }
--- a/tests/maintenance/consensus_search.cpp
+++ b/tests/maintenance/consensus_search.cpp
@@ -6,16 +6,16 @@
 namespace gulltrestle::maintenance {
 
 std::string ConsensusSearch::search() {
-  std::vector<State> open{firstState()};
-  while (!open.empty() && brokenProperty_.empty() && visited_.size() < kMaxStates) {
-    const State state = std::move(open.back());
-    open.pop_back();
-    expand(state, open);
+  std::vector<State> frontier{initialState()};
+  while (!frontier.empty() && brokenProperty_.empty() && visited_.size() < kMaxStates) {
+    const State state = std::move(frontier.back());
+    frontier.pop_back();
+    expand(state, frontier);
   }
   return brokenProperty_;
 }
 
-ConsensusSearch::State ConsensusSearch::firstState() {
+ConsensusSearch::State ConsensusSearch::initialState() {
   State state;
   for (std::size_t proposer = 0; proposer < kProposers; ++proposer)
     state.rounds.emplace_back(kAcceptors, 10 + proposer, Duration::millis(3'600'000));
@@ -23,14 +23,14 @@
     state.acceptors.emplace_back("", true);
     state.disks.emplace_back();
   }
-  state.begun.resize(kProposers);
+  state.startedRounds.resize(kProposers);
   state.promised.resize(kProposers);
   state.accepted.resize(kProposers);
   return state;
 }
 
-Instant ConsensusSearch::timeOf(std::size_t begun) {
-  return Instant::atMicros(1'000'000'000) + Duration::millis(10'000) * static_cast<double>(begun);
+Instant ConsensusSearch::timeOf(std::size_t startedRounds) {
+  return Instant::atMicros(1'000'000'000) + Duration::millis(10'000) * static_cast<double>(startedRounds);
 }
 
 // --- States
@@ -45,12 +45,12 @@
   for (const auto& request : state.requests) requests.push_back(request.key());
   std::sort(requests.begin(), requests.end());
   std::string key;
-  // All that an acceptor has is on its disk between two requests.
+  // Between two requests the complete state of an acceptor is on its disk.
   for (const auto& disk : state.disks) key += disk + "|";
   for (const auto& acceptor : state.acceptors) key += std::to_string(acceptor.isComplete());
   for (std::size_t proposer = 0; proposer < kProposers; ++proposer) {
     const ProposalRound& round = state.rounds[proposer];
-    key += std::to_string(state.begun[proposer]) + std::to_string(static_cast<int>(round.state())) +
+    key += std::to_string(state.startedRounds[proposer]) + std::to_string(static_cast<int>(round.state())) +
            std::to_string(round.ballot().number);
     for (const std::size_t acceptor : state.promised[proposer]) key += "r" + std::to_string(acceptor);
     for (const std::size_t acceptor : state.accepted[proposer]) key += "w" + std::to_string(acceptor);
@@ -63,59 +63,59 @@
   return key + std::to_string(state.losses);
 }
 
-void ConsensusSearch::visit(State state, std::vector<State>& open) {
-  if (visited_.insert(std::hash<std::string>()(keyOf(state))).second) open.push_back(std::move(state));
+void ConsensusSearch::visit(State state, std::vector<State>& frontier) {
+  if (visited_.insert(std::hash<std::string>()(keyOf(state))).second) frontier.push_back(std::move(state));
 }
 
-void ConsensusSearch::expand(const State& state, std::vector<State>& open) {
-  beginOrAbandonRounds(state, open);
-  deliverRequests(state, open);
-  loseDisks(state, open);
+void ConsensusSearch::expand(const State& state, std::vector<State>& frontier) {
+  startOrAbandonRounds(state, frontier);
+  deliverRequests(state, frontier);
+  loseDisks(state, frontier);
 }
 
-void ConsensusSearch::beginOrAbandonRounds(const State& state, std::vector<State>& open) {
+void ConsensusSearch::startOrAbandonRounds(const State& state, std::vector<State>& frontier) {
   for (std::size_t proposer = 0; proposer < kProposers; ++proposer) {
-    if (state.begun[proposer] >= rounds_[proposer]) continue;
+    if (state.startedRounds[proposer] >= rounds_[proposer]) continue;
     State next = state;
     if (state.rounds[proposer].state() != ProposalRound::State::idle) {
       abandonRound(next, proposer);
-      visit(std::move(next), open);
+      visit(std::move(next), frontier);
       continue;
     }
-    ++next.begun[proposer];
+    ++next.startedRounds[proposer];
     next.promised[proposer].clear();
     next.accepted[proposer].clear();
-    if (!next.rounds[proposer].begin(timeOf(next.begun[proposer]))) continue;
+    if (!next.rounds[proposer].begin(timeOf(next.startedRounds[proposer]))) continue;
     const AcceptedValue prepare{next.rounds[proposer].ballot(), {}, ""};
     for (std::size_t acceptor = 0; acceptor < kAcceptors; ++acceptor)
       next.requests.push_back({acceptor, proposer, false, prepare});
-    visit(std::move(next), open);
+    visit(std::move(next), frontier);
   }
 }
 
-// What a reply says does not change meanwhile, and what is written for it may be late enough: so it comes at
-// once or never.
-void ConsensusSearch::deliverRequests(const State& state, std::vector<State>& open) {
-  for (std::size_t at = 0; at < state.requests.size(); ++at) {
+// A reply arrives immediately or never. Delayed replies need not be searched: the content of a reply does not
+// change after it is sent, and the accept requests that it leads to can be delayed instead.
+void ConsensusSearch::deliverRequests(const State& state, std::vector<State>& frontier) {
+  for (std::size_t index = 0; index < state.requests.size(); ++index) {
     State without = state;
-    const Request request = without.requests[at];
-    without.requests.erase(without.requests.begin() + static_cast<std::ptrdiff_t>(at));
+    const Request request = without.requests[index];
+    without.requests.erase(without.requests.begin() + static_cast<std::ptrdiff_t>(index));
     for (const bool isReplyLost : {false, true}) {
       if (without.losses == 0) {
         State next = without;
         ++next.losses;
         deliver(next, request, {false, isReplyLost});
-        visit(std::move(next), open);
+        visit(std::move(next), frontier);
       }
       State next = without;
       deliver(next, request, {true, isReplyLost});
-      visit(std::move(next), open);
+      visit(std::move(next), frontier);
     }
   }
 }
 
-// It abstains until all rounds of before are over.
-void ConsensusSearch::loseDisks(const State& state, std::vector<State>& open) {
+// An acceptor that lost its disk abstains until all earlier rounds have ended, so these are abandoned.
+void ConsensusSearch::loseDisks(const State& state, std::vector<State>& frontier) {
   if (state.losses > 0) return;
   for (std::size_t acceptor = 0; acceptor < kAcceptors; ++acceptor) {
     State next = state;
@@ -124,7 +124,7 @@
     next.acceptors[acceptor] = Acceptor("", fault_ == InjectedFault::forgottenState);
     next.requests.clear();
     for (std::size_t proposer = 0; proposer < kProposers; ++proposer) abandonRound(next, proposer);
-    visit(std::move(next), open);
+    visit(std::move(next), frontier);
   }
 }
 
@@ -133,7 +133,7 @@
 void ConsensusSearch::abandonRound(State& state, std::size_t proposer) {
   ProposalRound& round = state.rounds[proposer];
   if (round.state() != ProposalRound::State::idle)
-    round.onRejected(timeOf(state.begun[proposer]), round.ballot(), round.ballot());
+    round.onRejected(timeOf(state.startedRounds[proposer]), round.ballot(), round.ballot());
 }
 
 void ConsensusSearch::deliver(State& state, const Request& request, Delivery delivery) {
@@ -156,10 +156,10 @@
   auto& acceptedBy = state.acceptedBy[accepted.ballot];
   if (!acceptedBy.insert(acceptor).second || acceptedBy.size() != majorityOf(kAcceptors)) return reply;
   state.chosen[accepted.ballot] = accepted.value;
-  std::string before;
+  std::string previous;
   for (const auto& [ballot, value] : state.chosen) {
-    if (!value.starts_with(before)) brokenProperty_ = "what was settled is lost";
-    before = value;
+    if (!value.starts_with(previous)) brokenProperty_ = "a chosen value is lost";
+    previous = value;
   }
   return reply;
 }
@@ -168,7 +168,7 @@
                               const Acceptor::AcceptorReply& reply) {
   using Kind = Acceptor::AcceptorReply::Kind;
   ProposalRound& round = state.rounds[proposer];
-  const Instant now = timeOf(state.begun[proposer]);
+  const Instant now = timeOf(state.startedRounds[proposer]);
   if (reply.kind == Kind::rejected) round.onRejected(now, reply.ballot, reply.promised);
   if (reply.kind == Kind::accepted) {
     round.onAccepted(now, acceptor, reply.ballot);
@@ -183,7 +183,7 @@
 void ConsensusSearch::propose(State& state, std::size_t proposer,
                               const ProposalRound::PreparedValue& prepared) {
   std::string value = fault_ == InjectedFault::ignoredPromises ? "" : prepared.accepted.value;
-  if (prepared.isChosen) value += static_cast<char>('a' + 2 * proposer + state.begun[proposer] - 1);
+  if (prepared.isChosen) value += static_cast<char>('a' + 2 * proposer + state.startedRounds[proposer] - 1);
   const AcceptedValue proposed = state.rounds[proposer].propose({value.size(), 1}, value);
   for (std::size_t acceptor = 0; acceptor < kAcceptors; ++acceptor)
     state.requests.push_back({acceptor, proposer, true, proposed});
--- a/tests/maintenance/consensus_search.h
+++ b/tests/maintenance/consensus_search.h
@@ -1,6 +1,7 @@
-// The consensus on the maintenance plan in a small world, searched in every order of events: three acceptors,
-// two proposers, and one loss, of power in the middle of a write or of a disk between rounds. Each proposal
-// appends a letter to the value, so whatever is chosen later has to begin with all that was chosen before.
+// Exhaustive search over all orders of events in the consensus on the maintenance plan, with three acceptors,
+// two proposers, and one fault: a power loss in the middle of a write, or the loss of a disk between rounds.
+// Each proposal appends a letter to the value, so every chosen value has to start with all values chosen
+// before it.
 #pragma once
 
 #include <cstdint>
@@ -16,22 +17,23 @@
 
 namespace gulltrestle::maintenance {
 
+// Depth-first search over the states that are reachable from an empty plan. Visits each state once.
 class ConsensusSearch {
  public:
-  // A fault that is built into the code under test: the search has to find it.
+  // A fault injected into the code under test. The search has to find it.
   enum class InjectedFault {
     none,
-    forgottenState,      // an acceptor that lost its disk takes part as if it had not
+    forgottenState,      // an acceptor that lost its disk takes part as if its state were complete
     replyBeforeDurable,  // an acceptor replies before its state is on disk
-    ignoredPromises,     // a proposer does not go by the value that it learned
+    ignoredPromises,     // a proposer ignores the value that it learned
   };
 
-  // `rounds`: that the first proposer may begin; the other one begins one.
+  // `rounds`: number of rounds that the first proposer may start; the second starts one.
   ConsensusSearch(InjectedFault fault, std::size_t rounds) : fault_(fault), rounds_{rounds, 1} {}
 
-  // Returns the property that broke; empty: none, in any order.
+  // Returns the violated property, or an empty string if every order of events satisfies all of them.
   std::string search();
-  // How many states were visited.
+  // Number of visited states.
   std::size_t states() const { return visited_.size(); }
 
  private:
@@ -42,38 +44,38 @@
   struct Request {
     std::size_t acceptor = 0, proposer = 0;
     bool isAccept = false;
-    AcceptedValue proposed;  // prepare: its ballot alone
+    AcceptedValue proposed;  // for a prepare request only the ballot
     std::string key() const;
   };
   struct State {
     std::vector<ProposalRound> rounds;  // by proposer
     std::vector<Acceptor> acceptors;
     std::vector<std::string> disks;                         // by acceptor
-    std::vector<std::size_t> begun;                         // rounds, by proposer
-    std::vector<std::set<std::size_t>> promised, accepted;  // by which acceptors, to the present rounds
+    std::vector<std::size_t> startedRounds;                 // number of started rounds, by proposer
+    std::vector<std::set<std::size_t>> promised, accepted;  // acceptors, by proposer, in the current rounds
     std::vector<Request> requests;
     std::map<Ballot, std::set<std::size_t>> acceptedBy;
     std::map<Ballot, std::string> chosen;
     std::size_t losses = 0;
   };
-  // How one request goes.
+  // The outcome of delivering a request.
   struct Delivery {
-    bool isDurable = false;    // else power is lost before what it leads to is on disk
-    bool isReplyLost = false;  // a reply comes at once or never
+    bool isDurable = false;    // otherwise power is lost before the resulting state is on disk
+    bool isReplyLost = false;  // a reply arrives immediately or never
   };
 
-  static State firstState();
-  // Each round's own time: the last one's backoff is over.
-  static Instant timeOf(std::size_t begun);
-  // To be searched from, unless it was visited.
-  void visit(State state, std::vector<State>& open);
+  static State initialState();
+  // A distinct time for each round, late enough that the backoff of the previous round has ended.
+  static Instant timeOf(std::size_t startedRounds);
+  // Adds the state to the frontier of the search unless it was visited before.
+  void visit(State state, std::vector<State>& frontier);
   static std::string keyOf(const State& state);
 
-  // --- All states that may follow
-  void expand(const State& state, std::vector<State>& open);
-  void beginOrAbandonRounds(const State& state, std::vector<State>& open);
-  void deliverRequests(const State& state, std::vector<State>& open);
-  void loseDisks(const State& state, std::vector<State>& open);
+  // --- Successor states
+  void expand(const State& state, std::vector<State>& frontier);
+  void startOrAbandonRounds(const State& state, std::vector<State>& frontier);
+  void deliverRequests(const State& state, std::vector<State>& frontier);
+  void loseDisks(const State& state, std::vector<State>& frontier);
 
   static void abandonRound(State& state, std::size_t proposer);
   void deliver(State& state, const Request& request, Delivery delivery);
@@ -83,7 +85,7 @@
   void propose(State& state, std::size_t proposer, const ProposalRound::PreparedValue& prepared);
 
   InjectedFault fault_;
-  std::size_t rounds_[kProposers];  // that each may begin
+  std::size_t rounds_[kProposers];  // maximum number of rounds, by proposer
   std::string brokenProperty_;
   std::unordered_set<std::size_t> visited_;
 };
--- a/tests/maintenance/simulated_world.cpp
+++ b/tests/maintenance/simulated_world.cpp
@@ -23,20 +23,20 @@
   for (std::size_t router = 0; router < kRouters; ++router) {
     disks_.emplace_back();
     routers_.emplace_back();
-    // Monotonic clocks differ by a few percent.
-    clockRates_.push_back(0.96 + 0.08 * fraction());
+    // The rates of monotonic clocks differ by a few percent.
+    clockRates_.push_back(0.96 + 0.08 * randomFraction());
     start(router);
   }
 }
 
 std::string SimulatedWorld::simulate() {
   for (std::size_t router = 0; router < kRouters; ++router)
-    after(Duration(), [this, router] { keepTurning(router); });
-  after(Duration::millis(500), [this] { requestMaintenance(); });
-  after(Duration::millis(1000), [this] { injectFault(); });
-  after(Duration::millis(5), [this] { sendAttempts(); });
+    schedule(Duration(), [this, router] { scheduleIterations(router); });
+  schedule(Duration::millis(500), [this] { requestMaintenance(); });
+  schedule(Duration::millis(1000), [this] { injectFault(); });
+  schedule(Duration::millis(5), [this] { sendAttempts(); });
   while (!events_.empty() && brokenProperty_.empty() && finishedMachines_ < kMachines &&
-         now_ < kBegin + kSimulatedTime) {
+         now_ < kStartTime + kSimulatedTime) {
     auto event = events_.top();
     events_.pop();
     now_ = event.due;
@@ -44,11 +44,11 @@
   }
   if (!brokenProperty_.empty()) return brokenProperty_;
   if (finishedMachines_ >= kMachines) return "";
-  if (isTracing()) trace();
+  if (isTracing()) printState();
   return std::string(kNotFinished);
 }
 
-// --- Time and chance
+// --- Time and randomness
 
 Bounds SimulatedWorld::bounds() {
   Bounds bounds;
@@ -61,7 +61,7 @@
   return bounds;
 }
 
-void SimulatedWorld::after(Duration delay, std::function<void()> action) {
+void SimulatedWorld::schedule(Duration delay, std::function<void()> action) {
   events_.push({now_ + delay, ++eventNumber_, std::move(action)});
 }
 
@@ -69,7 +69,7 @@
   if (brokenProperty_.empty()) brokenProperty_ = property;
 }
 
-void SimulatedWorld::trace() {
+void SimulatedWorld::printState() {
   for (std::size_t i = 0; i < kRouters; ++i) {
     Process& router = routers_[i];
     const Plan& plan = router.planView->chosen();
@@ -103,10 +103,10 @@
   if (router < kVoters) startVoter(router, process);
   routers_[router] = std::move(process);
   if (isTracing())
-    std::cerr << elapsedMillis() << " " << name(router) << " starts, " << routers_[router].incarnation
-              << "\n";
+    std::cerr << elapsedMillis() << " " << name(router) << " starts, incarnation "
+              << routers_[router].incarnation << "\n";
   if (router >= kVoters) return;
-  // What became durable in the moment of its end counts as much as what was replied to.
+  // A value that became durable just before the process ended counts, even though no reply was sent.
   const AcceptedValue accepted = routers_[router].acceptor->accepted();
   onAccepted(router, router, accepted);
   if (accepted.version.version > 0) onDurablyAccepted(router, accepted);
@@ -136,7 +136,7 @@
 
 void SimulatedWorld::resume(std::size_t router) {
   if (!std::exchange(routers_[router].isStalled, false)) return;
-  endTurn(router);  // it looks at its clock ahead of any event
+  runIteration(router);  // the process reads its clock before it handles any event
   for (auto& action : std::exchange(routers_[router].queued, {})) action();
 }
 
@@ -151,21 +151,21 @@
   if (from == to) return action();
   if (cutLinks_.contains({from, to})) return;
   Instant& last = lastDeliveries_[{from, to}];
-  last = std::max(last, now_ + Duration::millis(1) + pickMillis(pick(10) == 0 ? 400 : 10));
-  after(last - now_, [this, from, to, processId = routers_[to].processId, action = std::move(action)] {
+  last = std::max(last, now_ + Duration::millis(1) + randomMillis(randomBelow(10) == 0 ? 400 : 10));
+  schedule(last - now_, [this, from, to, processId = routers_[to].processId, action = std::move(action)] {
     if (!cutLinks_.contains({from, to})) run(to, processId, action);
   });
 }
 
-// --- Turns
+// --- Event loop iterations
 
-void SimulatedWorld::keepTurning(std::size_t router) {
+void SimulatedWorld::scheduleIterations(std::size_t router) {
   const Process& process = routers_[router];
-  if (process.isUp && !process.isStalled) endTurn(router);
-  after(Duration::millis(90) + pickMillis(20), [this, router] { keepTurning(router); });
+  if (process.isUp && !process.isStalled) runIteration(router);
+  schedule(Duration::millis(90) + randomMillis(20), [this, router] { scheduleIterations(router); });
 }
 
-void SimulatedWorld::endTurn(std::size_t router) {
+void SimulatedWorld::runIteration(std::size_t router) {
   Process& process = routers_[router];
   const Instant now = clock(router);
   const std::uint64_t planVersion = process.planView->chosen().version;
@@ -212,10 +212,10 @@
   failureDetector.onJoinRequest(clock(voter), name(router), {heartbeat.incarnation, heartbeat.draw});
   if (!failureDetector.isCurrent(name(router), heartbeat.draw)) return;
   failureDetector.onHeartbeat(clock(voter), name(router), heartbeat.draw, heartbeat.progress);
-  // What it has accepted is reported ahead of the reply to any message.
+  // The accepted value is reported before the reply to any message.
   const AcceptedValue accepted = process.acceptor->accepted();
   if (process.reportedBallots[router] != accepted.ballot &&
-      !(injectedFault_ == InjectedFault::latePlanReport && pick(2) == 0)) {
+      !(injectedFault_ == InjectedFault::latePlanReport && randomBelow(2) == 0)) {
     process.reportedBallots[router] = accepted.ballot;
     deliver(voter, router, [this, voter, router, accepted] { onAccepted(router, voter, accepted); });
   }
--- a/tests/maintenance/simulated_world.h
+++ b/tests/maintenance/simulated_world.h
@@ -1,10 +1,10 @@
-// Maintenance in a simulated world: the real protocols of a few routers, some of them voters, on links that
-// break, stall and deliver late, with clocks that differ, and disks that are lost. The same seed gives the
-// same world.
+// Deterministic simulation of maintenance: runs the production protocols of several routers, some of them
+// voters, with links that fail, stall and delay messages, clocks that run at different rates, and disks that
+// are lost. The same seed produces the same simulation.
 //
-//   simulated_world.cpp         processes, links and turns
-//   simulated_world_rounds.cpp  proposal rounds, disks, and what is checked of each chosen plan
-//   simulated_world_faults.cpp  what operators and clients do meanwhile, and what goes wrong
+//   simulated_world.cpp         processes, links and event loop iterations
+//   simulated_world_rounds.cpp  proposal rounds, disks, and the checks of each chosen plan
+//   simulated_world_faults.cpp  operators and clients, and injected failures
 #pragma once
 
 #include <cstdint>
@@ -29,30 +29,30 @@
 
 namespace gulltrestle::maintenance {
 
-// A fault that is built into the code under test: its properties have to break.
+// A fault injected into the code under test. It has to violate a property.
 enum class InjectedFault {
   none,
-  forgottenState,      // a voter that lost its disk takes part as if it had not
-  sendWithoutLease,    // a router sends to a machine whose turn is next without a lease
+  forgottenState,      // a voter that lost its disk takes part as if its state were complete
+  sendWithoutLease,    // a router sends to a machine in Phase::next without a lease
   earlyDrainReport,    // a router reports that it has drained while an attempt is in flight
   replyBeforeDurable,  // a voter replies before its state is on disk
-  latePlanReport,      // a voter replies to a heartbeat before it reports what it has accepted
+  latePlanReport,      // a voter replies to a heartbeat before it reports its accepted value
 };
 
-// What happened, over all worlds that were given the same totals.
+// Counts of events, summed over all simulations that share the object.
 struct Totals {
-  std::uint64_t chosen = 0;    // values
-  std::uint64_t released = 0;  // machines
-  std::uint64_t attempts = 0;  // that were sent to nodes
+  std::uint64_t chosen = 0;    // chosen values
+  std::uint64_t released = 0;  // released machines
+  std::uint64_t attempts = 0;  // attempts sent to nodes
   std::uint64_t powerLosses = 0, diskLosses = 0, stalls = 0, cutLinks = 0, kills = 0;
 };
 
-// Learns which values are chosen, seen from outside: once a majority of the voters has accepted one in a
-// round, durably.
+// Independent observer that detects when a value is chosen: once a majority of the voters has durably
+// accepted it in one round.
 class ChosenValueMonitor {
  public:
   explicit ChosenValueMonitor(std::size_t voters) : voters_(voters) {}
-  // True: this round's value has just been chosen.
+  // Returns true when this acceptance makes the round's value chosen.
   bool onAccepted(VoterIndex voter, const AcceptedValue& accepted) {
     auto& acceptedBy = acceptedBy_[accepted.ballot];
     return acceptedBy.insert(voter).second && acceptedBy.size() == majorityOf(voters_);
@@ -63,22 +63,23 @@
   std::map<Ballot, std::set<VoterIndex>> acceptedBy_;
 };
 
+// One simulated fleet with its operators, clients and faults.
 class SimulatedWorld {
  public:
-  // What simulate() returns where no property broke and some machine was not finished in time.
-  static constexpr std::string_view kNotFinished = "the work was not done";
+  // The result of simulate() if no property was violated but a machine was not finished in time.
+  static constexpr std::string_view kNotFinished = "maintenance was not finished in time";
 
   SimulatedWorld(std::uint64_t seed, InjectedFault injectedFault, Totals& totals);
 
-  // Runs until all machines are finished, or a property breaks, or the time is over. Faults end long before.
-  // Returns what went wrong; empty: nothing.
+  // Runs until all machines are finished, a property is violated, or the simulated time ends. Faults end long
+  // before that. Returns what went wrong, or an empty string on success.
   std::string simulate();
 
  private:
   static constexpr std::size_t kRouters = 5, kVoters = 3, kMachines = 2;
   static constexpr Duration kSimulatedTime = Duration::millis(300'000), kFaultTime = Duration::millis(90'000);
   static constexpr Duration kDeadline = Duration::millis(1000), kRetention = Duration::millis(12'000);
-  static constexpr Instant kBegin = Instant::atMicros(1'000'000'000);
+  static constexpr Instant kStartTime = Instant::atMicros(1'000'000'000);
 
   struct Event {
     Instant due;
@@ -96,7 +97,7 @@
   struct Process {
     bool isUp = false, isStalled = false;
     std::uint64_t processId = 0, draw = 0, incarnation = 0;
-    Instant abstainsUntil;  // of a voter that lost its disk
+    Instant abstainsUntil;  // set for a voter that lost its disk
     std::optional<PlanView> planView;
     std::optional<Lease> lease;
     std::optional<Acceptor> acceptor;
@@ -104,31 +105,33 @@
     std::optional<membership::FailureDetector> failureDetector;
     std::optional<membership::MembershipView> view;
     std::optional<MaintenanceLeader> leader;
-    std::vector<std::function<void()>> queued;  // while it is stalled
+    std::vector<std::function<void()>> queued;  // actions that arrived while the process is stalled
     std::uint64_t drainedVersion = 0, heartbeatNumber = 0;
     Instant heartbeatSentAt;
-    std::map<std::size_t, std::uint64_t> reportedVersions;  // of the failure detector, by router
-    std::map<std::size_t, Ballot> reportedBallots;          // of the accepted value, by router
-    std::vector<std::string> inFlight;                      // the node of each attempt
+    std::map<std::size_t, std::uint64_t> reportedVersions;  // of failure detector reports, by router
+    std::map<std::size_t, Ballot> reportedBallots;          // of accepted values, by router
+    std::vector<std::string> inFlight;                      // target node of each attempt
   };
-  // What a router sends to a voter.
+  // A heartbeat that a router sends to a voter.
   struct Heartbeat {
     membership::MemberProgress progress;
     std::uint64_t draw = 0, incarnation = 0, number = 0, processId = 0;
   };
 
-  // --- Time and chance
+  // --- Time and randomness
   static Bounds bounds();
-  void after(Duration delay, std::function<void()> action);
-  double fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  std::size_t pick(std::size_t count) { return random_() % count; }
-  Duration pickMillis(std::size_t count) { return Duration::millis(static_cast<std::int64_t>(pick(count))); }
+  void schedule(Duration delay, std::function<void()> action);
+  double randomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  std::size_t randomBelow(std::size_t count) { return random_() % count; }
+  Duration randomMillis(std::size_t count) {
+    return Duration::millis(static_cast<std::int64_t>(randomBelow(count)));
+  }
   // A router's own monotonic clock.
-  Instant clock(std::size_t router) const { return kBegin + (now_ - kBegin) * clockRates_[router]; }
-  std::int64_t elapsedMillis() const { return (now_ - kBegin).inMicros() / 1000; }
+  Instant clock(std::size_t router) const { return kStartTime + (now_ - kStartTime) * clockRates_[router]; }
+  std::int64_t elapsedMillis() const { return (now_ - kStartTime).inMicros() / 1000; }
   void fail(const std::string& property);
-  // The state of all routers, on the standard error stream.
-  void trace();
+  // Prints the state of all routers to the standard error stream.
+  void printState();
 
   // --- Processes
   static std::string name(std::size_t router) { return "r" + std::to_string(router); }
@@ -136,15 +139,15 @@
   void startVoter(std::size_t voter, Process& process);
   void kill(std::size_t router);
   void resume(std::size_t router);
-  // On that process, as it is then: one that was killed meanwhile does nothing, one that is stalled does it
-  // later.
+  // Runs the action on the process. A process that has been killed drops it, and a stalled one queues it.
   void run(std::size_t router, std::uint64_t processId, std::function<void()> action);
-  // A message from one router to another: in order on each link, lost with the link.
+  // Delivers a message from one router to another. Messages on a link stay in order, and are lost if the link
+  // is cut.
   void deliver(std::size_t from, std::size_t to, std::function<void()> action);
 
-  // --- Turns
-  void keepTurning(std::size_t router);
-  void endTurn(std::size_t router);
+  // --- Event loop iterations
+  void scheduleIterations(std::size_t router);
+  void runIteration(std::size_t router);
   void sendHeartbeats(std::size_t router, const membership::MemberProgress& progress);
   void onHeartbeat(std::size_t voter, std::size_t router, const Heartbeat& heartbeat);
   void onAccepted(std::size_t router, std::size_t voter, const AcceptedValue& accepted);
@@ -158,22 +161,22 @@
   void onPrepare(std::size_t voter, std::size_t proposer, const Ballot& ballot);
   void onAccept(std::size_t voter, std::size_t proposer, const AcceptedValue& proposed);
   void handleOutcome(std::size_t voter, std::size_t proposer, const Acceptor::RequestOutcome& outcome);
-  // The write that `proposer` waits for has ended. `isOnDisk`: it surely has reached the disk.
+  // Completes the write that `proposer` waits for. `isOnDisk`: whether it is certain to be on disk.
   void onWritten(std::size_t voter, std::size_t proposer, const std::string& acceptorState, bool isOnDisk);
   void replyWritten(std::size_t voter, std::size_t proposer);
   void onAcceptorReply(std::size_t proposer, std::size_t voter, const Acceptor::AcceptorReply& reply);
 
   // --- Properties
   void onDurablyAccepted(std::size_t voter, const AcceptedValue& accepted);
-  // Whether each chosen version follows from the one before, in the order of ballots.
+  // Checks that the chosen versions increase in ballot order.
   bool checkOrder(const AcceptedValue& chosen);
   void checkChosenPlan();
   void traceChosenPlan(const Ballot& ballot) const;
 
   // --- Operators and clients
   void requestMaintenance();
-  // The operator does the work on a machine that was released, and reports it as done.
-  void workOn(const std::string& machine);
+  // Simulates the operator's work on a released machine, and reports it as done after a random delay.
+  void scheduleCompletion(const std::string& machine);
   void sendAttempts();
   void send(std::size_t router, const std::string& node);
 
@@ -191,7 +194,7 @@
   Totals& totals_;
   ChosenValueMonitor monitor_;
   Bounds bounds_;
-  Instant now_ = kBegin;
+  Instant now_ = kStartTime;
   std::uint64_t eventNumber_ = 0, lastProcessId_ = 0;
   std::priority_queue<Event> events_;
   std::vector<std::string> nodes_;
@@ -206,7 +209,7 @@
   std::map<Ballot, ValueVersion> chosenVersions_;
   Ballot newestBallot_;
   Plan chosenPlan_;
-  std::set<std::string> releasedNodes_, workBegun_;
+  std::set<std::string> releasedNodes_, startedWork_;
   std::size_t finishedMachines_ = 0;
   std::string brokenProperty_;
 };
--- a/tests/maintenance/simulated_world_faults.cpp
+++ b/tests/maintenance/simulated_world_faults.cpp
@@ -19,12 +19,12 @@
     machine.expectedDuration = Duration::millis(1000);
     request.machines.push_back(machine);
   }
-  requests_["order"] = request;
+  requests_["plan"] = request;
 }
 
-void SimulatedWorld::workOn(const std::string& machine) {
+void SimulatedWorld::scheduleCompletion(const std::string& machine) {
   ++totals_.released;
-  after(Duration::millis(200) + pickMillis(3000), [this, machine] {
+  schedule(Duration::millis(200) + randomMillis(3000), [this, machine] {
     OperatorRequest request;
     request.kind = OperatorRequest::Kind::done;
     request.requestedBy = "kim";
@@ -33,15 +33,15 @@
   });
 }
 
-// Every router sends attempts now and then, wherever it may by the plan that it knows.
+// Random routers send attempts to random nodes, as far as the plan that each router knows permits it.
 void SimulatedWorld::sendAttempts() {
   constexpr int kAttempts = 3;
   for (int attempt = 0; attempt < kAttempts; ++attempt) {
-    const std::size_t router = pick(kRouters);
-    const std::string node = nodes_[pick(nodes_.size())];
+    const std::size_t router = randomBelow(kRouters);
+    const std::string node = nodes_[randomBelow(nodes_.size())];
     run(router, routers_[router].processId, [this, router, node] { send(router, node); });
   }
-  after(Duration::millis(15), [this] { sendAttempts(); });
+  schedule(Duration::millis(15), [this] { sendAttempts(); });
 }
 
 void SimulatedWorld::send(std::size_t router, const std::string& node) {
@@ -50,55 +50,56 @@
   const bool hasLease = process.lease->until() != Instant() && clock(router) < process.lease->until();
   const bool needsLease = process.planView->leaseRequiredNodes().contains(node);
   if (needsLease && !hasLease && injectedFault_ != InjectedFault::sendWithoutLease) return;
-  // An incarnation that has reached no voter goes by the endpoint list, of which discovery was notified.
+  // An incarnation that has not reached a voter follows the endpoint list, which shows excluded nodes as
+  // draining since discovery was notified.
   if (process.planView->chosen().version == 0 && !hasLease && chosenPlan_.version > 0) return;
   ++totals_.attempts;
   if (releasedNodes_.contains(node)) {
     if (std::getenv("WORK_TRACE")) {
       std::cerr << name(router) << " sends to " << node << " at " << elapsedMillis() << ", lease " << hasLease
                 << ", next " << needsLease << "\n";
-      trace();
+      printState();
     }
-    return fail("a txn came to a node that was told free");
+    return fail("a transaction was sent to a released node");
   }
   process.inFlight.push_back(node);
-  after(Duration::millis(5) + pickMillis(pick(20) == 0 ? 990 : 40),
-        [this, router, node, processId = process.processId] {
-          Process& later = routers_[router];
-          if (later.processId != processId) return;
-          const auto attempt = std::find(later.inFlight.begin(), later.inFlight.end(), node);
-          if (attempt != later.inFlight.end()) later.inFlight.erase(attempt);
-        });
+  schedule(Duration::millis(5) + randomMillis(randomBelow(20) == 0 ? 990 : 40),
+           [this, router, node, processId = process.processId] {
+             Process& later = routers_[router];
+             if (later.processId != processId) return;
+             const auto attempt = std::find(later.inFlight.begin(), later.inFlight.end(), node);
+             if (attempt != later.inFlight.end()) later.inFlight.erase(attempt);
+           });
 }
 
 // --- Faults
 
 void SimulatedWorld::injectFault() {
-  if (now_ - kBegin > kFaultTime) return endAllFaults();
-  const std::size_t router = pick(kRouters), voter = pick(kVoters);
-  const Duration length = pickMillis(pick(3) == 0 ? 15'000 : 3000);
+  if (now_ - kStartTime > kFaultTime) return endAllFaults();
+  const std::size_t router = randomBelow(kRouters), voter = randomBelow(kVoters);
+  const Duration duration = randomMillis(randomBelow(3) == 0 ? 15'000 : 3000);
   constexpr std::size_t kKinds = 7;
-  switch (pick(kKinds)) {
+  switch (randomBelow(kKinds)) {
     case 0:
-      killRouter(router, length);
+      killRouter(router, duration);
       break;
     case 1:
-      stallRouter(router, length);
+      stallRouter(router, duration);
       break;
     case 2:
     case 3:
-      cutLink(router, voter, length);
+      cutLink(router, voter, duration);
       break;
     case 4:
       losePower();
       break;
     case 5:
-      loseDisk(voter, length);
+      loseDisk(voter, duration);
       break;
     default:
       break;
   }
-  after(Duration::millis(500) + pickMillis(6000), [this] { injectFault(); });
+  schedule(Duration::millis(500) + randomMillis(6000), [this] { injectFault(); });
 }
 
 void SimulatedWorld::endAllFaults() {
@@ -114,7 +115,7 @@
 void SimulatedWorld::killRouter(std::size_t router, Duration downtime) {
   ++totals_.kills;
   kill(router);
-  after(downtime, [this, router] {
+  schedule(downtime, [this, router] {
     if (!routers_[router].isUp) start(router);
   });
 }
@@ -122,43 +123,43 @@
 void SimulatedWorld::stallRouter(std::size_t router, Duration pause) {
   ++totals_.stalls;
   routers_[router].isStalled = routers_[router].isUp;
-  after(pause, [this, router, processId = routers_[router].processId] {
+  schedule(pause, [this, router, processId = routers_[router].processId] {
     if (routers_[router].processId == processId) resume(router);
   });
 }
 
-// One way, or both.
+// Cuts the link in one direction, or in both.
 void SimulatedWorld::cutLink(std::size_t router, std::size_t voter, Duration outage) {
   ++totals_.cutLinks;
   cutLinks_.insert({router, voter});
-  if (pick(2) == 0) cutLinks_.insert({voter, router});
-  after(outage, [this, router, voter] {
+  if (randomBelow(2) == 0) cutLinks_.insert({voter, router});
+  schedule(outage, [this, router, voter] {
     cutLinks_.erase({router, voter});
     cutLinks_.erase({voter, router});
-    routers_[voter].reportedBallots.erase(router);  // a stream that is reopened
+    routers_[voter].reportedBallots.erase(router);  // the stream is reopened
     routers_[voter].reportedVersions.erase(router);
   });
 }
 
-// Of all routers.
+// Power loss of all routers at the same time.
 void SimulatedWorld::losePower() {
   ++totals_.powerLosses;
   for (std::size_t router = 0; router < kRouters; ++router) kill(router);
   for (std::size_t router = 0; router < kRouters; ++router)
-    after(pickMillis(3000), [this, router] {
+    schedule(randomMillis(3000), [this, router] {
       if (!routers_[router].isUp) start(router);
     });
 }
 
-// One disk at a time: a majority that lost their state is beyond what is promised. Its next incarnations
-// know of the loss, too, until the voter has accepted what is chosen.
+// Loses one disk at a time: the protocol does not tolerate the loss of state at a majority. Later
+// incarnations of the voter also know of the loss, until the voter has accepted the chosen value.
 void SimulatedWorld::loseDisk(std::size_t voter, Duration downtime) {
   if (std::any_of(disks_.begin(), disks_.begin() + kVoters, [](auto& disk) { return !disk.isComplete; }))
     return;
   ++totals_.diskLosses;
   kill(voter);
   disks_[voter] = {"", false};
-  after(downtime, [this, voter] {
+  schedule(downtime, [this, voter] {
     if (!routers_[voter].isUp) start(voter);
   });
 }
--- a/tests/maintenance/simulated_world_rounds.cpp
+++ b/tests/maintenance/simulated_world_rounds.cpp
@@ -43,11 +43,11 @@
   process.round->runTimers(now);
   if (const auto prepared = process.round->takePrepared()) propose(voter, fleet, *prepared);
   process.round->takeChosen();
-  // Every voter that sees something due begins a round: who leads is a matter of speed, not of safety.
+  // Every voter that finds a transition due starts a round: leadership affects only speed, not safety.
   const bool mustComplete = mayVote(voter) && !process.acceptor->isComplete();
   const bool isDue = process.leader->isDue(now, process.planView->chosen(), fleet) ||
                      hasPendingRequest(voter) || mustComplete;
-  if (!isDue || pick(1 + 3 * voter) != 0 || !process.round->begin(now)) return;
+  if (!isDue || randomBelow(1 + 3 * voter) != 0 || !process.round->begin(now)) return;
   const Ballot ballot = process.round->ballot();
   for (std::size_t other = 0; other < kVoters; ++other)
     deliver(voter, other, [this, voter, other, ballot] { onPrepare(other, voter, ballot); });
@@ -98,8 +98,8 @@
   if (injectedFault_ == InjectedFault::replyBeforeDurable)
     return onWritten(voter, proposer, acceptorState, false);
   Instant& last = diskBusyUntil_[voter];
-  last = std::max(last, now_ + Duration::millis(1) + pickMillis(20));
-  after(last - now_, [this, voter, proposer, acceptorState, processId = routers_[voter].processId] {
+  last = std::max(last, now_ + Duration::millis(1) + randomMillis(20));
+  schedule(last - now_, [this, voter, proposer, acceptorState, processId = routers_[voter].processId] {
     if (routers_[voter].processId == processId && routers_[voter].isUp)
       onWritten(voter, proposer, acceptorState, true);
   });
@@ -107,8 +107,8 @@
 
 void SimulatedWorld::onWritten(std::size_t voter, std::size_t proposer, const std::string& acceptorState,
                                bool isOnDisk) {
-  // A disk write goes on while its process is stalled; its reply waits.
-  if (isOnDisk || pick(4) > 0) disks_[voter].acceptorState = acceptorState;
+  // A disk write completes even while its process is stalled; the reply is delayed.
+  if (isOnDisk || randomBelow(4) > 0) disks_[voter].acceptorState = acceptorState;
   run(voter, routers_[voter].processId, [this, voter, proposer] { replyWritten(voter, proposer); });
 }
 
@@ -122,7 +122,7 @@
   onAccepted(voter, voter, accepted);
   for (auto& [router, reported] : process.reportedBallots)
     if (router != voter && reported != accepted.ballot &&
-        !(injectedFault_ == InjectedFault::latePlanReport && pick(2) == 0)) {
+        !(injectedFault_ == InjectedFault::latePlanReport && randomBelow(2) == 0)) {
       reported = accepted.ballot;
       deliver(voter, router, [this, voter, to = router, accepted] { onAccepted(to, voter, accepted); });
     }
@@ -155,42 +155,44 @@
 }
 
 bool SimulatedWorld::checkOrder(const AcceptedValue& chosen) {
-  const auto after = chosenVersions_.lower_bound(chosen.ballot);
-  const ValueVersion* before = after == chosenVersions_.begin() ? nullptr : &std::prev(after)->second;
-  const bool isLost = (before && *before > chosen.version) ||
-                      (after != chosenVersions_.end() && chosen.version > after->second);
-  if (isLost) fail("what was settled is lost");
-  const bool isDouble = before && before->version == chosen.version.version && *before != chosen.version;
-  if (isDouble) fail("two plans of one version");
-  return !isLost && !isDouble;
+  const auto successor = chosenVersions_.lower_bound(chosen.ballot);
+  const ValueVersion* predecessor =
+      successor == chosenVersions_.begin() ? nullptr : &std::prev(successor)->second;
+  const bool isLost = (predecessor && *predecessor > chosen.version) ||
+                      (successor != chosenVersions_.end() && chosen.version > successor->second);
+  if (isLost) fail("a chosen value is lost");
+  const bool isDuplicate =
+      predecessor && predecessor->version == chosen.version.version && *predecessor != chosen.version;
+  if (isDuplicate) fail("two different chosen plans have the same version");
+  return !isLost && !isDuplicate;
 }
 
 void SimulatedWorld::checkChosenPlan() {
-  std::map<char, std::size_t> awayByGroup;
+  std::map<char, std::size_t> unavailableByGroup;
   std::set<std::string> released;
   finishedMachines_ = 0;
   for (const auto& machine : chosenPlan_.machines) {
     finishedMachines_ += machine.phase == Phase::finished;
     const bool isReleased = machine.phase == Phase::released;
     for (const auto& node : machine.nodes) {
-      if (machine.phase != Phase::waiting && machine.phase != Phase::finished) ++awayByGroup[node[1]];
+      if (machine.phase != Phase::waiting && machine.phase != Phase::finished) ++unavailableByGroup[node[1]];
       if (isReleased) released.insert(node);
-      if (isReleased && node[0] == 'p') fail("a primary was told free");
+      if (isReleased && node[0] == 'p') fail("a primary was released");
     }
-    if (isReleased && workBegun_.insert(machine.name + std::to_string(machine.phaseVersion)).second)
-      workOn(machine.name);
+    if (isReleased && startedWork_.insert(machine.name + std::to_string(machine.phaseVersion)).second)
+      scheduleCompletion(machine.name);
   }
-  for (const auto& [group, count] : awayByGroup)
-    if (count > 1) fail("more of a group away than its budget");
+  for (const auto& [group, count] : unavailableByGroup)
+    if (count > 1) fail("more nodes of a group are unavailable than allowed");
   for (const Process& router : routers_)
     for (const auto& node : router.inFlight)
-      if (released.contains(node)) fail("a txn was out at a node that was told free");
+      if (released.contains(node)) fail("a transaction was in flight to a node when it was released");
   releasedNodes_ = std::move(released);
 }
 
 void SimulatedWorld::traceChosenPlan(const Ballot& ballot) const {
   if (!std::getenv("WORK_TRACE")) return;
-  std::cerr << elapsedMillis() << " chosen " << chosenPlan_.version << " by " << ballot.number;
+  std::cerr << elapsedMillis() << " chosen " << chosenPlan_.version << " in ballot " << ballot.number;
   for (const auto& machine : chosenPlan_.machines)
     std::cerr << " " << machine.name << "=" << nameOf(machine.phase) << "@" << machine.phaseVersion;
   std::cerr << "\n";
--- a/tests/order.cpp
+++ b/tests/order.cpp
@@ -1,6 +1,6 @@
-// The order of maintenance: machine by machine as scheduling has it, beside the best of all orders on small
-// fleets and the simplest (by name, one at a time) on large ones. Run as `order CASE`: prints what is
-// measured; the same for the same seeds.
+// Measures the total time of maintenance in the order that scheduling selects, compared with the best of all
+// orders on small fleets and with the simplest order (by name, one machine at a time) on large ones. Run as
+// `order CASE`: prints the measured times, which are the same for the same seeds.
 #include <algorithm>
 #include <functional>
 #include <iomanip>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// What a machine costs beside the work: notifying all routers, draining, and warming up afterwards.
+// Time per machine in addition to the work: notifying all routers, draining, and warming up afterwards.
 constexpr double kOverheadSeconds = 25;
 constexpr double kSecondsPerHour = 3600;
 
@@ -37,7 +37,7 @@
   return node;
 }
 
-// With up to three nodes of different groups.
+// Creates a machine with up to three nodes of different groups.
 Machine randomMachine(std::mt19937_64& random, std::size_t index, const FleetSize& size, FleetState& fleet) {
   Machine machine;
   machine.name = "m" + std::to_string(100 + index);
@@ -46,9 +46,10 @@
   for (std::size_t n = 0; n < 1 + random() % 3; ++n) {
     const std::string name = machine.name + "n" + std::to_string(n);
     const std::uint64_t group = random() % size.groups;
-    const bool isTwice = std::any_of(machine.nodes.begin(), machine.nodes.end(),
-                                     [&](const auto& other) { return fleet.nodes.at(other).group == group; });
-    if (isTwice) continue;
+    const bool hasGroup = std::any_of(machine.nodes.begin(), machine.nodes.end(), [&](const auto& other) {
+      return fleet.nodes.at(other).group == group;
+    });
+    if (hasGroup) continue;
     addServingNode(fleet, name, group);
     machine.nodes.push_back(name);
   }
@@ -69,10 +70,11 @@
   return world;
 }
 
-// Returns which machine begins next; null: none now.
+// Returns the machine that starts next, or null if none can start now.
 using Chooser = std::function<const Machine*(const Plan&)>;
 
-// Seconds until all machines are finished, in the order of the chooser; -1: some never are.
+// Returns the seconds until all machines are finished in the order of the chooser, or -1 if some never
+// finish.
 double totalSeconds(World world, const Chooser& choose) {
   double now = 0;
   std::map<std::string, double> endsAt;
@@ -98,7 +100,7 @@
   return [&world](const Plan& plan) { return nextMachine(plan, world.fleet, world.bounds, {}); };
 }
 
-// One at a time.
+// Selects the machines by name, one at a time.
 Chooser byName() {
   return [](const Plan& plan) -> const Machine* {
     for (const auto& machine : plan.machines)
@@ -109,7 +111,7 @@
   };
 }
 
-// The first in this order that nothing blocks.
+// Selects the first machine in the given order that is not blocked.
 Chooser inOrder(const World& world, const std::vector<std::size_t>& order) {
   return [&world, &order](const Plan& plan) -> const Machine* {
     std::size_t inProgress = 0;
@@ -130,7 +132,7 @@
   };
 }
 
-double secondsOfBestOrder(const World& world) {
+double bestOrderSeconds(const World& world) {
   std::vector<std::size_t> order(world.plan.machines.size());
   std::iota(order.begin(), order.end(), 0);
   double best = 1e18;
@@ -145,30 +147,31 @@
   for (std::uint64_t seed = 1; seed <= kFleets; ++seed) {
     World world = randomWorld(seed, {kMachines, 5, 1});
     world.bounds.maxMachinesInProgress = 3;
-    const double best = secondsOfBestOrder(world);
+    const double best = bestOrderSeconds(world);
     const double scheduled = totalSeconds(world, byScheduling(world)) / best;
     scheduledSum += scheduled;
     scheduledWorst = std::max(scheduledWorst, scheduled);
     byNameSum += totalSeconds(world, byName()) / best;
   }
-  std::cout << std::fixed << std::setprecision(3) << kFleets << " fleets of " << kMachines
-            << " machines in one zone, three at once, time of the whole by the best of all orders: taken "
-            << scheduledSum / kFleets << ", at worst " << scheduledWorst << "; by name, one at a time "
-            << byNameSum / kFleets << "\n";
+  std::cout
+      << std::fixed << std::setprecision(3) << kFleets << " fleets of " << kMachines
+      << " machines in one zone, three at once, total time relative to the best of all orders: scheduled "
+      << scheduledSum / kFleets << ", at worst " << scheduledWorst << "; by name, one at a time "
+      << byNameSum / kFleets << "\n";
 }
 
 void totalTimeOnLargeFleets() {
   constexpr std::size_t kFleets = 10;
-  for (const unsigned atOnce : {2u, 4u, 8u}) {
+  for (const unsigned maxInProgress : {2u, 4u, 8u}) {
     double scheduledHours = 0, byNameHours = 0;
     for (std::uint64_t seed = 1; seed <= kFleets; ++seed) {
       World world = randomWorld(seed, {60, 30, 3});
-      world.bounds.maxMachinesInProgress = atOnce;
+      world.bounds.maxMachinesInProgress = maxInProgress;
       scheduledHours += totalSeconds(world, byScheduling(world)) / kSecondsPerHour / kFleets;
       byNameHours += totalSeconds(world, byName()) / kSecondsPerHour / kFleets;
     }
     std::cout << std::fixed << std::setprecision(2)
-              << "60 machines with about 120 nodes of 30 groups in 3 zones, " << atOnce
+              << "60 machines with about 120 nodes of 30 groups in 3 zones, " << maxInProgress
               << " at once: " << scheduledHours << " hours; by name, one at a time " << byNameHours << "\n";
   }
 }
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -1,5 +1,5 @@
-// Which nodes drain, by endpoint lists that come in any order and by updates of other routers. Run as
-// `recovery CASE`: prints the case's trace.
+// Tests how a router determines which nodes are draining, from endpoint lists that arrive in any order and
+// from updates of other routers. Run as `recovery CASE`: prints the trace of the case.
 #include <iostream>
 #include <string>
 
@@ -15,23 +15,23 @@
   Health health;
 };
 
-const char* shown(Health health) {
-  constexpr const char* kHealth[] = {"live", "draining", "gone"};
+const char* nameOf(Health health) {
+  constexpr const char* kHealth[] = {"live", "draining", "removed"};
   return kHealth[static_cast<int>(health)];
 }
 
-const char* shown(EndpointUpdateKind kind) {
-  if (kind == EndpointUpdateKind::snapshot) return "list ";
-  return kind == EndpointUpdateKind::restored ? "from before " : "changes ";
+const char* nameOf(EndpointUpdateKind kind) {
+  if (kind == EndpointUpdateKind::snapshot) return "snapshot ";
+  return kind == EndpointUpdateKind::restored ? "restored " : "delta ";
 }
 
-// A registry of four nodes, whose updates are printed.
+// A registry of at most four nodes that prints each operation and its result.
 class PrintedRegistry {
  public:
   const DrainRegistry& registry() const { return registry_; }
-  std::size_t forgottenCount() { return registry_.takeForgotten().size(); }
+  std::size_t evictedCount() { return registry_.takeForgotten().size(); }
 
-  void list(EndpointUpdateKind kind, ListVersion version, const std::vector<ListedNode>& listed) {
+  void applyList(EndpointUpdateKind kind, ListVersion version, const std::vector<ListedNode>& listed) {
     std::vector<EndpointEntry> entries;
     for (const auto& [node, health] : listed) {
       entries.emplace_back();
@@ -41,19 +41,19 @@
     std::vector<EndpointEntry*> pointers;
     for (auto& entry : entries) pointers.push_back(&entry);
     const auto updates = registry_.applyList(kind, version, pointers);
-    std::cout << shown(kind) << version << ":";
+    std::cout << nameOf(kind) << version << ":";
     for (std::size_t i = 0; i < entries.size(); ++i) {
-      std::cout << " " << entries[i].node << " " << shown(listed[i].health);
+      std::cout << " " << entries[i].node << " " << nameOf(listed[i].health);
       if (entries[i].health != listed[i].health)
-        std::cout << " (taken as " << shown(entries[i].health) << ")";
+        std::cout << " (changed to " << nameOf(entries[i].health) << ")";
     }
     for (const auto& update : updates)
-      std::cout << "; told: " << update.node << (update.isDraining ? " leaves" : " stays");
+      std::cout << "; notified: " << update.node << (update.isDraining ? " draining" : " live");
     std::cout << "\n";
   }
-  void learn(const NodeId& node, ListVersion version, bool isDraining) {
-    std::cout << "learnt: " << node << (isDraining ? " leaves by " : " stays by ") << version
-              << (registry_.learn({node, version, isDraining}) ? ", news" : ", no news") << "\n";
+  void applyUpdate(const NodeId& node, ListVersion version, bool isDraining) {
+    std::cout << "update: " << node << (isDraining ? " draining at " : " live at ") << version
+              << (registry_.learn({node, version, isDraining}) ? ", changed" : ", unchanged") << "\n";
   }
 
  private:
@@ -63,28 +63,28 @@
 void printDrainsTrace() {
   PrintedRegistry drains;
   using enum Health;
-  drains.list(EndpointUpdateKind::snapshot, 5, {{"a", live}, {"b", live}});
-  drains.list(EndpointUpdateKind::delta, 6, {{"a", draining}});
-  drains.list(EndpointUpdateKind::delta, 6, {{"a", live}});
-  drains.list(EndpointUpdateKind::snapshot, 5, {{"a", live}, {"b", live}});
-  drains.list(EndpointUpdateKind::restored, 9, {{"a", live}});
-  drains.list(EndpointUpdateKind::snapshot, 7, {{"a", live}, {"b", live}});
-  std::cout << "-- one that a newer list leaves out; an older list that names it\n";
-  drains.list(EndpointUpdateKind::snapshot, 8, {{"a", live}});
-  drains.list(EndpointUpdateKind::snapshot, 7, {{"a", live}, {"b", live}});
-  std::cout << "-- news of others: older, of the same list, newer; twice\n";
-  drains.learn("a", 7, true);
-  drains.learn("a", 8, false);
-  drains.learn("a", 8, true);
-  drains.learn("a", 8, true);
-  drains.learn("c", 12, true);
-  drains.list(EndpointUpdateKind::snapshot, 10, {{"a", live}, {"c", live}});
-  drains.list(EndpointUpdateKind::snapshot, 13, {{"a", live}, {"c", live}});
-  std::cout << "-- more than are remembered: the oldest go\n";
-  for (const char* node : {"d", "e", "f"}) drains.learn(node, 20, true);
-  std::cout << "remembered " << drains.registry().all().size() << ", b leaves "
+  drains.applyList(EndpointUpdateKind::snapshot, 5, {{"a", live}, {"b", live}});
+  drains.applyList(EndpointUpdateKind::delta, 6, {{"a", draining}});
+  drains.applyList(EndpointUpdateKind::delta, 6, {{"a", live}});
+  drains.applyList(EndpointUpdateKind::snapshot, 5, {{"a", live}, {"b", live}});
+  drains.applyList(EndpointUpdateKind::restored, 9, {{"a", live}});
+  drains.applyList(EndpointUpdateKind::snapshot, 7, {{"a", live}, {"b", live}});
+  std::cout << "-- a node omitted from a newer list, then listed in an older one\n";
+  drains.applyList(EndpointUpdateKind::snapshot, 8, {{"a", live}});
+  drains.applyList(EndpointUpdateKind::snapshot, 7, {{"a", live}, {"b", live}});
+  std::cout << "-- updates from other routers: older, same list, newer; duplicates\n";
+  drains.applyUpdate("a", 7, true);
+  drains.applyUpdate("a", 8, false);
+  drains.applyUpdate("a", 8, true);
+  drains.applyUpdate("a", 8, true);
+  drains.applyUpdate("c", 12, true);
+  drains.applyList(EndpointUpdateKind::snapshot, 10, {{"a", live}, {"c", live}});
+  drains.applyList(EndpointUpdateKind::snapshot, 13, {{"a", live}, {"c", live}});
+  std::cout << "-- more nodes than are stored: the oldest are evicted\n";
+  for (const char* node : {"d", "e", "f"}) drains.applyUpdate(node, 20, true);
+  std::cout << "stored " << drains.registry().all().size() << ", b draining "
             << drains.registry().isDraining("b") << ", newest list " << drains.registry().newest()
-            << ", forgotten " << drains.forgottenCount() << "\n";
+            << ", evicted " << drains.evictedCount() << "\n";
 }
 
 }  // namespace
