--- a/src/maintenance/fleet_state.h
+++ b/src/maintenance/fleet_state.h
@@ -46,7 +46,7 @@
 
 // Time after a router has lost its lease during which one of its attempts may still be in flight: the longest
 // deadline of a transaction class plus the age of the last heartbeat reply. Replies arrive once per second,
-// and a stream is closed after three unanswered heartbeats.
+// and a stream is closed after three seconds without a reply to a heartbeat.
 constexpr Duration fenceDurationFor(Duration longestDeadline) {
   return longestDeadline + Duration::millis(5'000);
 }
