--- a/src/protocol/ext_proc/messages.cpp
+++ b/src/protocol/ext_proc/messages.cpp
@@ -12,7 +12,8 @@
 using wire::ProcessingRequest;
 using wire::ProcessingResponse;
 
-// In one message: its bytes are bounded elsewhere, and an empty header takes two of them.
+// Maximum per message. The size of a message is limited elsewhere, but an empty header occupies only two
+// bytes.
 constexpr int kMaxHeaders = 1000;
 
 std::string toLower(std::string_view name) {
@@ -42,9 +43,9 @@
   for (const auto& name : removed) mutation.add_remove_headers(name);
 }
 
-// Sets the phase of a message of either side, and returns its headers; null for the phases that have none.
+// Sets the phase of a request or response message. Returns its headers, or null for phases without headers.
 template <typename Message>
-auto begin(Message& message, Phase phase) -> decltype(message.mutable_request_headers()) {
+auto setPhase(Message& message, Phase phase) -> decltype(message.mutable_request_headers()) {
   switch (phase) {
     case Phase::requestHeaders:
       return message.mutable_request_headers();
@@ -103,11 +104,11 @@
 
 std::string continued(Phase phase, const Headers& set, const std::vector<std::string>& removed) {
   ProcessingResponse message;
-  auto* headers = begin(message, phase);
+  auto* headers = setPhase(message, phase);
   if (headers && (!set.empty() || !removed.empty())) {
     auto& response = *headers->mutable_response();
     write(*response.mutable_header_mutation(), set, removed);
-    // A header names the endpoint: a route that was chosen before is to be chosen again.
+    // A header names the endpoint, so a route that the proxy selected earlier must be selected again.
     if (phase == Phase::requestHeaders) response.set_clear_route_cache(true);
   }
   return message.SerializeAsString();
@@ -134,7 +135,7 @@
 std::string request(const Request& request, bool raw) {
   ProcessingRequest message;
   message.set_observability_mode(request.wantsNoAnswer);
-  auto* headers = begin(message, request.phase);
+  auto* headers = setPhase(message, request.phase);
   if (headers) {
     for (const auto& [name, value] : request.headers) {
       auto& header = *headers->mutable_headers()->add_headers();
--- a/src/protocol/ext_proc/messages.h
+++ b/src/protocol/ext_proc/messages.h
@@ -1,5 +1,5 @@
-// Messages between a proxy and an external processor, by the public ext_proc interface: read into and written
-// from values. The only place that knows their form.
+// Codec for the messages of the public ext_proc interface between a proxy and an external processor. No other
+// module depends on their wire format.
 #pragma once
 
 #include <stdexcept>
@@ -15,13 +15,13 @@
 // The gRPC method that proxies call.
 constexpr std::string_view kMethod = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
 
-// Bytes that are no message of the interface.
+// Bytes that are not a valid ext_proc message.
 class Malformed : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Which part of the HTTP exchange a message is about.
+// The part of the HTTP exchange that a message is about.
 enum class Phase {
   none,
   requestHeaders,
@@ -32,49 +32,53 @@
   responseTrailers
 };
 
-// Names are in lower case.
+// An HTTP header. Names that are read from a request are in lower case.
 struct Header {
   std::string name, value;
   bool operator==(const Header&) const = default;
 };
 using Headers = std::vector<Header>;
 
-// A message of the proxy.
+// A message from the proxy.
 struct Request {
   Phase phase = Phase::none;
-  Headers headers;             // of the two phases that have any
-  bool wantsNoAnswer = false;  // the proxy only reports what passes
+  Headers headers;             // only in the two header phases
+  bool wantsNoAnswer = false;  // observability mode: the proxy expects no response
 };
 
-// Throws Malformed. Unknown fields are skipped; of a header's two forms of value the raw one counts if it is
-// there.
+// Decodes a message from the proxy. Throws Malformed. Unknown fields are skipped. If a header has both forms
+// of value, the raw one takes precedence.
 Request readRequest(std::string_view bytes);
 
-// The answer by which the phase goes on, with these headers in place of any of their names.
+// Encodes a response that continues the phase. `set` replaces any headers of the same names; headers named in
+// `removed` are removed.
 std::string continued(Phase phase, const Headers& set = {}, const std::vector<std::string>& removed = {});
-// An answer to the proxy's client, which ends the exchange.
+// A response that the proxy sends to its client and that ends the exchange.
 struct Immediate {
   int status = 500;
   Headers headers;
   std::string body, details;
 };
+// Encodes an immediate response.
 std::string answered(const Immediate& answer);
-// The proxy is asked to wait so long, from now, for the answer to the same phase; in whole microseconds.
+// Encodes a message that sets the proxy's timeout for the response to the current phase, counted from now.
+// The time is sent in whole microseconds.
 std::string wait(Duration time);
 
-// --- The proxy's side, for fake servers and tests.
+// --- The proxy's end, for fake servers and tests
 
-// `raw`: the form of the header values.
+// Encodes a message from the proxy. `raw` selects raw_value rather than value for the header values.
 std::string request(const Request& request, bool raw = true);
-// The processor's answer, as the proxy's side reads it.
+// A message from the processor, as decoded by the proxy.
 struct Response {
-  Phase phase = Phase::none;  // that goes on
+  Phase phase = Phase::none;  // the phase that continues
   Headers set;
   std::vector<std::string> removed;
   bool isImmediate = false;
   Immediate immediate;
-  Duration wait;  // zero: not requested
+  Duration wait;  // the requested timeout; zero: not requested
 };
+// Decodes a message from the processor. Throws Malformed.
 Response readResponse(std::string_view bytes);
 
 }  // namespace gulltrestle::ext_proc
--- a/src/protocol/grpc/server_calls.cpp
+++ b/src/protocol/grpc/server_calls.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The prefix of a message: a flag that it is compressed, and its length in four bytes.
+// Message prefix: one byte for the compressed flag and four bytes for the message length.
 constexpr std::size_t kPrefixBytes = 5;
 
 std::string_view valueOf(const http2::Headers& headers, std::string_view name) {
@@ -15,7 +15,7 @@
   return at == headers.end() ? std::string_view() : std::string_view(at->second);
 }
 
-// The text of a status is percent-encoded.
+// Encodes a grpc-message value, which gRPC requires to be percent-encoded.
 std::string percentEncoded(std::string_view text) {
   std::string out;
   for (const char c : text) {
@@ -68,7 +68,7 @@
 }
 
 void ServerCalls::headers(http2::StreamId id, http2::Headers headers) {
-  if (calls_.contains(id)) return;  // trailers, which have no use here
+  if (calls_.contains(id)) return;  // trailers, which are not used here
   if (valueOf(headers, ":method") != "POST" ||
       !valueOf(headers, "content-type").starts_with("application/grpc"))
     return session_.respondAndEnd(id, {{":status", "415"}});
--- a/src/protocol/grpc/server_calls.h
+++ b/src/protocol/grpc/server_calls.h
@@ -1,5 +1,6 @@
-// The server's side of gRPC on one HTTP/2 connection, without a socket: streaming calls of one method.
-// Messages are cut out of the data and handed on whole. By the public description of gRPC over HTTP/2.
+// Server end of gRPC on one HTTP/2 connection, without a socket. Serves streaming calls of one method and
+// delivers complete messages, reassembled from DATA frames. Follows the public specification of gRPC over
+// HTTP/2.
 #pragma once
 
 #include <map>
@@ -13,7 +14,7 @@
 
 using CallId = http2::StreamId;
 
-// The status codes of gRPC that are sent here.
+// The gRPC status codes that are sent here.
 enum class Status {
   ok = 0,
   cancelled = 1,
@@ -31,11 +32,11 @@
   virtual ~CallHandler() = default;
   virtual void opened(CallId call) = 0;
   virtual void message(CallId call, std::string_view bytes) = 0;
-  // The client sends no more.
+  // The client has half-closed the call: it sends no more messages.
   virtual void halfClosed(CallId call) = 0;
-  // Reported once for each call that was opened, however it ended: nothing sent for it arrives any more.
-  // `wasBrokenOff`: by the other side, or its connection is gone.
-  virtual void ended(CallId call, bool wasBrokenOff) = 0;
+  // Called exactly once for each opened call, however it ended. Messages sent for the call afterwards are
+  // dropped. `wasAborted`: the client reset the call or the connection was lost.
+  virtual void ended(CallId call, bool wasAborted) = 0;
 };
 
 // Limits on one connection and its messages.
@@ -44,13 +45,13 @@
   std::size_t maxMessageBytes = 64 * 1024;
 };
 
-// The calls on one connection. Calls of other methods than the one that is given end as unimplemented. Not
-// thread-safe; the handler must outlive it.
+// The calls on one connection. Calls of any method other than `method` are finished with
+// Status::unimplemented. Not thread-safe; the handler must outlive it.
 class ServerCalls final : private http2::Handler {
  public:
   ServerCalls(std::string method, Bounds bounds, CallHandler& handler);
 
-  // These are those of http2::Session.
+  // These forward to http2::Session.
   bool received(Instant now, std::string_view bytes) { return session_.received(now, bytes); }
   std::string output() { return session_.output(); }
   bool done() const { return session_.done(); }
@@ -59,15 +60,16 @@
   // The number of open calls.
   std::size_t open() const { return calls_.size(); }
 
+  // Sends a message; ignored if the call is finished or closed.
   void send(CallId call, std::string_view message);
-  // Ends the call, after what was sent.
+  // Finishes the call after all messages sent before.
   void finish(CallId call, Status status, std::string_view text = {});
 
  private:
   struct Call {
-    std::string received;     // of a message that is incomplete
-    bool hasAnswer = false;   // its response headers were sent
-    bool isFinished = false;  // by this side
+    std::string received;     // bytes of an incomplete message
+    bool hasAnswer = false;   // the response headers were sent
+    bool isFinished = false;  // by the server
   };
   void headers(http2::StreamId stream, http2::Headers headers) override;
   void data(http2::StreamId stream, std::string_view bytes) override;
@@ -82,16 +84,16 @@
   http2::Session session_;
 };
 
-// A message with its length prefix.
+// Returns the message with its length prefix.
 std::string framed(std::string_view message);
-// What stands at the front of a sequence of framed messages.
+// The state of the first message in a sequence of framed messages.
 enum class FrameStatus {
-  incomplete,  // no whole message yet
+  incomplete,  // the message is not complete yet
   complete,
-  tooLong,    // longer than is allowed
-  compressed  // which is not supported
+  tooLong,    // longer than the limit
+  compressed  // not supported
 };
-// Takes a complete message off the front of `bytes`; in all other cases these stay as they are.
+// Removes the first message from `bytes` if it is complete; otherwise leaves `bytes` unchanged.
 FrameStatus takeMessage(std::string_view& bytes, std::size_t maxBytes, std::string_view& message);
 
 }  // namespace gulltrestle::grpc
--- a/src/protocol/http1/response.cpp
+++ b/src/protocol/http1/response.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// No head that discovery sends comes near; bounds the memory that a hostile one can occupy.
+// Well above any response head that discovery sends; bounds the memory that a hostile one can occupy.
 constexpr std::size_t kMaxHeadBytes = 16 * 1024;
-// `HTTP/1.x SSS`, at the start of the status line.
+// The status line starts with `HTTP/1.x SSS`.
 constexpr std::string_view kVersionPrefix = "HTTP/1.";
 constexpr std::size_t kStatusPosition = 9, kStatusDigits = 3;
 
@@ -26,7 +26,7 @@
   return lower;
 }
 
-// `fault`: of the error where the text is no number.
+// Throws Malformed with the text `fault` if `text` is not a number.
 std::size_t parseNumber(std::string_view text, int base, const char* fault) {
   std::size_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
@@ -50,7 +50,7 @@
 }
 
 void Response::takeBody(std::string_view& slice, const OnBody& onBody) {
-  const bool isLengthKnown = state_ != State::bodyToEnd;
+  const bool isLengthKnown = state_ != State::bodyUntilClose;
   const auto part = slice.substr(0, isLengthKnown ? remainingBytes_ : slice.size());
   slice.remove_prefix(part.size());
   if (isLengthKnown) remainingBytes_ -= part.size();
@@ -59,12 +59,13 @@
   if (remainingBytes_ == 0 && state_ == State::chunk) state_ = State::chunkEnd;
 }
 
-// True once the line is complete in line_, without its end.
+// Appends to line_ up to the end of the line. Returns true once line_ holds a complete line without its
+// terminator.
 bool Response::takeLine(std::string_view& slice) {
   const auto end = slice.find('\n');
   const auto part = slice.substr(0, std::min(end, slice.size()));
   lineBytes_ += part.size() + 1;
-  if (lineBytes_ > kMaxHeadBytes) throw Malformed("the head is too long");
+  if (lineBytes_ > kMaxHeadBytes) throw Malformed("the response head is too long");
   line_ += part;
   slice.remove_prefix(end == std::string_view::npos ? slice.size() : end + 1);
   if (end == std::string_view::npos) return false;
@@ -80,13 +81,12 @@
     case State::header:
       return line.empty() ? endHead() : readHeader(line);
     case State::chunkSize:
-      remainingBytes_ =
-          parseNumber(trim(line.substr(0, line.find(';'))), 16, "a chunk's length is no number");
+      remainingBytes_ = parseNumber(trim(line.substr(0, line.find(';'))), 16, "a chunk size is not a number");
       state_ = remainingBytes_ == 0 ? State::trailer : State::chunk;
       lineBytes_ = 0;
       return;
     case State::chunkEnd:
-      if (!line.empty()) throw Malformed("a chunk is longer than it said");
+      if (!line.empty()) throw Malformed("a chunk is longer than its stated size");
       state_ = State::chunkSize;
       return;
     default:  // trailer
@@ -97,9 +97,9 @@
 void Response::readStatusLine(std::string_view line) {
   if (line.size() < kStatusPosition + kStatusDigits || !line.starts_with(kVersionPrefix) ||
       line[kStatusPosition - 1] != ' ')
-    throw Malformed("the first line is no status line");
+    throw Malformed("the first line is not a status line");
   const std::string_view status = line.substr(kStatusPosition, kStatusDigits);
-  status_ = static_cast<int>(parseNumber(status, 10, "the status is no number"));
+  status_ = static_cast<int>(parseNumber(status, 10, "the status code is not a number"));
   state_ = State::header;
 }
 
@@ -111,7 +111,7 @@
   if (onHeader) onHeader(name, value);
   if (name == "transfer-encoding") isChunked_ = toLower(value) == "chunked";
   if (name != "content-length") return;
-  remainingBytes_ = parseNumber(value, 10, "the length is no number");
+  remainingBytes_ = parseNumber(value, 10, "the value of Content-Length is not a number");
   hasLength_ = true;
 }
 
@@ -121,7 +121,7 @@
   else if (hasLength_)
     state_ = remainingBytes_ == 0 ? State::done : State::body;
   else
-    state_ = State::bodyToEnd;
+    state_ = State::bodyUntilClose;
   lineBytes_ = 0;
 }
 
--- a/src/protocol/http2/session.cpp
+++ b/src/protocol/http2/session.cpp
@@ -10,29 +10,31 @@
 
 namespace {
 
-// Frames that carry no work of a transaction (pings, settings, priorities, windows, resets, empty data): a
-// token bucket allows so many at once, and so many per second after that. Guards the one thread against a
-// peer that keeps it busy with them, whichever kind it sends. A proxy sends a window for some data, and a
-// ping every few seconds: a hundredth of this. May hurt a proxy that abandons thousands of requests in the
-// same second; its connection then ends, and with it the requests that it had not abandoned.
+// Token bucket for frames that carry no work of a transaction: PING, SETTINGS, PRIORITY, WINDOW_UPDATE,
+// RST_STREAM and empty DATA. kMaxAllowance is its size in frames, kAllowancePerSecond its refill rate.
+// Prevents a peer from keeping the only thread busy with such frames, whichever kind it sends. A proxy sends
+// a WINDOW_UPDATE for some of the data and a PING every few seconds: a hundredth of this rate. Trade-off: if
+// a proxy abandons thousands of requests within one second, its connection is closed, and with it the
+// requests that it did not abandon.
 constexpr double kMaxAllowance = 8000, kAllowancePerSecond = 2000;
-// A frame that opens a stream earns what may go with it; one that resets the stream costs more than that, so
-// that opening and resetting is bounded, too.
+// A HEADERS frame adds to the allowance, for the other frames that belong to its stream. A RST_STREAM costs
+// more than that, so that the rate of opening and resetting streams is bounded, too.
 constexpr double kAllowancePerStream = 1, kCostOfReset = 2, kCostOfFrame = 1;
 
-// Acknowledgements that wait for the peer to read them. A peer with more never reads.
+// Acknowledgements queued until the peer reads them. A peer that exceeds this does not read at all.
 constexpr std::size_t kMaxPendingAcks = 64;
-// In one frame: six settings are defined.
+// Maximum number of entries in one SETTINGS frame; six settings are defined.
 constexpr std::size_t kMaxSettings = 16;
-// The table for header compression, each way: the initial size of the standard, which is never raised.
+// Header compression table size in each direction: the initial size of the standard, which is never raised.
 constexpr std::uint32_t kHeaderTableBytes = 4096;
-// A message of a stream is 64 KiB at most: a window of twice that lets one be in transit.
+// A message on a stream has at most 64 KiB; a window of twice that size lets one message be in transit.
 constexpr std::int32_t kStreamWindowBytes = 128 * 1024;
-// All streams of a connection share its window: what comes is handled at once, so a large one costs nothing.
+// All streams of a connection share its window. Received data is processed immediately, so that a large
+// window costs nothing.
 constexpr std::int32_t kConnectionWindowBytes = kStreamWindowBytes * 8;
-// That a header field counts beyond its name and value (RFC 9113, section 10.5.1).
+// Overhead that each header field counts in addition to its name and value (RFC 9113, section 10.5.1).
 constexpr std::size_t kFieldOverheadBytes = 32;
-// No limit of nghttp2's own: the allowance bounds resets together with other frames.
+// Disables nghttp2's own limit: the allowance bounds resets together with the other frames.
 constexpr std::uint64_t kUnlimitedResets = 1u << 30;
 
 std::vector<nghttp2_nv> fieldsOf(const Headers& headers) {
@@ -48,12 +50,12 @@
 
 }  // namespace
 
-// The callbacks of nghttp2, which gets the session as `user`.
+// The nghttp2 callbacks. Their `user` argument is the Session.
 struct Session::Callbacks {
   static Session& self(void* user) { return *static_cast<Session*>(user); }
 
-  // Calls code that may throw (for lack of memory) from within the library, which knows no exceptions: the
-  // connection ends, the program goes on.
+  // Calls code that may throw (when memory runs out) from a callback of nghttp2, which does not support
+  // exceptions. An exception fails the connection; the process continues.
   template <typename Call>
   static int guarded(void* user, Call call) {
     try {
@@ -74,7 +76,7 @@
     });
   }
 
-  // Guards against header blocks that decompress into far more bytes than were received.
+  // Rejects header blocks that decompress into far more bytes than were received.
   static int header(nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name,
                     std::size_t nameSize, const std::uint8_t* value, std::size_t valueSize, std::uint8_t,
                     void* user) {
@@ -116,13 +118,14 @@
     });
   }
 
-  // A complete response is sent while the other side may still send: a reset tells it that nothing more is
-  // read, and frees the stream. Guards the bound on streams against those that are answered and never ended.
+  // Resets a stream whose complete response was sent while the client may still send: the reset tells the
+  // client that nothing more is read, and frees the stream. Otherwise streams that are answered but never
+  // ended by the client would use up the limit on open streams.
   static int sent(nghttp2_session* session, const nghttp2_frame* frame, void* user) {
-    const bool endsStream = (frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA) &&
-                            (frame->hd.flags & NGHTTP2_FLAG_END_STREAM);
+    const bool hasEndStream = (frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA) &&
+                              (frame->hd.flags & NGHTTP2_FLAG_END_STREAM);
     const StreamId id = frame->hd.stream_id;
-    if (endsStream && self(user).side_ == Side::server &&
+    if (hasEndStream && self(user).perspective_ == Side::server &&
         nghttp2_session_get_stream_remote_close(session, id) == 0)
       nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, id, NGHTTP2_NO_ERROR);
     return 0;
@@ -149,7 +152,7 @@
     stream->unsent.erase(0, taken);
     owner.unsentBytes_ -= taken;
     if (!stream->unsent.empty()) return static_cast<ssize_t>(taken);
-    if (stream->isEnding) {
+    if (stream->hasQueuedEnd) {
       *flags |= NGHTTP2_DATA_FLAG_EOF;
       if (!stream->trailers.empty()) {
         *flags |= NGHTTP2_DATA_FLAG_NO_END_STREAM;
@@ -162,8 +165,8 @@
   }
 };
 
-Session::Session(Side side, Bounds bounds, Handler& handler)
-    : side_(side), bounds_(bounds), handler_(handler), allowance_(kMaxAllowance) {
+Session::Session(Side perspective, Bounds bounds, Handler& handler)
+    : perspective_(perspective), bounds_(bounds), handler_(handler), allowance_(kMaxAllowance) {
   createSession();
   submitSettings();
   nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, kConnectionWindowBytes);
@@ -185,8 +188,9 @@
   nghttp2_option_set_max_settings(option, kMaxSettings);
   nghttp2_option_set_stream_reset_rate_limit(option, kUnlimitedResets, kUnlimitedResets);
   nghttp2_option_set_max_deflate_dynamic_table_size(option, kHeaderTableBytes);
-  const int result = side_ == Side::server ? nghttp2_session_server_new2(&session_, callbacks, this, option)
-                                           : nghttp2_session_client_new2(&session_, callbacks, this, option);
+  const int result = perspective_ == Side::server
+                         ? nghttp2_session_server_new2(&session_, callbacks, this, option)
+                         : nghttp2_session_client_new2(&session_, callbacks, this, option);
   nghttp2_session_callbacks_del(callbacks);
   nghttp2_option_del(option);
   if (result != 0) throw std::bad_alloc();
@@ -197,7 +201,7 @@
       {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, bounds_.maxStreams},
       {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, static_cast<std::uint32_t>(kStreamWindowBytes)},
       {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(bounds_.maxHeaderBytes)}};
-  if (side_ == Side::client) settings = {{NGHTTP2_SETTINGS_ENABLE_PUSH, 0}};
+  if (perspective_ == Side::client) settings = {{NGHTTP2_SETTINGS_ENABLE_PUSH, 0}};
   nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
 }
 
@@ -208,7 +212,7 @@
   return at == streams_.end() || at->second.isReset ? nullptr : &at->second;
 }
 
-// False where the allowance is used up: the connection ends then.
+// Returns false if the allowance is used up; the connection is then closed.
 bool Session::spendAllowance(double cost) {
   if (now_ > allowanceAt_ && allowanceAt_ != Instant())
     allowance_ =
@@ -275,16 +279,16 @@
 void Session::respondAndEnd(StreamId id, const Headers& headers) {
   Stream* stream = find(id);
   if (!stream || std::exchange(stream->hasHeaders, true)) return;
-  stream->isEnding = true;
+  stream->hasQueuedEnd = true;
   const auto fields = fieldsOf(headers);
   nghttp2_submit_response(session_, id, fields.data(), fields.size(), nullptr);
 }
 
-// Guards against peers that never open their windows, or open streams and read none: what waits for them
-// would grow without bound. Only the stream that exceeds the bound is reset.
+// Bounds the unsent data: without this limit it would grow indefinitely for a peer that never opens its
+// windows, or that opens streams and reads none. Only the stream that exceeds the limit is reset.
 void Session::send(StreamId id, std::string_view bytes) {
   Stream* stream = find(id);
-  if (!stream || stream->isEnding) return;
+  if (!stream || stream->hasQueuedEnd) return;
   if (unsentBytes_ + bytes.size() > bounds_.maxUnsentBytes) return reset(id, ErrorCode::enhanceYourCalm);
   stream->unsent += bytes;
   unsentBytes_ += bytes.size();
@@ -293,7 +297,7 @@
 
 void Session::end(StreamId id, Headers trailers) {
   Stream* stream = find(id);
-  if (!stream || std::exchange(stream->isEnding, true)) return;
+  if (!stream || std::exchange(stream->hasQueuedEnd, true)) return;
   stream->trailers = std::move(trailers);
   nghttp2_session_resume_data(session_, id);
 }
--- a/src/protocol/http2/session.h
+++ b/src/protocol/http2/session.h
@@ -1,6 +1,6 @@
-// One HTTP/2 connection (RFC 9113) without a socket, either side of it: bytes in, calls on a handler; calls
-// in, bytes out. Frames, header compression and flow control are nghttp2's; the bounds on what a peer may
-// occupy or request are enforced here.
+// One end, server or client, of an HTTP/2 connection (RFC 9113), without a socket. Received bytes result in
+// calls to a handler; calls to the session produce output bytes. nghttp2 implements framing, header
+// compression and flow control; this module enforces the limits on the resources and requests of a peer.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 using StreamId = std::int32_t;
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-// The error codes of RFC 9113, section 7, that are sent or distinguished here.
+// The error codes of RFC 9113, section 7, that are sent or handled here.
 enum class ErrorCode : std::uint32_t {
   none = 0,
   internal = 2,
@@ -29,59 +29,61 @@
   enhanceYourCalm = 11
 };
 
-// What happens on a connection. A handler may call the session from within any of these.
+// Receives the events of a connection. May call the session from within any of these.
 class Handler {
  public:
   virtual ~Handler() = default;
-  // A header block is complete: a request's, a response's, or trailers where the stream had one before.
+  // A header block is complete: that of a request or response, or trailers if the stream already had one.
   virtual void headers(StreamId stream, Headers headers) = 0;
   virtual void data(StreamId stream, std::string_view bytes) = 0;
-  // The other side sends no more on it.
+  // The peer sends no more on the stream.
   virtual void halfClosed(StreamId stream) = 0;
-  // The stream has ended; `code` is not none where it was reset. Its id is not reported again.
+  // The stream is closed. `code` is not ErrorCode::none if it was reset. No further event is reported for its
+  // id.
   virtual void closed(StreamId stream, ErrorCode code) = 0;
 };
 
-// What the other side may occupy.
+// Limits on the resources that the peer may occupy.
 struct Bounds {
-  std::uint32_t maxStreams = 1000;  // open at a time
-  // Of one header block, uncompressed; each field counts 32 more.
+  std::uint32_t maxStreams = 1000;  // open at the same time
+  // Uncompressed size of one header block; each field counts 32 bytes more than its name and value.
   std::size_t maxHeaderBytes = 16 * 1024;
-  // That wait for the other side's windows, over all streams.
+  // Bytes queued until the peer opens its windows, over all streams.
   std::size_t maxUnsentBytes = 256 * 1024;
 };
 
-// One side of a connection. Not thread-safe; the handler must outlive it.
+// One end of a connection. Not thread-safe; the handler must outlive it.
 class Session {
  public:
   enum class Side { server, client };
-  Session(Side side, Bounds bounds, Handler& handler);
+  Session(Side perspective, Bounds bounds, Handler& handler);
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
   ~Session();
 
-  // Takes all bytes. False: the connection is to be closed once the output is written; its streams have been
-  // reported as closed by then, or are by ended().
+  // Processes all of `bytes`. Returns false if the connection must be closed once the output is written. Its
+  // streams are reported as closed before that, or by ended().
   bool received(Instant now, std::string_view bytes);
-  // All bytes that are to be written now; empty: none are.
+  // Returns all bytes to be written now; empty if there are none.
   std::string output();
-  // Nothing more is to be read or written, or this side has ended the connection.
+  // Whether there is nothing more to read or write, or this end has closed the connection.
   bool done() const;
-  // The connection is gone: every open stream is reported as closed.
+  // Must be called when the connection is lost. Reports every open stream as closed.
   void ended();
 
-  // The client's: opens a stream. 0 where none can be opened any more.
+  // Client only: opens a stream. Returns 0 if no more streams can be opened.
   StreamId request(const Headers& headers);
-  // The server's: begins the response. Data and an end follow.
+  // Server only: starts the response. send() and end() follow.
   void respond(StreamId stream, const Headers& headers);
-  // The server's: the response is its headers alone.
+  // Server only: sends a response that consists of headers only.
   void respondAndEnd(StreamId stream, const Headers& headers);
-  // Queued until the windows allow it. A stream whose queue has outgrown the bound is reset.
+  // Queues data until the flow-control windows allow sending it. Resets the stream if the queued data would
+  // exceed maxUnsentBytes.
   void send(StreamId stream, std::string_view bytes);
-  // Ends the stream after what is queued, with trailers where there are any.
+  // Ends the stream after the queued data, with trailers if there are any.
   void end(StreamId stream, Headers trailers = {});
   void reset(StreamId stream, ErrorCode code);
-  // No new streams are taken; those that are open go on.
+  // Sends GOAWAY: new streams are rejected, open streams continue.
   void goAway();
   void ping();
 
@@ -90,28 +92,28 @@
  private:
   struct Callbacks;
   struct Stream {
-    Headers headers;  // of the block that is being received
+    Headers headers;  // of the header block being received
     std::size_t headerBytes = 0;
     std::string unsent;
-    bool hasHeaders = false;  // of this side: they were submitted
-    bool isEnding = false;    // this side sends no more after what is unsent
-    bool isReset = false;     // by this side
-    Headers trailers;         // after what is unsent
+    bool hasHeaders = false;    // this end has submitted its headers
+    bool hasQueuedEnd = false;  // this end ends the stream after the unsent data
+    bool isReset = false;       // by this end
+    Headers trailers;           // sent after the unsent data
   };
   Stream* find(StreamId id);
   [[nodiscard]] bool spendAllowance(double cost);
   void submitSettings();
-  // Settings of nghttp2 for this side's session.
+  // Creates the nghttp2 session with its callbacks and options.
   void createSession();
 
-  Side side_;
+  Side perspective_;
   Bounds bounds_;
   Handler& handler_;
   nghttp2_session* session_ = nullptr;
   std::map<StreamId, Stream> streams_;
   std::size_t unsentBytes_ = 0;  // over all streams
   Instant now_, allowanceAt_;    // allowanceAt_: when the allowance was last updated
-  double allowance_;             // of frames that carry no work
+  double allowance_;             // tokens left for frames that carry no work
   bool hasFailed_ = false, isGoingAway_ = false;
 };
 
--- a/src/protocol/json/json.cpp
+++ b/src/protocol/json/json.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-// Deeper than any configuration or endpoint list; bounds the memory that a hostile text can occupy.
+// Deeper than any configuration or endpoint list; bounds the memory that a hostile document can occupy.
 constexpr std::size_t kMaxDepth = 32;
-// Longer than any number that is used.
+// Longer than any number in use.
 constexpr std::size_t kMaxLiteralBytes = 64;
 
-// The escapes of one character, and what they stand for.
+// The single-character escapes and the characters that they represent.
 constexpr std::string_view kEscapes = "\"\\/bfnrt", kEscaped = "\"\\/\b\f\n\r\t";
 
-// Surrogates of UTF-16 (RFC 8259, section 7).
+// UTF-16 surrogates (RFC 8259, section 7).
 constexpr unsigned kFirstHighSurrogate = 0xD800, kFirstLowSurrogate = 0xDC00, kLastLowSurrogate = 0xDFFF;
 constexpr unsigned kFirstSupplementary = 0x10000;
 constexpr unsigned kSurrogateBits = 10;
@@ -55,7 +55,7 @@
 std::size_t Parser::feed(std::string_view slice) {
   std::size_t at = 0;
   while (at < slice.size() && !done_) {
-    // The character after a literal ends it and is looked at again.
+    // The character after a literal ends it and is then processed again.
     const char c = slice[at];
     if (state_ == State::literal && (isSpace(c) || c == ',' || c == ']' || c == '}')) {
       endLiteral();
@@ -78,7 +78,7 @@
   return value;
 }
 
-// --- Characters
+// --- Character states
 
 void Parser::step(char c) {
   switch (state_) {
@@ -101,8 +101,8 @@
     state_ = State::escape;
     return;
   }
-  if (static_cast<unsigned char>(c) < 0x20) throw Malformed("a control character stands in a text");
-  if (highSurrogate_ != 0) throw Malformed("half of a surrogate pair stands alone");
+  if (static_cast<unsigned char>(c) < 0x20) throw Malformed("unescaped control character in a string");
+  if (highSurrogate_ != 0) throw Malformed("unpaired surrogate");
   token_ += c;
 }
 
@@ -114,13 +114,13 @@
     return;
   }
   const auto at = kEscapes.find(c);
-  if (at == std::string_view::npos || highSurrogate_ != 0) throw Malformed("an escape is not known");
+  if (at == std::string_view::npos || highSurrogate_ != 0) throw Malformed("invalid escape sequence");
   token_ += kEscaped[at];
 }
 
 void Parser::stepInLiteral(char c) {
   token_ += c;
-  if (token_.size() > kMaxLiteralBytes) throw Malformed("a bare word is too long");
+  if (token_.size() > kMaxLiteralBytes) throw Malformed("a literal is too long");
 }
 
 void Parser::stepBetweenValues(char c) {
@@ -133,10 +133,10 @@
       if (c == '}') return close(Value::Kind::object);
       [[fallthrough]];
     case State::name:
-      if (c != '"') throw Malformed("a name is wanted");
+      if (c != '"') throw Malformed("expected a name");
       return beginString(true);
     case State::colon:
-      if (c != ':') throw Malformed("a colon is wanted");
+      if (c != ':') throw Malformed("expected a colon");
       state_ = State::value;
       return;
     default:
@@ -152,7 +152,7 @@
   else if (c == '}')
     close(Value::Kind::object);
   else
-    throw Malformed("a comma or an end is wanted");
+    throw Malformed("expected a comma or a closing bracket");
 }
 
 // --- Values
@@ -161,7 +161,7 @@
   if (c == '{') return open(Value::Kind::object, State::firstName);
   if (c == '[') return open(Value::Kind::array, State::firstItem);
   if (c == '"') return beginString(false);
-  if (c != '-' && !std::isalnum(static_cast<unsigned char>(c))) throw Malformed("a value is wanted");
+  if (c != '-' && !std::isalnum(static_cast<unsigned char>(c))) throw Malformed("expected a value");
   token_ = c;
   state_ = State::literal;
 }
@@ -171,14 +171,14 @@
   state_ = State::string;
 }
 
-void Parser::open(Value::Kind kind, State then) {
-  if (open_.size() >= kMaxDepth) throw Malformed("lists or objects lie too deep");
+void Parser::open(Value::Kind kind, State nextState) {
+  if (open_.size() >= kMaxDepth) throw Malformed("arrays or objects are nested too deeply");
   open_.emplace_back().kind = kind;
-  state_ = then;
+  state_ = nextState;
 }
 
 void Parser::endString() {
-  if (highSurrogate_ != 0) throw Malformed("half of a surrogate pair stands alone");
+  if (highSurrogate_ != 0) throw Malformed("unpaired surrogate");
   if (isName_) {
     open_.back().names.push_back(std::exchange(token_, {}));
     state_ = State::colon;
@@ -198,7 +198,7 @@
   else if (isNumber(value.text))
     value.kind = Value::Kind::number;
   else if (value.text != "null")
-    throw Malformed("'" + value.text + "' is no value");
+    throw Malformed("'" + value.text + "' is not a value");
   endValue(std::move(value));
 }
 
@@ -213,23 +213,23 @@
 }
 
 void Parser::close(Value::Kind kind) {
-  if (open_.back().kind != kind) throw Malformed("a bracket closes what another opened");
+  if (open_.back().kind != kind) throw Malformed("mismatched closing bracket");
   Value value = std::move(open_.back());
   open_.pop_back();
   endValue(std::move(value));
 }
 
-// --- Escapes \u
+// --- \u escapes
 
 void Parser::hexDigit(char c) {
   unsigned digit = 0;
-  if (std::from_chars(&c, &c + 1, digit, 16).ec != std::errc{}) throw Malformed("an escape is not known");
+  if (std::from_chars(&c, &c + 1, digit, 16).ec != std::errc{}) throw Malformed("invalid escape sequence");
   codeUnit_ = codeUnit_ * 16 + digit;
   if (++hexDigits_ < kHexDigitsPerEscape) return;
   state_ = State::string;
   const bool isLow = codeUnit_ >= kFirstLowSurrogate && codeUnit_ <= kLastLowSurrogate;
   const bool isHigh = codeUnit_ >= kFirstHighSurrogate && codeUnit_ < kFirstLowSurrogate;
-  if (isLow != (highSurrogate_ != 0)) throw Malformed("half of a surrogate pair stands alone");
+  if (isLow != (highSurrogate_ != 0)) throw Malformed("unpaired surrogate");
   if (isHigh) {
     highSurrogate_ = codeUnit_;
   } else if (isLow) {
--- a/src/protocol/json/json.h
+++ b/src/protocol/json/json.h
@@ -1,4 +1,4 @@
-// JSON (RFC 8259), parsed as it arrives: any text may be handed over in slices, cut anywhere.
+// Incremental JSON parser (RFC 8259): the input may arrive in slices that are split at any byte.
 #pragma once
 
 #include <cstddef>
@@ -9,42 +9,45 @@
 
 namespace gulltrestle::json {
 
-// Text that is not JSON. Parsing it again fails again.
+// Text that is not valid JSON. Parsing the same text again always fails.
 class Malformed : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A parsed value. Numbers keep their text, so that no precision is lost.
+// A parsed value. Numbers are kept as text, so that no precision is lost.
 struct Value {
   enum class Kind { null, boolean, number, string, array, object };
   Kind kind = Kind::null;
-  std::string text;                // of a string, unescaped; of a number or boolean, as written
-  std::vector<Value> items;        // of an array or object
-  std::vector<std::string> names;  // of an object: the names of its items
+  std::string text;                // of a string: unescaped; of a number or boolean: as written
+  std::vector<Value> items;        // elements of an array or values of an object
+  std::vector<std::string> names;  // names of an object's items, in the same order
 
-  // The item of that name, the last one where there are several; null where there is none.
+  // Returns the item with that name, or null if there is none. If several items have the name, returns the
+  // last.
   const Value* find(std::string_view name) const;
 };
 
-// Incremental parser of one value. Not usable any more after it has thrown Malformed.
+// Incremental parser of one value. Unusable after it has thrown Malformed.
 class Parser {
  public:
-  // Takes a slice and returns how much of it was used: all, or up to the end of the value. Throws Malformed.
+  // Parses a slice and returns the number of bytes consumed: all of them, or those up to the end of the
+  // value. Throws Malformed.
   std::size_t feed(std::string_view slice);
-  // The text has ended, which ends a number that stands alone. Throws Malformed if the value is incomplete.
+  // Must be called at the end of the input: this completes a top-level literal. Throws Malformed if the value
+  // is incomplete.
   void finish();
-  // A value is complete.
+  // Whether the value is complete.
   bool done() const { return done_; }
-  // Hands the value over; the parser is as new.
+  // Returns the parsed value and resets the parser.
   Value take();
 
  private:
-  // What comes next, or what the parser is within.
+  // The token that is expected next, or that is being parsed.
   enum class State {
     value,
-    firstItem,  // of an array, or its end
-    firstName,  // of an object, or its end
+    firstItem,  // first item of an array, or its end
+    firstName,  // first name in an object, or its end
     name,
     colon,
     next,  // a comma, or the end of an array or object
@@ -61,7 +64,7 @@
   void stepAfterItem(char c);
   void beginValue(char c);
   void beginString(bool isName);
-  void open(Value::Kind kind, State then);
+  void open(Value::Kind kind, State nextState);
   void endString();
   void endLiteral();
   void endValue(Value value);
@@ -70,12 +73,12 @@
   void appendUtf8(unsigned codePoint);
 
   State state_ = State::value;
-  std::vector<Value> open_;  // arrays and objects that are not closed yet, outermost first
-  std::string token_;        // of the string or literal so far
-  bool isName_ = false;      // the string is the name of an item
+  std::vector<Value> open_;  // open arrays and objects, outermost first
+  std::string token_;        // the string or literal parsed so far
+  bool isName_ = false;      // the string being parsed is the name of an item
   bool done_ = false;
-  unsigned codeUnit_ = 0, hexDigits_ = 0;  // of an escape \u
-  unsigned highSurrogate_ = 0;             // that awaits its low one; 0: none
+  unsigned codeUnit_ = 0, hexDigits_ = 0;  // of the current \u escape
+  unsigned highSurrogate_ = 0;             // waits for its low surrogate; 0: none
   Value value_;
 };
 
--- a/src/protocol/load_report/load_report.cpp
+++ b/src/protocol/load_report/load_report.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Unix time up to the year 5138.
+// Unix time in ms; the year 5138.
 constexpr std::uint64_t kMaxPositionMillis = 100'000'000'000'000;
-// More transactions than any node has.
+// More transactions than any node has in flight.
 constexpr std::uint64_t kMaxInFlight = 1'000'000;
 
-// A whole number up to `max`.
+// Parses an integer from 0 to `max`; nullopt if the text is anything else.
 std::optional<std::uint64_t> parseNumber(std::string_view text, std::uint64_t max) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
--- a/src/protocol/load_report/load_report.h
+++ b/src/protocol/load_report/load_report.h
@@ -1,5 +1,5 @@
-// HTTP headers by which a node reports its role, position and load, in answers and in replies to health
-// checks.
+// HTTP headers in which a node sends its load report (role, log position and transactions in flight) with
+// answers and health check responses.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
   std::string inFlight = "x-node-in-hand";   // transactions in flight at the node
 };
 
-// Adds one header to the report. Other headers, and values that can't be read, are skipped.
+// Adds the value of one header to the report. Ignores other headers and invalid values.
 void readField(const Names& names, std::string_view name, std::string_view value, LoadReport& report);
 
 }  // namespace gulltrestle::load_report
--- a/src/protocol/postgres/answer.h
+++ b/src/protocol/postgres/answer.h
@@ -1,4 +1,5 @@
-// A node's complete answer to one query, and what it reports of the node.
+// Parsing of a node's answer to one query, with the load report that it includes, and encoding of the answers
+// that the router sends in place of a node.
 #pragma once
 
 #include <cstdint>
@@ -9,62 +10,64 @@
 
 namespace gulltrestle::postgres {
 
-// What became of the query.
+// The outcome of a query.
 enum class AnswerKind {
-  row,        // no error: it ran
-  wrongNode,  // no effect: a write at a node that is no primary; or a read at one that lags too far
-  rejected,   // never ran: queue full, draining, too many connections, or the transaction has ended already
-  error,      // it may have run
+  row,        // success: the query was executed
+  wrongNode,  // not executed: a write at a node that is not the primary, or a read at one that lags too far
+  rejected,   // not executed: queue full, draining, too many connections, or transaction already ended
+  error,      // the query may have been executed
 };
 
-// A node's report on itself: log position, role, transactions in flight.
+// A node's load report: log position, role, transactions in flight.
 struct Report {
   std::optional<double> positionSeconds;  // Unix time
   std::optional<bool> primary;
   std::optional<double> inFlight;
 };
 
-// Its slices refer to the bytes that it was read from.
+// A complete answer. Its slices refer to the bytes that it was parsed from.
 struct Answer {
   AnswerKind kind = AnswerKind::row;
-  bool fatal = false;                           // the node closes the connection after it
-  std::string_view description, row, complete;  // whole messages; empty where the kind is not row
-  std::string_view value;                       // the row's one column
+  bool fatal = false;                           // the node closes the connection after this answer
+  std::string_view description, row, complete;  // complete messages; empty unless the kind is row
+  std::string_view value;                       // the only column of the row
   std::optional<bool> fromPrimary;
   std::optional<std::uint64_t> positionMs;  // Unix time
   Report report;
 };
 
-// Takes an answer off the front of `bytes`; none if it is incomplete. Throws Malformed as soon as the bytes
-// that are there can't begin one.
+// Removes the first answer from `bytes` and returns it; nullopt if it is incomplete. Throws Malformed as soon
+// as the available bytes cannot be the start of an answer.
 std::optional<Answer> takeAnswer(std::string_view& bytes);
 
-// Takes the answer to an empty query off the front of `bytes`; false if it is incomplete. Throws Malformed on
-// anything else: another query left it behind.
+// Removes the answer to an empty query from the start of `bytes`; returns false if it is incomplete. Throws
+// Malformed on anything else, which is left over from an earlier query.
 bool takeAllClear(std::string_view& bytes);
 
-// Reads the value of a node's report. Empty where it can't be read.
+// Parses the text of a node's load report. Returns an empty report if the text is invalid.
 Report readReport(std::string_view text);
 
-// How a node answers a new connection.
+// The result of a node's startup sequence on a new connection.
 enum class Greeting {
-  welcome,   // it serves queries
-  rejected,  // it can't take a connection now
+  welcome,   // the node accepts queries
+  rejected,  // the node cannot accept a connection at present
   refused    // any other error
 };
-// Takes messages off the front of `bytes` up to the one that decides; none if it is not there yet.
+// Removes messages from the start of `bytes`, up to the one that determines the result; nullopt if that
+// message is not available yet. Throws Malformed.
 std::optional<Greeting> takeGreeting(std::string_view& bytes);
 
-// What an error's SQLSTATE says of the query.
-AnswerKind verdictOf(std::string_view code);
+// Maps the SQLSTATE of an error to the outcome of the query.
+AnswerKind answerKindOf(std::string_view code);
 
-// An answer that rejects a statement: it never ran, and a retry is harmless, after so many milliseconds where
-// that is advised. `level`: the degradation level that rejected it; 0: none did.
+// Encodes the answer to a rejected statement, which was not executed and can be retried safely.
+// `retryAfterMs`: the advised wait before a retry, in milliseconds; 0: none. `level`: the degradation level
+// that rejected the statement; 0: none.
 std::string refused(std::int64_t retryAfterMs, unsigned level = 0);
-// An answer that promises nothing about the effect.
+// Encodes the answer to a statement that may or may not have been executed.
 std::string rolledBack();
 
-// The query for a node's report.
+// The query that returns a node's load report.
 constexpr std::string_view kShowReport = "SHOW gauges";
 
 }  // namespace gulltrestle::postgres
--- a/src/protocol/postgres/messages.cpp
+++ b/src/protocol/postgres/messages.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 // The longest startup message that PostgreSQL itself accepts.
-constexpr std::uint32_t kMaxOpeningBytes = 10000;
+constexpr std::uint32_t kMaxStartupMessageBytes = 10000;
 
-// Of four bytes, big-endian.
+// Reads a big-endian integer of four bytes.
 std::uint32_t readInteger(std::string_view bytes) {
   std::uint32_t value = 0;
   for (const char byte : bytes.substr(0, 4)) value = value << 8 | static_cast<unsigned char>(byte);
@@ -18,13 +18,13 @@
   for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(value >> shift & 0xFF);
 }
 
-// With the zero byte that ends a text.
-void appendText(std::string& out, std::string_view text) {
+// Appends the string and its terminating zero byte.
+void appendString(std::string& out, std::string_view text) {
   out += text;
   out += '\0';
 }
 
-// An ErrorResponse or NoticeResponse; empty fields are left out.
+// Encodes an ErrorResponse or NoticeResponse without its empty fields.
 std::string responseWithFields(char type, std::string_view severity, std::string_view code,
                                std::string_view text, std::string_view detail) {
   std::string body;
@@ -32,7 +32,7 @@
        {std::pair{'S', severity}, {'V', severity}, {'C', code}, {'M', text}, {'D', detail}}) {
     if (value.empty()) continue;
     body += field;
-    appendText(body, value);
+    appendString(body, value);
   }
   body += '\0';
   return message(type, body);
@@ -54,11 +54,12 @@
 std::optional<Opening> takeOpening(std::string_view& bytes) {
   if (bytes.size() < 4) return std::nullopt;
   const std::uint32_t length = readInteger(bytes);
-  if (length < 8 || length > kMaxOpeningBytes) throw Malformed("a startup message's length can't be right");
+  if (length < 8 || length > kMaxStartupMessageBytes)
+    throw Malformed("a startup message's length can't be right");
   if (bytes.size() < length) return std::nullopt;
-  const Opening opening{readInteger(bytes.substr(4)), bytes.substr(8, length - 8)};
+  const Opening startupMessage{readInteger(bytes.substr(4)), bytes.substr(8, length - 8)};
   bytes.remove_prefix(length);
-  return opening;
+  return startupMessage;
 }
 
 std::string_view takeText(std::string_view& body) {
@@ -85,7 +86,7 @@
     case 'E':
     case 'C':
       return Request::extended;
-    case 'H':  // flush, and what remains of a copy
+    case 'H':  // flush, and the messages of a COPY
     case 'd':
     case 'c':
     case 'f':
@@ -120,7 +121,7 @@
 std::string startup(std::string_view user, std::string_view database) {
   std::string body;
   for (const std::string_view text : {std::string_view("user"), user, std::string_view("database"), database})
-    appendText(body, text);
+    appendString(body, text);
   body += '\0';
   std::string out;
   appendInteger(out, static_cast<std::uint32_t>(body.size() + 8));
@@ -140,8 +141,8 @@
                                     {"integer_datetimes", "on"},
                                     {"standard_conforming_strings", "on"}}) {
     std::string body;
-    appendText(body, name);
-    appendText(body, value);
+    appendString(body, name);
+    appendString(body, value);
     out += message('S', body);
   }
   out += message('K', std::string_view("\0\0\0\0\0\0\0\0", 8));
--- a/src/protocol/postgres/messages.h
+++ b/src/protocol/postgres/messages.h
@@ -1,5 +1,5 @@
-// Messages of the PostgreSQL wire protocol, version 3, as far as simple queries need them: read as slices of
-// the received bytes, and written.
+// Codec for the messages of the PostgreSQL wire protocol, version 3, that simple queries need. Parsed
+// messages are slices of the received bytes.
 #pragma once
 
 #include <cstdint>
@@ -10,67 +10,73 @@
 
 namespace gulltrestle::postgres {
 
-// Bytes that are no valid message of the protocol.
+// Bytes that are not a valid message of the protocol.
 class Malformed : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One message, as views of the bytes it was read from.
+// A message, as views of the bytes that it was parsed from.
 struct Message {
   char type = 0;
   std::string_view body;
-  std::string_view whole;  // with type and length
+  std::string_view whole;  // including type and length
 };
 
-// Takes the next message off the front of `bytes`; none if it is incomplete. Throws Malformed if its length
-// can't be right, or is more than `maxLength`.
+// Removes the first message from `bytes` and returns it; nullopt if it is incomplete. Throws Malformed if its
+// length is invalid or exceeds `maxLength`.
 std::optional<Message> takeMessage(std::string_view& bytes, std::size_t maxLength);
 
-// The same for a connection's first message, which has no type: `code` is the version or the request's code.
+// The first message on a connection, which has no type. `code` is the protocol version or the code of the
+// request.
 struct Opening {
   std::uint32_t code = 0;
   std::string_view body;
 };
+// Removes it from the start of `bytes` and returns it; nullopt if it is incomplete. Throws Malformed if its
+// length is invalid.
 std::optional<Opening> takeOpening(std::string_view& bytes);
 
+// Values of `code` other than a protocol version.
 constexpr std::uint32_t kSslRequest = 80877103, kGssRequest = 80877104, kCancelRequest = 80877102;
 constexpr std::uint32_t kMajorVersion = 3;
 
-// Takes a zero-terminated text off the front. Throws Malformed if it has no end.
+// Removes a zero-terminated string from the start of `body` and returns it. Throws Malformed if it has no
+// terminator.
 std::string_view takeText(std::string_view& body);
 
-// What a client requests by a message.
+// The kind of request that a client's message makes.
 enum class Request {
   query,
   goodbye,
   sync,
   extended,  // a message of the extended query protocol
   functionCall,
-  passedOver,  // has no answer and no effect here
+  passedOver,  // ignored: requires no answer and has no effect here
   unknown
 };
+// Maps the type byte of a message to the kind of request.
 Request requestOf(char type);
 
-// The SQLSTATEs that this router answers with.
-constexpr std::string_view kRefused = "53300", kMayHaveRun = "08007", kProtocolViolation = "08P01",
-                           kNotSupported = "0A000", kBadValue = "22023", kSyntaxError = "42601",
-                           kTooLarge = "54000";
+// The SQLSTATEs that this router sends.
+constexpr std::string_view kRefused = "53300", kTransactionResolutionUnknown = "08007",
+                           kProtocolViolation = "08P01", kNotSupported = "0A000", kBadValue = "22023",
+                           kSyntaxError = "42601", kTooLarge = "54000";
 
-// The fields of an ErrorResponse or NoticeResponse that matter here.
+// The fields of an ErrorResponse or NoticeResponse that are used here.
 struct ErrorFields {
   std::string_view severity, code, message, detail;
 };
-// Throws Malformed where there is no SQLSTATE.
+// Parses the body of an ErrorResponse or NoticeResponse. Throws Malformed if it has no SQLSTATE.
 ErrorFields readError(std::string_view body);
 
-// A startup message.
+// Encodes a startup message.
 std::string startup(std::string_view user, std::string_view database);
-// The startup message to a node.
+// Encodes the startup message that is sent to nodes.
 std::string login();
-// The complete answer to a startup message, ReadyForQuery included.
+// Encodes the complete answer to a startup message, including ReadyForQuery.
 std::string welcome();
-// Any message; the others are made of it.
+// Encodes a message of any type; the functions below use it.
 std::string message(char type, std::string_view body);
 std::string error(std::string_view severity, std::string_view code, std::string_view text,
                   std::string_view detail = {});
@@ -79,7 +85,8 @@
 std::string readyForQuery();
 std::string terminate();
 
-// The head of a Query message for a statement of that size; statement and a zero byte follow it.
+// Encodes the header of a Query message for a statement of `statementSize` bytes. The caller sends the
+// statement and a zero byte after it.
 std::string queryHead(std::size_t statementSize);
 
 }  // namespace gulltrestle::postgres
--- a/src/protocol/postgres/statement.cpp
+++ b/src/protocol/postgres/statement.cpp
@@ -10,15 +10,15 @@
 constexpr std::string_view kSelect = "SELECT body FROM objects WHERE oid = '";
 constexpr std::string_view kInsert = "INSERT INTO objects (oid, body) VALUES ('";
 
-// Of a value, either way. Hex doubles it in a statement.
+// Maximum size of a value that is read or written. Hex encoding doubles it in a statement.
 constexpr std::size_t kMaxValueBytes = 64 * 1024;
 
-// An hour: no client waits longer, and times stay far from where they would wrap around.
-constexpr std::uint64_t kMaxWaitMs = 3'600'000;
-// The year 5138: the same for positions.
+// One hour: no client waits longer, and times stay far from an overflow.
+constexpr std::uint64_t kMaxTimeoutMs = 3'600'000;
+// The year 5138, so that log positions stay far from an overflow, too.
 constexpr std::uint64_t kMaxPositionMs = 100'000'000'000'000;
 
-// `name`: of the field, for the error.
+// `name`: the name of the field, for the error text.
 std::uint64_t parseNumber(std::string_view name, std::string_view text, std::uint64_t max) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -28,7 +28,8 @@
   return value;
 }
 
-// Cuts the text up to the closing quote off the front, and the quote.
+// Removes the text up to and including the closing quote from the start of `text`. Returns it without the
+// quote.
 std::string_view takeQuoted(std::string_view& text) {
   const auto end = text.find('\'');
   if (end == std::string_view::npos) throw InvalidStatement(kSyntaxError, "a quoted text has no end");
@@ -37,7 +38,7 @@
   return quoted;
 }
 
-// Throws where the text does not begin with `expected`.
+// Removes `expected` from the start of `text`. Throws InvalidStatement if `text` does not start with it.
 void skip(std::string_view& text, std::string_view expected) {
   if (!text.starts_with(expected))
     throw InvalidStatement(kSyntaxError, "'" + std::string(expected) + "' is wanted");
@@ -50,7 +51,7 @@
 
 namespace {
 
-// Takes the SELECT or INSERT off the front of `text`, up to the comment.
+// Parses the SELECT or INSERT and removes it from the start of `text`, up to the comment.
 void readOperation(std::string_view& text, Statement& statement) {
   if (text.starts_with(kSelect)) {
     text.remove_prefix(kSelect.size());
@@ -68,7 +69,7 @@
   }
 }
 
-// Takes the comment off the front of `text`, without its delimiters; nothing but blanks may follow it.
+// Returns the comment at the start of `text`, without its delimiters. Only blanks may follow it.
 std::string_view takeComment(std::string_view text) {
   skip(text, " /*");
   const auto end = text.find("*/");
@@ -83,12 +84,12 @@
   return text;
 }
 
-// Reads one name=value field of the comment; names that are not known are skipped.
+// Parses one name=value field of the comment. Unknown names are skipped.
 void readField(std::string_view name, std::string_view value, Statement& statement, bool& hasGroup) {
   if (name == "id") statement.id = value;
   if (name == "c") statement.typeName = value;
   if (name == "d") {
-    statement.waitMs = parseNumber(name, value, kMaxWaitMs);
+    statement.waitMs = parseNumber(name, value, kMaxTimeoutMs);
     statement.wait = value;
   }
   if (name == "cluster") {
@@ -98,7 +99,7 @@
   if (name == "after") statement.afterMs = parseNumber(name, value, kMaxPositionMs);
 }
 
-// Reads the comma-separated fields of the comment. Throws where a required one is missing.
+// Parses the comma-separated fields of the comment. Throws InvalidStatement if a required field is missing.
 void readComment(std::string_view comment, Statement& statement) {
   bool hasGroup = false;
   while (!comment.empty()) {
--- a/src/protocol/postgres/statement.h
+++ b/src/protocol/postgres/statement.h
@@ -1,4 +1,4 @@
-// The statements that clients send, and the names and values in their comment.
+// Parser for the statements that clients send, including the fields in their comment.
 #pragma once
 
 #include <cstdint>
@@ -11,32 +11,33 @@
 
 namespace gulltrestle::postgres {
 
-// A statement that can't be served: the SQLSTATE to answer with, and the fault. It fails whenever it is sent.
+// A statement that cannot be served. code() is the SQLSTATE to answer with, what() the reason. A retry of the
+// same statement always fails.
 class InvalidStatement : public std::runtime_error {
  public:
   InvalidStatement(std::string_view code, const std::string& what) : std::runtime_error(what), code_(code) {}
   std::string_view code() const { return code_; }
 
  private:
-  std::string_view code_;  // a constant
+  std::string_view code_;  // refers to a constant
 };
 
 // A statement and the fields of its comment.
 struct Statement {
-  bool writes = false;        // INSERT, else SELECT
-  std::string_view key;       // the first quoted text
-  std::string_view id;        // of this attempt of the client
-  std::string_view typeName;  // of its transaction class
-  std::uint64_t waitMs = 0;   // how long the client waits
-  std::string_view wait;      // the digits of that
+  bool writes = false;        // true: INSERT; false: SELECT
+  std::string_view key;       // the object id: the first quoted text
+  std::string_view id;        // id of the client's attempt
+  std::string_view typeName;  // name of the transaction class
+  std::uint64_t waitMs = 0;   // time that the client waits for the answer
+  std::string_view wait;      // the digits of waitMs in the text
   std::uint64_t group = 0;
-  std::optional<std::uint64_t> afterMs;  // Unix time in ms that the read must see
+  std::optional<std::uint64_t> afterMs;  // Unix time in ms; the read must see all commits up to it
 };
 
-// Reads a query; all slices refer to `text`. Throws InvalidStatement.
+// Parses a query. All slices refer to `text`. Throws InvalidStatement.
 Statement readStatement(std::string_view text);
 
-// Nothing but spaces and semicolons.
+// Whether the text consists of whitespace and semicolons only.
 bool isBlank(std::string_view text);
 
 }  // namespace gulltrestle::postgres
--- a/tests/http2.cpp
+++ b/tests/http2.cpp
@@ -1,5 +1,5 @@
-// gRPC over HTTP/2 without a socket: handmade frames, and floods of them. Run as `http2 CASE`: prints the
-// case's trace.
+// Tests gRPC over HTTP/2 without a socket, with hand-built frames and floods of frames. Run as `http2 CASE`;
+// prints the trace of the case.
 #include <functional>
 #include <iostream>
 #include <map>
@@ -14,6 +14,7 @@
                        kGoAway = 7, kWindow = 8, kContinuation = 9;
 constexpr std::uint8_t kEndStream = 1, kAck = 1, kEndHeaders = 4, kPadded = 8;
 
+// A big-endian integer.
 std::string number(std::uint64_t value, int bytes) {
   std::string out;
   for (int shift = (bytes - 1) * 8; shift >= 0; shift -= 8) out += static_cast<char>(value >> shift & 0xFF);
@@ -23,7 +24,7 @@
   return number(body.size(), 3) + static_cast<char>(type) + static_cast<char>(flags) + number(stream, 4) +
          body;
 }
-// A header field as a literal that is not indexed (RFC 7541, section 6.2.2).
+// A header field encoded as a literal without indexing (RFC 7541, section 6.2.2).
 std::string field(const std::string& name, const std::string& value) {
   const auto text = [](const std::string& t) {
     std::string out;
@@ -42,12 +43,12 @@
          field(":authority", "x") + field("content-type", type) + field("te", "trailers") + more;
 }
 
-// Prints what comes next.
+// Prints the title of the next step.
 void title(const std::string& text) { std::cout << "-- " << text << "\n"; }
 
 const std::string kPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-// A server whose calls are printed, and what it writes, frame by frame.
+// A server that prints the events of its calls and each frame that it writes.
 class Server final : private grpc::CallHandler {
  public:
   explicit Server(grpc::Bounds bounds = {}, const std::string& settings = "") : calls("/a/b", bounds, *this) {
@@ -55,7 +56,7 @@
     receive(kPreface + frame(kSettings, 0, 0, settings));
     quiet = false;
   }
-  // False: the connection ends.
+  // Returns false once the connection must be closed.
   bool receive(const std::string& bytes) {
     const bool isOpen = calls.received(now, bytes);
     printOutput(calls.output());
@@ -67,8 +68,8 @@
     quiet = true;
     for (; n < count && receive(frames(n)); ++n) {}
     quiet = false;
-    std::cout << (n < count ? "ended after " + std::to_string(n) : "took all " + std::to_string(n)) << ", "
-              << calls.open() << " calls open, wrote " << wrote << " bytes\n";
+    std::cout << (n < count ? "closed after " + std::to_string(n) : "accepted all " + std::to_string(n))
+              << ", " << calls.open() << " calls open, wrote " << wrote << " bytes\n";
   }
   void send(grpc::CallId call, const std::string& message) {
     calls.send(call, message), printOutput(calls.output());
@@ -101,95 +102,99 @@
       at += 9 + size;
     }
   }
-  // A stream that prints nothing while this is quiet.
-  std::ostream& line() {
+  // An output stream that discards everything while `quiet` is set.
+  std::ostream& trace() {
     static std::ostream none(nullptr);
     return quiet ? none : std::cout;
   }
-  void opened(grpc::CallId call) override { line() << "call " << call << " opened\n"; }
+  void opened(grpc::CallId call) override { trace() << "call " << call << " opened\n"; }
   void message(grpc::CallId call, std::string_view bytes) override {
-    line() << "call " << call << " message of " << bytes.size() << ": " << bytes.substr(0, 20) << "\n";
+    trace() << "call " << call << " message of " << bytes.size() << ": " << bytes.substr(0, 20) << "\n";
   }
-  void halfClosed(grpc::CallId call) override { line() << "call " << call << " sends no more\n"; }
-  void ended(grpc::CallId call, bool reset) override {
-    line() << "call " << call << (reset ? " broken off\n" : " ended\n");
+  void halfClosed(grpc::CallId call) override { trace() << "call " << call << " half-closed\n"; }
+  void ended(grpc::CallId call, bool wasAborted) override {
+    trace() << "call " << call << (wasAborted ? " aborted\n" : " ended\n");
   }
 };
 
 void frames() {
-  Server s;
-  title("a header block in three frames, one field cut; a message in pieces, two in one frame");
+  Server server;
+  title("a header block in three frames, one field split; a message in several frames, two in one frame");
   const std::string block = callHeaders();
-  s.receive(frame(kHeaders, 0, 1, block.substr(0, 10)) + frame(kContinuation, 0, 1, block.substr(10, 30)) +
-            frame(kContinuation, kEndHeaders, 1, block.substr(40)));
+  server.receive(frame(kHeaders, 0, 1, block.substr(0, 10)) +
+                 frame(kContinuation, 0, 1, block.substr(10, 30)) +
+                 frame(kContinuation, kEndHeaders, 1, block.substr(40)));
   const std::string message = grpc::framed("hello");
-  for (const char c : message) s.receive(frame(kData, 0, 1, std::string(1, c)));
-  s.receive(frame(kData, 0, 1, grpc::framed("one") + grpc::framed("")));
-  title("padding, a priority, an unknown kind of frame, a window, settings, a ping");
-  s.receive(frame(kHeaders, kEndHeaders | kPadded, 3, "\4" + block + std::string(4, '\0')) +
-            frame(kData, kPadded, 3, "\3" + grpc::framed("padded") + std::string(3, '\0')) +
-            frame(kPriority, 0, 3, std::string(5, '\1')) + frame(0x77, 0, 0, "what") +
-            frame(kWindow, 0, 0, number(1000, 4)) + frame(kSettings, 0, 0, number(5, 2) + number(20000, 4)) +
-            frame(kPing, 0, 0, "12345678") + frame(kPing, kAck, 0, "12345678"));
-  title("answers, an end in order, a reset by the client");
-  s.send(1, "answer");
-  s.finish(1, grpc::Status::ok);
-  s.receive(frame(kData, kEndStream, 1, ""));
-  s.receive(frame(kReset, 0, 3, number(8, 4)));
-  title("all of it byte by byte");
+  for (const char c : message) server.receive(frame(kData, 0, 1, std::string(1, c)));
+  server.receive(frame(kData, 0, 1, grpc::framed("one") + grpc::framed("")));
+  title("padding, a priority frame, an unknown frame type, a window update, settings, a ping");
+  server.receive(frame(kHeaders, kEndHeaders | kPadded, 3, "\4" + block + std::string(4, '\0')) +
+                 frame(kData, kPadded, 3, "\3" + grpc::framed("padded") + std::string(3, '\0')) +
+                 frame(kPriority, 0, 3, std::string(5, '\1')) + frame(0x77, 0, 0, "what") +
+                 frame(kWindow, 0, 0, number(1000, 4)) +
+                 frame(kSettings, 0, 0, number(5, 2) + number(20000, 4)) + frame(kPing, 0, 0, "12345678") +
+                 frame(kPing, kAck, 0, "12345678"));
+  title("answers, a regular end, a reset by the client");
+  server.send(1, "answer");
+  server.finish(1, grpc::Status::ok);
+  server.receive(frame(kData, kEndStream, 1, ""));
+  server.receive(frame(kReset, 0, 3, number(8, 4)));
+  title("a whole call, byte by byte");
   for (const char c : frame(kHeaders, kEndHeaders, 5, block) + frame(kData, kEndStream, 5, message))
-    s.receive(std::string(1, c));
-  s.finish(5, grpc::Status::invalidArgument);
-  title("no more calls are taken once it goes away; those that are open go on");
-  s.receive(frame(kHeaders, kEndHeaders, 7, block));
-  s.calls.goAway();
-  s.receive(frame(kHeaders, kEndHeaders, 9, block));
-  s.receive(frame(kData, kEndStream, 7, message));
-  s.finish(7, grpc::Status::ok);
-  std::cout << "done: " << s.calls.done() << "\n";
-  Server t;
-  title("a client that goes away, then the connection is gone");
-  t.receive(frame(kHeaders, kEndHeaders, 1, block) + frame(kGoAway, 0, 0, number(0, 4) + number(0, 4)));
-  t.calls.connectionEnded();
+    server.receive(std::string(1, c));
+  server.finish(5, grpc::Status::invalidArgument);
+  title("after GOAWAY from the server, new calls are rejected and open calls continue");
+  server.receive(frame(kHeaders, kEndHeaders, 7, block));
+  server.calls.goAway();
+  server.receive(frame(kHeaders, kEndHeaders, 9, block));
+  server.receive(frame(kData, kEndStream, 7, message));
+  server.finish(7, grpc::Status::ok);
+  std::cout << "done: " << server.calls.done() << "\n";
+  Server secondServer;
+  title("GOAWAY from the client, then the connection is lost");
+  secondServer.receive(frame(kHeaders, kEndHeaders, 1, block) +
+                       frame(kGoAway, 0, 0, number(0, 4) + number(0, 4)));
+  secondServer.calls.connectionEnded();
 }
 
 void rejectedCalls() {
-  Server s;
-  title("another method, another content type, not a POST");
-  s.receive(frame(kHeaders, kEndHeaders, 1, callHeaders("", "/a/c")));
-  s.receive(frame(kHeaders, kEndHeaders, 3, callHeaders("", "/a/b", "text/plain")));
-  s.receive(frame(kHeaders, kEndHeaders | kEndStream, 5,
-                  field(":method", "GET") + field(":scheme", "http") + field(":path", "/a/b") +
-                      field(":authority", "x")));
-  title("compressed: by its headers, by a message");
-  s.receive(frame(kHeaders, kEndHeaders, 7, callHeaders(field("grpc-encoding", "gzip"))));
-  s.receive(frame(kHeaders, kEndHeaders, 9, callHeaders()) + frame(kData, 0, 9, "\1" + number(3, 4) + "abc"));
-  title("longer than allowed, cut short");
-  s.receive(frame(kHeaders, kEndHeaders, 11, callHeaders()) +
-            frame(kData, 0, 11, std::string(1, '\0') + number(70000, 4)));
-  s.receive(frame(kHeaders, kEndHeaders, 13, callHeaders()) +
-            frame(kData, kEndStream, 13, grpc::framed("hello").substr(0, 7)));
-  title("headers that are too long end the stream, not the connection");
-  s.receive(frame(kHeaders, 0, 15, callHeaders(field("big", std::string(9000, 'x')))) +
-            frame(kContinuation, kEndHeaders, 15, field("big", std::string(9000, 'x'))));
-  s.receive(frame(kHeaders, kEndHeaders, 17, callHeaders()));
+  Server server;
+  title("wrong method, wrong content type, not a POST");
+  server.receive(frame(kHeaders, kEndHeaders, 1, callHeaders("", "/a/c")));
+  server.receive(frame(kHeaders, kEndHeaders, 3, callHeaders("", "/a/b", "text/plain")));
+  server.receive(frame(kHeaders, kEndHeaders | kEndStream, 5,
+                       field(":method", "GET") + field(":scheme", "http") + field(":path", "/a/b") +
+                           field(":authority", "x")));
+  title("compression, stated by the headers or by a message");
+  server.receive(frame(kHeaders, kEndHeaders, 7, callHeaders(field("grpc-encoding", "gzip"))));
+  server.receive(frame(kHeaders, kEndHeaders, 9, callHeaders()) +
+                 frame(kData, 0, 9, "\1" + number(3, 4) + "abc"));
+  title("a message over the size limit, a truncated message");
+  server.receive(frame(kHeaders, kEndHeaders, 11, callHeaders()) +
+                 frame(kData, 0, 11, std::string(1, '\0') + number(70000, 4)));
+  server.receive(frame(kHeaders, kEndHeaders, 13, callHeaders()) +
+                 frame(kData, kEndStream, 13, grpc::framed("hello").substr(0, 7)));
+  title("headers over the size limit reset the stream, not the connection");
+  server.receive(frame(kHeaders, 0, 15, callHeaders(field("big", std::string(9000, 'x')))) +
+                 frame(kContinuation, kEndHeaders, 15, field("big", std::string(9000, 'x'))));
+  server.receive(frame(kHeaders, kEndHeaders, 17, callHeaders()));
   for (const std::string& bad : {frame(kData, 0, 2, "x"), frame(kContinuation, kEndHeaders, 17, "x"),
                                  frame(kHeaders, kEndHeaders, 1, "\xff"), frame(kWindow, 0, 0, number(0, 4)),
                                  std::string(2000, 'z')}) {
-    Server t;
-    title("what no client sends");
-    const bool isOpen = t.receive(bad);
-    std::cout << "goes on: " << isOpen << "\n";
+    Server newServer;
+    title("invalid frames");
+    const bool isOpen = newServer.receive(bad);
+    std::cout << "connection open: " << isOpen << "\n";
   }
 }
 
 std::string openStream(std::uint32_t id) { return frame(kHeaders, kEndHeaders, id, callHeaders()); }
 std::string resetStream(std::uint32_t id) { return frame(kReset, 0, id, number(8, 4)); }
-// Streams of clients have odd ids.
+// Streams opened by clients have odd ids.
 std::uint32_t streamId(std::uint32_t index) { return index * 2 + 1; }
 
 void floodWithIdleFrames() {
-  title("pings that nobody reads the answers of; settings; priorities; empty data; windows");
+  title("pings whose answers are not read; settings; priority frames; empty data; window updates");
   Server().flood([](auto) { return frame(kPing, 0, 0, "12345678"); });
   Server().flood([](auto) { return frame(kSettings, 0, 0, ""); });
   Server().flood([](auto) { return frame(kPriority, 0, 1, std::string(5, '\1')); });
@@ -203,52 +208,52 @@
   };
   title("streams opened and reset at full speed");
   Server().flood(openAndReset);
-  title("the same at a pace that a busy proxy may have: 500 a second");
-  Server s;
-  s.flood(
+  title("the same at the rate of a busy proxy: 500 per second");
+  Server server;
+  server.flood(
       [&](auto n) {
-        s.now = s.now + Duration::millis(2);
+        server.now = server.now + Duration::millis(2);
         return openAndReset(n);
       },
       20000);
 }
 
 void floodWithStreams() {
-  title("more streams than are allowed at a time");
+  title("more concurrent streams than allowed");
   grpc::Bounds bounds;
   bounds.connection.maxStreams = 10;
-  Server s(bounds);
-  s.receive(frame(kSettings, kAck, 0, ""));
-  s.flood([](auto n) { return openStream(streamId(n)); }, 20000);
+  Server server(bounds);
+  server.receive(frame(kSettings, kAck, 0, ""));
+  server.flood([](auto n) { return openStream(streamId(n)); }, 20000);
 }
 
 void floodWithHeaders() {
-  title("a header block without an end; fields that the table holds, named again and again");
+  title("a header block without an end; repeated references to a field in the header table");
   const std::string block = callHeaders();
   Server().flood([&](auto n) {
     return n == 0 ? frame(kHeaders, 0, 1, block)
                   : frame(kContinuation, 0, 1, field("a", std::string(1000, 'x')));
   });
-  Server s;
-  s.quiet = true;
+  Server server;
+  server.quiet = true;
   const std::string indexed = "\x40" + field("big", std::string(3000, 'x')).substr(1);
   const bool isOpen =
-      s.receive(frame(kHeaders, kEndHeaders, 1, block + indexed + std::string(10000, '\xbe')));
-  std::cout << "goes on: " << isOpen << ", " << s.calls.open() << " calls open\n";
+      server.receive(frame(kHeaders, kEndHeaders, 1, block + indexed + std::string(10000, '\xbe')));
+  std::cout << "connection open: " << isOpen << ", " << server.calls.open() << " calls open\n";
 }
 
 void sendWithoutWindow() {
-  title("a window that is never opened: what waits is bounded, and its stream goes");
+  title("a window that is never opened: the unsent data is bounded, and its stream is reset");
   grpc::Bounds bounds;
   bounds.connection.maxUnsentBytes = 10000;
-  Server s(bounds, number(4, 2) + number(0, 4));
-  s.quiet = true;
-  s.receive(openStream(1) + openStream(3));
-  for (int i = 0; i < 100; ++i) s.send(1, std::string(1000, 'x'));
-  s.send(3, "still here");
-  s.quiet = false;
-  s.receive(frame(kWindow, 0, 3, number(100, 4)));
-  std::cout << s.calls.open() << " calls open\n";
+  Server server(bounds, number(4, 2) + number(0, 4));
+  server.quiet = true;
+  server.receive(openStream(1) + openStream(3));
+  for (int i = 0; i < 100; ++i) server.send(1, std::string(1000, 'x'));
+  server.send(3, "still here");
+  server.quiet = false;
+  server.receive(frame(kWindow, 0, 3, number(100, 4)));
+  std::cout << server.calls.open() << " calls open\n";
 }
 
 void floods() {
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -1,5 +1,5 @@
-// Parsers on every split of their input, and on truncated and random bytes; and the router's configuration.
-// Run as `parsers CASE`.
+// Tests parsers on every split of their input and on truncated and randomly modified input, and the parser of
+// the router configuration. Run as `parsers CASE`; prints the trace of the case.
 #include <iostream>
 #include <map>
 #include <random>
@@ -14,12 +14,12 @@
 
 namespace {
 
-// The result of a parser, in words, for a text that arrives in the given slices; or its error.
+// Describes the result of a parser, or its error, for a text that arrives in the given slices.
 using Parse = std::string (*)(const std::vector<std::string_view>& slices);
 
 std::string parseWhole(Parse parse, std::string_view text) { return parse({text}); }
 
-// Prints the result of the text, and every split that gives another one.
+// Prints the result for the text, and every split that gives a different result.
 void printEverySplit(Parse parse, std::string_view text) {
   const std::string expected = parseWhole(parse, text);
   std::string title(text.substr(0, 60));
@@ -34,8 +34,8 @@
       std::cout << "  cut at " << at << ": " << other << "\n";
 }
 
-// Texts with some bytes changed, removed or doubled, from a fixed seed: each is accepted or rejected, alike
-// whole and split. Prints how many were rejected.
+// Parses texts with some bytes changed, removed or duplicated, from a fixed seed. Each must give the same
+// result whole and split. Prints the number of rejected texts and of those whose result differs when split.
 void printRandomChanges(Parse parse, const std::vector<std::string>& texts) {
   std::knuth_b random(11);
   int rejected = 0, differsWhenSplit = 0;
@@ -59,12 +59,12 @@
     }
     const std::string_view all = text;
     const auto result = parseWhole(parse, all);
-    if (result.starts_with("refused")) ++rejected;
+    if (result.starts_with("rejected")) ++rejected;
     const auto at = all.empty() ? 0 : random() % all.size();
     if (parse({all.substr(0, at), all.substr(at)}) != result) ++differsWhenSplit;
   }
-  std::cout << "of 20000 changed texts " << rejected << " refused, " << differsWhenSplit
-            << " otherwise when split\n";
+  std::cout << "of 20000 modified texts " << rejected << " rejected, " << differsWhenSplit
+            << " differ when split\n";
 }
 
 std::string textOf(const json::Value& value) {
@@ -86,8 +86,8 @@
   try {
     for (const auto slice : slices) left += slice.size() - parser.feed(slice);
     parser.finish();
-    return textOf(parser.take()) + (left > 0 ? ", then " + std::to_string(left) + " bytes more" : "");
-  } catch (const json::Malformed& error) { return std::string("refused: ") + error.what(); }
+    return textOf(parser.take()) + (left > 0 ? ", " + std::to_string(left) + " bytes left" : "");
+  } catch (const json::Malformed& error) { return std::string("rejected: ") + error.what(); }
 }
 
 std::string parseHttp(const std::vector<std::string_view>& slices) {
@@ -99,11 +99,11 @@
       left += slice.size() - response.feed(slice, [&](std::string_view part) { body += part; });
     response.connectionEnded();
     return std::to_string(response.status()) + " '" + body + "' " + (response.done() ? "done" : "open") +
-           (left > 0 ? ", then " + std::to_string(left) + " bytes more" : "");
-  } catch (const http1::Malformed& error) { return std::string("refused: ") + error.what(); }
+           (left > 0 ? ", " + std::to_string(left) + " bytes left" : "");
+  } catch (const http1::Malformed& error) { return std::string("rejected: ") + error.what(); }
 }
 
-// As a connection does it: an incomplete answer stays buffered.
+// Buffers an incomplete answer, as a connection does.
 std::string parseAnswer(const std::vector<std::string_view>& slices) {
   std::string buffered, out;
   try {
@@ -111,17 +111,17 @@
       buffered += slice;
       std::string_view bytes = buffered;
       while (const auto answer = postgres::takeAnswer(bytes)) {
-        out += "verdict " + std::to_string(static_cast<int>(answer->kind)) + (answer->fatal ? " fatal" : "") +
+        out += "kind " + std::to_string(static_cast<int>(answer->kind)) + (answer->fatal ? " fatal" : "") +
                " value '" + std::string(answer->value) + "'";
         if (answer->fromPrimary) out += *answer->fromPrimary ? " from the primary" : " from a replica";
         if (answer->positionMs) out += " at " + std::to_string(*answer->positionMs);
-        if (answer->report.inFlight) out += " in hand " + std::to_string(*answer->report.inFlight);
+        if (answer->report.inFlight) out += " in flight " + std::to_string(*answer->report.inFlight);
         out += "; ";
       }
       buffered.erase(0, buffered.size() - bytes.size());
     }
-    return out + std::to_string(buffered.size()) + " bytes kept";
-  } catch (const postgres::Malformed& error) { return std::string("refused: ") + error.what(); }
+    return out + std::to_string(buffered.size()) + " bytes buffered";
+  } catch (const postgres::Malformed& error) { return std::string("rejected: ") + error.what(); }
 }
 
 std::string parseStatement(const std::vector<std::string_view>& slices) {
@@ -130,11 +130,11 @@
   try {
     const auto statement = postgres::readStatement(text);
     return std::string(statement.writes ? "writes " : "reads ") + std::string(statement.key) + " id " +
-           std::string(statement.id) + " type " + std::string(statement.typeName) + " waits " +
+           std::string(statement.id) + " type " + std::string(statement.typeName) + " timeout " +
            std::to_string(statement.waitMs) + " group " + std::to_string(statement.group) + " after " +
            std::to_string(statement.afterMs.value_or(0));
   } catch (const postgres::InvalidStatement& error) {
-    return "refused: " + std::string(error.code()) + " " + error.what();
+    return "rejected: " + std::string(error.code()) + " " + error.what();
   }
 }
 
@@ -173,7 +173,7 @@
   printRandomChanges(parseHttp, texts);
 }
 
-// A text of the protocol.
+// Encodes a string of the PostgreSQL protocol.
 std::string zeroTerminated(std::string_view bytes) { return std::string(bytes) + '\0'; }
 
 void testPostgresAnswer() {
@@ -228,9 +228,9 @@
   printRandomChanges(parseStatement, texts);
 }
 
-// --- The router's configuration
+// --- Router configuration
 
-const std::string kGoodConfiguration =
+const std::string kValidConfiguration =
     R"({"name":"n0","listen":"127.0.0.1:6543","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",)"
     R"("limits":{"cores":1.0,"memory_mb":192,"sockets":1024},)"
     R"("known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.2:6543","zone":"a","cell":3,)"
@@ -239,7 +239,7 @@
     R"("lanes":[{"name":"basket","effect":"idempotent","objective":300000,"deadline":750000,"worth":2.5}],)"
     R"("specifics":{"readLevel":["recent"],"lagAllowed":[3000000]}}})";
 
-// The text with the first `from` replaced.
+// Returns the text with the first occurrence of `from` replaced.
 std::string replaced(std::string text, const std::string& from, const std::string& to) {
   return text.replace(text.find(from), from.size(), to);
 }
@@ -249,13 +249,14 @@
   const TransactionClass& transactionClass = deployment.routing.transactionClasses[0];
   std::cout << config.name << " on " << config.listen.host << " port " << config.listen.port << ", "
             << config.memoryBytes << " bytes, " << config.descriptors << " descriptors, seed " << config.seed
-            << ", list " << config.known.version << " with " << config.known.nodes.size() << " node, type "
-            << deployment.classNames[0] << " bound " << transactionClass.maxStaleness.inMicros() << " value "
-            << transactionClass.priorityWeight << ", idle " << deployment.idleLimit.inMicros()
-            << ", up within " << deployment.connectLimit.inMicros() << "\n";
+            << ", endpoint list " << config.known.version << " with " << config.known.nodes.size()
+            << " node, type " << deployment.classNames[0] << " max staleness "
+            << transactionClass.maxStaleness.inMicros() << " priority weight "
+            << transactionClass.priorityWeight << ", idle timeout " << deployment.idleLimit.inMicros()
+            << ", connect timeout " << deployment.connectLimit.inMicros() << "\n";
 }
 
-// The error of each invalid change of a good configuration.
+// Prints the error for each invalid change to a valid configuration.
 void printInvalidChanges() {
   const std::pair<const char*, const char*> changes[] = {{"{\"name\"", "{\"nam"},
                                                          {"\"n0\"", "\"\""},
@@ -278,27 +279,28 @@
                                                          {"\"basket\"", "\"\""},
                                                          {"\"balancers\":3", "\"balancers\":0"}};
   for (const auto& [from, to] : changes) try {
-      config::parseRouterConfig(replaced(kGoodConfiguration, from, to));
-      std::cout << from << " as " << to << ": taken\n";
+      config::parseRouterConfig(replaced(kValidConfiguration, from, to));
+      std::cout << from << " as " << to << ": accepted\n";
     } catch (const config::ConfigError& error) { std::cout << error.what() << "\n"; }
 }
 
-// The keys that take effect only after a restart, and the precedence of variables.
+// Prints the keys that take effect only after a restart, and the discovery address with each precedence of
+// environment variables and file.
 void printReload() {
-  std::string changed = kGoodConfiguration;
+  std::string changed = kValidConfiguration;
   for (const auto& [from, to] : {std::pair{"n0", "n1"}, {"6543", "6544"}, {"1024", "512"}, {"5000", "6000"}})
     changed = replaced(changed, from, to);
-  const auto running = config::parseRouterConfig(kGoodConfiguration);
+  const auto running = config::parseRouterConfig(kValidConfiguration);
   for (const auto& key : config::keysNeedingRestart(running, config::parseRouterConfig(changed)))
-    std::cout << key << " waits\n";
+    std::cout << key << " needs a restart\n";
   setenv("BALANCER_DISCOVERY", "127.0.0.9:1", 1);
   for (const auto precedence : {config::ValuePrecedence::environment, config::ValuePrecedence::file})
-    std::cout << "discovery at " << config::parseRouterConfig(kGoodConfiguration, precedence).discovery.host
+    std::cout << "discovery at " << config::parseRouterConfig(kValidConfiguration, precedence).discovery.host
               << "\n";
 }
 
 void testRouterConfiguration() {
-  printConfiguration(config::parseRouterConfig(kGoodConfiguration));
+  printConfiguration(config::parseRouterConfig(kValidConfiguration));
   printInvalidChanges();
   printReload();
 }
