--- a/src/cluster/chunks.h
+++ b/src/cluster/chunks.h
@@ -1,4 +1,5 @@
-// Splits updates into messages that stay well below what a stream accepts.
+// Splits lists of updates into messages that stay well below the maximum message size of a stream
+// (kMaxMessageBytes in cluster/peer_stream.h).
 #pragma once
 
 #include <vector>
@@ -7,12 +8,13 @@
 
 namespace gulltrestle::cluster {
 
-// A chunk is closed once its items take this much; a message may hold 128 KiB.
+// Encoded size at which a chunk is closed. A message may have up to 128 KiB.
 constexpr std::size_t kChunkBytes = 32 * 1024;
-// What an item's encoding takes beside its text: field tags, lengths and numbers.
+// Encoded size of an item without its text: field tags, lengths and numbers.
 constexpr std::size_t kItemOverheadBytes = 48;
 
-// `textBytesOf`: of one item, the length of its text.
+// Splits `items` into consecutive chunks. `textBytesOf` returns the length of an item's text in bytes. An
+// empty list has no chunks.
 template <typename Items, typename TextBytes>
 std::vector<Items> chunked(const Items& items, TextBytes textBytesOf) {
   std::vector<Items> chunks;
@@ -36,7 +38,7 @@
   return chunked(updates, [](const auto& update) { return update.primary.node.size(); });
 }
 
-// At least one: whether the router has recovered is reported without observations, too.
+// Returns at least one chunk: whether the router has recovered is reported even without observations.
 inline std::vector<ObservationReport> chunked(const ObservationReport& report) {
   std::vector<ObservationReport> chunks;
   for (auto& nodes : chunked(report.nodes, [](const auto& observation) { return observation.node.size(); }))
--- a/src/cluster/claim_dispatcher.cpp
+++ b/src/cluster/claim_dispatcher.cpp
@@ -42,13 +42,13 @@
   return MaintenanceService::StoredAcceptor{stored->acceptorState, stored->isComplete};
 }
 
-// With as many routers as are members: the routing settings may know of fewer.
+// Raises the router count to the number of members, as the routing settings may have a lower one.
 RoutingConfig withRouterCount(RoutingConfig routing, std::size_t routers) {
   routing.routerCount = std::max(routing.routerCount, static_cast<unsigned>(routers));
   return routing;
 }
 
-std::string joined(const transactions::ResultValue& value) {
+std::string concatenated(const transactions::ResultValue& value) {
   return std::string(value[0]).append(value[1]).append(value[2]);
 }
 
@@ -102,7 +102,8 @@
     drains_.learn({node, drain.listVersion, drain.isDraining});
   storeDrains({});
   votingMember_.emplace(transactions_.now(), identity_.name, config.votingMember, std::move(*stored));
-  // A disk that was lost is marked as incomplete from its first start on, also for the next one.
+  // After the loss of a disk the acceptor is marked incomplete on the new one too, so that the next start
+  // knows.
   if (!maintenance_.isComplete()) markAcceptorIncomplete();
 }
 
@@ -113,7 +114,7 @@
 }
 
 void ClaimDispatcher::onCommitted(TxnId txn, const transactions::ResultValue& value) {
-  coordinator_.onCommitted(txn, joined(value));
+  coordinator_.onCommitted(txn, concatenated(value));
 }
 
 void ClaimDispatcher::onTransactionEnded(TxnId txn, transactions::ExecutionOutcome outcome) {
@@ -180,10 +181,10 @@
   }
   if (!isFirst && !votingMember_) return;
   logQuorum("peers.heard", name);
-  const bool isOtherDisk =
+  const bool isOutdatedDisk =
       votingMember_ &&
       votingMember_->onGreetingReply(transactions_.now(), name, reply.number, reply.previousVoterIncarnation);
-  if (isOtherDisk) {
+  if (isOutdatedDisk) {
     effects_.log("claims.disk_is_not_ours",
                  "told_by=" + name + " knew_start=" + std::to_string(reply.previousVoterIncarnation.number));
     markAcceptorIncomplete();
@@ -223,7 +224,7 @@
     if (voter != identity_.ownIndex) effects_.sendToVoter(voter, message);
 }
 
-// This router's own voting member may reply at once, and the coordinator may then have more to send.
+// Loops because this router's own voting member may reply immediately, which may produce more messages.
 void ClaimDispatcher::sendClaimMessages() {
   for (auto messages = coordinator_.takeMessages(); !messages.empty(); messages = coordinator_.takeMessages())
     for (auto& message : messages) {
@@ -245,9 +246,9 @@
 
 void ClaimDispatcher::applyForcedStage() { recovery_.force(config_.forcedStage, config_.forcedBy); }
 
-// Streams of routers that are no members any more end.
+// Closes the streams of routers that are not members any more.
 void ClaimDispatcher::setMembers(std::set<std::string> routers) {
-  // Voters change with a restart alone, and are members until then.
+  // Voters change only with a restart, and remain members until then.
   for (const auto& voter : config_.voters) routers.insert(voter.name);
   if (routers == config_.routers) return;
   std::size_t added = 0, removed = 0;
--- a/src/cluster/claim_dispatcher.h
+++ b/src/cluster/claim_dispatcher.h
@@ -1,10 +1,10 @@
-// Delivers the messages between routers: from other routers' streams to this router's voting member, and its
-// replies back once they are durable; from the transaction table to the claim coordinator, and its decisions
-// back; likewise for membership, recovery and maintenance. A reducer: events in, effects out; it decides
-// nothing itself.
+// Dispatches messages between routers. It passes messages from other routers' streams to this router's voting
+// member and sends the replies once they are durable; it passes requests from the transaction table to the
+// claim coordinator and returns the decisions. It does the same for membership, recovery and maintenance. It
+// is a reducer: it maps events to effects and makes no decisions of its own.
 //
-//   claim_dispatcher.cpp              the router's side: construction, transactions, replies, turns
-//   claim_dispatcher_voter.cpp        the voter's side: messages on other routers' streams, and the store
+//   claim_dispatcher.cpp              router role: construction, transactions, replies, turns
+//   claim_dispatcher_voter.cpp        voter role: messages on other routers' streams, and the store
 //   claim_dispatcher_maintenance.cpp  proposals on the maintenance plan
 //   claim_dispatcher_updates.cpp      updates on draining nodes and on primaries
 #pragma once
@@ -28,32 +28,34 @@
 
 namespace gulltrestle::cluster {
 
-// What this router is when it starts.
+// Identity and stored state of this router at startup.
 struct LocalRouter {
   std::string name;
-  std::uint64_t draw = 0;                          // random, of this incarnation
-  std::optional<idempotency::StoredState> stored;  // what its store holds, where it is a voter
+  std::uint64_t draw = 0;                          // random number that identifies this incarnation
+  std::optional<idempotency::StoredState> stored;  // contents of its store; none: it is not a voter
 };
 
-// What the dispatcher has done: by the cluster server on sockets and a disk, by tests otherwise.
+// The dispatcher's output interface. The cluster server implements it with sockets and a disk; tests have
+// their own implementations.
 class Effects {
  public:
   virtual ~Effects() = default;
-  // To another voter; dropped while there is no stream to it.
+  // Sends a message to another voter. The message is dropped while there is no stream to that voter.
   virtual void sendToVoter(idempotency::VoterIndex voter, const PeerMessage& message) = 0;
+  // Sends a reply on another router's stream.
   virtual void reply(PeerStreamId stream, const PeerReply& reply) = 0;
-  // Ends a stream whose router is no member, or whose messages are invalid.
+  // Closes a stream whose router is not a member, or whose messages are invalid.
   virtual void rejectStream(PeerStreamId stream, std::string_view reason) = 0;
-  // Begins to make the changes durable; onWritten() reports the end.
+  // Starts to make the changes durable. The result is reported by ClaimDispatcher::onWritten().
   virtual StoreWriteId write(std::vector<idempotency::DiskChange> changes) = 0;
   virtual void log(std::string_view event, const std::string& fields) = 0;
-  // This router runs on a machine whose maintenance begins.
+  // Starts a graceful shutdown: maintenance of the machine that this router runs on begins.
   virtual void terminate() = 0;
-  // Notifies whoever feeds discovery: the plan of that version excludes these nodes.
+  // Publishes the nodes that the plan of that version excludes, for the system that feeds discovery.
   virtual void announce(std::uint64_t version, const std::set<std::string>& excludedNodes) = 0;
 };
 
-// One for each router, owned by the cluster server. It is the transaction table's execution gate.
+// Each router has one, owned by its cluster server. It is the transaction table's execution gate.
 class ClaimDispatcher final : public transactions::ExecutionGate {
  public:
   ClaimDispatcher(transactions::TransactionTable& transactions, const RoutingConfig& routing,
@@ -66,7 +68,8 @@
   PeerMessage greeting() const;
   void onReply(idempotency::VoterIndex voter, std::string_view bytes);  // throws MalformedMessage
   void onVoterLost(idempotency::VoterIndex voter);
-  // --- The store. `durable`: the changes of that write, and all before it, are; else the disk failed.
+  // --- The store. `durable`: the changes of that write and of all earlier ones are durable; false: the write
+  // failed.
   void onWritten(StoreWriteId write, bool durable);
 
   // --- The transaction table. Decisions are delivered to it by endTurn().
@@ -76,12 +79,13 @@
   void amendEndpointList(EndpointUpdateKind kind, std::uint64_t version,
                          std::vector<transactions::ResolvedEndpoint>& list) override;
 
-  // Runs all timers, sends what is due and delivers decisions.
+  // Runs all timers, sends messages that are due and delivers decisions.
   void endTurn();
-  // Sends what the transaction table has reported since the turn ended.
+  // Sends claim messages for what the transaction table has reported since endTurn().
   void flushDecisions() { sendClaimMessages(); }
+  // When endTurn() has to be called next; never: no timer is pending.
   Instant nextDue() const { return nextDue_; }
-  // Takes over the members and the forced stage of a configuration that was read anew.
+  // Applies the members and the forced stage of a reloaded configuration. Its other values need a restart.
   void reloadConfig(const ClusterConfig& config);
 
   MaintenanceService& maintenance() { return maintenance_; }
@@ -90,8 +94,9 @@
   const RecoveryService& recovery() const { return recovery_; }
   const idempotency::ClaimCoordinator& coordinator() const { return coordinator_; }
   const MembershipService& membership() const { return membership_; }
-  // Null: this router is no voter.
+  // Null: this router is not a voter.
   const idempotency::VotingMember* votingMember() const { return votingMember_ ? &*votingMember_ : nullptr; }
+  // This router's index among the voters; none: it is not a voter.
   std::optional<idempotency::VoterIndex> ownIndex() const { return identity_.ownIndex; }
 
  private:
@@ -101,12 +106,12 @@
     std::uint64_t draw = 0;
   };
 
-  // --- What is done once a write to the store has ended
+  // --- Actions to take when a write to the store has completed
   // Reply to a greeting.
   struct PendingGreetingReply {
     PeerStreamId stream;
     std::string router;
-    std::uint64_t number;  // of the voter incarnation that was greeted with
+    std::uint64_t number;  // of the voter incarnation in the greeting
     idempotency::VoterIncarnation previousVoterIncarnation;
   };
   // Deliver a vote.
@@ -125,12 +130,12 @@
   struct PendingAcceptorReply {
     PeerStreamId stream;
   };
-  // Greet all voters by this router's new voter incarnation.
+  // Send all voters a new greeting with this router's new voter incarnation.
   struct PendingRegreeting {};
   using PendingWrite = std::variant<PendingGreetingReply, PendingVote, PendingJoinReply, PendingAcceptorReply,
                                     PendingRegreeting>;
 
-  // --- The voter's side
+  // --- Voter role
   void onGreeting(PeerStreamId stream, const Greeting& greeting);
   void onPeerMessage(PeerStreamId stream, const PeerIdentity& sender, const PeerMessage& message);
   void onJoinRequest(PeerStreamId stream, const PeerIdentity& sender, std::uint64_t number);
@@ -138,9 +143,9 @@
   void onClaim(PeerStreamId stream, const PeerIdentity& sender, const Claim& claim);
   void deliverVote(PeerStreamId stream, std::uint64_t claimNumber, const idempotency::Vote& vote);
   void deliverJoinReply(PeerStreamId stream, const std::string& router);
-  // Makes durable what has changed at this voter; `pending` is done once all changes up to now are.
+  // Writes all changes of this voter to the store. `pending` is carried out once they are durable.
   void writeChanges(std::optional<PendingWrite> pending = {});
-  // `durable`: as for onWritten().
+  // Carry out a pending action. `durable`: as for onWritten().
   void finishWrite(const PendingGreetingReply& pending, bool durable);
   void finishWrite(const PendingVote& pending, bool durable);
   void finishWrite(const PendingJoinReply& pending, bool durable);
@@ -148,7 +153,7 @@
   void finishWrite(const PendingRegreeting& pending, bool durable);
   void logVotingState();
 
-  // --- The router's side
+  // --- Router role
   void onGreetingReply(idempotency::VoterIndex voter, const GreetingReply& reply);
   void onJoinReply(idempotency::VoterIndex voter, const membership::Incarnation& newest);
   void sendClaimMessages();
@@ -159,7 +164,7 @@
   void applyForcedStage();
   void logQuorum(std::string_view event, const std::string& voter);
   void logRateLimited(std::string_view event, const std::string& fields);
-  // To a voter, which may be this router itself, or to all others.
+  // Send a message to one voter, which may be this router itself, or to all other voters.
   void sendOrHandle(idempotency::VoterIndex voter, const PeerMessage& message);
   void sendToOtherVoters(const PeerMessage& message);
 
@@ -170,7 +175,7 @@
   void markAcceptorIncomplete();
   bool mayVote() const;
 
-  // --- Updates on draining nodes and on primaries. New ones are stored and take effect.
+  // --- Updates on draining nodes and on primaries. An update that is new here is stored and applied.
   void onDrainUpdates(const DrainUpdates& updates, std::string_view from);
   void storeDrains(const DrainUpdates& updates);
   void onPrimaryUpdates(const PrimaryUpdates& updates);
@@ -188,7 +193,8 @@
   MaintenanceService maintenance_;
   std::map<PeerStreamId, PeerIdentity> greetedStreams_;
   std::map<StoreWriteId, PendingWrite> pendingWrites_;
-  std::map<idempotency::VoterIndex, std::string> greetedVoters_;  // that have replied to a greeting
+  std::map<idempotency::VoterIndex, std::string>
+      greetedVoters_;  // names of voters that replied to a greeting
   Instant nextDue_;
   Instant rejectionLoggedAt_;
   std::optional<idempotency::VotingMember::State> loggedState_;
--- a/src/cluster/claim_dispatcher_maintenance.cpp
+++ b/src/cluster/claim_dispatcher_maintenance.cpp
@@ -1,5 +1,5 @@
-// The claim dispatcher's part in maintenance: proposals on the plan from streams to this voter's acceptor and
-// its store, the replies back, and this router's own turn.
+// The maintenance part of the claim dispatcher: passes proposals on the plan from streams to this voter's
+// acceptor and its store, sends the replies, and runs this router's own maintenance turn.
 #include "cluster/claim_dispatcher.h"
 
 namespace gulltrestle::cluster {
@@ -21,7 +21,7 @@
 void ClaimDispatcher::finishWrite(const PendingAcceptorReply& pending, bool durable) {
   const maintenance::AcceptedValue before = maintenance_.accepted();
   const auto reply = maintenance_.onWritten(durable);
-  // All routers learn of it ahead of the reply to any message that they send from here on.
+  // Every router receives the accepted value before the reply to any message that it sends after this point.
   if (maintenance_.accepted() != before)
     for (const auto& [other, peer] : greetedStreams_)
       effects_.reply(other, PlanUpdate{maintenance_.accepted()});
@@ -35,16 +35,16 @@
   effects_.reply(stream, ProposalReply{reply});
 }
 
-// Its state is not what it was taken for, also at the next start.
+// Writes the state, so that the acceptor is incomplete after a restart too.
 void ClaimDispatcher::markAcceptorIncomplete() {
   maintenance_.markIncomplete();
   effects_.write({idempotency::MaintenanceRecord{maintenance_.serializedAcceptor()}});
 }
 
 void ClaimDispatcher::endMaintenanceTurn(Instant now) {
-  // The reply of this router's own voting member needs no stream.
+  // This router's own vote for the lease does not need a stream.
   if (mayVote() && maintenance_.isComplete()) maintenance_.renewOwnLease(now);
-  const bool isDegraded = transactions_.isDegraded() || !recovery_.hasReturned();
+  const bool isDegraded = transactions_.isDegraded() || !recovery_.isFullyRecovered();
   const MaintenanceService::TurnInput input{membership_, recovery_, isDegraded, mayVote()};
   for (const PeerMessage& message : maintenance_.endTurn(now, input))
     for (idempotency::VoterIndex voter = 0; voter < config_.voters.size(); ++voter)
--- a/src/cluster/claim_dispatcher_updates.cpp
+++ b/src/cluster/claim_dispatcher_updates.cpp
@@ -1,5 +1,5 @@
-// The claim dispatcher's updates on draining nodes and on primaries: from endpoint lists and from other
-// routers, to the store and to the voters.
+// The part of the claim dispatcher for updates on draining nodes and on primaries: receives them from
+// endpoint lists and other routers, stores them and sends them to the voters.
 #include <algorithm>
 
 #include "cluster/chunks.h"
--- a/src/cluster/claim_dispatcher_voter.cpp
+++ b/src/cluster/claim_dispatcher_voter.cpp
@@ -1,5 +1,5 @@
-// The claim dispatcher's part at a voter: messages of other routers, and of this one, to its voting member
-// and failure detector, and the replies to them once the store has what they report.
+// The voter part of the claim dispatcher: passes messages of all routers, this one included, to the voting
+// member and the failure detector, and sends each reply once the state that it reports is durable.
 #include "cluster/chunks.h"
 #include "cluster/claim_dispatcher.h"
 
@@ -10,12 +10,13 @@
 
 namespace {
 
-// Rejected greetings are logged once in this time: a router that connects again and again fills no log.
+// Minimum time between log lines about rejected greetings, so that a router that reconnects repeatedly does
+// not flood the log.
 constexpr Duration kRejectionLogInterval = Duration::millis(1000);
-// Of what a rejected greeting says, so much is logged.
-constexpr std::size_t kMaxLoggedName = 40, kMaxLoggedList = 200;
-// Why a stream is rejected whose message could not be made durable.
-constexpr std::string_view kDiskFails = "the disk of this keeper fails";
+// Fields of a rejected greeting are truncated to these lengths in the log.
+constexpr std::size_t kMaxLoggedNameBytes = 40, kMaxLoggedListBytes = 200;
+// Rejection reason of a stream whose message could not be made durable.
+constexpr std::string_view kStoreFailed = "the disk of this keeper fails";
 
 }  // namespace
 
@@ -39,17 +40,17 @@
 
 void ClaimDispatcher::onGreeting(PeerStreamId stream, const Greeting& greeting) {
   if (!config_.routers.contains(greeting.router)) {
-    logRateLimited("peers.stranger", "router=\"" + greeting.router.substr(0, kMaxLoggedName) + "\"");
+    logRateLimited("peers.stranger", "router=\"" + greeting.router.substr(0, kMaxLoggedNameBytes) + "\"");
     return effects_.rejectStream(stream, "this router is not on the list");
   }
   if (greeting.voterList != config_.voterListText()) {
     logRateLimited("peers.other_list", "router=" + greeting.router + " its=\"" +
-                                           greeting.voterList.substr(0, kMaxLoggedList) + "\" ours=\"" +
+                                           greeting.voterList.substr(0, kMaxLoggedListBytes) + "\" ours=\"" +
                                            config_.voterListText() + "\"");
     return effects_.rejectStream(stream, "the lists of keepers differ");
   }
   greetedStreams_[stream] = {greeting.router, greeting.draw};
-  // Ahead of the greeting's reply, and so of any vote.
+  // Sent before the reply to the greeting, and therefore before any vote.
   for (const DrainUpdates& chunk : chunked(drains_.all())) effects_.reply(stream, chunk);
   for (const PrimaryUpdates& chunk : chunked(recovery_.primaries())) effects_.reply(stream, chunk);
   for (const ObservationReport& chunk : chunked(recovery_.observations())) effects_.reply(stream, chunk);
@@ -82,7 +83,7 @@
   };
   membership::FailureDetector& failureDetector = *membership_.failureDetector();
   const auto* heartbeat = std::get_if<Heartbeat>(&message);
-  // Any message shows that its sender is alive.
+  // Every message shows that its sender is alive, not only a heartbeat.
   failureDetector.onHeartbeat(transactions_.now(), sender.router, sender.draw,
                               heartbeat ? std::optional(heartbeat->progress) : std::nullopt);
   const bool hasJoined = failureDetector.isCurrent(sender.router, sender.draw);
@@ -155,11 +156,13 @@
   std::visit([&](const auto& typed) { finishWrite(typed, durable); }, pending);
 }
 
-// An incarnation that is not durable here was not greeted: its router greets again on its next stream.
+// If the incarnation is not durable here, the greeting failed: its router sends another one on its next
+// stream.
 void ClaimDispatcher::finishWrite(const PendingGreetingReply& pending, bool durable) {
-  if (!durable) return effects_.rejectStream(pending.stream, kDiskFails);
-  const auto joined = membership_.failureDetector()->newestIncarnation(pending.router);
-  effects_.reply(pending.stream, GreetingReply{pending.number, pending.previousVoterIncarnation, joined});
+  if (!durable) return effects_.rejectStream(pending.stream, kStoreFailed);
+  const auto joinedIncarnation = membership_.failureDetector()->newestIncarnation(pending.router);
+  effects_.reply(pending.stream,
+                 GreetingReply{pending.number, pending.previousVoterIncarnation, joinedIncarnation});
 }
 
 void ClaimDispatcher::finishWrite(const PendingVote& pending, bool durable) {
@@ -170,7 +173,7 @@
 void ClaimDispatcher::finishWrite(const PendingJoinReply& pending, bool durable) {
   if (durable) return deliverJoinReply(pending.stream, pending.router);
   if (pending.stream == kOwnStream) return writeChanges(pending);
-  effects_.rejectStream(pending.stream, kDiskFails);
+  effects_.rejectStream(pending.stream, kStoreFailed);
 }
 
 void ClaimDispatcher::finishWrite(const PendingRegreeting& pending, bool durable) {
--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -14,12 +14,13 @@
 using config::MillisecondsField;
 using config::StringField;
 
-// Each router talks to all voters, and the voters to each other; more of them add little safety.
+// Every router, voters included, has a stream to each voter; more voters add little safety.
 constexpr std::size_t kMaxVoters = 9;
-// Retention is at least so many times the longest deadline: votes on an idempotency key must outlast its
-// transaction, and the client's retries, by a good deal.
+// Minimum ratio of the retention time to the longest deadline. Votes on an idempotency key must outlast its
+// transaction and the client's retries by a wide margin.
 constexpr double kMinRetentionFactor = 4;
-// A proposal round ends well before an acceptor that lost its state votes again (maintenance/acceptor.h).
+// Maximum ratio of the proposal timeout to the retention time. A proposal round must end well before an
+// acceptor that lost its state votes again (maintenance/acceptor.h).
 constexpr double kMaxProposalTimeoutFraction = 0.25;
 constexpr std::int64_t kWeekMillis = 7 * 24 * 3'600'000LL, kDayMillis = 24 * 3'600'000LL;
 
@@ -33,12 +34,14 @@
   return names;
 }
 
-void readVoters(ConfigSection& top, ClusterConfig& config) {
-  ConfigSection voters = top.section("keepers");
-  if (voters.keys().empty()) throw ConfigError("keepers", "names none");
-  if (voters.keys().size() > kMaxVoters) throw ConfigError("keepers", "are more than 9");
+void readVoters(ConfigSection& root, ClusterConfig& config) {
+  ConfigSection voters = root.section("keepers");
+  if (voters.keys().empty()) throw ConfigError("keepers", "is empty, expected at least one voter");
+  if (voters.keys().size() > kMaxVoters) throw ConfigError("keepers", "has more than 9 voters");
   if (voters.keys().size() % 2 == 0)
-    throw ConfigError("keepers", "are an even number: one of them is of no use");
+    throw ConfigError(
+        "keepers",
+        "has an even number of voters, expected an odd one: the extra voter adds no fault tolerance");
   for (const auto& name : voters.keys()) {
     config.voters.push_back(
         {name, config::readAddress(voters.path(name), voters.read(StringField{name, ""}))});
@@ -47,14 +50,14 @@
   std::sort(config.voters.begin(), config.voters.end(), [](auto& a, auto& b) { return a.name < b.name; });
 }
 
-// The former voter lists, the oldest first, and the present one.
-std::vector<idempotency::VoterList> readVoterLists(ConfigSection& top, const json::Value& all,
+// Returns the former voter lists, oldest first, followed by the current one.
+std::vector<idempotency::VoterList> readVoterLists(ConfigSection& root, const json::Value& document,
                                                    const ClusterConfig& config) {
   constexpr const char* kKey = "keepers_before";
-  constexpr const char* kFault = "is no list of lists of names";
+  constexpr const char* kFault = "is not an array of arrays of names";
   std::vector<idempotency::VoterList> lists;
-  if (top.has(kKey)) {
-    const json::Value& former = *all.find(kKey);
+  if (root.has(kKey)) {
+    const json::Value& former = *document.find(kKey);
     if (former.kind != json::Value::Kind::array) throw ConfigError(kKey, kFault);
     for (const auto& list : former.items) lists.push_back({lists.size() + 1, readNames(list, kKey, kFault)});
   }
@@ -64,28 +67,28 @@
   return lists;
 }
 
-void readStoreFolder(ConfigSection& top, const std::string& name, ClusterConfig& config) {
+void readStoreFolder(ConfigSection& root, const std::string& name, ClusterConfig& config) {
   const bool isVoter = std::any_of(config.voters.begin(), config.voters.end(),
                                    [&](auto& voter) { return voter.name == name; });
-  config.storeFolder = top.read(StringField{"store", ""});
+  config.storeFolder = root.read(StringField{"store", ""});
   if (isVoter && config.storeFolder.empty())
-    throw ConfigError("store", "is missing: a keeper needs a folder that lasts");
+    throw ConfigError("store", "is missing: a voter requires a persistent folder");
   if (!isVoter) config.storeFolder.clear();
 }
 
-void readClaimTimes(ConfigSection& top, Duration longestDeadline, ClusterConfig& config) {
+void readClaimTimes(ConfigSection& root, Duration longestDeadline, ClusterConfig& config) {
   auto& retention = config.votingMember.retention;
-  retention = top.read(MillisecondsField{"retention_ms", retention, 1000, kWeekMillis});
+  retention = root.read(MillisecondsField{"retention_ms", retention, 1000, kWeekMillis});
   if (retention < longestDeadline * kMinRetentionFactor)
     throw ConfigError("retention_ms",
-                      "is under 4 times the longest expiry of a txn that may run only once, " +
+                      "is less than 4 times the longest deadline of an at-most-once transaction, " +
                           std::to_string(longestDeadline.inMicros() / 1000) + " ms");
   auto& coordinator = config.coordinator;
   coordinator.voterCount = config.voters.size();
   coordinator.retention = retention;
   coordinator.maxVoteWait =
-      top.read(MillisecondsField{"longest_wait_ms", coordinator.maxVoteWait, 10, 60'000});
-  coordinator.retryAfter = top.read(MillisecondsField{"come_back_ms", coordinator.retryAfter, 0, 60'000});
+      root.read(MillisecondsField{"longest_wait_ms", coordinator.maxVoteWait, 10, 60'000});
+  coordinator.retryAfter = root.read(MillisecondsField{"come_back_ms", coordinator.retryAfter, 0, 60'000});
 }
 
 void readLimits(ConfigSection limits, ClusterConfig& config) {
@@ -105,10 +108,10 @@
                                recovery::Stage::writes, recovery::Stage::all})
     if (stage == recovery::nameOf(candidate)) config.forcedStage = candidate;
   if (!config.forcedStage)
-    throw ConfigError("force.stage", "'" + stage + "' is none of any_reads, owed_reads, writes and all");
+    throw ConfigError("force.stage", "'" + stage + "' is not one of any_reads, owed_reads, writes and all");
   config.forcedBy = force.read(StringField{"by", ""});
   if (config.forcedBy.empty())
-    throw ConfigError("force.by", "is missing: whose word it is goes into the log");
+    throw ConfigError("force.by", "is missing: expected the operator's name, which is logged");
   force.rejectUnknownKeys();
 }
 
@@ -138,27 +141,27 @@
       std::min(config.proposalTimeout, config.votingMember.retention * kMaxProposalTimeoutFraction);
 }
 
-ClusterConfig read(const json::Value& all, const std::string& name, Duration longestDeadline) {
-  ConfigSection top(all, "");
+ClusterConfig read(const json::Value& document, const std::string& name, Duration longestDeadline) {
+  ConfigSection root(document, "");
   ClusterConfig config;
-  readVoters(top, config);
-  if (top.has("routers"))
-    config.routers.merge(readNames(*all.find("routers"), "routers", "is no list of names"));
-  config.voterLists = readVoterLists(top, all, config);
+  readVoters(root, config);
+  if (root.has("routers"))
+    config.routers.merge(readNames(*document.find("routers"), "routers", "is not an array of names"));
+  config.voterLists = readVoterLists(root, document, config);
   if (!config.routers.contains(name))
-    throw ConfigError("routers", "'" + name + "', this router, is not among them");
-  readStoreFolder(top, name, config);
-  readClaimTimes(top, longestDeadline, config);
-  readLimits(top.section("limits"), config);
+    throw ConfigError("routers", "'" + name + "', the name of this router, is not a member");
+  readStoreFolder(root, name, config);
+  readClaimTimes(root, longestDeadline, config);
+  readLimits(root.section("limits"), config);
   const auto defaultRate = static_cast<std::size_t>(config.initialRatePerNode);
   config.initialRatePerNode =
-      static_cast<double>(top.read(IntegerField{"first_txns", defaultRate, 1, 1'000'000}));
-  config.statusFile = top.read(StringField{"status_file", ""});
+      static_cast<double>(root.read(IntegerField{"first_txns", defaultRate, 1, 1'000'000}));
+  config.statusFile = root.read(StringField{"status_file", ""});
   config.statusInterval =
-      top.read(MillisecondsField{"status_every_ms", config.statusInterval, 50, 3'600'000});
-  if (top.has("force")) readForcedStage(top.section("force"), config);
-  readMaintenance(top.section("work"), config);
-  top.rejectUnknownKeys();
+      root.read(MillisecondsField{"status_every_ms", config.statusInterval, 50, 3'600'000});
+  if (root.has("force")) readForcedStage(root.section("force"), config);
+  readMaintenance(root.section("work"), config);
+  root.rejectUnknownKeys();
   return config;
 }
 
--- a/src/cluster/cluster_config.h
+++ b/src/cluster/cluster_config.h
@@ -1,4 +1,4 @@
-// The configuration of a cluster of routers: read, validated key by key, and given defaults.
+// Reads the configuration of a cluster of routers: validates each key and fills in defaults.
 #pragma once
 
 #include <optional>
@@ -16,41 +16,42 @@
 
 namespace gulltrestle::cluster {
 
-// What the fleet's settings file says. All routers of a cluster have the same voters.
+// The contents of the cluster's configuration file. All routers of a cluster have the same voters.
 struct ClusterConfig {
   struct VoterAddress {
     std::string name;
     config::Address address;
   };
-  std::vector<VoterAddress> voters;                // in the order of their names
-  std::vector<idempotency::VoterList> voterLists;  // the former ones, the oldest first, and the present one
+  std::vector<VoterAddress> voters;                // sorted by name
+  std::vector<idempotency::VoterList> voterLists;  // former lists, oldest first, then the current one
   std::set<std::string> routers;                   // all members, voters included
-  std::string storeFolder;                         // of this router's store; empty: it is no voter
+  std::string storeFolder;                         // of this router's store; empty: it is not a voter
   idempotency::VotingMemberLimits votingMember;
   idempotency::ClaimCoordinatorLimits coordinator;
-  // To this voter; by default twice as many as there are routers, for connections that linger.
+  // Maximum number of connections to this voter. The default is twice the number of routers, since an old
+  // connection may linger beside its successor.
   std::size_t maxConnections = 0;
 
   // --- Recovery
-  // Transactions a second that all routers together admit per node after a start.
+  // Transactions per second that all routers together admit per node after a start.
   double initialRatePerNode = recovery::kInitialRatePerNode;
   std::string statusFile;  // empty: no status document is written
   Duration statusInterval = Duration::millis(1000);
-  std::optional<recovery::Stage> forcedStage;  // by the operator who is named
-  std::string forcedBy;
+  std::optional<recovery::Stage> forcedStage;  // recovery is at this stage at least; none: not forced
+  std::string forcedBy;                        // name of the operator who forced the stage
 
   // --- Maintenance
   maintenance::Bounds maintenance;
   Duration proposalTimeout = Duration::millis(2000);  // well below the retention time
-  std::string requestFolder;  // where operators put requests; empty: none are taken here
-  std::string announceFile;   // of excluded nodes, for whoever feeds discovery; empty: none is written
+  std::string requestFolder;  // where operators put requests; empty: this router accepts none
+  std::string announceFile;   // excluded nodes, for the system that feeds discovery; empty: not written
 
-  // The number of the present voter list and its names: the same on both ends of a stream.
+  // The number of the current voter list and its names. Both ends of a stream must have the same text.
   std::string voterListText() const;
 };
 
-// `name`: this router's; `longestDeadline`: of a transaction that runs at most once. Throws
-// config::ConfigError, which names the key. A key that is not known is a fault, too.
+// `name`: name of this router; `longestDeadline`: the longest deadline of an at-most-once transaction. Throw
+// config::ConfigError, which names the key, if a value is invalid or a key is unknown.
 ClusterConfig readClusterConfig(std::string_view text, const std::string& name, Duration longestDeadline);
 ClusterConfig readClusterConfigFile(const std::string& path, const std::string& name,
                                     Duration longestDeadline);
--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-// After which a stream that ended is opened again, at first and at most; give or take half of it, so that
-// routers that lost a voter together don't return in step.
+// Initial and maximum delay before a stream that ended is reopened. Jitter of plus or minus half of it
+// prevents routers that lost a voter at the same time from reconnecting in step.
 constexpr Duration kInitialBackoff = Duration::millis(100), kMaxBackoff = Duration::millis(2000);
-// How often the folder of requests is read.
+// Interval between reads of the request folder.
 constexpr Duration kRequestsInterval = Duration::millis(500);
-// How often the counts are logged while there are new ones.
+// Minimum time between log lines with the counts. They are logged only when there were new claims.
 constexpr Duration kCountsInterval = Duration::millis(60'000);
-// At most so much is read from a stream before others have their turn.
+// Maximum number of bytes read from a stream before other streams have a turn.
 constexpr std::size_t kReadBytes = 16384;
-// A router opens one; the others are for streams that end.
+// A router opens one stream at a time; the others allow for streams that are being closed.
 constexpr std::size_t kMaxStreamsPerConnection = 4;
 
 std::uint64_t randomDraw() {
@@ -99,7 +99,6 @@
                config_.routers.size(), store_ != nullptr);
 }
 
-// None: this router is no voter.
 std::optional<idempotency::StoredState> ClusterServer::openStore(const std::string& name,
                                                                  std::uint64_t draw) {
   store_ = storeOf(config_, name, draw);
@@ -111,8 +110,8 @@
                stored.ownStarts.back().number, stored.isComplete, stored.claims.size());
   if (!stored.isComplete)
     spdlog::warn(
-        "event=store.not_whole folder={} votes_after_ms={} hint=\"a new installation's folder is made by: "
-        "gulltrestle store create FOLDER {}\"",
+        "event=store.not_whole folder={} votes_after_ms={} hint=\"for a new installation create the folder "
+        "with: gulltrestle store create FOLDER --keeper {}\"",
         config_.storeFolder, config_.votingMember.retention.inMicros() / 1000, name);
   return store_->takeStoredState();
 }
@@ -127,7 +126,7 @@
       loop_.spawn(maintainStream(voter));
 }
 
-// The tasks refer to it.
+// Ends the event loop's tasks, which refer to this object.
 ClusterServer::~ClusterServer() {
   transactions_.setExecutionGate(nullptr);
   transactions_.setAdmissionController(nullptr);
@@ -156,7 +155,8 @@
   spdlog::info("event={} {}", event, fields);
 }
 
-// As an operator would: the process answers the transactions that it has admitted, and exits.
+// Starts the same graceful shutdown as an operator: the process finishes the transactions that it has
+// admitted, and exits.
 void ClusterServer::terminate() { ::raise(SIGTERM); }
 
 void ClusterServer::announce(std::uint64_t version, const std::set<std::string>& excludedNodes) {
@@ -176,16 +176,16 @@
 
 Instant ClusterServer::nextDue() const {
   Instant due = dispatcher_->nextDue();
-  const auto bringForward = [&](Instant other) {
+  const auto includeDueTime = [&](Instant other) {
     if (due == Instant() || other < due) due = other;
   };
-  if (!config_.statusFile.empty()) bringForward(statusWrittenAt_ + config_.statusInterval);
-  if (requests_) bringForward(requestsReadAt_ + kRequestsInterval);
+  if (!config_.statusFile.empty()) includeDueTime(statusWrittenAt_ + config_.statusInterval);
+  if (requests_) includeDueTime(requestsReadAt_ + kRequestsInterval);
   return due;
 }
 
 void ClusterServer::flush() {
-  // What the transaction table has reported since the dispatcher's turn goes out now, too.
+  // Also sends what the transaction table has reported since the dispatcher's turn.
   dispatcher_->flushDecisions();
   if (listener_) listener_->flush();
   for (auto& [voter, stream] : openStreams_) stream->flush();
@@ -195,7 +195,7 @@
   try {
     dispatcher_->reloadConfig(readConfig_());
   } catch (const std::exception& bad) {
-    // Whatever is wrong with the file, the router goes on with the configuration that it has.
+    // Whatever is wrong with the file, the router keeps its current configuration.
     spdlog::error("event=peers.not_taken why=\"{}\"", bad.what());
   }
 }
@@ -247,7 +247,7 @@
 // --- The store
 
 event_loop::Task ClusterServer::watchStore() {
-  // Without a descriptor no completed write would be noticed: it is retried for as long as there is none.
+  // Without a descriptor no completed write would be noticed, so dup() is retried until it succeeds.
   int descriptor = ::dup(store_->descriptor());
   while (descriptor < 0) {
     co_await loop_.sleepUntil(loop_.now() + kInitialBackoff);
@@ -295,7 +295,7 @@
         }
       }
     } catch (const std::exception& bad) {
-      // Whatever made the stream unusable, malformed replies or the system, another one is opened below.
+      // Whether malformed replies or a system error made the stream unusable, another one is opened below.
       spdlog::warn("event=peers.talk_failed keeper={} why=\"{}\"", name, bad.what());
     }
     transactions_.advanceTo(loop_.now());
--- a/src/cluster/cluster_server.h
+++ b/src/cluster/cluster_server.h
@@ -1,6 +1,7 @@
 // The cluster component of a router, on sockets and a disk: a stream to each voter, which is reopened
-// whenever it ends; a listener and a store where this router is a voter. For a private network: whoever can
-// reach the listener and knows the member list is accepted.
+// whenever it ends, and on a voter also a listener and a store. Peers are not authenticated: every client
+// that can reach the listener and knows the member list is accepted, so the listener must be on a private
+// network.
 #pragma once
 
 #include <functional>
@@ -22,17 +23,17 @@
 
 namespace gulltrestle::cluster {
 
-// One for each process that has a cluster configuration. It carries out the claim dispatcher's effects.
+// Each process with a cluster configuration has one. It implements the claim dispatcher's effects.
 class ClusterServer final : public gateway::Component, private Effects, private grpc_server::CallHandler {
  public:
-  // `readConfig`: reads the configuration anew; it may throw config::ConfigError. The constructor throws
-  // config::ConfigError where the store or the address to listen on can't be used.
+  // `readConfig` reads the configuration again for a reload; it may throw config::ConfigError. The
+  // constructor throws config::ConfigError if the store or the listen address can't be used.
   ClusterServer(event_loop::EventLoop& loop, transactions::TransactionTable& transactions,
                 const RoutingConfig& routing, const ClusterConfig& config, const std::string& name,
                 std::function<ClusterConfig()> readConfig);
   ~ClusterServer() override;
 
-  // File descriptors that it may need.
+  // Maximum number of file descriptors that a server with this configuration uses.
   static std::size_t descriptors(const ClusterConfig& config) {
     const std::size_t asVoter = config.storeFolder.empty() ? 0 : config.maxConnections + kStoreDescriptors;
     return config.voters.size() + asVoter;
@@ -42,18 +43,19 @@
   void endTurn() override;
   void flush() override;
   Instant nextDue() const override;
-  // Takes over the members and the forced stage alone. A configuration that can't be used is logged with its
-  // key.
+  // Applies the members and the forced stage; all other values need a restart. An invalid configuration is
+  // logged with the key at fault and is not applied.
   void reloadConfig() override;
-  // A voter goes on for the other routers until this router's own transactions are answered.
+  // Does nothing: a voter continues to serve the other routers until this router's own transactions have
+  // finished.
   void stop() override {}
   bool empty() const override { return true; }
 
  private:
-  // The store's files, the listening socket, and a few to spare.
+  // Descriptors for the store's files and the listening socket, with a small reserve.
   static constexpr std::size_t kStoreDescriptors = 8;
 
-  // While it exists, messages to the voter go to that stream.
+  // Routes messages for a voter to a stream for as long as the registration exists.
   class StreamRegistration;
 
   // --- Effects
@@ -77,14 +79,17 @@
   void halfClosed(grpc_server::CallKey call) override { listener_->finish(call, grpc::Status::ok, ""); }
   void ended(grpc_server::CallKey call) override { dispatcher_->onStreamEnded(call); }
 
+  // Returns the stored state; none: this router is not a voter.
   std::optional<idempotency::StoredState> openStore(const std::string& name, std::uint64_t draw);
   void startStreams();
-  // Keeps a stream to the voter open for as long as the server lives.
+  // Keeps a stream to the voter open until the server is destroyed.
   event_loop::Task maintainStream(idempotency::VoterIndex voter);
-  // Receives and sends what can be at once. False: the stream is to be closed. A reply resets the backoff.
+  // Receives and sends as much as possible without blocking. Returns false if the stream has to be closed. A
+  // reply resets the backoff.
   bool exchange(idempotency::VoterIndex voter, PeerStream& peer, Duration& backoff);
   bool receiveReplies(idempotency::VoterIndex voter, PeerStream& peer, Duration& backoff);
-  // Hands on the store's completed writes, and logs when it begins or ceases to fail.
+  // Passes completed writes of the store to the dispatcher, and logs when writes start to fail and when they
+  // succeed again.
   event_loop::Task watchStore();
   void logStoreHealth();
   void logCounts(Instant now);
@@ -105,7 +110,7 @@
   StreamStatistics streamStatistics_;
   bool isStatusFailing_ = false;
   std::uint64_t loggedClaims_ = 0;
-  bool isStoreFailing_ = false;  // as it was logged last
+  bool isStoreFailing_ = false;  // the last logged state
 };
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/due_time.h
+++ b/src/cluster/due_time.h
@@ -1,4 +1,4 @@
-// When a router's turn is due next, from when each of its parts is.
+// Combines the due times of a router's components into the due time of its next turn.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace gulltrestle::cluster {
 
-// The earlier of two due times. Never stands for a part of which nothing is due.
+// Returns the earlier of two due times. Instant() means that nothing is due.
 constexpr Instant earlierDue(Instant a, Instant b) {
   if (a == Instant()) return b;
   return b == Instant() ? a : std::min(a, b);
--- a/src/cluster/identifiers.h
+++ b/src/cluster/identifiers.h
@@ -1,4 +1,4 @@
-// What streams and writes are called by while they are open. Each is unique within one process.
+// Identifiers of open streams and of pending writes. Each is unique within one process.
 #pragma once
 
 #include <cstdint>
--- a/src/cluster/maintenance_service.cpp
+++ b/src/cluster/maintenance_service.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-// How often the fleet is observed while there is maintenance: a transition is delayed by this at most.
+// Interval between observations of the fleet during maintenance. It is the maximum delay of a transition.
 constexpr Duration kObservationInterval = Duration::millis(500);
-// Operators' requests that wait for a round.
+// Maximum number of operators' requests that are queued for a proposal round.
 constexpr std::size_t kMaxPendingRequests = 100;
 
 }  // namespace
@@ -35,7 +35,7 @@
   onAccepted(*identity_.ownIndex, acceptor_->accepted());
 }
 
-// --- At each router
+// --- On every router
 
 void MaintenanceService::onHeartbeatSent(Instant now, maintenance::VoterIndex voter, std::uint64_t number) {
   lease_.onHeartbeatSent(now, voter, number);
@@ -61,8 +61,8 @@
   }
   const std::string version = " version=" + std::to_string(planView_.chosen().version);
   for (const auto& machine : planView_.chosen().machines) {
-    const maintenance::Machine* old = before.find(machine.name);
-    if (!old || old->phase != machine.phase || old->request != machine.request)
+    const maintenance::Machine* previous = before.find(machine.name);
+    if (!previous || previous->phase != machine.phase || previous->request != machine.request)
       log_("work.machine", "machine=" + machine.name +
                                " phase=" + std::string(maintenance::nameOf(machine.phase)) + version +
                                " why=\"" + machine.reason + "\"");
@@ -74,7 +74,7 @@
   return mustTerminate && !std::exchange(isTerminationTaken_, true);
 }
 
-// --- At a voter
+// --- On a voter
 
 Acceptor::RequestOutcome MaintenanceService::onProposal(const PeerMessage& message) {
   if (!acceptor_) return {};
@@ -129,7 +129,7 @@
     node.isLive = listed.entry.health == Health::live;
     node.isPrimary = listed.entry.primary;
   }
-  // Positions move on with time: each is taken as it would be now.
+  // Log positions advance with time: each observed position is extrapolated by the age of its observation.
   std::map<std::uint64_t, Instant> newestPositions;  // by group
   for (const auto& observation : observations)
     if (const auto node = fleet.nodes.find(observation.node);
@@ -167,14 +167,15 @@
   }
 }
 
-std::size_t MaintenanceService::aliveAhead(const MembershipService& membership) const {
+std::size_t MaintenanceService::countAliveVotersAhead(const MembershipService& membership) const {
   std::size_t alive = 0;
   for (maintenance::VoterIndex voter = 0; voter < *identity_.ownIndex; ++voter)
     alive += membership.view().memberState(identity_.voters[voter]).state == MembershipView::State::alive;
   return alive;
 }
 
-// From nodes of groups with maintenance: whether they serve is known by their own load reports alone.
+// Requests load reports from nodes of groups with unfinished maintenance. Only their own load reports show
+// whether they serve.
 void MaintenanceService::requestLoadReports(Instant now) {
   if (now - reportsRequestedAt_ < maintenance::kReportInterval) return;
   reportsRequestedAt_ = now;
@@ -204,7 +205,7 @@
         {id, maintenance::applyRequest(plan, id, request, fleet_, leader_.bounds())});
   const bool wasRequested = std::any_of(proposedChange_.answers.begin(), proposedChange_.answers.end(),
                                         [](const Answer& answer) { return answer.rejection.empty(); });
-  // By the value that is chosen now, not by the one that was when the round began.
+  // Starts from the value that is chosen now, which may be newer than the one chosen when the round began.
   proposedChange_.transitions = leader_.advance(now, plan, fleet_);
   proposedChange_.version = plan.version;
   if (!wasRequested && proposedChange_.transitions.empty())
@@ -213,11 +214,11 @@
       round_->propose(maintenance::ValueVersion{plan.version, identity_.draw}, maintenance::encoded(plan))};
 }
 
-// What this router's round got chosen: logs it, and answers the requests.
+// Logs the transitions of a value that this router's round got chosen, and answers the requests in it.
 void MaintenanceService::applyChosen() {
   if (!round_->takeChosen()) return;
   leader_.onChosen();
-  observedAt_ = Instant();  // the fleet is observed anew, by the plan that is chosen now
+  observedAt_ = Instant();  // observe the fleet again, with the newly chosen plan
   for (const auto& transition : proposedChange_.transitions)
     log_("work.step",
          "machine=" + transition.machineName + " from=" + std::string(maintenance::nameOf(transition.from)) +
@@ -250,14 +251,14 @@
   nextDue_ = !leaseRequiredNodes_.empty() && leaseUntil_ > now ? leaseUntil_ : Instant();
 }
 
-// Not in each of a busy voter's many turns.
+// Limited to one observation per interval, as a busy voter has many more turns than that.
 void MaintenanceService::observeFleet(Instant now, const TurnInput& input) {
   if (observedAt_ != Instant() && now - observedAt_ < kObservationInterval) return;
   observedAt_ = now;
   fleet_ = fleetState(input);
   leader_.observe(now, planView_.chosen(), fleet_);
   isDue_ = leader_.isDue(now, planView_.chosen(), fleet_);
-  isLeader_ = leader_.shouldLead(now, isDue_, aliveAhead(input.membership));
+  isLeader_ = leader_.shouldLead(now, isDue_, countAliveVotersAhead(input.membership));
   if (isLeader_) requestLoadReports(now);
 }
 
@@ -270,12 +271,12 @@
   applyChosen();
   nextDue_ = earlierDue(nextDue_, round_->runTimers(now));
   const auto& machines = planView_.chosen().machines;
-  const bool isOpen = std::any_of(machines.begin(), machines.end(),
-                                  [](const auto& machine) { return machine.phase != Phase::finished; });
-  // An incomplete acceptor is completed by a round of its own: two that lost their state one after the other
-  // would be too many.
+  const bool hasOpenMachines = std::any_of(
+      machines.begin(), machines.end(), [](const auto& machine) { return machine.phase != Phase::finished; });
+  // An incomplete acceptor starts a round to complete itself. Otherwise it might still be incomplete when a
+  // second acceptor loses its state, and two of them would be too many.
   const bool mustComplete = input.mayVote && !acceptor_->isComplete();
-  if (!isOpen && pendingRequests_.empty() && !mustComplete) {
+  if (!hasOpenMachines && pendingRequests_.empty() && !mustComplete) {
     isLeader_ = isDue_ = false;
     return messages;
   }
--- a/src/cluster/membership_service.cpp
+++ b/src/cluster/membership_service.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// In one heartbeat reply, well below what a message may hold; the rest follows with the next ones.
+// Maximum number of reports in a heartbeat reply, well below the message size limit. The next replies have
+// the rest.
 constexpr std::size_t kMaxReports = 256;
 
 }  // namespace
@@ -29,7 +30,7 @@
   onGreetingReply(now, *identity_.ownIndex, failureDetector_->newestIncarnation(identity_.name));
 }
 
-// --- At each router
+// --- On every router
 
 void MembershipService::onGreetingReply(Instant now, VoterIndex voter,
                                         const membership::Incarnation& newest) {
@@ -96,7 +97,7 @@
              std::to_string(transition.silentVoterCount) + " of=" + std::to_string(identity_.voters.size()));
 }
 
-// --- At a voter
+// --- On a voter
 
 HeartbeatReply MembershipService::reportsFor(PeerStreamId stream) {
   return HeartbeatReply{failureDetector_->reportsSince(reportedVersions_[stream], kMaxReports), 0, false};
--- a/src/cluster/membership_service.h
+++ b/src/cluster/membership_service.h
@@ -1,6 +1,7 @@
-// Which routers of the fleet are alive, and which incarnation of each has joined, as this router knows it:
-// it joins at the voters, sends them heartbeats and takes their liveness reports; where it is a voter, it
-// detects failures itself. A reducer: messages in, messages out; the protocols stand in src/membership.
+// Membership of the fleet as seen by this router: which routers are alive, and which incarnation of each has
+// joined. The service joins at the voters, sends them heartbeats and receives their liveness reports; on a
+// voter it also runs the failure detector. It is a reducer: it maps messages to messages. The protocols are
+// implemented in src/membership.
 #pragma once
 
 #include <functional>
@@ -22,65 +23,65 @@
 namespace gulltrestle::cluster {
 
 // --- To a voter
-// This incarnation wants to join with that number.
+// Requests to join with this incarnation number.
 struct JoinRequest {
   std::uint64_t number = 0;
 };
-// Shows that this incarnation is alive, and how far it has got.
+// Shows that this incarnation is alive, and reports its progress.
 struct Heartbeat {
-  std::uint64_t number = 0;  // of this router's heartbeats; the reply carries it
+  std::uint64_t number = 0;  // sequence number of this router's heartbeats; the reply repeats it
   membership::MemberProgress progress;
 };
 
 // --- From a voter
-// The newest incarnation of the requesting router that the voter has on disk.
+// The newest incarnation of the requesting router that is on the voter's disk.
 struct JoinReply {
   membership::Incarnation newest;
 };
-// What has changed since the voter's last reply on that stream.
+// Liveness changes since the voter's last reply on the same stream.
 struct HeartbeatReply {
   std::vector<membership::LivenessReport> reports;
   std::uint64_t heartbeatNumber = 0;
-  bool grantsLease = false;  // the voter holds all that it ever promised of the maintenance plan
+  bool grantsLease = false;  // the voter votes, and its maintenance acceptor has every promise that it made
 };
 
 // Owned by the claim dispatcher, which delivers the messages and calls endTurn().
 class MembershipService {
  public:
   using Log = std::function<void(std::string_view event, const std::string& fields)>;
-  // What this router sends to a voter.
+  // A message from this router to a voter.
   using Message = std::variant<JoinRequest, Heartbeat>;
-  // `routers`: all members; `stored`: where this router is a voter, the newest incarnation of each router on
-  // its disk.
+  // `routers`: all members; `stored`: the newest incarnation of each router on this voter's disk; empty if
+  // this router is not a voter.
   MembershipService(Instant now, const std::set<std::string>& routers, RouterIdentity identity,
                     std::map<std::string, membership::Incarnation> stored, Log log);
 
-  // --- At each router: replies of voters, its own among them
+  // --- On every router: replies of voters, including its own voter
   void onGreetingReply(Instant now, membership::VoterIndex voter, const membership::Incarnation& newest);
   void onJoinReply(Instant now, membership::VoterIndex voter, const membership::Incarnation& newest);
   void onLivenessReports(membership::VoterIndex voter,
                          const std::vector<membership::LivenessReport>& reports);
   void onVoterLost(membership::VoterIndex voter);
-  // Whether this incarnation has joined there.
+  // Whether this incarnation has joined at that voter.
   bool isJoinedAt(membership::VoterIndex voter) const { return joinProtocol_.isJoinedAt(voter); }
 
   struct OutgoingMessage {
     membership::VoterIndex voter;
     Message message;
   };
-  // Runs the timers. Returns what is to be sent.
+  // Runs the timers. Returns the messages to send.
   std::vector<OutgoingMessage> endTurn(Instant now, const membership::MemberProgress& progress);
   Instant nextDue() const { return nextDue_; }
 
-  // --- At a voter. The failure detector; null elsewhere.
+  // --- On a voter. The failure detector; null on a router that is not a voter.
   membership::FailureDetector* failureDetector() { return failureDetector_ ? &*failureDetector_ : nullptr; }
   const membership::FailureDetector* failureDetector() const {
     return failureDetector_ ? &*failureDetector_ : nullptr;
   }
-  // The reply to a heartbeat on that stream, without the heartbeat's number and the lease.
+  // Returns the reply to a heartbeat on that stream; the caller sets the heartbeat's number and the lease.
   HeartbeatReply reportsFor(PeerStreamId stream);
   void onStreamEnded(PeerStreamId stream) { reportedVersions_.erase(stream); }
-  // The configuration was reloaded.
+  // Replaces the members after a configuration reload.
   void setMembers(Instant now, const std::set<std::string>& routers);
 
   const membership::JoinProtocol& joinProtocol() const { return joinProtocol_; }
@@ -98,9 +99,9 @@
   membership::HeartbeatTimer heartbeatTimer_;
   membership::MembershipView view_;
   std::optional<membership::FailureDetector> failureDetector_;
-  std::map<PeerStreamId, std::uint64_t> reportedVersions_;  // the failure detector's
+  std::map<PeerStreamId, std::uint64_t> reportedVersions_;  // of the failure detector's state
   std::uint64_t ownReportedVersion_ = 0, heartbeatNumber_ = 0;
-  std::set<membership::VoterIndex> greetedVoters_;  // that have replied to a greeting
+  std::set<membership::VoterIndex> greetedVoters_;  // those that have replied to a greeting
   membership::JoinProtocol::State loggedState_ = membership::JoinProtocol::State::discovering;
   Instant nextDue_;
 };
--- a/src/cluster/messages.cpp
+++ b/src/cluster/messages.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// --- Parts of messages: set() encodes, read() decodes
+// --- Message fields: set() encodes, read() decodes
 
 void set(wire::Incarnation& to, const VoterIncarnation& incarnation) {
   to.set_number(incarnation.number);
@@ -29,7 +29,7 @@
 void set(wire::LivenessReport& to, const membership::LivenessReport& report) {
   to.set_router(report.router);
   set(*to.mutable_incarnation(), report.incarnation);
-  // Both enums have the same values.
+  // Both enums have the same numeric values.
   to.set_liveness(static_cast<wire::LivenessReport::Liveness>(report.liveness));
   to.set_recovery_stage(report.progress.recoveryStage);
   to.set_plan_version(report.progress.planVersion);
@@ -74,7 +74,7 @@
 }
 
 void set(wire::AcceptorReply& to, const Acceptor::AcceptorReply& reply) {
-  // Both enums have the same values.
+  // Both enums have the same numeric values.
   to.set_kind(static_cast<wire::AcceptorReply::Kind>(reply.kind));
   set(*to.mutable_ballot(), reply.ballot);
   set(*to.mutable_promised(), reply.promised);
@@ -134,7 +134,7 @@
       return Role::primary;
     case wire::Observation::REPLICA:
       return Role::replica;
-    default:  // a router of a later version may know more
+    default:  // a router of a later version may send other roles
       return Role::unknown;
   }
 }
@@ -185,12 +185,12 @@
       return Vote::Kind::granted;
     case wire::Vote::TAKEN_BY_OTHER:
       return Vote::Kind::takenByOther;
-    default:  // what a voter of a later version means by it is not known: no vote
+    default:  // the meaning of a later version's value is unknown, so it is not counted as a vote
       return Vote::Kind::abstained;
   }
 }
 
-// --- Messages of routers
+// --- Messages from routers
 
 void set(wire::PeerMessage& to, const Greeting& greeting) {
   auto& encodedGreeting = *to.mutable_greeting();
@@ -241,7 +241,7 @@
   return {from.number(), {from.recovery_stage(), from.plan_version(), from.drained_version()}};
 }
 
-// --- Replies of voters
+// --- Replies from voters
 
 void set(wire::PeerReply& to, const GreetingReply& reply) {
   auto& encodedReply = *to.mutable_greeting_reply();
--- a/src/cluster/messages.h
+++ b/src/cluster/messages.h
@@ -1,5 +1,5 @@
-// The codec of the messages between routers and voters: typed values here, protobuf on the wire. Protobuf's
-// types are used in messages.cpp alone.
+// Codec of the messages between routers and voters, which are protobuf on the wire. Protobuf types are used
+// in messages.cpp only.
 #pragma once
 
 #include <stdexcept>
@@ -16,17 +16,17 @@
 
 namespace gulltrestle::cluster {
 
-// The gRPC method whose bidirectional stream carries them.
+// The gRPC method whose bidirectional stream carries the messages.
 constexpr std::string_view kMethod = "/gulltrestle.peers.Keeper/Talk";
 
-// Bytes that are no valid message. The same bytes will fail again: the stream that they came on is ended, and
-// what() tells its other end why.
+// Thrown for bytes that are not a valid message. The error is permanent: the stream that the bytes were
+// received on is closed, and what() is sent to its other end as the reason.
 class MalformedMessage : public std::runtime_error {
  public:
   enum class Fault {
-    unparsable,        // no protobuf message, or cut off
-    unknownType,       // none of the types of messages, or empty
-    unknownEnumValue,  // a field has a value that stands for nothing here
+    unparsable,        // not a protobuf message, or truncated
+    unknownType,       // not one of the known message types, or empty
+    unknownEnumValue,  // a field has a value that is not defined here
   };
   MalformedMessage(Fault fault, const std::string& description)
       : std::runtime_error(description), fault_(fault) {}
@@ -37,28 +37,28 @@
 };
 
 // --- In both directions
-// Nodes that are draining, or no longer, by which endpoint list.
+// Nodes that started or stopped draining, with the version of the endpoint list that says so.
 using DrainUpdates = std::vector<recovery::DrainUpdate>;
 using PrimaryUpdates = std::vector<PrimaryUpdate>;
 
 // --- From a router to a voter
-// Opens the stream; the voter list has to be the same on both sides.
+// The first message on a stream. Both ends must have the same voter list.
 struct Greeting {
   std::string router, voterList;
   std::uint64_t draw = 0;                          // of this incarnation, for the tokens of its claims
-  idempotency::VoterIncarnation voterIncarnation;  // of the router as a voter; number 0: it is none
+  idempotency::VoterIncarnation voterIncarnation;  // of the router as a voter; number 0: it is not a voter
 };
-// Asks for a vote on an idempotency key. Claims of an incarnation are numbered.
+// Requests a vote on an idempotency key. `number` is unique among the claims of an incarnation.
 struct Claim {
   std::string id;
   std::uint64_t number = 0;
 };
-// Withdraws that claim.
+// Withdraws the claim with that number.
 struct Release {
   std::string id;
   std::uint64_t number = 0;
 };
-// The transaction of that claim has committed, with this result.
+// Reports that the transaction of a claim has committed, with its result.
 struct Committed {
   std::string id;
   std::uint64_t number = 0;
@@ -76,10 +76,11 @@
                                  JoinRequest, Heartbeat, PrepareRequest, AcceptRequest>;
 
 // --- From a voter to a router
+// To a greeting, once the greeted incarnation is durable.
 struct GreetingReply {
-  std::uint64_t number = 0;                                // of the voter incarnation that was greeted with
-  idempotency::VoterIncarnation previousVoterIncarnation;  // the newest that was known of it before
-  membership::Incarnation joinedIncarnation;               // the newest of the router that has joined there
+  std::uint64_t number = 0;                                // of the voter incarnation in the greeting
+  idempotency::VoterIncarnation previousVoterIncarnation;  // newest one of that voter known before
+  membership::Incarnation joinedIncarnation;               // newest one of the router that joined there
 };
 // To a claim.
 struct VoteReply {
@@ -90,7 +91,8 @@
 struct ProposalReply {
   maintenance::Acceptor::AcceptorReply reply;
 };
-// The accepted value that is durable at that voter: whenever it changes, and ahead of the greeting's reply.
+// The accepted value that is durable at the voter. Sent whenever it changes, and before the reply to a
+// greeting.
 struct PlanUpdate {
   maintenance::AcceptedValue accepted;
 };
--- a/src/cluster/peer_stream.cpp
+++ b/src/cluster/peer_stream.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// Bytes that wait to be sent. A stream with more is closed.
+// Maximum number of buffered bytes that are not sent yet. A stream that exceeds it is closed.
 constexpr std::size_t kMaxUnsentBytes = 1 << 20;
 
-bool isAnswered(const PeerMessage& message) {
+bool expectsReply(const PeerMessage& message) {
   return std::holds_alternative<Greeting>(message) || std::holds_alternative<Claim>(message) ||
          std::holds_alternative<Heartbeat>(message);
 }
@@ -33,7 +33,7 @@
 
 void PeerStream::send(const PeerMessage& message) {
   session_.send(call_, grpc::framed(encoded(message)));
-  if (replyDue_ != Instant() || !isAnswered(message)) return;
+  if (replyDue_ != Instant() || !expectsReply(message)) return;
   replyDue_ = loop_.now() + kReplyTimeout;
   stream_.wakeAt(replyDue_);
 }
--- a/src/cluster/peer_stream.h
+++ b/src/cluster/peer_stream.h
@@ -1,5 +1,5 @@
-// One connection to a voter with the gRPC stream on it: HTTP/2 on a socket, as its client. Reads and writes
-// without blocking; whoever owns it waits on stream().
+// The client end of a connection to a voter: an HTTP/2 connection with a single gRPC stream. Reads and writes
+// do not block; the owner waits on stream().
 #pragma once
 
 #include <optional>
@@ -13,14 +13,14 @@
 
 namespace gulltrestle::cluster {
 
-// The longest message that is accepted on a stream, at both ends.
+// Maximum size of a message, enforced by both ends of a stream.
 constexpr std::size_t kMaxMessageBytes = 128 * 1024;
 
-// Owned by the cluster server's task for that voter.
+// A stream to one voter, owned by the cluster server's task for that voter.
 class PeerStream final : http2::Handler {
  public:
-  // How long a connection attempt may take, and a reply to a message that has one. Guards against a path that
-  // swallows what is sent, which shows no other sign.
+  // Timeout of a connection attempt, and of the reply to a message that has one. Detects a network path that
+  // silently drops packets, which is not reported in any other way.
   static constexpr Duration kReplyTimeout = Duration::millis(3000);
 
   PeerStream(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
@@ -30,22 +30,22 @@
 
   event_loop::Stream& stream() { return stream_; }
 
-  // Begins the gRPC call if the connection is established. False: it is not.
+  // Starts the gRPC call. Returns false if the connection is not established.
   [[nodiscard]] bool open(const std::string& authority);
-  // Queues the message; flush() sends it.
+  // Queues the message. flush() sends all queued messages.
   void send(const PeerMessage& message);
   void flush();
 
-  // The bytes were read from the connection; nextReply() returns the replies that are complete then.
+  // Processes bytes that were read from the connection. nextReply() then returns the complete replies.
   void onBytes(Instant now, std::string_view bytes);
-  // Valid until onBytes() is called next.
+  // Returns the next complete reply, or none. The view is valid until the next call of onBytes().
   std::optional<std::string_view> nextReply();
 
-  // The stream can't be used any more: it failed or ended.
+  // The stream has failed or ended.
   bool isClosed() const { return isClosed_; }
-  // What was received is no sequence of gRPC messages.
+  // The received bytes are not a sequence of gRPC messages.
   bool isMalformed() const { return isMalformed_; }
-  // A reply has not come in time.
+  // An expected reply was not received within kReplyTimeout.
   bool hasTimedOut() const { return replyDue_ != Instant() && loop_.now() >= replyDue_; }
 
  private:
@@ -61,7 +61,7 @@
   std::string received_, unsent_;
   std::size_t consumed_ = 0;  // of received_, by nextReply()
   bool isOpen_ = false, isClosed_ = false, isMalformed_ = false;
-  Instant replyDue_;  // never: no reply is awaited
+  Instant replyDue_;  // never: no reply is expected
 };
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/recovery_service.cpp
+++ b/src/cluster/recovery_service.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// How long after its own recovery a router reports that it has recovered: one that has only just started
-// says nothing of the fleet.
+// Delay between a router's own recovery and its first report that it has recovered. The recovery of a router
+// that has only just started says nothing about the fleet.
 constexpr Duration kRecoveredDelay = Duration::millis(15'000);
-// When clients that a stage rejects may retry, at most; at least half of it. Most stages end within a second
-// or two.
+// Maximum retry time for clients that a recovery stage rejects; the minimum is half of it. Most stages end
+// within a second or two.
 constexpr Duration kMaxStageRetryAfter = Duration::millis(1000);
 
-// Far more than there are groups.
+// Well above the number of groups.
 constexpr std::size_t kMaxKnownPrimaries = 10'000;
 
 Duration maxRetryAfterOf(const RoutingConfig& routing) {
@@ -60,7 +60,7 @@
 
 void RecoveryService::onEndpointList(EndpointUpdateKind kind, recovery::ListVersion version,
                                      const std::vector<EndpointEntry*>& entries) {
-  // A snapshot forgets what it does not list.
+  // Nodes that are not in a snapshot are forgotten.
   std::set<NodeId> forgotten;
   if (kind == EndpointUpdateKind::snapshot) forgotten = listedNodes_;
   std::size_t proven = 0;
@@ -72,11 +72,11 @@
     }
     listedNodes_.insert(entry->node);
     if (const auto loadReport = observations_.onListed(entry->node, entry->startedAt)) {
-      learntReports_.emplace_back(entry->node, *loadReport);
+      pendingLoadReports_.emplace_back(entry->node, *loadReport);
       ++proven;
     }
   }
-  // Two other routers had observed them before any endpoint list named them.
+  // Two other routers had observed these nodes before an endpoint list contained them.
   if (proven > 0) log_("recovery.proven", "proven=" + std::to_string(proven) + " ahead_of=list");
   for (const auto& node : forgotten) {
     listedNodes_.erase(node);
@@ -99,7 +99,7 @@
   std::size_t proven = 0;
   for (const auto& observation : report.nodes)
     if (const auto loadReport = observations_.onObservation(transactions_.now(), router, observation)) {
-      learntReports_.emplace_back(observation.node, *loadReport);
+      pendingLoadReports_.emplace_back(observation.node, *loadReport);
       ++proven;
     }
   if (report.hasRecovered) ramp_.skip();
@@ -137,7 +137,7 @@
 
 std::vector<PrimaryUpdate> RecoveryService::endTurn(bool isQuorumReached) {
   const Instant now = transactions_.now();
-  for (const auto& [node, loadReport] : std::exchange(learntReports_, {}))
+  for (const auto& [node, loadReport] : std::exchange(pendingLoadReports_, {}))
     transactions_.onPeerLoadReport(node, loadReport);
   stages_.setQuorumReached(isQuorumReached);
   logStageTransitions(stages_.decide(now, observations_));
@@ -185,10 +185,10 @@
 }
 
 unsigned RecoveryService::progress() const {
-  auto least = recovery::Stage::all;
+  auto minStage = recovery::Stage::all;
   const auto groups = stages_.groups();
-  for (const GroupId id : groups) least = std::min(least, stages_.statusOf(id).stage);
-  return groups.empty() ? 0 : static_cast<unsigned>(least);
+  for (const GroupId id : groups) minStage = std::min(minStage, stages_.statusOf(id).stage);
+  return groups.empty() ? 0 : static_cast<unsigned>(minStage);
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/recovery_service.h
+++ b/src/cluster/recovery_service.h
@@ -1,6 +1,7 @@
-// How far service has recovered at this router since it started: recovery stages, admission ramp and
-// observations of nodes. It is fed by the transaction table and by other routers, and is the transaction
-// table's admission controller. A reducer: events in, effects out; the decisions stand in src/recovery.
+// Tracks how far service has recovered since this router started: recovery stages, admission ramp and
+// observations of nodes. It receives events from the transaction table and from other routers, and is the
+// transaction table's admission controller. It is a reducer: it maps events to effects. The decisions are
+// made in src/recovery.
 #pragma once
 
 #include <functional>
@@ -17,10 +18,10 @@
 
 namespace gulltrestle::cluster {
 
-// What one router reports to those that start.
+// Observations that a router reports to routers that are starting.
 struct ObservationReport {
   std::vector<recovery::Observation> nodes;
-  bool hasRecovered = false;  // all groups admit everything there, and have for a while
+  bool hasRecovered = false;  // all groups of that router have admitted everything for some time
 };
 
 // The confirmed primary of a group.
@@ -33,8 +34,8 @@
 class RecoveryService final : public transactions::AdmissionController {
  public:
   using Log = std::function<void(std::string_view event, const std::string& fields)>;
-  // `initialRatePerNode`: transactions a second that all routers together admit per node when the ramp
-  // begins.
+  // `initialRatePerNode`: transactions per second that all routers together admit per node when the ramp
+  // starts.
   RecoveryService(transactions::TransactionTable& transactions, const RoutingConfig& routing,
                   double initialRatePerNode, std::uint64_t seed, Log log);
 
@@ -43,34 +44,35 @@
   void onTransactionEnded(GroupId group, std::size_t type, const AdmittedResult& result) override;
   void onLoadReport(const NodeId& node, const LoadReport& report) override;
   void onNodeDisconnected(const NodeId& node) override { observations_.onDisconnected(node); }
-  // The endpoint list, with the drains that are known here applied to it.
+  // Handles an endpoint list to which the drains that this router knows have been applied.
   void onEndpointList(EndpointUpdateKind kind, recovery::ListVersion version,
                       const std::vector<EndpointEntry*>& entries);
 
   // --- Other routers, and the store
+  // This router's own observations.
   ObservationReport observations() const;
   void onObservations(const std::string& router, const ObservationReport& report);
-  // Returns whether it was new: confirmed by a newer endpoint list than the primary that was known.
+  // Returns whether the update was new: confirmed by a newer endpoint list than the known primary.
   bool onPrimaryUpdate(const PrimaryUpdate& update);
-  // All primaries that are known here.
+  // All known primaries.
   std::vector<PrimaryUpdate> primaries() const;
 
-  // An operator forces every group on to this stage at least; none: no longer.
+  // Forces every group to this stage or a later one, by order of an operator; none: no stage is forced.
   void force(std::optional<recovery::Stage> stage, const std::string& forcedBy);
 
-  // Before the router's own turn ends. Returns the primaries that were confirmed, for the store and for other
+  // Called before the router's own turn ends. Returns newly confirmed primaries, for the store and for other
   // routers. `isQuorumReached`: a majority of the voters is reachable.
   std::vector<PrimaryUpdate> endTurn(bool isQuorumReached);
   Instant nextDue() const { return stages_.nextDue(); }
-  // The stage that all groups have reached, as its number; 0, closed, while there are no groups.
+  // The number of the stage that all groups have reached; 0 (closed) while there are no groups.
   unsigned progress() const;
 
   // --- For the status document
   std::vector<recovery::Observation> firstHand() const {
     return observations_.firstHand(transactions_.now());
   }
-  // All groups admit everything, and the ramp does not hold its rate because nodes are overloaded.
-  bool hasReturned() const {
+  // All groups admit everything, and the admission ramp does not hold its rate because of overloaded nodes.
+  bool isFullyRecovered() const {
     return stages_.isFinished() && ramp_.state() != recovery::AdmissionRamp::State::steady;
   }
   const recovery::RecoveryStages& stages() const { return stages_; }
@@ -90,11 +92,11 @@
   recovery::AdmissionRamp ramp_;
   Duration stageRetryAfter_;
   std::mt19937_64 random_;
-  std::map<GroupId, recovery::Primary> knownPrimaries_;  // at most kMaxKnownPrimaries
-  std::vector<std::pair<NodeId, LoadReport>>
-      learntReports_;             // for the transaction table, once it has the list
-  std::set<NodeId> listedNodes_;  // by the endpoint list
-  Instant recoveredAt_;           // never: some group has not
+  std::map<GroupId, recovery::Primary> knownPrimaries_;  // by group; at most kMaxKnownPrimaries
+  // For the transaction table. Passed on by endTurn(), when the table has the endpoint list.
+  std::vector<std::pair<NodeId, LoadReport>> pendingLoadReports_;
+  std::set<NodeId> listedNodes_;  // on the endpoint list
+  Instant recoveredAt_;           // never: some group has not recovered
   recovery::AdmissionRamp::State loggedRampState_ = recovery::AdmissionRamp::State::doubling;
   std::string forcedBy_;
 };
--- a/src/cluster/request_directory.cpp
+++ b/src/cluster/request_directory.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr std::string_view kRequestSuffix = ".ask.json", kAnswerSuffix = ".answer.json";
-// In one call, and of one request. Guards the turn against a folder that somebody fills; the rest waits.
+// Limits on the requests returned per call and on the size of a request file. They bound the duration of a
+// turn when the folder has many files; the remaining requests are returned by later calls.
 constexpr std::size_t kMaxRequestsTaken = 16;
 constexpr std::uintmax_t kMaxRequestBytes = 256 * 1024;
 
--- a/src/cluster/request_directory.h
+++ b/src/cluster/request_directory.h
@@ -1,5 +1,5 @@
-// Files between a router and its operators: a folder of requests and their answers, and files that are
-// written beside and renamed, so that a reader always finds a complete one.
+// Files that a router exchanges with its operators: a folder of requests and answers, and files that are
+// replaced atomically (written under a temporary name and renamed), so that readers always see complete ones.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace gulltrestle::cluster {
 
-// Replaces the file atomically. False: it could not be written.
+// Replaces the file atomically. Returns false if it could not be written.
 [[nodiscard]] bool replaceFile(const std::string& path, const std::string& content);
 
-// The nodes that maintenance excludes by the plan of that version, as a JSON object for whoever feeds
-// discovery.
+// Returns the nodes that the maintenance plan of that version excludes, as a JSON object for the system that
+// feeds discovery.
 std::string announcementOf(std::uint64_t version, const std::set<std::string>& excludedNodes);
 
-// The folder of requests: NAME.ask.json is a request, NAME.answer.json its answer. The request's file is
-// deleted once its answer is written. The name identifies the request: one that is found again after a crash
-// is the same.
+// The folder of requests: NAME.ask.json is a request, NAME.answer.json its answer. The request file is
+// deleted once its answer is written. The name identifies the request: a file that is found again after a
+// crash is the same request.
 class RequestDirectory {
  public:
   explicit RequestDirectory(std::string folder) : folder_(std::move(folder)) {}
@@ -27,17 +27,17 @@
   struct RequestFile {
     std::string name, text;
   };
-  // The requests that are new, some at a time.
+  // Returns new requests, a limited number per call.
   std::vector<RequestFile> takeNew();
-  // `rejection`: why the request was rejected; empty: it was applied.
+  // Writes the answer to a request. `rejection`: reason of the rejection; empty: the request was applied.
   void answer(const std::string& name, const std::string& rejection);
-  // What failed in the folder, once for each failure that lasts; empty: nothing.
+  // Returns a description of a failed file operation, once for each lasting failure; empty: no new failure.
   std::string takeFault();
 
  private:
   std::string folder_, fault_;
   bool isFailing_ = false;
-  std::set<std::string> unanswered_;  // names that were taken
+  std::set<std::string> unanswered_;  // names of requests that were returned by takeNew()
 };
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/router_identity.h
+++ b/src/cluster/router_identity.h
@@ -1,4 +1,4 @@
-// Which router this is, and the voters of its cluster.
+// Identity of this router, and the voters of its cluster.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +9,12 @@
 
 namespace gulltrestle::cluster {
 
-// The same for all parts of a router, from its start to its end.
+// Shared by all components of a router; constant while the process runs.
 struct RouterIdentity {
   std::string name;
-  std::uint64_t draw = 0;           // random, of this incarnation
-  std::vector<std::string> voters;  // in the order of the configuration: a voter's index is its place here
-  std::optional<std::size_t> ownIndex;  // this router's own among the voters; none: it is no voter
+  std::uint64_t draw = 0;               // random number that identifies this incarnation
+  std::vector<std::string> voters;      // as in the configuration; a voter's index is its position here
+  std::optional<std::size_t> ownIndex;  // this router's index among the voters; none: it is not a voter
 };
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/status_document.cpp
+++ b/src/cluster/status_document.cpp
@@ -27,7 +27,7 @@
 }
 
 std::string_view stageNameOf(unsigned recoveryStage) {
-  // A router of a later version may report a stage that is not known here.
+  // A router of a later version may report a stage that is unknown here.
   const unsigned known = std::min(recoveryStage, static_cast<unsigned>(recovery::Stage::all));
   return recovery::nameOf(static_cast<recovery::Stage>(known));
 }
--- a/src/cluster/status_document.h
+++ b/src/cluster/status_document.h
@@ -8,13 +8,13 @@
 
 namespace gulltrestle::cluster {
 
-// Messages on this router's streams since it started.
+// Numbers of messages on this router's streams since it started.
 struct StreamStatistics {
   std::uint64_t messagesSent = 0, repliesReceived = 0;  // to and from other voters
-  std::uint64_t messagesReceived = 0, repliesSent = 0;  // where it is a voter, from and to other routers
+  std::uint64_t messagesReceived = 0, repliesSent = 0;  // on a voter, from and to other routers
 };
 
-// `store`: null: this router is no voter.
+// Returns the document. `store`: null if this router is not a voter.
 std::string statusOf(Instant now, const ClaimDispatcher& dispatcher, const store::StoreStatistics* store,
                      const StreamStatistics& streams);
 
--- a/tests/peer_messages.cpp
+++ b/tests/peer_messages.cpp
@@ -1,6 +1,7 @@
-// The messages between routers and voters, byte by byte: what each is on the wire, that reading it and
-// writing it again gives the same bytes, and how bytes that are no message are rejected. Routers of several
-// versions talk to each other: kept bytes never change. Run as `peer_messages CASE`: prints the case's trace.
+// Tests the wire encoding of the messages between routers and voters: the exact bytes of each message, that
+// decoding and encoding again gives the same bytes, and how malformed bytes are rejected. Routers of
+// different versions exchange these messages, so the bytes in the expected output must never change. Run as
+// `peer_messages CASE`: prints the case's trace.
 #include <cstdint>
 #include <functional>
 #include <iostream>
@@ -32,8 +33,8 @@
   return bytes;
 }
 
-void show(std::string_view name, std::string_view bytes, std::string_view rewritten) {
-  std::cout << name << ": " << hexOf(bytes) << (bytes == rewritten ? "" : " READS AS ANOTHER") << "\n";
+void show(std::string_view name, std::string_view bytes, std::string_view reencoded) {
+  std::cout << name << ": " << hexOf(bytes) << (bytes == reencoded ? "" : " REENCODED DIFFERENTLY") << "\n";
 }
 
 void showMessage(std::string_view name, const PeerMessage& message) {
@@ -46,7 +47,7 @@
   show(name, bytes, encoded(readReply(bytes)));
 }
 
-// Each field has a value of its own: two that changed places would show.
+// Every field has a distinct value, so that swapped fields show in the output.
 const maintenance::AcceptedValue kAccepted{{0x21, 0x22}, {0x23, 0x24}, "a plan"};
 const DrainUpdates kDrains{{"n1", 0x31, true}, {"n2", 0x32, false}};
 const PrimaryUpdates kPrimaries{{0x41, {"n3", 0x42}}, {0x43, {"n4", 0x44}}};
@@ -102,23 +103,23 @@
   std::cout << name << ": ";
   try {
     read(bytesOf(hex));
-    std::cout << "is read\n";
+    std::cout << "accepted\n";
   } catch (const MalformedMessage& bad) { std::cout << bad.what() << "\n"; }
 }
 
 void malformed() {
   const auto asMessage = [](std::string_view bytes) { (void)readMessage(bytes); };
   const auto asReply = [](std::string_view bytes) { (void)readReply(bytes); };
-  showRejection("a message of no bytes", "", asMessage);
-  showRejection("a message that is cut off", "0a05", asMessage);
+  showRejection("an empty message", "", asMessage);
+  showRejection("a truncated message", "0a05", asMessage);
   showRejection("a message of an unknown type", "5a00", asMessage);
   showRejection("a claim without its fields", "1200", asMessage);
   showRejection("a claim with a field of a later version", "1205ba01020102", asMessage);
-  showRejection("a greeting whose router's name is no UTF-8", "0a030a01ff", asMessage);
-  showRejection("a reply of no bytes", "", asReply);
-  showRejection("a reply that is cut off", "0a05", asReply);
+  showRejection("a greeting whose router name is not UTF-8", "0a030a01ff", asMessage);
+  showRejection("an empty reply", "", asReply);
+  showRejection("a truncated reply", "0a05", asReply);
   showRejection("a reply of an unknown type", "5a00", asReply);
-  showRejection("a report of a router whose name is no UTF-8", "3a050a030a01ff", asReply);
+  showRejection("a report of a router whose name is not UTF-8", "3a050a030a01ff", asReply);
   showRejection("a report of the last known liveness", "3a040a021803", asReply);
   showRejection("a report of an unknown liveness", "3a040a021804", asReply);
   showRejection("a report of a negative liveness", "3a0d0a0b18ffffffffffffffffff01", asReply);
