--- a/src/cluster/claim_dispatcher.cpp
+++ b/src/cluster/claim_dispatcher.cpp
@@ -180,13 +180,13 @@
     for (const PrimaryUpdates& chunk : chunked(recovery_.primaries())) effects_.sendToVoter(voter, chunk);
   }
   if (!isFirst && !votingMember_) return;
-  logQuorum("peers.heard", name);
+  logQuorum("peers.voter_reachable", name);
   const bool isOutdatedDisk =
       votingMember_ &&
       votingMember_->onGreetingReply(transactions_.now(), name, reply.number, reply.previousVoterIncarnation);
   if (isOutdatedDisk) {
-    effects_.log("claims.disk_is_not_ours",
-                 "told_by=" + name + " knew_start=" + std::to_string(reply.previousVoterIncarnation.number));
+    effects_.log("claims.outdated_disk", "reported_by=" + name + " known_start=" +
+                                             std::to_string(reply.previousVoterIncarnation.number));
     markAcceptorIncomplete();
     writeChanges(PendingRegreeting{});
   }
@@ -202,7 +202,7 @@
   coordinator_.setReachable(voter, false);
   membership_.onVoterLost(voter);
   maintenance_.onVoterLost(voter);
-  if (greetedVoters_.erase(voter) > 0) logQuorum("peers.lost", config_.voters.at(voter).name);
+  if (greetedVoters_.erase(voter) > 0) logQuorum("peers.voter_unreachable", config_.voters.at(voter).name);
   sendClaimMessages();
 }
 
@@ -237,7 +237,7 @@
 
 void ClaimDispatcher::reloadConfig(const ClusterConfig& config) {
   if (config.voterListText() != config_.voterListText())
-    effects_.log("peers.waits_for_restart", "keys=\"keepers keepers_before\"");
+    effects_.log("peers.restart_required", "keys=\"keepers keepers_before\"");
   setMembers(config.routers);
   config_.forcedStage = config.forcedStage;
   config_.forcedBy = config.forcedBy;
@@ -254,8 +254,8 @@
   std::size_t added = 0, removed = 0;
   for (const auto& router : routers) added += !config_.routers.contains(router);
   for (const auto& router : config_.routers) removed += !routers.contains(router);
-  effects_.log("peers.list", "routers=" + std::to_string(routers.size()) + " added=" + std::to_string(added) +
-                                 " left=" + std::to_string(removed));
+  effects_.log("peers.list_changed", "routers=" + std::to_string(routers.size()) + " added=" +
+                                         std::to_string(added) + " left=" + std::to_string(removed));
   config_.routers = std::move(routers);
   membership_.setMembers(transactions_.now(), config_.routers);
   std::vector<PeerStreamId> rejected;
--- a/src/cluster/claim_dispatcher_maintenance.cpp
+++ b/src/cluster/claim_dispatcher_maintenance.cpp
@@ -52,7 +52,7 @@
   if (const auto announcement = maintenance_.takeAnnouncement())
     effects_.announce(announcement->version, announcement->excludedNodes);
   if (maintenance_.takeTermination()) {
-    effects_.log("work.ends_itself", "version=" + std::to_string(maintenance_.planVersion()));
+    effects_.log("work.shutting_down", "version=" + std::to_string(maintenance_.planVersion()));
     effects_.terminate();
   }
 }
--- a/src/cluster/claim_dispatcher_updates.cpp
+++ b/src/cluster/claim_dispatcher_updates.cpp
@@ -24,9 +24,9 @@
   const DrainUpdates updates = drains_.applyList(kind, version, entries);
   const std::size_t notLive = countNotLive(entries);
   if (notLive > notLiveInList)
-    effects_.log("peers.old_list", "version=" + std::to_string(version) +
-                                       " newest=" + std::to_string(drains_.newest()) +
-                                       " kept_draining=" + std::to_string(notLive - notLiveInList));
+    effects_.log("peers.outdated_endpoint_list",
+                 "version=" + std::to_string(version) + " newest=" + std::to_string(drains_.newest()) +
+                     " kept_draining=" + std::to_string(notLive - notLiveInList));
   recovery_.onEndpointList(kind, version, entries);
   if (updates.empty()) return;
   storeDrains(updates);
@@ -42,9 +42,9 @@
       if (update.isDraining) draining.push_back(update.node);
     }
   if (newUpdates.empty()) return;
-  effects_.log("peers.nodes_learnt", "from=" + std::string(from) +
-                                         " leaving=" + std::to_string(draining.size()) +
-                                         " staying=" + std::to_string(newUpdates.size() - draining.size()));
+  effects_.log("peers.drains_received",
+               "from=" + std::string(from) + " draining=" + std::to_string(draining.size()) +
+                   " not_draining=" + std::to_string(newUpdates.size() - draining.size()));
   storeDrains(newUpdates);
   transactions_.markDraining(draining);
 }
--- a/src/cluster/claim_dispatcher_voter.cpp
+++ b/src/cluster/claim_dispatcher_voter.cpp
@@ -40,13 +40,14 @@
 
 void ClaimDispatcher::onGreeting(PeerStreamId stream, const Greeting& greeting) {
   if (!config_.routers.contains(greeting.router)) {
-    logRateLimited("peers.stranger", "router=\"" + greeting.router.substr(0, kMaxLoggedNameBytes) + "\"");
+    logRateLimited("peers.unknown_router",
+                   "router=\"" + greeting.router.substr(0, kMaxLoggedNameBytes) + "\"");
     return effects_.rejectStream(stream, "this router is not on the list");
   }
   if (greeting.voterList != config_.voterListText()) {
-    logRateLimited("peers.other_list", "router=" + greeting.router + " its=\"" +
-                                           greeting.voterList.substr(0, kMaxLoggedListBytes) + "\" ours=\"" +
-                                           config_.voterListText() + "\"");
+    logRateLimited("peers.voter_list_mismatch", "router=" + greeting.router + " received=\"" +
+                                                    greeting.voterList.substr(0, kMaxLoggedListBytes) +
+                                                    "\" configured=\"" + config_.voterListText() + "\"");
     return effects_.rejectStream(stream, "the lists of keepers differ");
   }
   greetedStreams_[stream] = {greeting.router, greeting.draw};
@@ -186,11 +187,11 @@
   loggedState_ = votingMember_->state();
   std::string fields = "state=" + std::string(nameOf(*loggedState_)) +
                        " start=" + std::to_string(votingMember_->start().number) +
-                       " holds=" + std::to_string(votingMember_->claimCount());
+                       " claims=" + std::to_string(votingMember_->claimCount());
   for (const auto& name : votingMember_->unverifiedVoters()) fields += " waits_for=" + name;
   if (loggedState_ == VotingMember::State::abstaining)
     fields += " for_ms=" + std::to_string(config_.votingMember.retention.inMicros() / 1000);
-  effects_.log("claims.keeper", fields);
+  effects_.log("claims.voter", fields);
 }
 
 }  // namespace gulltrestle::cluster
--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -95,7 +95,7 @@
   if (store_) loop_.spawn(watchStore());
   transactions_.setExecutionGate(dispatcher_.get());
   transactions_.setAdmissionController(&dispatcher_->recovery());
-  spdlog::info("event=peers.on keepers=\"{}\" routers={} keeper={}", config_.voterListText(),
+  spdlog::info("event=peers.enabled keepers=\"{}\" routers={} keeper={}", config_.voterListText(),
                config_.routers.size(), store_ != nullptr);
 }
 
@@ -106,11 +106,11 @@
   if (!store_) return std::nullopt;
   if (!store_->setAside().empty()) spdlog::error("event=store.damaged set_aside=\"{}\"", store_->setAside());
   const idempotency::StoredState& stored = store_->storedState();
-  spdlog::info("event=store.opened folder={} start={} whole={} ids={}", config_.storeFolder,
+  spdlog::info("event=store.opened folder={} start={} complete={} ids={}", config_.storeFolder,
                stored.ownStarts.back().number, stored.isComplete, stored.claims.size());
   if (!stored.isComplete)
     spdlog::warn(
-        "event=store.not_whole folder={} votes_after_ms={} hint=\"for a new installation create the folder "
+        "event=store.incomplete folder={} votes_after_ms={} hint=\"for a new installation create the folder "
         "with: gulltrestle store create FOLDER --keeper {}\"",
         config_.storeFolder, config_.votingMember.retention.inMicros() / 1000, name);
   return store_->takeStoredState();
@@ -196,7 +196,7 @@
     dispatcher_->reloadConfig(readConfig_());
   } catch (const std::exception& bad) {
     // Whatever is wrong with the file, the router keeps its current configuration.
-    spdlog::error("event=peers.not_taken why=\"{}\"", bad.what());
+    spdlog::error("event=peers.config_rejected reason=\"{}\"", bad.what());
   }
 }
 
@@ -212,7 +212,7 @@
       dispatcher_->maintenance().onOperatorRequest(name, maintenance::readOperatorRequest(text));
     } catch (const maintenance::InvalidRequest& bad) { requests_->answer(name, bad.what()); }
   if (const std::string fault = requests_->takeFault(); !fault.empty())
-    spdlog::error("event=work.folder_fails why=\"{}\"", fault);
+    spdlog::error("event=work.folder_failed reason=\"{}\"", fault);
 }
 
 void ClusterServer::writeStatus(Instant now) {
@@ -233,7 +233,8 @@
   countsLoggedAt_ = now;
   loggedClaims_ = counts.requested;
   spdlog::info(
-      "event=claims.counts asked={} admitted={} committed={} rolled_back={} refused={} open={} reached={}",
+      "event=claims.counts requested={} admitted={} committed={} rolled_back={} refused={} open={} "
+      "reached={}",
       counts.requested, counts.admitted, counts.committed, counts.rolledBack, counts.rejected,
       dispatcher_->coordinator().openClaims(), dispatcher_->coordinator().reachableVoters());
   if (!store_) return;
@@ -268,9 +269,9 @@
   if (fault.empty() != isStoreFailing_) return;
   isStoreFailing_ = !fault.empty();
   if (isStoreFailing_)
-    spdlog::error("event=store.fails why=\"{}\"", fault);
+    spdlog::error("event=store.failed reason=\"{}\"", fault);
   else
-    spdlog::info("event=store.heals");
+    spdlog::info("event=store.recovered");
 }
 
 // --- Streams to voters
@@ -296,7 +297,7 @@
       }
     } catch (const std::exception& bad) {
       // Whether malformed replies or a system error made the stream unusable, another one is opened below.
-      spdlog::warn("event=peers.talk_failed keeper={} why=\"{}\"", name, bad.what());
+      spdlog::warn("event=peers.stream_failed keeper={} reason=\"{}\"", name, bad.what());
     }
     transactions_.advanceTo(loop_.now());
     co_await loop_.sleepUntil(loop_.now() +
--- a/src/cluster/maintenance_service.cpp
+++ b/src/cluster/maintenance_service.cpp
@@ -57,7 +57,7 @@
   try {
     planView_.onAccepted(voter, accepted);
   } catch (const maintenance::MalformedPlan& bad) {
-    return log_("work.unreadable", "keeper=" + identity_.voters.at(voter) + " why=\"" + bad.what() + "\"");
+    return log_("work.unreadable", "keeper=" + identity_.voters.at(voter) + " reason=\"" + bad.what() + "\"");
   }
   const std::string version = " version=" + std::to_string(planView_.chosen().version);
   for (const auto& machine : planView_.chosen().machines) {
@@ -65,7 +65,7 @@
     if (!previous || previous->phase != machine.phase || previous->request != machine.request)
       log_("work.machine", "machine=" + machine.name +
                                " phase=" + std::string(maintenance::nameOf(machine.phase)) + version +
-                               " why=\"" + machine.reason + "\"");
+                               " reason=\"" + machine.reason + "\"");
   }
 }
 
@@ -223,12 +223,13 @@
     log_("work.step",
          "machine=" + transition.machineName + " from=" + std::string(maintenance::nameOf(transition.from)) +
              " to=" + std::string(maintenance::nameOf(transition.to)) +
-             " version=" + std::to_string(proposedChange_.version) + " why=\"" + transition.reason + "\"");
+             " version=" + std::to_string(proposedChange_.version) + " reason=\"" + transition.reason + "\"");
   for (auto& answer : proposedChange_.answers) {
     std::erase_if(pendingRequests_,
                   [&](const PendingRequest& pending) { return pending.id == answer.requestId; });
-    log_("work.asked", "request=" + answer.requestId +
-                           (answer.rejection.empty() ? " done" : " refused=\"" + answer.rejection + "\""));
+    log_("work.requested",
+         "request=" + answer.requestId +
+             (answer.rejection.empty() ? " done" : " refused=\"" + answer.rejection + "\""));
     answers_.push_back(std::move(answer));
   }
   proposedChange_ = {};
--- a/src/cluster/membership_service.cpp
+++ b/src/cluster/membership_service.cpp
@@ -85,13 +85,13 @@
 void MembershipService::logJoinState() {
   if (loggedState_ == joinProtocol_.state()) return;
   loggedState_ = joinProtocol_.state();
-  log_("members.entry", "state=" + std::string(nameOf(loggedState_)) +
-                            " incarnation=" + std::to_string(joinProtocol_.incarnation().number));
+  log_("members.join", "state=" + std::string(nameOf(loggedState_)) +
+                           " incarnation=" + std::to_string(joinProtocol_.incarnation().number));
 }
 
 void MembershipService::logTransitions() {
   for (const auto& transition : view_.takeTransitions())
-    log_(transition.to == MembershipView::State::dead ? "members.out" : "members.back",
+    log_(transition.to == MembershipView::State::dead ? "members.removed" : "members.alive",
          "router=" + transition.router + " state=" + std::string(membership::nameOf(transition.to)) +
              " incarnation=" + std::to_string(transition.incarnation) + " silent_at=" +
              std::to_string(transition.silentVoterCount) + " of=" + std::to_string(identity_.voters.size()));
--- a/src/cluster/recovery_service.cpp
+++ b/src/cluster/recovery_service.cpp
@@ -103,8 +103,9 @@
       ++proven;
     }
   if (report.hasRecovered) ramp_.skip();
-  log_("recovery.told", "by=" + router + " nodes=" + std::to_string(report.nodes.size()) + " proven=" +
-                            std::to_string(proven) + " serves=" + (report.hasRecovered ? "yes" : "no"));
+  log_("recovery.observation", "by=" + router + " nodes=" + std::to_string(report.nodes.size()) +
+                                   " proven=" + std::to_string(proven) +
+                                   " recovered=" + (report.hasRecovered ? "yes" : "no"));
 }
 
 bool RecoveryService::onPrimaryUpdate(const PrimaryUpdate& update) {
@@ -114,7 +115,7 @@
   if (isFirst && knownPrimaries_.size() >= kMaxKnownPrimaries) return false;
   if (isFirst || known->second.node != update.primary.node)
     log_("recovery.primary", "group=" + std::to_string(update.group) + " primary=" + update.primary.node +
-                                 " list=" + std::to_string(update.primary.version) + " told=yes");
+                                 " list=" + std::to_string(update.primary.version) + " reported=yes");
   knownPrimaries_[update.group] = update.primary;
   stages_.onKnownPrimary(update.group, update.primary);
   return true;
@@ -152,8 +153,8 @@
     std::string fields = "group=" + std::to_string(transition.group) +
                          " from=" + std::string(recovery::nameOf(transition.from)) +
                          " to=" + std::string(recovery::nameOf(transition.to)) +
-                         " why=" + std::string(recovery::nameOf(transition.reason)) +
-                         " after_ms=" + std::to_string(millis(transition.waited));
+                         " reason=" + std::string(recovery::nameOf(transition.reason)) +
+                         " elapsed_ms=" + std::to_string(millis(transition.waited));
     if (transition.reason == recovery::TransitionReason::forced) fields += " by=\"" + forcedBy_ + "\"";
     log_("recovery.stage", fields);
   }
@@ -174,13 +175,13 @@
   if (!stages_.isFinished()) recoveredAt_ = Instant();
   if (stages_.isFinished() && recoveredAt_ == Instant()) {
     recoveredAt_ = now;
-    log_("recovery.all_in", "groups=" + std::to_string(stages_.groups().size()));
+    log_("recovery.completed", "groups=" + std::to_string(stages_.groups().size()));
   }
   if (ramp_.state() != loggedRampState_) {
     loggedRampState_ = ramp_.state();
     log_("recovery.ramp", "state=" + std::string(nameOf(loggedRampState_)) +
                               " turned_away=" + std::to_string(ramp_.rejected()) +
-                              " after_ms=" + std::to_string(millis(now - ramp_.startedAt())));
+                              " elapsed_ms=" + std::to_string(millis(now - ramp_.startedAt())));
   }
 }
 
