--- a/src/cluster/claim_dispatcher.cpp
+++ b/src/cluster/claim_dispatcher.cpp
@@ -42,13 +42,13 @@
   return MaintenanceService::StoredAcceptor{stored->acceptorState, stored->isComplete};
 }
 
-// With as many routers as are members: the routing settings may know of fewer.
+// Raises the router count to the number of members, as the routing settings may have a lower one.
 RoutingConfig withRouterCount(RoutingConfig routing, std::size_t routers) {
   routing.routerCount = std::max(routing.routerCount, static_cast<unsigned>(routers));
   return routing;
 }
 
-std::string joined(const transactions::ResultValue& value) {
+std::string concatenated(const transactions::ResultValue& value) {
   return std::string(value[0]).append(value[1]).append(value[2]);
 }
 
@@ -102,7 +102,8 @@
     drains_.learn({node, drain.listVersion, drain.isDraining});
   storeDrains({});
   votingMember_.emplace(transactions_.now(), identity_.name, config.votingMember, std::move(*stored));
-  // A disk that was lost is marked as incomplete from its first start on, also for the next one.
+  // After the loss of a disk the acceptor is marked incomplete on the new one too, so that the next start
+  // knows.
   if (!maintenance_.isComplete()) markAcceptorIncomplete();
 }
 
@@ -113,7 +114,7 @@
 }
 
 void ClaimDispatcher::onCommitted(TxnId txn, const transactions::ResultValue& value) {
-  coordinator_.onCommitted(txn, joined(value));
+  coordinator_.onCommitted(txn, concatenated(value));
 }
 
 void ClaimDispatcher::onTransactionEnded(TxnId txn, transactions::ExecutionOutcome outcome) {
@@ -179,13 +180,13 @@
     for (const PrimaryUpdates& chunk : chunked(recovery_.primaries())) effects_.sendToVoter(voter, chunk);
   }
   if (!isFirst && !votingMember_) return;
-  logQuorum("peers.heard", name);
-  const bool isOtherDisk =
+  logQuorum("peers.voter_reachable", name);
+  const bool isOutdatedDisk =
       votingMember_ &&
       votingMember_->onGreetingReply(transactions_.now(), name, reply.number, reply.previousVoterIncarnation);
-  if (isOtherDisk) {
-    effects_.log("claims.disk_is_not_ours",
-                 "told_by=" + name + " knew_start=" + std::to_string(reply.previousVoterIncarnation.number));
+  if (isOutdatedDisk) {
+    effects_.log("claims.outdated_disk", "reported_by=" + name + " known_start=" +
+                                             std::to_string(reply.previousVoterIncarnation.number));
     markAcceptorIncomplete();
     writeChanges(PendingRegreeting{});
   }
@@ -201,7 +202,7 @@
   coordinator_.setReachable(voter, false);
   membership_.onVoterLost(voter);
   maintenance_.onVoterLost(voter);
-  if (greetedVoters_.erase(voter) > 0) logQuorum("peers.lost", config_.voters.at(voter).name);
+  if (greetedVoters_.erase(voter) > 0) logQuorum("peers.voter_unreachable", config_.voters.at(voter).name);
   sendClaimMessages();
 }
 
@@ -223,7 +224,7 @@
     if (voter != identity_.ownIndex) effects_.sendToVoter(voter, message);
 }
 
-// This router's own voting member may reply at once, and the coordinator may then have more to send.
+// Loops because this router's own voting member may reply immediately, which may produce more messages.
 void ClaimDispatcher::sendClaimMessages() {
   for (auto messages = coordinator_.takeMessages(); !messages.empty(); messages = coordinator_.takeMessages())
     for (auto& message : messages) {
@@ -236,7 +237,7 @@
 
 void ClaimDispatcher::reloadConfig(const ClusterConfig& config) {
   if (config.voterListText() != config_.voterListText())
-    effects_.log("peers.waits_for_restart", "keys=\"keepers keepers_before\"");
+    effects_.log("peers.restart_required", "keys=\"keepers keepers_before\"");
   setMembers(config.routers);
   config_.forcedStage = config.forcedStage;
   config_.forcedBy = config.forcedBy;
@@ -245,16 +246,16 @@
 
 void ClaimDispatcher::applyForcedStage() { recovery_.force(config_.forcedStage, config_.forcedBy); }
 
-// Streams of routers that are no members any more end.
+// Closes the streams of routers that are not members any more.
 void ClaimDispatcher::setMembers(std::set<std::string> routers) {
-  // Voters change with a restart alone, and are members until then.
+  // Voters change only with a restart, and remain members until then.
   for (const auto& voter : config_.voters) routers.insert(voter.name);
   if (routers == config_.routers) return;
   std::size_t added = 0, removed = 0;
   for (const auto& router : routers) added += !config_.routers.contains(router);
   for (const auto& router : config_.routers) removed += !routers.contains(router);
-  effects_.log("peers.list", "routers=" + std::to_string(routers.size()) + " added=" + std::to_string(added) +
-                                 " left=" + std::to_string(removed));
+  effects_.log("peers.list_changed", "routers=" + std::to_string(routers.size()) + " added=" +
+                                         std::to_string(added) + " left=" + std::to_string(removed));
   config_.routers = std::move(routers);
   membership_.setMembers(transactions_.now(), config_.routers);
   std::vector<PeerStreamId> rejected;
--- a/src/cluster/membership_service.cpp
+++ b/src/cluster/membership_service.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// In one heartbeat reply, well below what a message may hold; the rest follows with the next ones.
+// Maximum number of reports in a heartbeat reply, well below the message size limit. The next replies have
+// the rest.
 constexpr std::size_t kMaxReports = 256;
 
 }  // namespace
@@ -29,7 +30,7 @@
   onGreetingReply(now, *identity_.ownIndex, failureDetector_->newestIncarnation(identity_.name));
 }
 
-// --- At each router
+// --- On every router
 
 void MembershipService::onGreetingReply(Instant now, VoterIndex voter,
                                         const membership::Incarnation& newest) {
@@ -84,19 +85,19 @@
 void MembershipService::logJoinState() {
   if (loggedState_ == joinProtocol_.state()) return;
   loggedState_ = joinProtocol_.state();
-  log_("members.entry", "state=" + std::string(nameOf(loggedState_)) +
-                            " incarnation=" + std::to_string(joinProtocol_.incarnation().number));
+  log_("members.join", "state=" + std::string(nameOf(loggedState_)) +
+                           " incarnation=" + std::to_string(joinProtocol_.incarnation().number));
 }
 
 void MembershipService::logTransitions() {
   for (const auto& transition : view_.takeTransitions())
-    log_(transition.to == MembershipView::State::dead ? "members.out" : "members.back",
+    log_(transition.to == MembershipView::State::dead ? "members.removed" : "members.alive",
          "router=" + transition.router + " state=" + std::string(membership::nameOf(transition.to)) +
              " incarnation=" + std::to_string(transition.incarnation) + " silent_at=" +
              std::to_string(transition.silentVoterCount) + " of=" + std::to_string(identity_.voters.size()));
 }
 
-// --- At a voter
+// --- On a voter
 
 HeartbeatReply MembershipService::reportsFor(PeerStreamId stream) {
   return HeartbeatReply{failureDetector_->reportsSince(reportedVersions_[stream], kMaxReports), 0, false};
