--- a/tests/execution_gate.cpp
+++ b/tests/execution_gate.cpp
@@ -1,5 +1,5 @@
-// The transaction table with an execution gate: which transactions wait for it, and what it is notified of
-// each. Run as `execution_gate CASE`: prints the case's trace.
+// Tests of the transaction table with an execution gate: which transactions wait for the gate's decision, and
+// which notifications the gate receives. Run as `execution_gate CASE`: prints the case's trace.
 #include "transactions/execution_gate.h"
 
 #include <utility>
@@ -13,11 +13,11 @@
 
 namespace {
 
-// Rows of the transaction classes.
+// Indices of the transaction classes.
 constexpr std::size_t kAtMostOnceWrite = 0, kRead = 1;
 
-// A transaction table whose handler, transport and gate print what they are notified of. Its one node is the
-// primary p.
+// A transaction table whose downstream handler, upstream transport and execution gate print the calls that
+// they receive. The endpoint list contains one node, the primary p.
 class GateBench final : DownstreamHandler, UpstreamTransport, ExecutionGate {
  public:
   GateBench() : transactions_(routingConfig(), 7, 1 << 20, [] {}) {
@@ -30,11 +30,13 @@
 
   TxnId openWrite(const std::string& id) { return open(transactionOf(kAtMostOnceWrite), id); }
   TxnId openRead(const std::string& id) { return open(transactionOf(kRead), id); }
-  TxnId openWriteThatMayHaveRun(const std::string& id) {
+  // A retry by the client: an earlier attempt may have run.
+  TxnId openAmbiguousWrite(const std::string& id) {
     Transaction transaction = transactionOf(kAtMostOnceWrite);
     transaction.priorAttempts.ambiguousAttemptAge = ms(10);
     return open(std::move(transaction), id);
   }
+  // Advances the clock, then ends the turn.
   void turn(std::int64_t laterMillis = 0) {
     now_ = now_ + ms(laterMillis);
     transactions_.advanceTo(now_);
@@ -47,7 +49,7 @@
   }
   TransactionTable& transactions() { return transactions_; }
   bool requiresValues = true;
-  NodeId knownDraining;  // to the gate
+  NodeId knownDraining;  // the node that the gate knows to be draining
   void excludeNodes(std::set<NodeId> current, std::set<NodeId> upcoming, std::int64_t startsAfterMillis) {
     transactions_.excludeNodes(std::move(current), std::move(upcoming), now_ + ms(startsAfterMillis));
     turn();
@@ -55,7 +57,7 @@
   void updateEndpoints(std::uint64_t version) {
     transactions_.onEndpointList(EndpointUpdateKind::snapshot, endpointList(), version);
     turn();
-    std::cout << "p is leaving: " << transactions_.endpoints().isDraining("p") << "\n";
+    std::cout << "p is draining: " << transactions_.endpoints().isDraining("p") << "\n";
   }
 
  private:
@@ -80,24 +82,24 @@
   TxnId open(Transaction transaction, const std::string& id) {
     const TxnId txn = transactions_.openTransaction(*this, ++lastOwner_, *this, std::move(transaction),
                                                     {"text", 0, 0, 0, 0}, id);
-    std::cout << id << " is taken\n";
+    std::cout << id << " opened\n";
     turn();
     return txn;
   }
 
   // DownstreamHandler.
   void committed(OwnerId owner, const ResultValue& value) override {
-    std::cout << "  front " << owner << ": committed '" << value[0] << value[1] << value[2] << "'\n";
+    std::cout << "  handler " << owner << ": committed '" << value[0] << value[1] << value[2] << "'\n";
   }
   void rejected(OwnerId owner, Duration retryAfter, unsigned) override {
-    std::cout << "  front " << owner << ": refused, retry after " << retryAfter.inMicros() / 1000 << "\n";
+    std::cout << "  handler " << owner << ": rejected, retry after " << retryAfter.inMicros() / 1000 << "\n";
   }
-  void rolledBack(OwnerId owner) override { std::cout << "  front " << owner << ": rolled back\n"; }
+  void rolledBack(OwnerId owner) override { std::cout << "  handler " << owner << ": rolled back\n"; }
   bool requiresValue() const override { return requiresValues; }
 
   // UpstreamTransport.
   void startAttempt(AttemptId attemptId, const NodeId& node) override {
-    if (!attemptId.isHealthCheck()) std::cout << "  carrier: " << attemptId.txn << " to " << node << "\n";
+    if (!attemptId.isHealthCheck()) std::cout << "  transport: " << attemptId.txn << " to " << node << "\n";
   }
   void cancelAttempt(AttemptId, const NodeId&) override {}
   void onEndpointList(const std::vector<NodeId>&) override {}
@@ -105,22 +107,22 @@
 
   // ExecutionGate.
   void requestExecution(TxnId txn, std::string_view id, Duration remainingTime) override {
-    std::cout << "  guard: asked for " << txn << ", " << id << ", " << remainingTime.inMicros() / 1000
+    std::cout << "  gate: requested " << txn << ", " << id << ", " << remainingTime.inMicros() / 1000
               << " ms\n";
   }
   void onCommitted(TxnId txn, const ResultValue& value) override {
-    std::cout << "  guard: " << txn << " committed '" << value[0] << value[1] << value[2] << "'\n";
+    std::cout << "  gate: " << txn << " committed '" << value[0] << value[1] << value[2] << "'\n";
   }
   void amendEndpointList(EndpointUpdateKind, std::uint64_t version,
                          std::vector<ResolvedEndpoint>& list) override {
     for (auto& [entry, address] : list) {
-      std::cout << "  guard: list " << version << " names " << entry.node << "\n";
+      std::cout << "  gate: list " << version << " contains " << entry.node << "\n";
       if (entry.node == knownDraining) entry.health = Health::draining;
     }
   }
   void onTransactionEnded(TxnId txn, ExecutionOutcome outcome) override {
     constexpr const char* kOutcomes[] = {"committed", "never ran", "unknown"};
-    std::cout << "  guard: " << txn << " over, " << kOutcomes[static_cast<int>(outcome)] << "\n";
+    std::cout << "  gate: " << txn << " ended, " << kOutcomes[static_cast<int>(outcome)] << "\n";
   }
 
   TransactionTable transactions_;
@@ -154,7 +156,7 @@
   bench.transactions().answerCommitted(bench.openWrite("b4"), {});
   bench.requiresValues = false;
   bench.transactions().answerCommitted(bench.openWrite("b5"), {});
-  std::cout << "a word that comes late\n";
+  std::cout << "late responses of the gate\n";
   bench.transactions().admit(6);
   bench.transactions().answerRolledBack(6);
   bench.turn();
@@ -172,35 +174,38 @@
   bench.turn();
   bench.transactions().onClientLeft(inFlight);
   bench.endAttempt(inFlight, AttemptOutcome::cancelled);
-  std::cout << "tried elsewhere before\n";
-  const TxnId retried = bench.openWriteThatMayHaveRun("b3");
+  std::cout << "retry after an earlier attempt that may have run\n";
+  const TxnId retried = bench.openAmbiguousWrite("b3");
   bench.transactions().admit(retried);
   bench.turn();
   std::cout << "open: " << bench.transactions().openCount() << "\n";
 }
 
-// What the gate knows of a node counts, in a list that comes and after it.
+// The gate marks nodes as draining: in each endpoint list before it is applied, and between lists by
+// markDraining().
 void amendsEndpointLists() {
   GateBench bench;
   bench.updateEndpoints(7);
   bench.transactions().markDraining({"p", "nobody"});
   bench.turn();
-  std::cout << "learnt: p is leaving: " << bench.transactions().endpoints().isDraining("p") << "\n";
+  std::cout << "after markDraining: p is draining: " << bench.transactions().endpoints().isDraining("p")
+            << "\n";
   bench.updateEndpoints(8);
   bench.knownDraining = "p";
   bench.updateEndpoints(6);
 }
 
-// Nodes that are excluded, whatever lists say: now, and from a time on that is checked ahead of any event.
+// Excluded nodes receive no attempts, regardless of the endpoint lists. A node is excluded either now or from
+// a start time on. The start time is checked before any event of a turn is handled.
 void excludesNodes() {
   GateBench bench;
-  const auto tryNode = [&](const char* situation) {
-    std::cout << situation << ": leaving " << bench.transactions().endpoints().isDraining("p") << "\n";
+  const auto sendWrite = [&](const char* situation) {
+    std::cout << situation << ": draining " << bench.transactions().endpoints().isDraining("p") << "\n";
     bench.transactions().requestLoadReport("p");
     const TxnId txn = bench.openWrite("b");
     bench.transactions().admit(txn);
     bench.turn();
-    std::cout << "  out there: " << bench.transactions().hasAttemptAt({"p"}) << ", elsewhere "
+    std::cout << "  attempt at p: " << bench.transactions().hasAttemptAt({"p"}) << ", at q "
               << bench.transactions().hasAttemptAt({"q"}) << "\n";
     const auto* attempt = bench.transactions().attempt({txn, 0});
     if (attempt && !attempt->hasEnded) {
@@ -210,19 +215,19 @@
     }
     bench.turn(5000);
   };
-  tryNode("as ever");
+  sendWrite("not excluded");
   bench.excludeNodes({}, {"p"}, 20'000);
-  tryNode("out in a while");
+  sendWrite("exclusion scheduled");
   bench.updateEndpoints(3);
   bench.turn(20'000);
-  tryNode("it stood still until after that");
+  sendWrite("the router stalled past the start of the exclusion");
   bench.updateEndpoints(4);
   bench.excludeNodes({}, {"p"}, 60'000);
-  tryNode("and has a lease again");
+  sendWrite("lease renewed");
   bench.excludeNodes({"p"}, {}, 0);
-  tryNode("out for good, whatever comes");
+  sendWrite("excluded now");
   bench.excludeNodes({}, {}, 0);
-  tryNode("given back");
+  sendWrite("exclusion withdrawn");
 }
 
 }  // namespace
--- a/tests/gateway.cpp
+++ b/tests/gateway.cpp
@@ -1,4 +1,5 @@
-// The gateway without a socket: events in, effects out. Run as `gateway CASE`: prints the case's trace.
+// Tests of the gateway without sockets: delivers events and prints the effects that the gateway requests. Run
+// as `gateway CASE`: prints the case's trace.
 #include <map>
 #include <string>
 
--- a/tests/gateway/bench.cpp
+++ b/tests/gateway/bench.cpp
@@ -19,7 +19,7 @@
   return config;
 }
 
-// What was written, in short: the types of its messages, codes of errors, texts of queries.
+// Summarizes written bytes: message types, fields of errors, texts of queries, start of row values.
 std::string summaryOf(std::string_view bytes) {
   std::string summary;
   while (bytes.size() > 4) {
@@ -73,10 +73,10 @@
   return body += value;
 }
 
-std::string rowAnswer(std::string_view value, std::string_view report) {
+std::string rowAnswer(std::string_view value, std::string_view parameterStatuses) {
   return postgres::message('T', std::string("\0\1body\0", 7) + std::string(18, '\0')) +
          postgres::message('D', dataColumn(value)) + postgres::message('C', std::string("SELECT 1") + '\0') +
-         std::string(report) + postgres::readyForQuery();
+         std::string(parameterStatuses) + postgres::readyForQuery();
 }
 
 std::string emptyQueryAnswer() { return postgres::emptyQueryResponse() + postgres::readyForQuery(); }
@@ -86,11 +86,11 @@
 GatewayBench::GatewayBench(GatewaySetup setup)
     : gateway_(routingConfig(setup.onlyDrainingExcludes), {"any", "bounded", "session", "charge"}, 7,
                setup.bounds, *this) {
-  if (setup.knowsEndpoints) updateEndpoints(EndpointUpdateKind::restored, {"p", "a"});
+  if (setup.hasEndpointList) updateEndpoints(EndpointUpdateKind::restored, {"p", "a"});
 }
 
 void GatewayBench::printTrace() {
-  gateway_.transactions().trace().setSink([this](const std::string& event) { line() << event << "\n"; });
+  gateway_.transactions().trace().setSink([this](const std::string& event) { beginLine() << event << "\n"; });
 }
 
 void GatewayBench::acceptClient(ClientId client, const std::string& bytes) {
@@ -109,18 +109,18 @@
 
 void GatewayBench::halfCloseClient(ClientId client) {
   gateway_.clientHalfClosed(now_, client);
-  settle();
+  runUntilIdle();
 }
 
-void GatewayBench::closeClientSide(ClientId client) {
+void GatewayBench::disconnectClient(ClientId client) {
   gateway_.clientClosed(now_, client, ConnectionCloseReason::broken);
-  settle();
+  runUntilIdle();
 }
 
 void GatewayBench::connectNode(NodeConnectionId connection) {
   gateway_.nodeConnected(now_, connection);
   gateway_.nodeReceived(now_, connection, postgres::welcome());
-  settle();
+  runUntilIdle();
 }
 
 void GatewayBench::rejectSession(NodeConnectionId connection) {
@@ -131,18 +131,18 @@
 void GatewayBench::answer(NodeConnectionId connection, const std::string& bytes) {
   const std::size_t consumed = gateway_.nodeReceived(now_, connection, bytes);
   if (consumed != bytes.size())
-    std::cout << "  " << bytes.size() - consumed << " bytes left on l" << connection << "\n";
-  settle();
+    std::cout << "  " << bytes.size() - consumed << " bytes unconsumed on l" << connection << "\n";
+  runUntilIdle();
 }
 
 void GatewayBench::finishWrite(NodeConnectionId connection) {
   gateway_.nodeWritten(now_, connection);
-  settle();
+  runUntilIdle();
 }
 
 void GatewayBench::closeConnection(NodeConnectionId connection, ConnectionCloseReason reason) {
   gateway_.nodeConnectionClosed(now_, connection, reason);
-  settle();
+  runUntilIdle();
 }
 
 void GatewayBench::updateEndpoints(EndpointUpdateKind kind, const std::vector<std::string>& nodes,
@@ -157,23 +157,23 @@
     list.push_back({entry, addressOf(node)});
   }
   gateway_.onEndpointList(now_, kind, list);
-  settle();
+  runUntilIdle();
 }
 
 void GatewayBench::shutDown() {
   gateway_.shutDown(now_);
-  settle();
+  runUntilIdle();
 }
 
 void GatewayBench::loadConfig(const std::string& discovery,
                               const std::vector<std::string>& keysNeedingRestart) {
   gateway_.onConfigLoaded(now_, discovery, keysNeedingRestart);
-  settle();
+  runUntilIdle();
 }
 
 void GatewayBench::rejectConfig(const std::string& fault) {
   gateway_.onConfigRejected(now_, fault);
-  settle();
+  runUntilIdle();
 }
 
 void GatewayBench::advance(std::int64_t millis) {
@@ -183,7 +183,7 @@
     turn();
   }
   now_ = until;
-  settle();
+  runUntilIdle();
 }
 
 NodeConnectionId GatewayBench::connectionTo(const std::string& node) {
@@ -195,10 +195,10 @@
 void GatewayBench::offerClientBytes(ClientId client) {
   std::string& unconsumed = unconsumed_[client];
   unconsumed.erase(0, gateway_.clientReceived(now_, client, unconsumed));
-  settle();
+  runUntilIdle();
 }
 
-void GatewayBench::settle() {
+void GatewayBench::runUntilIdle() {
   turn();
   for (const NodeConnectionId connection : std::exchange(emptyQueries_, {}))
     if (answersEmptyQueries) gateway_.nodeReceived(now_, connection, emptyQueryAnswer());
@@ -208,11 +208,11 @@
 
 // --- Effects
 
-std::ostream& GatewayBench::line() { return std::cout << (now_ - kStart).inMicros() / 1000 << " ms: "; }
+std::ostream& GatewayBench::beginLine() { return std::cout << (now_ - kStart).inMicros() / 1000 << " ms: "; }
 
 void GatewayBench::connect(NodeConnectionId connection, const std::string& address) {
   lastConnection_ = lastConnectionTo_[address] = connection;
-  line() << "connect l" << connection << " to " << address << "\n";
+  beginLine() << "connect l" << connection << " to " << address << "\n";
 }
 
 bool GatewayBench::writeNode(NodeConnectionId connection, ByteSlices slices) {
@@ -221,31 +221,31 @@
   if (isEmptyQuery) emptyQueries_.push_back(connection);
   if (answersEmptyQueries && isEmptyQuery) return true;
   const bool isHealthCheck = summary.find("SHOW") != std::string::npos;
-  if (printsHealthChecks || !isHealthCheck) line() << "to l" << connection << ":" << summary << "\n";
+  if (printsHealthChecks || !isHealthCheck) beginLine() << "to l" << connection << ":" << summary << "\n";
   return writesCompletely;
 }
 
-void GatewayBench::closeNode(NodeConnectionId connection) { line() << "close l" << connection << "\n"; }
+void GatewayBench::closeNode(NodeConnectionId connection) { beginLine() << "close l" << connection << "\n"; }
 
 void GatewayBench::writeClient(ClientId client, ByteSlices slices) {
-  line() << "to c" << client << ":" << summaryOf(joined(slices)) << "\n";
+  beginLine() << "to c" << client << ":" << summaryOf(joined(slices)) << "\n";
 }
 
 void GatewayBench::readClient(ClientId client) {
-  if (printsReads) line() << "read on from c" << client << "\n";
+  if (printsReads) beginLine() << "resume reading from c" << client << "\n";
   clientsToRead_.push_back(client);
 }
 
-void GatewayBench::closeClient(ClientId client) { line() << "close c" << client << "\n"; }
+void GatewayBench::closeClient(ClientId client) { beginLine() << "close c" << client << "\n"; }
 
-void GatewayBench::stopListening() { line() << "stop listening\n"; }
+void GatewayBench::stopListening() { beginLine() << "stop listening\n"; }
 
-void GatewayBench::requestEndpointList() { line() << "ask for the list\n"; }
+void GatewayBench::requestEndpointList() { beginLine() << "request endpoint list\n"; }
 
 void GatewayBench::followDiscovery(const std::string& address) {
-  line() << "follow discovery at " << address << "\n";
+  beginLine() << "set discovery address " << address << "\n";
 }
 
-void GatewayBench::log(std::string text) { line() << "log: " << text << "\n"; }
+void GatewayBench::log(std::string text) { beginLine() << "log: " << text << "\n"; }
 
 }  // namespace gulltrestle::gateway_test
--- a/tests/gateway/bench.h
+++ b/tests/gateway/bench.h
@@ -1,5 +1,6 @@
-// A gateway on a clock of its own, between clients and nodes that a test plays. Each effect is printed with
-// its time, in milliseconds from the start.
+// Test harness for the gateway: runs it on a simulated clock, without sockets. The test supplies the events
+// of clients, nodes and the process. Each effect is printed with its time, in milliseconds from the start.
+// Client 1 is printed as c1, the connection to a node with the id 1 as l1.
 #pragma once
 
 #include <iostream>
@@ -17,7 +18,7 @@
 using namespace gulltrestle::gateway;
 using trace::ms;
 
-// Messages of clients. Each statement's time limit is 1000 ms.
+// Messages of clients. Each statement has a time limit of 1000 ms.
 std::string queryMessage(std::string_view text);
 std::string readQuery(const std::string& id, const std::string& transactionClass = "any",
                       const std::string& moreFields = "");
@@ -25,50 +26,60 @@
 
 // Messages of nodes.
 std::string parameterStatus(std::string_view name, std::string_view value);
-// The body of a row with one column.
+// The body of a DataRow message with one column.
 std::string dataColumn(std::string_view value);
-// A whole answer of one row; `report`: parameter statuses that stand before its end.
-std::string rowAnswer(std::string_view value, std::string_view report = {});
+// A complete answer with one row. `parameterStatuses` are inserted before its ReadyForQuery message.
+std::string rowAnswer(std::string_view value, std::string_view parameterStatuses = {});
+// A complete answer to an empty query.
 std::string emptyQueryAnswer();
 
-// Where there is no other limit to be tested.
-constexpr Bounds kUsualBounds{.idleLimit = Duration::millis(10000),
-                              .connectLimit = Duration::millis(250),
-                              .maxNodeConnections = 8,
-                              .maxBufferedBytes = 100000};
+// Limits for cases that do not test a limit.
+constexpr Bounds kDefaultBounds{.idleLimit = Duration::millis(10000),
+                                .connectLimit = Duration::millis(250),
+                                .maxNodeConnections = 8,
+                                .maxBufferedBytes = 100000};
 
+// What a gateway under test starts with.
 struct GatewaySetup {
-  Bounds bounds = kUsualBounds;
-  bool knowsEndpoints = true;  // that there are a primary p and a replica a
+  Bounds bounds = kDefaultBounds;
+  bool hasEndpointList = true;  // starts with a restored list of the primary p and the replica a
   bool onlyDrainingExcludes = false;
 };
 
-// Node p is the primary, all others are replicas; B is node b at another address. Connections to nodes are
-// counted from 1 on.
+// Runs one gateway. Node p is the primary, all others are replicas. "B" is node b at another address. The ids
+// of connections to nodes are assigned in order, starting at 1.
 class GatewayBench final : private Effects {
  public:
   explicit GatewayBench(GatewaySetup setup = {});
 
-  void say(const std::string& text) { std::cout << "-- " << text << "\n"; }
-  bool writesCompletely = true;  // else the last byte stays unwritten until finishWrite()
+  // Prints a line that explains the step that follows.
+  void describe(const std::string& text) { std::cout << "-- " << text << "\n"; }
+  bool writesCompletely = true;  // if false, the last byte remains unwritten until finishWrite()
   bool printsHealthChecks = false, printsReads = false;
-  bool answersEmptyQueries = true;  // which ask whether more than an answer comes; they are not printed then
+  // Whether nodes answer the empty queries by which the gateway detects bytes after an answer. If they do,
+  // empty queries are not printed.
+  bool answersEmptyQueries = true;
+  // Enables the trace of transactions and prints its lines.
   void printTrace();
 
   // --- Events of clients
 
+  // Accepts a client that sends `bytes`, without a startup message before them.
   void acceptClient(ClientId client, const std::string& bytes);
-  // Accepts a client that sends its startup message, and `bytes` behind it.
+  // Accepts a client that sends its startup message, followed by `bytes`.
   void openClient(ClientId client, const std::string& bytes = "");
   void sendFromClient(ClientId client, const std::string& bytes);
   void halfCloseClient(ClientId client);
-  void closeClientSide(ClientId client);
+  // The client closes its connection, without having terminated the session.
+  void disconnectClient(ClientId client);
 
   // --- Events of connections to nodes
 
-  // The connection is established, and the node greets.
+  // The connection is established, and the node accepts the session.
   void connectNode(NodeConnectionId connection);
+  // The connection is established, and the node rejects the session.
   void rejectSession(NodeConnectionId connection);
+  // The node sends `bytes`. Prints how many of them the gateway leaves unconsumed, if any.
   void answer(NodeConnectionId connection, const std::string& bytes);
   void finishWrite(NodeConnectionId connection);
   void closeConnection(NodeConnectionId connection, ConnectionCloseReason reason);
@@ -80,22 +91,27 @@
   void shutDown();
   void loadConfig(const std::string& discovery, const std::vector<std::string>& keysNeedingRestart = {});
   void rejectConfig(const std::string& fault);
-  // Advances the clock, with each turn that was requested on the way.
+  // Advances the clock, and runs each turn that becomes due.
   void advance(std::int64_t millis);
 
   std::int64_t unixMillis() const { return now_.inMicros() / 1000; }
+  // Whether the gateway has shut down.
   bool finished() const { return gateway_.finished(); }
+  // Returns false if no client is idle.
   bool closeIdleClients(std::size_t max = 1) { return gateway_.closeIdleClients(max); }
-  // The connection that was opened last, of all or to a node.
+  // The connection that was opened last.
   NodeConnectionId lastConnection() const { return lastConnection_; }
+  // The connection to this node that was opened last.
   NodeConnectionId connectionTo(const std::string& node);
 
  private:
+  // Passes all unconsumed bytes of the client to the gateway.
   void offerClientBytes(ClientId client);
   void turn() { next_ = gateway_.endTurn(now_); }
-  // Ends the turn, and plays what it brings about at once.
-  void settle();
-  std::ostream& line();
+  // Ends the turn, and delivers the events that result from it at the same time.
+  void runUntilIdle();
+  // Starts a line of output with the time.
+  std::ostream& beginLine();
 
   // Effects.
   void connect(NodeConnectionId connection, const std::string& address) override;
@@ -113,9 +129,9 @@
   Instant now_ = kStart, next_;
   NodeConnectionId lastConnection_ = 0;
   std::map<std::string, NodeConnectionId> lastConnectionTo_;  // by address
-  std::map<ClientId, std::string> unconsumed_;                // of what each client has sent
+  std::map<ClientId, std::string> unconsumed_;                // bytes sent by each client
   std::vector<ClientId> clientsToRead_;
-  std::vector<NodeConnectionId> emptyQueries_;  // connections on which one was written
+  std::vector<NodeConnectionId> emptyQueries_;  // connections with an unanswered empty query
   Gateway gateway_;
 };
 
--- a/tests/gateway/cases.h
+++ b/tests/gateway/cases.h
@@ -1,4 +1,4 @@
-// The cases of the test program, a function each; each prints its trace.
+// The cases of the test program. Each function runs one case and prints its trace.
 #pragma once
 
 namespace gulltrestle::gateway_test {
--- a/tests/gateway/clients.cpp
+++ b/tests/gateway/clients.cpp
@@ -1,4 +1,4 @@
-// What clients send: startup, statements, limits on them, and clients that leave.
+// Cases for clients: startup, statements, limits, and clients that disconnect.
 #include "gateway/bench.h"
 #include "gateway/cases.h"
 
@@ -6,21 +6,21 @@
 
 void servesReadsAndWrites() {
   GatewayBench bench;
-  bench.say("a query that comes with the startup message goes to a replica, with d as the router will wait");
+  bench.describe("a query sent with the startup message goes to a replica, with d set to the remaining time");
   bench.openClient(1, readQuery("aa"));
   bench.advance(20);
   bench.connectNode(1);
   bench.advance(30);
   bench.answer(1, rowAnswer("body", parameterStatus("part", "replica")));
-  bench.say("the connection is used again; two queries at once are answered in order");
+  bench.describe("the connection is reused; two queries sent at once are answered in order");
   bench.sendFromClient(1, readQuery("bb") + readQuery("cc"));
   bench.advance(10);
   bench.answer(1, rowAnswer("second"));
   bench.answer(1, rowAnswer("third"));
-  bench.say("one that comes in pieces");
+  bench.describe("a query is received in pieces");
   for (const char c : readQuery("dd")) bench.sendFromClient(1, std::string(1, c));
-  bench.say(
-      "a write goes to the primary; the session's read that must see it is held while replicas are asked");
+  bench.describe(
+      "a write goes to the primary; the session read that must see it is queued until a health check");
   bench.printsHealthChecks = true;
   bench.answer(1, rowAnswer("fourth"));
   bench.sendFromClient(1, writeQuery("ee"));
@@ -31,13 +31,13 @@
   bench.sendFromClient(1, readQuery("ff", "session", ",after=" + std::to_string(commit)));
   bench.answer(1, rowAnswer("x0=" + std::to_string(commit / 1000) + ".99,x1=0,inflight=3,util=0.5"));
   bench.answer(1, rowAnswer("fifth"));
-  bench.say("good-bye");
+  bench.describe("the client terminates the session");
   bench.sendFromClient(1, postgres::terminate());
 }
 
 void startupMessages() {
-  GatewayBench bench({.knowsEndpoints = false});
-  bench.say("no encryption; an empty query is answered once the list is known");
+  GatewayBench bench({.hasEndpointList = false});
+  bench.describe("encryption is declined; an empty query is answered once the endpoint list is known");
   const std::string ssl("\0\0\0\10\4\322\26\57", 8), gss("\0\0\0\10\4\322\26\60", 8);
   bench.acceptClient(1, ssl + postgres::startup("worker", "catalog"));
   bench.openClient(2, queryMessage(";"));
@@ -45,7 +45,7 @@
   bench.sendFromClient(3, queryMessage(""));
   bench.updateEndpoints(EndpointUpdateKind::snapshot, {"p", "a"});
   bench.sendFromClient(2, queryMessage(" ; "));
-  bench.say("versions, cancel requests, nonsense");
+  bench.describe("unsupported versions, cancel requests, malformed messages");
   bench.openClient(5);
   bench.sendFromClient(5, "GET / HTTP/1.1\r\n\r\n");
   ClientId next = 10;
@@ -54,7 +54,7 @@
         std::string("\0\0\0\3\0\3\0\0", 8), std::string("\377\377\377\377\0\3\0\0", 8)}) {
     bench.acceptClient(next++, bytes);
   }
-  bench.say("the extended protocol is refused up to its Sync, then the connection goes on");
+  bench.describe("extended-protocol messages are rejected up to the Sync; the connection remains usable");
   bench.openClient(7);
   bench.sendFromClient(7, postgres::message('P', "x") + postgres::message('B', "x") +
                               postgres::message('E', "x") + postgres::message('S', "") + queryMessage(""));
@@ -80,41 +80,43 @@
         "INSERT INTO objects (oid, body) VALUES ('k', '\\x" + std::string(2 * 64 * 1024 + 2, '0') +
             "') RETURNING body"})
     bench.sendFromClient(1, queryMessage(text));
-  bench.say("longer than any statement: the connection ends");
+  bench.describe("a message longer than any statement closes the connection");
   bench.sendFromClient(1, std::string("Q\0\7\0\0", 5));
-  bench.say("a query whose text has no end");
+  bench.describe("a query text without its terminating zero byte");
   bench.openClient(2);
   bench.sendFromClient(2, postgres::message('Q', "SELECT"));
 }
 
 void slowAndFloodingClients() {
   GatewayBench bench;
-  bench.say("one says nothing, one half of its greeting, one half of a query, one asks for encryption only");
+  bench.describe(
+      "clients that send nothing, half a startup message, half a query, only an encryption request");
   bench.acceptClient(1, "");
   bench.acceptClient(2, postgres::startup("worker", "catalog").substr(0, 9));
   bench.openClient(3, readQuery("aa").substr(0, 20));
   bench.acceptClient(4, std::string("\0\0\0\10\4\322\26\57", 8));
   bench.openClient(5);
   bench.advance(1999);
-  bench.say("the half query goes on: it counts from its begin; one that asks for nothing may stay");
+  bench.describe(
+      "the time of the incomplete query counts from its first byte; an idle client stays connected");
   bench.sendFromClient(3, readQuery("aa").substr(20, 20));
   bench.advance(1);
-  bench.say(
-      "the id of another client's open txn: an error, and that txn its own answer; later the id is free");
+  bench.describe(
+      "the id of another client's open txn is an error; that txn is answered, then its id may be reused");
   bench.openClient(6, readQuery("bb"));
   bench.openClient(7, readQuery("bb"));
   bench.connectNode(1);
   bench.answer(1, rowAnswer("body"));
   bench.sendFromClient(7, readQuery("bb"));
   bench.answer(1, rowAnswer("again"));
-  bench.say("ten messages at once: some in a turn");
+  bench.describe("ten messages at once: each turn handles some of them");
   bench.printsReads = true;
-  std::string many;
-  for (int i = 0; i < 10; ++i) many += postgres::message('S', "");
-  bench.sendFromClient(7, many + readQuery("cc"));
+  std::string syncMessages;
+  for (int i = 0; i < 10; ++i) syncMessages += postgres::message('S', "");
+  bench.sendFromClient(7, syncMessages + readQuery("cc"));
   bench.answer(1, rowAnswer("third"));
   bench.printsReads = false;
-  bench.say("full: those that said nothing make room once they had time for it, then the idle ones");
+  bench.describe("at the limit, the clients idle longest are closed, but none that has just connected");
   bench.acceptClient(8, "");
   bench.advance(24);
   std::cout << bench.closeIdleClients(2) << "\n";
@@ -125,12 +127,12 @@
 }
 
 void closesIdleClientsAtLimit() {
-  Bounds bounds = kUsualBounds;
+  Bounds bounds = kDefaultBounds;
   bounds.maxActiveClients = 8;
   GatewayBench bench({.bounds = bounds});
-  bench.say(
-      "clients keep eight connections for txns: beyond six the one idle longest makes room, but not two that "
-      "wait");
+  bench.describe(
+      "limit of eight active clients: above six the longest idle is closed, but none that waits or is "
+      "inactive");
   bench.openClient(20);
   bench.openClient(1, readQuery("slow"));
   bench.connectNode(1);
@@ -140,7 +142,7 @@
     if (client == 2) bench.connectNode(bench.lastConnection());
     bench.answer(2, rowAnswer("body"));
   }
-  bench.say("one that has sent more meanwhile stays");
+  bench.describe("a client that has sent more statements meanwhile is not closed");
   bench.sendFromClient(9, readQuery("ss") + readQuery("tt"));
   bench.openClient(10, readQuery("uu"));
   bench.answer(2, rowAnswer("body"));
@@ -150,30 +152,31 @@
 
 void halfClosedClients() {
   GatewayBench bench;
-  bench.say(
-      "a client that sends no more, and waits: a notice tells whether it is still there; it gets its answer");
+  bench.describe(
+      "a half-closed client that waits: a notice checks whether it is still connected; it is answered");
   bench.openClient(1, readQuery("aa"));
   bench.halfCloseClient(1);
   bench.connectNode(1);
   bench.answer(1, rowAnswer("body"));
   bench.halfCloseClient(1);
-  bench.say("one that waits for nothing");
+  bench.describe("a half-closed client that does not wait for an answer");
   bench.openClient(2);
   bench.halfCloseClient(2);
 }
 
-// The time of each statement of a connection starts when it has arrived, not when it is handled.
+// The time limit of each statement counts from its arrival, not from when the gateway handles it.
 void pipelinedStatements() {
   GatewayBench bench;
   bench.openClient(1, readQuery("aa") + readQuery("bb") + readQuery("cc"));
   bench.connectNode(1);
   bench.advance(400);
-  bench.say("the second has waited 400 ms behind the first, and the node is told what is left");
+  bench.describe("the second has waited 400 ms behind the first; the remaining time is passed to the node");
   bench.answer(1, rowAnswer("first"));
   bench.advance(580);
-  bench.say("the third has 20 ms left; it is answered before they are over");
+  bench.describe("the third has 20 ms left; it is answered within that time");
   bench.answer(1, rowAnswer("second"));
-  bench.say("one that comes in pieces counts from its last byte, also where it lies behind another");
+  bench.describe(
+      "the time of a query received in pieces counts from its last byte, also behind another query");
   bench.advance(20);
   bench.sendFromClient(1, readQuery("dd") + readQuery("ee").substr(0, 30));
   bench.connectNode(2);
@@ -182,7 +185,8 @@
   bench.advance(100);
   bench.answer(2, rowAnswer("fourth"));
   bench.answer(2, rowAnswer("fifth"));
-  bench.say("told to end: what had come is served, what comes later from the same client is refused");
+  bench.describe(
+      "shutdown: statements received before are served, later ones from the same client are rejected");
   bench.sendFromClient(1, readQuery("ff") + readQuery("gg"));
   bench.shutDown();
   bench.advance(500);
@@ -193,26 +197,27 @@
   std::cout << "finished: " << bench.finished() << "\n";
 }
 
-// A client that leaves while its transaction waits for a connection, or is written in part: no attempt
-// starts.
+// If a client disconnects while its transaction waits for a connection or is only partly written, no attempt
+// runs at the node.
 void withdrawsUnsentAttempts() {
   GatewayBench bench;
-  bench.say("a write whose client leaves while its connection comes up");
+  bench.describe("a client disconnects while the node connection for its write is being established");
   bench.openClient(1, writeQuery("aa"));
-  bench.closeClientSide(1);
+  bench.disconnectClient(1);
   bench.connectNode(1);
-  bench.say("its connection serves the next");
+  bench.describe("the next write uses the connection");
   bench.openClient(2, writeQuery("bb"));
-  bench.say("one that is written in part: its connection ends, and it never ran");
+  bench.describe(
+      "a client disconnects while its write is partly written: the connection is closed, it did not run");
   bench.answer(1, rowAnswer("second"));
   bench.writesCompletely = false;
   bench.openClient(3, writeQuery("cc"));
-  bench.closeClientSide(3);
-  bench.say("one that is written whole goes on");
+  bench.disconnectClient(3);
+  bench.describe("a completely written write continues");
   bench.writesCompletely = true;
   bench.openClient(4, writeQuery("dd"));
   bench.connectNode(bench.connectionTo("p"));
-  bench.closeClientSide(4);
+  bench.disconnectClient(4);
   bench.answer(bench.connectionTo("p"), rowAnswer("fourth"));
 }
 
--- a/tests/gateway/node_connections.cpp
+++ b/tests/gateway/node_connections.cpp
@@ -1,4 +1,4 @@
-// Connections to nodes: what is read on them, draining and removed nodes, limits.
+// Cases for connections to nodes: answers, draining and removed nodes, limits.
 #include "gateway/bench.h"
 #include "gateway/cases.h"
 
@@ -9,12 +9,13 @@
   bench.openClient(1, readQuery("aa"));
   bench.connectNode(1);
   bench.answer(1, rowAnswer("body"));
-  bench.say("bytes that nobody asked for end an idle connection: the next txn gets another");
-  bench.answer(1, rowAnswer("whose?"));
+  bench.describe("unexpected bytes close an idle connection: the next txn gets another");
+  bench.answer(1, rowAnswer("unexpected"));
   bench.sendFromClient(1, readQuery("bb"));
   bench.connectNode(2);
   bench.answer(2, rowAnswer("body"));
-  bench.say("so does its end; the next is retired at half of the node's limit");
+  bench.describe(
+      "the same after the node closes it; the next one is retired after half of the node's idle limit");
   bench.closeConnection(2, ConnectionCloseReason::broken);
   bench.sendFromClient(1, readQuery("cc"));
   bench.connectNode(3);
@@ -28,8 +29,7 @@
 void bytesAfterAnswers() {
   GatewayBench bench;
   bench.answersEmptyQueries = false;
-  bench.say(
-      "after an answer an empty query is asked; what waits meanwhile is written once its answer is there");
+  bench.describe("an empty query follows each answer; the next statement is written once it is answered");
   bench.openClient(1, readQuery("aa"));
   bench.connectNode(1);
   bench.answer(1, rowAnswer("body"));
@@ -37,8 +37,8 @@
   bench.answer(1, emptyQueryAnswer().substr(0, 3));
   bench.answer(1, emptyQueryAnswer());
   bench.answer(1, rowAnswer("second"));
-  bench.say(
-      "an answer twice in the same read, and one that comes later: the value is kept, the connection is not");
+  bench.describe(
+      "an answer sent twice, in the same read or later: the value is used, the connection is closed");
   bench.sendFromClient(1, readQuery("cc"));
   bench.answer(1, emptyQueryAnswer());
   bench.answer(1, rowAnswer("third") + rowAnswer("third"));
@@ -48,14 +48,14 @@
   bench.sendFromClient(1, readQuery("ee"));
   bench.answer(bench.lastConnection(), rowAnswer("fourth") + emptyQueryAnswer());
   bench.connectNode(bench.lastConnection());
-  bench.say("noise behind the answer to the empty query, a node that does not answer it");
+  bench.describe("extra bytes after the answer to the empty query; an empty query without an answer");
   bench.answer(bench.lastConnection(), rowAnswer("fifth"));
   bench.answer(bench.lastConnection(), emptyQueryAnswer() + "noise");
   bench.sendFromClient(1, readQuery("ff"));
   bench.connectNode(bench.lastConnection());
   bench.answer(bench.lastConnection(), rowAnswer("sixth"));
   bench.advance(250);
-  bench.say("a report and a position that can't be read within a good answer");
+  bench.describe("a malformed load report and log position within a valid answer");
   bench.sendFromClient(1, readQuery("gg"));
   bench.connectNode(bench.lastConnection());
   bench.answer(bench.lastConnection(), rowAnswer("seventh", parameterStatus("gauges", "=,=") +
@@ -65,33 +65,36 @@
 
 void malformedAnswers() {
   GatewayBench bench;
-  const std::string good = rowAnswer("body");
-  bench.say("each may have run, and is found as early as its bytes allow: a type, a length, a row's length");
+  const std::string validAnswer = rowAnswer("body");
+  bench.describe(
+      "each may have run, and is detected as early as possible: by a type, a length, a row's length");
   bench.openClient(1);
-  for (const auto& [id, bytes] : {std::pair<const char*, std::string>{"a", "x"},
-                                  {"b", std::string("T\0\1\0\0", 5)},
-                                  {"c", good.substr(0, 30) + "D" + std::string("\xb2\xd0\x5e\0", 4)},
-                                  {"d", good.substr(0, good.find('D') + 7) + std::string("\0\0\0\5", 4)}}) {
+  for (const auto& [id, bytes] :
+       {std::pair<const char*, std::string>{"a", "x"},
+        {"b", std::string("T\0\1\0\0", 5)},
+        {"c", validAnswer.substr(0, 30) + "D" + std::string("\xb2\xd0\x5e\0", 4)},
+        {"d", validAnswer.substr(0, validAnswer.find('D') + 7) + std::string("\0\0\0\5", 4)}}) {
     bench.sendFromClient(1, writeQuery(std::string("good-") + id));
     bench.connectNode(bench.connectionTo("p"));
-    bench.answer(bench.connectionTo("p"), good);
+    bench.answer(bench.connectionTo("p"), validAnswer);
     bench.sendFromClient(1, writeQuery(id));
     bench.answer(bench.connectionTo("p"), bytes);
   }
-  bench.say("one that begins and does not end: what can be repeated goes on elsewhere after a while");
+  bench.describe(
+      "an incomplete answer: an idempotent statement is retried on another connection after a timeout");
   bench.sendFromClient(1, readQuery("f"));
   bench.connectNode(bench.lastConnection());
-  bench.answer(bench.lastConnection(), good.substr(0, 40));
+  bench.answer(bench.lastConnection(), validAnswer.substr(0, 40));
   bench.advance(260);
   bench.connectNode(bench.lastConnection());
-  bench.answer(bench.lastConnection(), good);
-  bench.say("noise over and over: a line a node each 10 s");
+  bench.answer(bench.lastConnection(), validAnswer);
+  bench.describe("repeated malformed answers: one log line per node every 10 s");
   bench.answer(bench.lastConnection(), "x");
   for (int i = 0; i < 4; ++i) {
     bench.advance(3600);
     bench.sendFromClient(1, readQuery("g" + std::to_string(i)));
     bench.connectNode(bench.lastConnection());
-    bench.answer(bench.lastConnection(), good);
+    bench.answer(bench.lastConnection(), validAnswer);
     bench.answer(bench.lastConnection(), "x");
   }
 }
@@ -101,22 +104,23 @@
   bench.openClient(1, readQuery("aa"));
   bench.connectNode(1);
   bench.answer(1, rowAnswer("body"));
-  bench.say(
-      "three are for the only replica, which drains: one is out, two wait for a connection and go elsewhere");
+  bench.describe(
+      "three txns at the only replica, which drains: one is in flight, two waiting ones are sent elsewhere");
   for (ClientId client = 2; client <= 4; ++client)
     bench.openClient(client, readQuery("b" + std::to_string(client)));
   bench.updateEndpoints(EndpointUpdateKind::delta, {"b"});
   bench.updateEndpoints(EndpointUpdateKind::delta, {"a"}, Health::draining);
   bench.connectNode(bench.connectionTo("b"));
-  bench.say("what is out may end there, and its connection is not kept; what comes up late is closed");
+  bench.describe(
+      "the txn in flight may finish, its connection is then closed; one established later is closed at once");
   bench.answer(1, rowAnswer("from a"));
   bench.connectNode(2);
   bench.answer(bench.connectionTo("b"), rowAnswer("from b"));
-  bench.say("b has another address: its idle connection is closed");
+  bench.describe("the address of b changes: its idle connection is closed");
   bench.answer(bench.connectionTo("b"), rowAnswer("from b"));
   bench.updateEndpoints(EndpointUpdateKind::snapshot, {"B"});
   GatewayBench other({.onlyDrainingExcludes = true});
-  other.say("where only draining binds, a node that is listed as gone keeps its connections");
+  other.describe("if only draining excludes nodes, a node listed as removed keeps its connections");
   other.openClient(1, readQuery("aa"));
   other.connectNode(1);
   other.answer(1, rowAnswer("body"));
@@ -128,7 +132,8 @@
 
 void forgetsRemovedNodes() {
   GatewayBench bench;
-  bench.say("a is not reached, drains and leaves, b comes: a comes back after a minute, as one that is new");
+  bench.describe(
+      "a is unreachable, drains and is removed, b is added: added again after a minute, a counts as new");
   bench.openClient(1, readQuery("aa"));
   bench.closeConnection(1, ConnectionCloseReason::refused);
   bench.advance(1000);
@@ -145,31 +150,32 @@
 }
 
 void connectionAndMemoryLimits() {
-  Bounds oneConnection = kUsualBounds;
+  Bounds oneConnection = kDefaultBounds;
   oneConnection.maxNodeConnections = 1;
   oneConnection.maxBufferedBytes = 300;
   GatewayBench bench({.bounds = oneConnection});
-  bench.say("one connection may be open: the second txn gets none, and is refused when it has no more tries");
+  bench.describe("limit of one connection: the second txn gets none, and is rejected after its last attempt");
   bench.openClient(1, readQuery("aa"));
   bench.openClient(2, writeQuery("bb"));
   bench.connectNode(1);
   bench.advance(100);
-  bench.say("an idle one makes room");
+  bench.describe("an idle connection is closed in favor of a new one");
   bench.answer(1, rowAnswer("body"));
   bench.sendFromClient(2, writeQuery("cc"));
-  bench.say("no room for one more statement");
+  bench.describe("the memory limit admits no further statement");
   bench.sendFromClient(1, readQuery("dd"));
   bench.openClient(3, readQuery("ee"));
-  bench.say("no descriptor: told as not sent");
+  bench.describe("no descriptor: reported as not sent");
   bench.closeConnection(bench.connectionTo("a"), ConnectionCloseReason::noDescriptor);
-  bench.say("of the idle clients the one that was idle longest makes room");
+  bench.describe("the client that has been idle longest is closed first");
   bench.advance(1000);
   bench.sendFromClient(3, queryMessage(""));
-  for (int i = 0; i < 4; ++i) std::cout << (bench.closeIdleClients() ? "one was closed\n" : "none is idle\n");
-  Bounds twoConnections = kUsualBounds;
+  for (int i = 0; i < 4; ++i)
+    std::cout << (bench.closeIdleClients() ? "closed a client\n" : "no idle client\n");
+  Bounds twoConnections = kDefaultBounds;
   twoConnections.maxNodeConnections = 2;
   GatewayBench other({.bounds = twoConnections});
-  other.say("two may be open: of two idle ones that goes first which was used longer ago");
+  other.describe("limit of two connections: of two idle ones the least recently used is closed first");
   other.openClient(1, readQuery("aa"));
   other.connectNode(1);
   other.answer(1, rowAnswer("body"));
--- a/tests/gateway/process.cpp
+++ b/tests/gateway/process.cpp
@@ -1,4 +1,4 @@
-// The router as a whole: shutdown, configuration, close reasons, trace lines.
+// Cases for the whole process: shutdown, configuration, close reasons, trace lines.
 #include "gateway/bench.h"
 #include "gateway/cases.h"
 
@@ -9,7 +9,7 @@
   bench.openClient(1, readQuery("aa"));
   bench.openClient(2);
   bench.connectNode(1);
-  bench.say("told to end: served as before for half a second");
+  bench.describe("shutdown: service continues for half a second");
   bench.shutDown();
   bench.advance(100);
   bench.openClient(3, readQuery("bb"));
@@ -19,8 +19,8 @@
   bench.acceptClient(4, postgres::startup("worker", "catalog").substr(0, 9));
   bench.acceptClient(5, "");
   bench.advance(1);
-  bench.say(
-      "then idle clients are closed, the others once they are answered; two had just come, one of them asks");
+  bench.describe(
+      "then idle clients are closed, others once answered; of two that just connected one sends a query");
   bench.sendFromClient(4, postgres::startup("worker", "catalog").substr(9) + readQuery("cc"));
   bench.answer(2, rowAnswer("body"));
   bench.advance(250);
@@ -32,12 +32,12 @@
 
 void configReload() {
   GatewayBench bench;
-  bench.say("the first, one that moves discovery, one that changes nothing, one that changes what waits");
+  bench.describe("the first, a changed discovery address, no change, changed keys that require a restart");
   bench.loadConfig("10.0.0.1:8500");
   bench.loadConfig("10.0.0.2:8500");
   bench.loadConfig("10.0.0.2:8500");
   bench.loadConfig("10.0.0.2:8500", {"listen", "settings"});
-  bench.say("one that can't be used: a txn meanwhile is served as ever");
+  bench.describe("an invalid configuration is rejected; a txn is served as before");
   bench.rejectConfig("discovery: is missing");
   bench.openClient(1, readQuery("aa"));
   bench.connectNode(1);
@@ -47,17 +47,17 @@
 void closeReasonOutcomes() {
   // In the order of AttemptOutcome.
   constexpr const char* kOutcomes[] = {"committed", "error",         "rejected",
-                                       "no answer", "no connection", "connection lost",
-                                       "cancelled", "not sent",      "not here"};
+                                       "timeout",   "no connection", "connection lost",
+                                       "cancelled", "not sent",      "wrong node"};
   for (int i = 0; i <= static_cast<int>(ConnectionCloseReason::shuttingDown); ++i) {
     const auto reason = static_cast<ConnectionCloseReason>(i);
     std::cout << nameOf(reason) << ": " << kOutcomes[static_cast<int>(outcomeOfUnwritten(reason))]
-              << ", written whole: " << kOutcomes[static_cast<int>(outcomeOf(reason, true))] << "\n";
+              << ", completely written: " << kOutcomes[static_cast<int>(outcomeOf(reason, true))] << "\n";
   }
 }
 
-// Each transaction can be followed from its arrival to its answer, and each close has its reason, once the
-// trace is on.
+// With the trace enabled, each transaction can be followed from its arrival to its answer, and each closed
+// connection has a reason.
 void transactionTrace() {
   GatewayBench bench;
   bench.printTrace();
@@ -68,7 +68,7 @@
   bench.connectNode(bench.lastConnection());
   bench.closeConnection(bench.lastConnection(), ConnectionCloseReason::broken);
   bench.openClient(3, readQuery("c", "bounded"));
-  bench.closeClientSide(3);
+  bench.disconnectClient(3);
   bench.shutDown();
   bench.advance(1000);
 }
--- a/tests/returning.cpp
+++ b/tests/returning.cpp
@@ -1,4 +1,4 @@
-// How service returns after a start: what observations of peers prove, the stages of a group, the admission
+// Tests of the recovery of service after a router's start: observations of peers, recovery stages, admission
 // ramp. Run as `returning CASE`: prints the case's trace.
 #include <functional>
 #include <iostream>
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr Instant kBegin = Instant::atMicros(1'700'000'000'000'000);
+constexpr Instant kStart = Instant::atMicros(1'700'000'000'000'000);
 
-// One group of a primary p and replicas a and b, as one starting router sees it.
+// The recovery stages of one starting router, for a group with the primary p and the replicas a and b.
 class StartingRouter {
  public:
   explicit StartingRouter(const std::string& scenario, unsigned routers = 3)
@@ -31,8 +31,9 @@
              .seed = 7}) {
     std::cout << "-- " << scenario << "\n";
   }
-  void list(ListVersion version, const NodeId& primary, std::vector<NodeId> nodes, Instant start = {},
-            EndpointUpdateKind kind = EndpointUpdateKind::snapshot) {
+  // An endpoint list arrives.
+  void receiveList(ListVersion version, const NodeId& primary, std::vector<NodeId> nodes, Instant start = {},
+                   EndpointUpdateKind kind = EndpointUpdateKind::snapshot) {
     std::vector<EndpointEntry> entries;
     for (const auto& node : nodes) {
       entries.emplace_back();
@@ -45,13 +46,14 @@
     std::vector<EndpointEntry*> pointers;
     for (auto& entry : entries) pointers.push_back(&entry);
     stages_.onEndpointList(now, kind, version, pointers);
-    decide((kind == EndpointUpdateKind::restored ? "from before " : "list ") + std::to_string(version));
+    decide((kind == EndpointUpdateKind::restored ? "restored list " : "list ") + std::to_string(version));
   }
-  void report(const NodeId& node, Role role, std::int64_t position = 0) {
-    observations.observe(now, node, {role, kBegin + ms(position), {}});
-    decide(node + (role == Role::primary ? " says primary" : " says replica"));
+  // A load report of a node arrives.
+  void receiveReport(const NodeId& node, Role role, std::int64_t position = 0) {
+    observations.observe(now, node, {role, kStart + ms(position), {}});
+    decide(node + (role == Role::primary ? " reports primary" : " reports replica"));
   }
-  // Nothing comes in for so long.
+  // Advances the clock without any event, and decides whenever a timeout is due.
   void wait(std::int64_t millis) {
     for (const Instant until = now + ms(millis); now < until;) {
       const Instant due = stages_.nextDue();
@@ -59,8 +61,9 @@
       decide("");
     }
   }
-  void decide(const std::string& after) {
-    if (!after.empty()) std::cout << timestamp() << after << "\n";
+  // Prints the event, unless it is empty, and the decisions that follow from it.
+  void decide(const std::string& event) {
+    if (!event.empty()) std::cout << timestamp() << event << "\n";
     for (const auto& transition : stages_.decide(now, observations))
       std::cout << timestamp() << "  to " << nameOf(transition.to) << " (" << nameOf(transition.reason)
                 << ")\n";
@@ -73,97 +76,99 @@
     std::cout << timestamp() << "  " << nameOf(group.stage) << (group.awaits.empty() ? "" : ", awaits ")
               << group.awaits;
     for (const auto& node : group.contenders) std::cout << " contested by " << node;
-    std::cout << "; lets in";
+    std::cout << "; admits";
     for (std::size_t classIndex = 0; classIndex < 4; ++classIndex)
       std::cout << (stages_.admits(1, classIndex) ? " 1" : " 0");
-    std::cout << "; asked";
+    std::cout << "; requested";
     for (const auto& [node, times] : requests) std::cout << " " << node << " " << times;
     std::cout << "\n";
   }
-  std::string timestamp() const { return std::to_string((now - kBegin).inMicros() / 1000) + " "; }
+  std::string timestamp() const { return std::to_string((now - kStart).inMicros() / 1000) + " "; }
   RecoveryStages& stages() { return stages_; }
 
-  Instant now = kBegin;
+  Instant now = kStart;
   PeerObservations observations;
-  std::map<NodeId, int> requests;
+  std::map<NodeId, int> requests;  // number of requested load reports
 
  private:
   RecoveryStages stages_;
 };
 
 void advanceByEvidence() {
-  StartingRouter router("each stage as what it waits for comes");
+  StartingRouter router("each stage begins once its condition is met");
   router.printStatus();
-  router.list(5, "p", {"p", "a", "b"});
+  router.receiveList(5, "p", {"p", "a", "b"});
   router.printStatus();
   router.wait(100);
-  router.report("a", Role::replica);
+  router.receiveReport("a", Role::replica);
   router.printStatus();
-  router.report("p", Role::primary);
+  router.receiveReport("p", Role::primary);
   router.printStatus();
   router.stages().setQuorumReached(true);
-  router.decide("keepers");
+  router.decide("quorum reached");
   router.printStatus();
 }
 
 void advanceByTimeouts() {
-  StartingRouter router("nobody tells anything: each wait ends, and is given up on");
-  router.list(5, "p", {"p", "a", "b"});
+  StartingRouter router("no reports arrive: each wait ends by its timeout");
+  router.receiveList(5, "p", {"p", "a", "b"});
   router.wait(20'000);
   router.printStatus();
 }
 
 void waitForContestedPrimary() {
-  StartingRouter router("the list is older than what the disk knew: the one it names believes in itself");
-  router.list(5, "p", {"p", "a", "b"});
+  StartingRouter router(
+      "the list is older than the stored primary, and the node it names reports itself as primary");
+  router.receiveList(5, "p", {"p", "a", "b"});
   router.stages().onKnownPrimary(1, {"a", 7});
-  router.report("p", Role::primary);
+  router.receiveReport("p", Role::primary);
   router.wait(30'000);
   router.printStatus();
-  router.report("a", Role::primary);
+  router.receiveReport("a", Role::primary);
   router.printStatus();
-  router.report("p", Role::replica);
+  router.receiveReport("p", Role::replica);
   router.printStatus();
 }
 
-void settleContestByNewerList() {
-  StartingRouter router("the same; the one that was known never returns, a newer list settles it");
-  router.list(5, "p", {"p", "b"});
+void resolveContestByNewerList() {
+  StartingRouter router("the same, but the stored primary never returns: a newer list resolves the contest");
+  router.receiveList(5, "p", {"p", "b"});
   router.stages().onKnownPrimary(1, {"a", 7});
-  router.report("p", Role::primary);
+  router.receiveReport("p", Role::primary);
   router.wait(30'000);
   router.printStatus();
-  router.list(8, "p", {"p", "b"});
+  router.receiveList(8, "p", {"p", "b"});
 }
 
 void startWithoutDiscovery() {
-  StartingRouter router("discovery is away: nodes are known from before, and the primary from a later list");
-  router.list(0, "p", {"p", "a", "b"}, {}, EndpointUpdateKind::restored);
+  StartingRouter router(
+      "discovery is unavailable: the nodes are restored, the stored primary is from a later list");
+  router.receiveList(0, "p", {"p", "a", "b"}, {}, EndpointUpdateKind::restored);
   router.stages().onKnownPrimary(1, {"a", 7});
   router.wait(4000);
   router.printStatus();
-  router.report("p", Role::primary);
+  router.receiveReport("p", Role::primary);
   router.wait(16'000);
   router.printStatus();
-  router.report("a", Role::primary);
-  router.report("p", Role::replica);
+  router.receiveReport("a", Role::primary);
+  router.receiveReport("p", Role::replica);
   router.wait(10'000);
   router.printStatus();
 }
 
 void forceStage() {
-  StartingRouter router("two claim to be it: an operator decides");
-  router.list(5, "p", {"p", "a", "b"});
-  router.report("p", Role::primary);
-  router.report("a", Role::primary);
+  StartingRouter router("two nodes report themselves as primary: an operator decides");
+  router.receiveList(5, "p", {"p", "a", "b"});
+  router.receiveReport("p", Role::primary);
+  router.receiveReport("a", Role::primary);
   router.stages().force(Stage::writes);
   router.decide("forced");
   router.printStatus();
 }
 
 void limitRequests() {
-  StartingRouter router("300 routers: each asks seldom", 300);
-  router.list(5, "p", {"p", "a", "b"});
+  StartingRouter router("300 routers: each requests few reports", 300);
+  router.receiveList(5, "p", {"p", "a", "b"});
   router.wait(1900);
   router.printStatus();
 }
@@ -172,31 +177,31 @@
   advanceByEvidence();
   advanceByTimeouts();
   waitForContestedPrimary();
-  settleContestByNewerList();
+  resolveContestByNewerList();
   startWithoutDiscovery();
   forceStage();
   limitRequests();
 }
 
-// Observations of four peers, of up to two nodes that no list has named.
+// Receives observations of four peers and prints what they prove. At most two unlisted nodes are stored.
 class PrintedObservations {
  public:
-  PeerObservations& quietly() { return observations_; }
-  void gossip(const std::string& peer, const NodeId& node, Role role, std::int64_t positionMillis,
-              Duration age = ms(5), Instant nodeStart = Instant()) {
-    const auto proven = observations_.onObservation(kBegin, peer,
+  PeerObservations& withoutOutput() { return observations_; }
+  void receive(const std::string& peer, const NodeId& node, Role role, std::int64_t positionMillis,
+               Duration age = ms(5), Instant nodeStart = Instant()) {
+    const auto proven = observations_.onObservation(kStart, peer,
                                                     {.node = node,
                                                      .nodeStart = nodeStart,
                                                      .role = role,
-                                                     .position = kBegin + ms(positionMillis),
+                                                     .position = kStart + ms(positionMillis),
                                                      .age = age});
-    std::cout << peer << " tells of " << node << " at " << positionMillis << ": ";
+    std::cout << peer << " observed " << node << " at " << positionMillis << ": ";
     if (!proven) {
       std::cout << "nothing proven\n";
       return;
     }
-    constexpr const char* kRoles[] = {"of unknown role", "primary", "replica"};
-    std::cout << "proven at " << (*proven->position - kBegin).inMicros() / 1000 << ", "
+    constexpr const char* kRoles[] = {"unknown role", "primary", "replica"};
+    std::cout << "proven at " << (*proven->position - kStart).inMicros() / 1000 << ", "
               << kRoles[static_cast<int>(proven->role)] << "\n";
   }
 
@@ -206,81 +211,87 @@
 
 void printPeerObservationsTrace() {
   PrintedObservations observations;
-  PeerObservations& quietly = observations.quietly();
-  quietly.onListed("a", Instant());
-  std::cout << "-- two witnesses prove the lower of what they tell; one, twice, nothing\n";
-  observations.gossip("r1", "a", Role::replica, -100);
-  observations.gossip("r1", "a", Role::replica, -50);
-  observations.gossip("r2", "a", Role::replica, -80);
-  observations.gossip("r3", "a", Role::replica, -70);
-  std::cout << "-- one that tells falsely: too far, another role\n";
-  observations.gossip("r4", "a", Role::primary, 1'000'000);
-  observations.gossip("r1", "a", Role::replica, -50);
-  std::cout << "-- old news, and of an earlier start of the node\n";
-  observations.gossip("r2", "a", Role::replica, -10, ms(61'000));
-  observations.gossip("r2", "a", Role::replica, -10, ms(5), kBegin);
-  std::cout << "-- it started again: what was known is void\n";
-  quietly.observe(kBegin, "a", {Role::replica, kBegin, {}});
-  std::cout << "position known " << quietly.knowsPosition("a") << ", tells "
-            << quietly.firstHand(kBegin).size();
-  quietly.onListed("a", kBegin + ms(1));
-  std::cout << "; then " << quietly.knowsPosition("a") << ", " << quietly.firstHand(kBegin).size() << "\n";
-  std::cout << "-- told ahead of the list: proven when it comes; strangers are bounded\n";
-  observations.gossip("r1", "b", Role::replica, -5);
-  observations.gossip("r2", "b", Role::replica, -5);
-  observations.gossip("r1", "c", Role::replica, -5);
-  observations.gossip("r1", "d", Role::replica, -5);
-  std::cout << "b proven " << quietly.onListed("b", Instant()).has_value() << ", c "
-            << quietly.onListed("c", Instant()).has_value() << "\n";
+  PeerObservations& peerObservations = observations.withoutOutput();
+  peerObservations.onListed("a", Instant());
+  std::cout
+      << "-- two peers prove the lower of their positions; one peer that reports twice proves nothing\n";
+  observations.receive("r1", "a", Role::replica, -100);
+  observations.receive("r1", "a", Role::replica, -50);
+  observations.receive("r2", "a", Role::replica, -80);
+  observations.receive("r3", "a", Role::replica, -70);
+  std::cout << "-- a peer with false observations: position too far ahead, another role\n";
+  observations.receive("r4", "a", Role::primary, 1'000'000);
+  observations.receive("r1", "a", Role::replica, -50);
+  std::cout << "-- an outdated observation, and one of another start of the node\n";
+  observations.receive("r2", "a", Role::replica, -10, ms(61'000));
+  observations.receive("r2", "a", Role::replica, -10, ms(5), kStart);
+  std::cout << "-- the node restarted: earlier observations are discarded\n";
+  peerObservations.observe(kStart, "a", {Role::replica, kStart, {}});
+  std::cout << "position known " << peerObservations.knowsPosition("a") << ", own observations "
+            << peerObservations.firstHand(kStart).size();
+  peerObservations.onListed("a", kStart + ms(1));
+  std::cout << "; then " << peerObservations.knowsPosition("a") << ", "
+            << peerObservations.firstHand(kStart).size() << "\n";
+  std::cout << "-- observed before the list arrives: proven once it does; unlisted nodes are limited\n";
+  observations.receive("r1", "b", Role::replica, -5);
+  observations.receive("r2", "b", Role::replica, -5);
+  observations.receive("r1", "c", Role::replica, -5);
+  observations.receive("r1", "d", Role::replica, -5);
+  std::cout << "b proven " << peerObservations.onListed("b", Instant()).has_value() << ", c "
+            << peerObservations.onListed("c", Instant()).has_value() << "\n";
 }
 
 AdmissionRamp newRamp() {
   constexpr std::size_t kNodes = 20;
   AdmissionRamp ramp(
-      kBegin,
+      kStart,
       {.routers = 10, .initialRatePerNode = kInitialRatePerNode, .maxRetryAfter = ms(400), .seed = 7});
   ramp.setNodeCount(kNodes);
   return ramp;
 }
 
+// Load on the router, and which of its transactions are committed in time.
 struct Load {
   int seconds = 0;
   int requestsPerSecond = 0;
   std::function<bool(int second)> isInTime = [](int) { return true; };
 };
 
+// Prints the number of admitted transactions and the state of the ramp, for each second.
 void printAdmitted(AdmissionRamp ramp, const Load& load) {
-  constexpr const char* kStates[] = {"opening", "steady", "over"};
+  constexpr const char* kStates[] = {"doubling", "steady", "finished"};
   for (int second = 0; second < load.seconds; ++second) {
     int admitted = 0;
-    Duration longest;
+    Duration longestRetryAfter;
     for (int n = 0; n < load.requestsPerSecond; ++n) {
-      const Instant now = kBegin + ms(second * 1000 + n * 1000 / load.requestsPerSecond);
+      const Instant now = kStart + ms(second * 1000 + n * 1000 / load.requestsPerSecond);
       if (const auto retryAfter = ramp.rejectsWithRetryAfter(now)) {
-        longest = std::max(longest, *retryAfter);
+        longestRetryAfter = std::max(longestRetryAfter, *retryAfter);
         continue;
       }
       ++admitted;
       ramp.onTransactionEnded(now, {.isForwarded = true, .isInTime = load.isInTime(second)});
     }
     std::cout << second << ": " << admitted << " " << kStates[static_cast<int>(ramp.state())];
-    if (longest > Duration()) std::cout << ", back within " << longest.inMicros() / 100'000 << "00 ms";
+    if (longestRetryAfter > Duration())
+      std::cout << ", retry within " << longestRetryAfter.inMicros() / 100'000 << "00 ms";
     std::cout << "\n";
   }
 }
 
 void printAdmissionRampTrace() {
-  std::cout << "-- 10 routers, 20 nodes, 100 a second come; all in time: let in a second, state\n";
+  std::cout
+      << "-- 10 routers, 20 nodes, 100 transactions per second, all in time: admitted per second, state\n";
   printAdmitted(newRamp(), {.seconds = 8, .requestsPerSecond = 100});
-  std::cout << "-- most are late from the third second to the eighth, as nodes are overloaded\n";
+  std::cout << "-- transactions are late from the third second to the eighth, as nodes are overloaded\n";
   const auto isOutsideOverload = [](int second) { return second < 3 || second > 8; };
   printAdmitted(newRamp(), {.seconds = 12, .requestsPerSecond = 400, .isInTime = isOutsideOverload});
-  std::cout << "-- what was never sent on is held against nobody\n";
+  std::cout << "-- transactions that were never forwarded are not counted\n";
   AdmissionRamp unforwarded = newRamp();
   for (int n = 0; n < 100; ++n)
-    unforwarded.onTransactionEnded(kBegin + ms(n), {.isForwarded = false, .isInTime = false});
+    unforwarded.onTransactionEnded(kStart + ms(n), {.isForwarded = false, .isInTime = false});
   printAdmitted(unforwarded, {.seconds = 3, .requestsPerSecond = 100});
-  std::cout << "-- those that live serve as usual: all are let in\n";
+  std::cout << "-- other routers report normal service: all are admitted\n";
   AdmissionRamp skipped = newRamp();
   skipped.skip();
   printAdmitted(skipped, {.seconds = 1, .requestsPerSecond = 1000});
