--- a/src/runtime/event_loop/descriptor.h
+++ b/src/runtime/event_loop/descriptor.h
@@ -1,4 +1,4 @@
-// A file descriptor and its one owner.
+// An owning wrapper around a file descriptor.
 #pragma once
 
 #include <unistd.h>
@@ -7,7 +7,7 @@
 
 namespace gulltrestle::event_loop {
 
-// Move-only owner of a file descriptor, which it closes; -1 stands for none.
+// Owns a file descriptor and closes it on destruction. Move-only. The number is -1 if it owns none.
 class Descriptor {
  public:
   Descriptor() = default;
--- a/src/runtime/event_loop/event_loop.cpp
+++ b/src/runtime/event_loop/event_loop.cpp
@@ -26,22 +26,23 @@
   return duration_cast<microseconds>(system_clock::now().time_since_epoch()).count();
 }
 
-// As many events as a busy turn brings; more wait for the next turn.
+// Upper bound on the events handled in one turn; further events are reported in the next one.
 constexpr std::size_t kMaxEventsPerTurn = 256;
 
-// After epoll or memory was not to be had: short against any deadline, and long enough not to spin.
+// Pause after epoll or memory was unavailable: short compared with any deadline, and long enough to avoid a
+// busy loop.
 constexpr Duration kRetryPause = Duration::millis(10);
-// The longest wait for epoll; a turn a minute costs nothing.
+// Upper bound on the timeout of one epoll_wait(); one turn per minute has a negligible cost.
 constexpr std::int64_t kMaxWaitMillis = 60'000;
 constexpr std::int64_t kMicrosPerMilli = 1000;
 
-// A wait that took less than this returned at once.
+// A wait that took less than this returned immediately.
 constexpr Duration kNoWait = Duration::millis(1);
-// A wait that took so much longer than its timeout was held up.
+// A wait that exceeded its timeout by more than this was delayed: the process did not run in the meantime.
 constexpr Duration kLateWait = Duration::millis(50);
 
-// Set by SIGCONT: the process was stopped and goes on. The result of a wait doesn't show it where an event
-// ended that wait meanwhile.
+// Set by SIGCONT: the process was stopped and has resumed. The result of epoll_wait() doesn't show this if an
+// event ended that wait in the meantime.
 volatile std::sig_atomic_t wasContinued = 0;
 
 }  // namespace
@@ -49,7 +50,7 @@
 EventLoop::EventLoop()
     : epoll_(retrySystemCall("epoll", [] { return epoll_create1(EPOLL_CLOEXEC); })),
       offsetMicros_(unixMicros() - steadyMicros()) {
-  arrivedSince_ = lastWaitEndedAt_ = now();
+  arrivalLowerBound_ = lastWaitEndedAt_ = now();
   std::signal(SIGCONT, [](int) { wasContinued = 1; });
 }
 
@@ -117,7 +118,7 @@
   for (const epoll_event& event : std::span(events).first(count)) handleEvent(event);
 }
 
-// Never if neither the caller nor a timer needs a wake-up.
+// Returns Instant() (never) if neither the caller nor a timer needs a wake-up.
 Instant EventLoop::earliestWakeUp(Instant until) const {
   if (!timers_.empty() && (until == Instant() || timers_.begin()->first < until))
     until = timers_.begin()->first;
@@ -126,7 +127,8 @@
   return until;
 }
 
-// As epoll takes it; -1: none. Rounded up: a turn before the time would find nothing due.
+// Returns the timeout for epoll_wait(); -1 means no timeout. Rounded up, as a turn that runs before `until`
+// would find nothing due.
 int EventLoop::waitTimeoutMillis(Instant until) const {
   if (!ready_.empty()) return 0;
   if (until == Instant()) return -1;
@@ -135,30 +137,31 @@
   return static_cast<int>(std::clamp<std::int64_t>(millis, 0, kMaxWaitMillis));
 }
 
-// Waits for events and returns how many there are. Guards against a process that was stopped and goes on: its
-// wait is broken off, and what has come meanwhile is to be seen before anything is decided by the clock.
-// Costs a call, and only then.
+// Waits for events and returns their number. If the process was stopped and resumed, the wait is interrupted:
+// poll() then collects the events that arrived in the meantime with a second call, so that no decision is
+// based on the clock before they are seen. Trade-off: one more system call, only in that case.
 std::size_t EventLoop::poll(std::span<epoll_event> events, int timeoutMillis) {
   const int capacity = static_cast<int>(events.size());
   const Instant startedAt = now();
   int count = epoll_wait(epoll_.number(), events.data(), capacity, timeoutMillis);
   const bool wasInterrupted = count < 0 && errno == EINTR;
   if (wasInterrupted) count = epoll_wait(epoll_.number(), events.data(), capacity, 0);
-  noteWait(startedAt, timeoutMillis, wasInterrupted);
+  recordWait(startedAt, timeoutMillis, wasInterrupted);
   return static_cast<std::size_t>(std::max(count, 0));
 }
 
-// Events that are reported without a wait were there before, and those that are reported to a process that
-// was stopped may have been; since when, only the wait before can say.
-void EventLoop::noteWait(Instant startedAt, int timeoutMillis, bool wasInterrupted) {
+// Updates the lower bound on the arrival time of the reported events. Events that are reported without a wait
+// arrived earlier, and events that are reported to a process that was stopped may have. In both cases the end
+// of the previous wait is the only known bound.
+void EventLoop::recordWait(Instant startedAt, int timeoutMillis, bool wasInterrupted) {
   const Instant endedAt = now();
   const bool wasStopped = wasInterrupted || wasContinued != 0;
   wasContinued = 0;
   const Duration waited = endedAt - startedAt;
   const bool isLate = timeoutMillis >= 0 && waited > Duration::millis(timeoutMillis) + kLateWait;
-  const bool mayHaveBeenThere = wasStopped || isLate || waited < kNoWait;
-  arrivedSince_ = mayHaveBeenThere ? lastWaitEndedAt_ : endedAt;
-  // A stop may also have come between the report and the look at the clock.
+  const bool mayHaveArrivedEarlier = wasStopped || isLate || waited < kNoWait;
+  arrivalLowerBound_ = mayHaveArrivedEarlier ? lastWaitEndedAt_ : endedAt;
+  // The process may also have been stopped between the return of epoll_wait() and the reading of the clock.
   lastWaitEndedAt_ = wasStopped || isLate ? startedAt : endedAt;
 }
 
@@ -167,7 +170,7 @@
   if (found == streams_.end()) return;
   Stream& stream = *found->second;
   const std::uint32_t unneeded = stream.applyReport(event.events);
-  // A hang-up is reported as long as epoll knows the descriptor.
+  // Epoll reports a hang-up for as long as the descriptor is registered.
   if (unneeded & (EPOLLHUP | EPOLLERR))
     unregister(stream);
   else if (unneeded & stream.registeredEvents_)
@@ -177,7 +180,7 @@
 
 // --- Interest in events
 
-// False where epoll has no memory for it now. Without any events it still reports a hang-up.
+// Returns false if epoll has no memory for the registration now. Hang-ups are reported even if `events` is 0.
 bool EventLoop::registerEvents(Stream& stream, std::uint32_t events) {
   epoll_event event{};
   event.events = events;
@@ -196,7 +199,7 @@
   stream.registeredEvents_ = 0;
 }
 
-// Registers all events that the stream wants. True where nothing is left to do.
+// Registers all events that the stream wants. Returns true if nothing is left to do.
 bool EventLoop::updateInterest(Stream& stream) {
   const std::uint32_t wanted = stream.wantedEvents();
   if (stream.areReportsPaused_ || (wanted & ~stream.registeredEvents_) == 0) return true;
@@ -219,7 +222,8 @@
 
 void EventLoop::add(Stream& stream) {
   stream.id_ = ++lastStreamId_;
-  // The system may be out of memory, or of watches, for a moment: it is asked again before each wait.
+  // The system may be out of memory or of epoll watches temporarily: the registration is retried before each
+  // wait.
   if (!updateInterest(stream) && errno != ENOMEM && errno != ENOSPC)
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   streams_.emplace(stream.id_, &stream);
--- a/src/runtime/event_loop/event_loop.h
+++ b/src/runtime/event_loop/event_loop.h
@@ -1,5 +1,5 @@
-// The scheduler: one thread, epoll, timers, and the coroutine tasks that wait for them. A turn resumes all
-// tasks that are ready, then calls the end of turn, then waits.
+// A single-threaded event loop: epoll, timers, and the coroutine tasks that wait for them. A turn resumes all
+// tasks that are ready, then calls the end-of-turn callback, then waits for events.
 #pragma once
 
 #include <cstdint>
@@ -19,35 +19,39 @@
 
 namespace gulltrestle::event_loop {
 
-// Single-threaded. Everything that runs on it refers to it and must end before it.
+// Runs tasks on one thread. Tasks and streams refer to the loop and must be destroyed before it.
 class EventLoop {
  public:
-  // Throws std::system_error where the system has no epoll for it, also after a while.
+  // Throws std::system_error if no epoll instance can be created, even after retries
+  // (runtime/event_loop/retry_system_call.h).
   EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
   ~EventLoop();
 
-  // Unix time, taken from the system's clock once and advanced by the steady clock since: it never jumps.
+  // Unix time: read from the system clock once at construction and advanced by the steady clock since, so it
+  // never jumps.
   Instant now() const;
 
-  // What is read in this turn arrived no earlier than this. That is now, except where the process was stopped
-  // or busy and found it there.
-  Instant arrivedSince() const { return arrivedSince_; }
+  // Lower bound on the arrival time of all data that is read in this turn. It is the start of the turn, or an
+  // earlier time if the process was stopped or busy when the data arrived.
+  Instant arrivalLowerBound() const { return arrivalLowerBound_; }
 
-  // Takes the task over and starts it in the next turn.
+  // Takes ownership of the task and starts it in the next turn.
   void spawn(Task task);
-  // Called at the end of each turn; returns when the next one is needed at the latest, never if none is.
+  // Called at the end of each turn. Returns the latest time at which the next turn must run, or Instant()
+  // (never) if none is needed.
   using EndOfTurn = std::function<Instant(Instant now)>;
-  // Called when a task has ended by an exception.
+  // Called when a task has ended with an exception.
   using TaskFailed = std::function<void(std::exception_ptr)>;
-  // Returns after stop(), at the end of that turn.
+  // Runs until stop() is called, and returns at the end of that turn.
   void run(const EndOfTurn& endOfTurn, const TaskFailed& taskFailed);
   void stop() { isStopped_ = true; }
-  // Destroys all tasks where they wait: whoever they refer to calls this before it is destroyed.
+  // Destroys all tasks at their suspension points. An object that tasks refer to calls this before it is
+  // destroyed.
   void endTasks();
 
-  // Awaitable: resumes the task at that time or shortly after.
+  // Awaitable: resumes the task at `at` or shortly after.
   auto sleepUntil(Instant at) {
     struct Sleep {
       EventLoop& loop;
@@ -61,18 +65,18 @@
 
  private:
   friend class Stream;
-  // Resumes a task; or wakes a stream, if it is still there; or resumes the reports on it.
+  // Resumes a task, wakes a stream that still exists, or resumes the event reports of that stream.
   struct Timer {
     std::coroutine_handle<> handle;
     std::uint64_t stream = 0;
     bool resumesReports = false;
   };
 
-  // For Stream.
+  // Interface for Stream.
   void add(Stream& stream);
   void remove(Stream& stream);
   void wakeAt(Stream& stream, Instant at) { timers_.emplace(at, Timer{{}, stream.id_}); }
-  // The events that the stream wants are registered before the next wait.
+  // Schedules the registration of the events that the stream wants; it takes place before the next wait.
   void updateInterestLater(Stream& stream) { pendingInterests_.push_back(stream.id_); }
   void pauseReports(Stream& stream);
   void resume(std::coroutine_handle<> handle) { ready_.push_back(handle); }
@@ -86,7 +90,7 @@
   Instant earliestWakeUp(Instant until) const;
   int waitTimeoutMillis(Instant until) const;
   std::size_t poll(std::span<epoll_event> events, int timeoutMillis);
-  void noteWait(Instant startedAt, int timeoutMillis, bool wasInterrupted);
+  void recordWait(Instant startedAt, int timeoutMillis, bool wasInterrupted);
   void handleEvent(const epoll_event& event);
 
   bool registerEvents(Stream& stream, std::uint32_t events);
@@ -95,17 +99,17 @@
   void updatePendingInterests();
 
   Descriptor epoll_;
-  std::int64_t offsetMicros_;  // from the steady clock to Unix time
+  std::int64_t offsetMicros_;  // added to the steady clock to get Unix time
   bool isStopped_ = false;
-  Instant arrivedSince_, lastWaitEndedAt_;
+  Instant arrivalLowerBound_, lastWaitEndedAt_;
   std::uint64_t lastStreamId_ = 0;
-  // By id: events of a stream that was closed since must find nothing.
+  // Keyed by id, so that an event of a stream that was closed in the meantime matches no other stream.
   std::unordered_map<std::uint64_t, Stream*> streams_;
-  std::vector<std::uint64_t> pendingInterests_;   // streams that want events which are not registered
-  std::vector<std::coroutine_handle<>> ready_;    // for the next turn
-  std::vector<std::coroutine_handle<>> running_;  // in this turn
+  std::vector<std::uint64_t> pendingInterests_;   // ids of streams whose wanted events are not registered yet
+  std::vector<std::coroutine_handle<>> ready_;    // to be resumed in the next turn
+  std::vector<std::coroutine_handle<>> running_;  // being resumed in this turn
   std::multimap<Instant, Timer> timers_;
-  std::unordered_map<void*, Task> tasks_;  // by the address of the coroutine frame
+  std::unordered_map<void*, Task> tasks_;  // keyed by the address of the coroutine frame
 };
 
 }  // namespace gulltrestle::event_loop
--- a/src/runtime/event_loop/retry_system_call.cpp
+++ b/src/runtime/event_loop/retry_system_call.cpp
@@ -15,12 +15,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-// A router has 10 s until it has to be ready: an error that lasts for half of that is reported to whoever
-// starts it.
+// A router must be ready within 10 s of its start. An error that persists for half of that time is reported
+// to the process that starts it.
 constexpr auto kMaxRetryTime = std::chrono::seconds(5);
 constexpr auto kRetryPause = std::chrono::milliseconds(20);
 
-// Signals stay pending while a process starts (blockSignals()).
+// Returns whether SIGTERM or SIGINT is pending: signals are blocked during startup (blockSignals()).
 bool isTerminationPending() {
   sigset_t pending;
   if (sigpending(&pending) != 0) return false;
@@ -56,7 +56,7 @@
     if (!isTransientError(error) || isTerminationPending() || Clock::now() >= deadline)
       throw std::system_error(error, std::generic_category(), callName);
     if (!std::exchange(isReported, true))
-      std::cerr << "gulltrestle: " << callName << ": " << std::strerror(error) << ", trying on" << std::endl;
+      std::cerr << "gulltrestle: " << callName << ": " << std::strerror(error) << ", retrying" << std::endl;
     std::this_thread::sleep_for(kRetryPause);
   }
 }
--- a/src/runtime/event_loop/retry_system_call.h
+++ b/src/runtime/event_loop/retry_system_call.h
@@ -1,17 +1,18 @@
-// System calls of a start that may fail for a moment: too few descriptors or too little memory, an address
-// that is still taken or not up yet.
+// Retries for system calls at startup that may fail temporarily: too few descriptors, too little memory, or
+// an address that is still in use or not available yet.
 #pragma once
 
 #include <functional>
 
 namespace gulltrestle::event_loop {
 
-// Whether a call that failed with this errno may succeed a little later, by the manual pages.
+// Returns whether, according to the manual pages, a call that failed with this errno may succeed shortly
+// afterwards.
 bool isTransientError(int error);
 
-// Repeats a system call, with pauses, until its result is no longer negative, and returns that. The first
-// transient error goes to standard error, one line. Throws std::system_error, which names `callName`: at once
-// where the error is not transient or a termination signal is pending, else after five seconds.
+// Repeats a system call, with pauses, until its result is not negative, and returns that result. Writes one
+// line to standard error on the first transient error. Throws std::system_error, which names `callName`:
+// immediately if the error is not transient or a termination signal is pending, otherwise after five seconds.
 int retrySystemCall(const char* callName, const std::function<int()>& call);
 
 }  // namespace gulltrestle::event_loop
--- a/src/runtime/event_loop/sockets.cpp
+++ b/src/runtime/event_loop/sockets.cpp
@@ -18,14 +18,14 @@
 
 namespace {
 
-[[noreturn]] void throwLastError(const char* what) {
-  throw std::system_error(errno, std::generic_category(), what);
+[[noreturn]] void throwLastError(const char* context) {
+  throw std::system_error(errno, std::generic_category(), context);
 }
 
 bool wouldBlock() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
-// Of a read or write that has failed just now.
-Io failureOf() {
+// Returns the status of the read or write that failed just before, from errno.
+Io statusFromErrno() {
   if (wouldBlock()) return Io::wouldBlock;
   return errno == ENOMEM || errno == ENOBUFS ? Io::noMemory : Io::failed;
 }
@@ -41,25 +41,26 @@
   return address;
 }
 
-// Without Nagle's algorithm, which would hold small messages back.
-void sendWithoutDelay(int descriptor) {
+// Disables Nagle's algorithm, which would delay small messages.
+void disableNagle(int descriptor) {
   const int enabled = 1;
   setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
-// Many clients come at once when a router has just started; more are refused by the kernel itself.
+// Many clients connect simultaneously when a router has just started; the kernel rejects further ones.
 constexpr int kBacklog = 1024;
 
-// Connections in a row that failed before they were accepted; after that accept() fails, lest it spins.
+// Consecutive connections that failed before they were accepted; accept() fails after this many, to avoid a
+// busy loop.
 constexpr int kMaxFailedAccepts = 16;
 
-// This machine can't begin a connection for a moment, whatever is at its other end.
+// Returns whether this machine is temporarily unable to start any connection, regardless of the peer.
 bool isLocalShortage(int error) {
   return error == EAGAIN || error == EADDRNOTAVAIL || error == ENOBUFS || error == ENOMEM;
 }
 
-// The buffers of one write.
-constexpr std::size_t kMaxSlicesPerWrite = 16;
+// Upper bound on the buffers passed to one sendmsg() call.
+constexpr std::size_t kMaxBuffersPerWrite = 16;
 
 constexpr std::array<int, 3> kHandledSignals{SIGTERM, SIGINT, SIGHUP};
 
@@ -89,9 +90,9 @@
   const auto address = addressOf(host, port);
   Descriptor descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!descriptor) return descriptor;
-  sendWithoutDelay(descriptor.number());
-  // A call that was interrupted has begun the connection, or does so now. Other failures show like later
-  // ones, by isConnected().
+  disableNagle(descriptor.number());
+  // An interrupted call has started the connection already, or starts it when it is repeated. Other failures
+  // are reported by isConnected(), like later ones.
   int result = 0;
   do {
     result = ::connect(descriptor.number(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
@@ -114,25 +115,25 @@
     if (size > 0) return {Io::some, static_cast<std::size_t>(size)};
     if (size == 0) return {Io::ended};
     if (errno == EINTR) continue;
-    return {failureOf()};
+    return {statusFromErrno()};
   }
 }
 
 IoResult writeFrom(int descriptor, std::span<const std::string_view> parts) {
-  std::array<iovec, kMaxSlicesPerWrite> slices;
+  std::array<iovec, kMaxBuffersPerWrite> buffers;
   std::size_t count = 0;
   for (const auto part : parts) {
-    if (part.empty() || count == slices.size()) continue;
-    slices[count++] = {const_cast<char*>(part.data()), part.size()};
+    if (part.empty() || count == buffers.size()) continue;
+    buffers[count++] = {const_cast<char*>(part.data()), part.size()};
   }
   msghdr message{};
-  message.msg_iov = slices.data();
+  message.msg_iov = buffers.data();
   message.msg_iovlen = count;
   for (;;) {
     const auto size = ::sendmsg(descriptor, &message, MSG_NOSIGNAL);
     if (size >= 0) return {Io::some, static_cast<std::size_t>(size)};
     if (errno == EINTR) continue;
-    return {failureOf()};
+    return {statusFromErrno()};
   }
 }
 
@@ -142,14 +143,15 @@
   for (int failures = 0; failures < kMaxFailedAccepts; ++failures) {
     accepted = Descriptor(::accept4(descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (accepted) {
-      sendWithoutDelay(accepted.number());
+      disableNagle(accepted.number());
       return Io::some;
     }
     if (wouldBlock()) return Io::wouldBlock;
     const bool isShortage = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
     if (isShortage) return Io::noDescriptor;
     if (errno == EBADF || errno == EINVAL || errno == ENOTSOCK) return Io::failed;
-    // Else a connection that was reset while it waited, or an interruption: try the next one.
+    // Otherwise the connection was reset before it was accepted, or the call was interrupted: try the next
+    // one.
   }
   return Io::failed;
 }
@@ -159,7 +161,8 @@
 void blockSignals() {
   const sigset_t set = handledSignals();
   if (sigprocmask(SIG_BLOCK, &set, nullptr) != 0) throwLastError("sigprocmask");
-  // An ignored signal is not kept pending while it is blocked, and a process may be started with it ignored.
+  // A process may be started with these signals ignored, and an ignored signal doesn't stay pending while it
+  // is blocked.
   for (const int number : kHandledSignals) std::signal(number, SIG_DFL);
 }
 
@@ -172,7 +175,7 @@
   return descriptor;
 }
 
-std::optional<Signal> takeSignal(int descriptor) {
+std::optional<Signal> readSignal(int descriptor) {
   signalfd_siginfo info{};
   if (::read(descriptor, &info, sizeof info) != sizeof info) return std::nullopt;
   return info.ssi_signo == SIGHUP ? Signal::reload : Signal::terminate;
--- a/src/runtime/event_loop/sockets.h
+++ b/src/runtime/event_loop/sockets.h
@@ -1,4 +1,4 @@
-// System calls on IPv4 sockets, none of which ever blocks, and on signals.
+// Non-blocking system calls on IPv4 sockets, and signal handling.
 #pragma once
 
 #include <cstddef>
@@ -11,46 +11,49 @@
 
 namespace gulltrestle::event_loop {
 
-// A listening socket. Throws std::system_error where the address can't be bound, also after retries
+// Returns a listening socket. Throws std::system_error if the address can't be bound, even after retries
 // (runtime/event_loop/retry_system_call.h).
 Descriptor listenOn(const std::string& host, unsigned short port);
-// A socket whose connection is not established yet; none where this machine has no descriptor, port or memory
-// for it now. Throws std::system_error where `host` is no IPv4 address.
+// Starts a connection and returns its socket; the connection is not established yet. Returns an empty
+// descriptor if this machine has no descriptor, port or memory for it now. Throws std::system_error if `host`
+// is not an IPv4 address.
 Descriptor startConnecting(const std::string& host, unsigned short port);
-// Whether the connection was established; to be asked once the socket has become writable.
+// Returns whether the connection was established. To be called once the socket has become writable.
 bool isConnected(int descriptor);
 
-// Status of one system call.
+// Status of one system call on a socket.
 enum class Io {
-  some,          // bytes were moved, or a connection was accepted
-  wouldBlock,    // nothing can be moved now
-  ended,         // the other side sends no more
-  failed,        // the descriptor is of no more use
-  noDescriptor,  // of accept(): the system has no descriptor or memory for a connection now
-  noMemory,      // the system is short of memory for a moment; nothing was moved
+  some,          // bytes were transferred, or a connection was accepted
+  wouldBlock,    // nothing can be transferred now
+  ended,         // end of stream: the peer sends no more data
+  failed,        // the descriptor is no longer usable
+  noDescriptor,  // accept() only: the system has no descriptor or memory for a connection now
+  noMemory,      // the system is short of memory temporarily; nothing was transferred
 };
-// Status of a read or write, and the bytes it moved.
+// Status of a read or write, and the number of bytes transferred.
 struct IoResult {
   Io status;
   std::size_t size = 0;
 };
+// Reads at most `buffer.size()` bytes.
 IoResult readInto(int descriptor, std::span<char> buffer);
-// May write less than all, also of the first part.
+// Writes the parts in order. May write less than all of them, even less than the first part.
 IoResult writeFrom(int descriptor, std::span<const std::string_view> parts);
-// The other side reads an end after what was written; it can still send.
+// Shuts down the sending direction: the peer reads an end of stream after the data that was written, and can
+// still send.
 void shutDownWriting(int descriptor);
-// `accepted`: the new connection, where the result is Io::some.
+// Accepts one connection and stores it in `accepted` if the result is Io::some.
 Io accept(int descriptor, Descriptor& accepted);
 
-// What a signal requests of a process: to end (SIGTERM, SIGINT), or to read its configuration again (SIGHUP).
+// The request that a signal stands for: graceful shutdown (SIGTERM, SIGINT) or configuration reload (SIGHUP).
 enum class Signal { terminate, reload };
-// From now on these signals stay pending until takeSignal(): one that comes while a process starts must not
-// end it.
+// Blocks these signals: they stay pending until readSignal(), so that a signal that arrives during startup
+// doesn't kill the process.
 void blockSignals();
-// A descriptor that becomes readable when one of these signals comes, also where the process was started with
-// them ignored.
+// Returns a descriptor that becomes readable when one of these signals arrives, even if the process was
+// started with them ignored. Blocks the signals, and ignores SIGPIPE.
 Descriptor signals();
-// The next pending signal; none if there is none left.
-std::optional<Signal> takeSignal(int descriptor);
+// Removes the next pending signal and returns it; nullopt if none is pending.
+std::optional<Signal> readSignal(int descriptor);
 
 }  // namespace gulltrestle::event_loop
--- a/src/runtime/event_loop/stream.cpp
+++ b/src/runtime/event_loop/stream.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t kReadable = EPOLLIN | EPOLLRDHUP, kWritable = EPOLLOUT;
-constexpr std::uint32_t kBroken = EPOLLHUP | EPOLLERR;  // reported whether asked for or not
+constexpr std::uint32_t kBroken = EPOLLHUP | EPOLLERR;  // reported even if not requested
 
 }  // namespace
 
@@ -25,10 +25,11 @@
 
 std::uint32_t Stream::applyReport(std::uint32_t events) {
   std::uint32_t unneeded = 0;
-  // A first report of what can be read is mostly followed by a read: only a second one costs a call.
+  // The first report of readable data is usually followed by a read, so the event stays registered. Only a
+  // second report without a read is worth a system call that unregisters it.
   if (canRead_) unneeded |= events & kReadable;
   if (hungUp_) unneeded |= events & kBroken;
-  // An error or a hang-up shows in the next read or write, too.
+  // The next read or write returns the error or hang-up too.
   if (events & kBroken) hungUp_ = true;
   if (events & (EPOLLRDHUP | kBroken)) isPeerHalfClosed_ = true;
   if (events & (kReadable | kBroken)) canRead_ = true;
@@ -38,10 +39,10 @@
 
 IoResult Stream::read(std::span<char> buffer) {
   const IoResult result = readInto(descriptor(), buffer);
-  // A read that does not fill the buffer mostly took all, and the rest is reported again where it did not; an
-  // end that epoll has reported already is still to be read.
-  const bool tookAll = result.status == Io::some && result.size < buffer.size() && !isPeerHalfClosed_;
-  if (result.status == Io::wouldBlock || tookAll) readBlocked();
+  // A read that doesn't fill the buffer has usually read everything, and epoll reports the rest again if it
+  // has not. If epoll has already reported the end of the stream, that end is still to be read.
+  const bool hasReadAll = result.status == Io::some && result.size < buffer.size() && !isPeerHalfClosed_;
+  if (result.status == Io::wouldBlock || hasReadAll) readBlocked();
   if (result.status != Io::noMemory) return result;
   readBlocked();
   pauseReports();
@@ -76,7 +77,8 @@
   if ((registeredEvents_ & kWritable) == 0) loop_.updateInterestLater(*this);
 }
 
-// Level-triggered reports of what can't be read for want of memory would come without a pause.
+// While data can't be read or written for lack of memory, level-triggered reports would repeat without a
+// pause.
 void Stream::pauseReports() {
   areReportsPaused_ = true;
   loop_.pauseReports(*this);
--- a/src/runtime/event_loop/stream.h
+++ b/src/runtime/event_loop/stream.h
@@ -1,6 +1,6 @@
-// A socket or other descriptor that tasks of a loop wait on. Its readiness is remembered until a call would
-// block or moves less than it was given; from then on epoll reports again, level-triggered: bytes that a
-// short read or write left behind are reported again, whatever made it short.
+// A socket or other descriptor that tasks of an event loop wait on. Its readiness is cached until a call
+// would block or transfers less than requested. From then on epoll reports it again, level-triggered, so that
+// bytes left over by a short read or write are reported whatever the cause of the short transfer was.
 #pragma once
 
 #include <coroutine>
@@ -17,7 +17,8 @@
 
 class EventLoop;
 
-// Owns the descriptor. At most one task waits on a stream at a time.
+// Owns the descriptor and is registered with the loop for its lifetime. At most one task waits on a stream at
+// a time.
 class Stream {
  public:
   Stream(EventLoop& loop, Descriptor descriptor);
@@ -28,25 +29,26 @@
   int descriptor() const { return descriptor_.number(); }
   bool canRead() const { return canRead_; }
   bool canWrite() const { return canWrite_; }
-  // The other side sends no more than what can be read.
+  // The peer has shut down its sending direction: it sends nothing after the data that can be read now.
   bool isPeerHalfClosed() const { return isPeerHalfClosed_; }
-  // Reset, or ended in both directions.
+  // The connection was reset, or both directions are shut down.
   bool hungUp() const { return hungUp_; }
 
-  // One system call each, which never blocks. Where the system is short of memory they would block, and the
-  // call is worth repeating after the next report.
+  // Each makes one non-blocking system call. If the system is short of memory, the result is Io::wouldBlock
+  // and the caller retries after the next report.
   IoResult read(std::span<char> buffer);
   IoResult write(std::span<const std::string_view> parts);
-  // `accepted`: the new connection, where the result is Io::some.
+  // Accepts one connection and stores it in `accepted` if the result is Io::some.
   Io accept(Descriptor& accepted);
-  // In each turn the task that waits here is resumed ahead of all others, as what it learns binds them.
-  // Epoll's own order is no order of arrival, as what it reported last stays first in its list.
+  // In each turn, resumes the task that waits on this stream before all others, as the data it receives
+  // affects their decisions. The order of epoll's reports can't be used for this: it is not the order of
+  // arrival, as a descriptor that was reported last stays first in epoll's list.
   void prioritize() { isPrioritized_ = true; }
-  // For a descriptor that is read by other calls (signals, events): they found nothing left.
+  // Reports that nothing is left to read, for a descriptor that is read by other calls (signals, events).
   void readBlocked();
 
-  // Awaitable: resumes in a later turn, once something may have changed: it can be read or written, or wake()
-  // was called.
+  // Awaitable: resumes the task in a later turn, when the stream may have become readable or writable or
+  // wake() was called. Spurious wake-ups are possible.
   auto changed() {
     struct Change {
       Stream& stream;
@@ -56,14 +58,16 @@
     };
     return Change{*this};
   }
+  // Resumes the waiting task in a later turn; if no task waits, the next wait ends immediately.
   void wake();
+  // Calls wake() at `at` or shortly after, if the stream still exists.
   void wakeAt(Instant at);
 
  private:
   friend class EventLoop;
-  // The epoll events to be reported: those whose readiness is not known already.
+  // Returns the epoll events that are to be reported: those whose readiness is not cached.
   std::uint32_t wantedEvents() const;
-  // Takes over the reported events; returns those that need no further report until they are wanted again.
+  // Caches the reported events. Returns those that need no further reports until they are wanted again.
   std::uint32_t applyReport(std::uint32_t events);
   void await(std::coroutine_handle<> handle);
   void writeBlocked();
@@ -72,12 +76,12 @@
   EventLoop& loop_;
   Descriptor descriptor_;
   bool canRead_ = false, canWrite_ = false, isPeerHalfClosed_ = false, hungUp_ = false;
-  // State of the event loop.
+  // State that is managed by the event loop.
   std::uint64_t id_ = 0;
   bool isRegistered_ = false;           // with epoll
-  std::uint32_t registeredEvents_ = 0;  // that epoll reports
-  bool areReportsPaused_ = false;       // until a timer, as the system was short of memory
-  bool isWakePending_ = false;          // it was woken while no task waited
+  std::uint32_t registeredEvents_ = 0;  // epoll events registered for this descriptor
+  bool areReportsPaused_ = false;       // until a timer fires, as the system was short of memory
+  bool isWakePending_ = false;          // wake() was called while no task was waiting
   bool isPrioritized_ = false;
   std::coroutine_handle<> waiter_;
 };
--- a/src/runtime/event_loop/task.h
+++ b/src/runtime/event_loop/task.h
@@ -1,4 +1,4 @@
-// A coroutine that an EventLoop owns and runs to its end.
+// The coroutine type that an EventLoop owns and runs to completion.
 #pragma once
 
 #include <coroutine>
@@ -7,7 +7,8 @@
 
 namespace gulltrestle::event_loop {
 
-// Owns the coroutine frame; move-only. Starts suspended and keeps the exception that ended it, if any.
+// Owns a coroutine frame. Move-only. The coroutine starts suspended; if an exception ends it, the task stores
+// the exception.
 class Task {
  public:
   struct promise_type {
--- a/src/runtime/ext_proc_server/ext_proc_config.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_config.cpp
@@ -15,13 +15,13 @@
 using config::MillisecondsField;
 using config::StringField;
 
-// A header name of HTTP/2: lower case, without characters that would end it.
+// Reads an HTTP/2 header name: lowercase, and without characters that would end the name.
 std::string readHeaderName(ConfigSection& section, const std::string& key, const std::string& defaultName) {
   const std::string name = section.read(StringField{key, defaultName});
   const bool isValid = std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
   });
-  if (!isValid) throw ConfigError(section.path(key), "'" + name + "' is no header's name in lower case");
+  if (!isValid) throw ConfigError(section.path(key), "'" + name + "' is not a lowercase header name");
   return name;
 }
 
@@ -35,7 +35,7 @@
 std::string readHealthCheckPath(ConfigSection& top) {
   const std::string path = top.read(StringField{"probe_path"});
   if (!path.empty() && (path[0] != '/' || path.find_first_of(" \r\n") != std::string::npos))
-    throw ConfigError("probe_path", "'" + path + "' is no path");
+    throw ConfigError("probe_path", "'" + path + "' is not an absolute path without spaces or line breaks");
   return path;
 }
 
--- a/src/runtime/ext_proc_server/ext_proc_config.h
+++ b/src/runtime/ext_proc_server/ext_proc_config.h
@@ -1,4 +1,4 @@
-// The external processor's own configuration file: read, checked key by key, and given defaults.
+// The external processor's own configuration file: reads it, validates each key and fills in defaults.
 #pragma once
 
 #include <cstddef>
@@ -11,20 +11,20 @@
 
 namespace gulltrestle::ext_proc_server {
 
-// Configuration of the external processor.
+// Configuration of the external processor. Limits are upper bounds.
 struct ExtProcConfig {
   config::Address listen;
   endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::perAttempt;
   endpoint_leases::RegistryBounds remembered;
   downstream::ext_proc::Bounds streams;
   downstream::ext_proc::HeaderNames headers;
-  // By which nodes report their load over HTTP; empty: health checks go the way of transactions.
+  // HTTP path at which nodes serve load reports. If empty, health checks are sent like transactions.
   std::string healthCheckPath;
   std::size_t maxConnections = 16;
   std::size_t maxMessageBytes = 64 * 1024;
 };
 
-// Both throw config::ConfigError, which names the key, also for keys that are not known.
+// Both throw config::ConfigError, which names the key, for invalid values and for unknown keys.
 ExtProcConfig readExtProcConfig(std::string_view text);
 ExtProcConfig readExtProcConfigFile(const std::string& path);
 
--- a/src/runtime/ext_proc_server/ext_proc_log.h
+++ b/src/runtime/ext_proc_server/ext_proc_log.h
@@ -10,17 +10,17 @@
 
 namespace gulltrestle::ext_proc_server {
 
-// `start`: the name of this start of the program.
-void logListening(const ExtProcConfig& config, std::string_view start);
+// The server listens. `incarnation`: identifies this run of the process.
+void logListening(const ExtProcConfig& config, std::string_view incarnation);
 
-// An event of the request streams, whose fields are put together there.
+// An event of the request streams, which format its fields.
 void logStreamEvent(std::string_view event, std::string_view fields);
 
-// Counts since the start, and how many transactions are remembered and leases in use now.
-void logCounts(const downstream::ext_proc::RequestStreams::Counts& counts, std::size_t remembered,
-               std::size_t leasesInUse);
+// Counts since the process start, and the current numbers of remembered transactions and outstanding leases.
+void logCounts(const downstream::ext_proc::RequestStreams::Counts& counts, std::size_t rememberedTransactions,
+               std::size_t outstandingLeases);
 
-// A health check failed because of an exception.
+// A health check failed with an exception. `error`: the text of that exception.
 void logHealthCheckFailed(std::string_view address, std::string_view error);
 
 }  // namespace gulltrestle::ext_proc_server
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-// How often the counts are logged while there is anything new.
+// Interval at which the counts are logged while requests arrive.
 constexpr Duration kCountsInterval = Duration::millis(60000);
-// Of one read of an answer to a health check.
+// Buffer size for one read of a health check response.
 constexpr std::size_t kReadBytes = 2048;
 
 grpc_server::Bounds boundsOf(const ExtProcConfig& config) {
@@ -49,7 +49,7 @@
 
 ExtProcServer::ExtProcServer(event_loop::EventLoop& loop, transactions::TransactionTable& transactions,
                              const deployment::DeploymentSettings& settings, const ExtProcConfig& config,
-                             const std::string& start)
+                             const std::string& incarnation)
     : loop_(loop),
       transactions_(transactions),
       config_(config),
@@ -57,7 +57,7 @@
       streams_(transactions,
                downstream::ext_proc::HeaderMapping(config.headers, settings.routing, settings.classNames),
                endpoint_leases::LeaseRegistry(settings.routing.transactionClasses, config.placement,
-                                              config.remembered, start),
+                                              config.remembered, incarnation),
                {settings.drainGrace, settings.notifiedWithin}, config.streams, *this),
       healthChecker_(transactions, settings.connectLimit, kMaxHealthChecks, *this) {
   transactions_.addTransport(streams_.transport());
@@ -65,10 +65,10 @@
     transactions_.addTransport(healthChecker_);
     transactions_.setHealthCheckTransport(healthChecker_);
   }
-  logListening(config, start);
+  logListening(config, incarnation);
 }
 
-// Its connections' coroutines refer to it.
+// The coroutines of connections refer to the server, so they are destroyed first.
 ExtProcServer::~ExtProcServer() { loop_.endTasks(); }
 
 // --- Effects
@@ -95,7 +95,7 @@
   logNewCounts();
 }
 
-// The first turn with a request only starts the interval.
+// Logs the counts once per interval. The first turn with a request only starts the interval.
 void ExtProcServer::logNewCounts() {
   const auto& counts = streams_.counts();
   if (counts.requested == loggedCounts_.requested || transactions_.now() - countsLoggedAt_ < kCountsInterval)
@@ -113,12 +113,12 @@
 
 // --- Health checks
 
-// One HTTP request on a connection of its own: health checks are few, and a report must be of this moment.
+// One HTTP request on a separate connection: health checks are few, and a load report must be current.
 struct ExtProcServer::HealthCheckCall {
   HealthCheckCall(event_loop::EventLoop& loop, event_loop::Descriptor descriptor, std::string request)
       : stream(loop, std::move(descriptor)), unsent(std::move(request)) {}
 
-  // Writes as much of the request as can be written. False: the connection has failed.
+  // Writes as much of the request as possible. Returns false if the connection has failed.
   [[nodiscard]] bool sendRequest() {
     const std::string_view bytes = unsent;
     const auto result = stream.write({&bytes, 1});
@@ -126,7 +126,8 @@
     return result.status == Io::some || result.status == Io::wouldBlock;
   }
 
-  // Reads what is there, up to the end of the answer. False: nothing more comes.
+  // Reads the available data, up to the end of the response. Returns false if the connection has ended or
+  // failed.
   [[nodiscard]] bool receive() {
     std::array<char, kReadBytes> buffer;
     while (!response.done()) {
@@ -158,24 +159,24 @@
 
 event_loop::Task ExtProcServer::runHealthCheck(HealthCheckId id, std::string addressText) {
   LoadReport report;
-  int httpStatus = 0;  // 0: no answer
+  int httpStatus = 0;  // 0: no response
   try {
     const config::Address address = config::readAddress("addr", addressText);
     event_loop::Descriptor descriptor;
-    if (isAwaited(id)) descriptor = event_loop::startConnecting(address.host, address.port);
+    if (isInFlight(id)) descriptor = event_loop::startConnecting(address.host, address.port);
     if (descriptor) {
       HealthCheckCall call(loop_, std::move(descriptor), http1::get(config_.healthCheckPath, addressText));
       call.response.onHeader = [&](std::string_view name, std::string_view value) {
         load_report::readField(config_.headers.loadReport, name, value, report);
       };
       healthCheckStreams_[id] = &call.stream;
-      while (isAwaited(id) && !call.stream.canWrite()) co_await call.stream.changed();
-      bool isUsable = isAwaited(id) && event_loop::isConnected(call.stream.descriptor());
-      while (isUsable && isAwaited(id) && !call.unsent.empty()) {
+      while (isInFlight(id) && !call.stream.canWrite()) co_await call.stream.changed();
+      bool isUsable = isInFlight(id) && event_loop::isConnected(call.stream.descriptor());
+      while (isUsable && isInFlight(id) && !call.unsent.empty()) {
         isUsable = call.sendRequest();
         if (isUsable && !call.unsent.empty()) co_await call.stream.changed();
       }
-      while (isUsable && isAwaited(id) && !call.response.done()) {
+      while (isUsable && isInFlight(id) && !call.response.done()) {
         isUsable = call.receive();
         if (isUsable && !call.response.done()) co_await call.stream.changed();
       }
@@ -183,7 +184,7 @@
     }
   } catch (const std::exception& error) { logHealthCheckFailed(addressText, error.what()); }
   transactions_.advanceTo(loop_.now());
-  if (healthCheckStreams_.erase(id) == 0) co_return;  // it was cancelled
+  if (healthCheckStreams_.erase(id) == 0) co_return;  // the health check was cancelled
   if (httpStatus != 0)
     healthChecker_.onAnswered(id, httpStatus, report);
   else
--- a/src/runtime/ext_proc_server/ext_proc_server.h
+++ b/src/runtime/ext_proc_server/ext_proc_server.h
@@ -1,5 +1,5 @@
-// The external processor on sockets: listens for proxies, carries their gRPC streams to the request streams
-// and the answers back, and sends health checks to nodes over HTTP.
+// The network server of the external processor: listens for proxies, passes their gRPC messages to the
+// request streams, sends the replies, and sends health checks to nodes over HTTP.
 #pragma once
 
 #include <cstddef>
@@ -17,20 +17,20 @@
 
 namespace gulltrestle::ext_proc_server {
 
-// Descriptors that health checks over HTTP may use.
+// Upper bound on the descriptors, and so the concurrent connections, of health checks over HTTP.
 constexpr std::size_t kMaxHealthChecks = 32;
 
-// One per process. Runs on the event loop of the server it is added to.
+// Runs on the event loop of the server that it is added to. One per process.
 class ExtProcServer final : public gateway::Component,
                             private grpc_server::CallHandler,
                             private downstream::ext_proc::Effects,
                             private upstream::http::Effects {
  public:
-  // `start`: names this start of the program; no other start has the same name. The references must outlive
-  // this. Throws config::ConfigError where the address can't be bound.
+  // Listens from now on. `incarnation`: identifies this run of the process; unique among all runs. The
+  // references must outlive this object. Throws config::ConfigError if the address can't be bound.
   ExtProcServer(event_loop::EventLoop& loop, transactions::TransactionTable& transactions,
                 const deployment::DeploymentSettings& settings, const ExtProcConfig& config,
-                const std::string& start);
+                const std::string& incarnation);
   ~ExtProcServer() override;
 
   // --- gateway::Component
@@ -63,7 +63,7 @@
 
   struct HealthCheckCall;
   event_loop::Task runHealthCheck(upstream::http::HealthCheckId id, std::string address);
-  bool isAwaited(upstream::http::HealthCheckId id) const { return healthCheckStreams_.contains(id); }
+  bool isInFlight(upstream::http::HealthCheckId id) const { return healthCheckStreams_.contains(id); }
   void logNewCounts();
 
   event_loop::EventLoop& loop_;
@@ -72,7 +72,7 @@
   grpc_server::GrpcServer grpcServer_;
   downstream::ext_proc::RequestStreams streams_;
   upstream::http::HealthChecker healthChecker_;
-  // Health checks in flight and their connections; null: not started yet.
+  // Health checks in flight and their connections; null if the connection has not been started yet.
   std::map<upstream::http::HealthCheckId, event_loop::Stream*> healthCheckStreams_;
   Instant countsLoggedAt_;
   downstream::ext_proc::RequestStreams::Counts loggedCounts_;
--- a/src/runtime/grpc_server/grpc_server.cpp
+++ b/src/runtime/grpc_server/grpc_server.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-// A client that takes nothing of what is written to it for so long is gone, or may as well be.
+// A connection whose client reads nothing of the unsent data for this long is closed.
 constexpr Duration kWriteTimeout = Duration::millis(10000);
-// After a failed accept, lest the loop spins.
+// Pause after a failed accept, to avoid a busy loop.
 constexpr Duration kAcceptRetryDelay = Duration::millis(10);
 constexpr int kMaxAcceptsPerTurn = 8;
 
-// A key is the id of the connection, then the id of the call on it.
+// The high bits of a CallKey are the id of the connection, the low bits are the id of the call on it.
 constexpr int kCallIdBits = 32;
 constexpr CallKey kCallIdMask = 0xFFFFFFFF;
 
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-// The state of one connection, owned by the coroutine that serves it.
+// State of one connection. Owned by the coroutine that serves it.
 struct GrpcServer::Connection final : grpc::CallHandler {
   Connection(GrpcServer& owner, ConnectionId connectionId, event_loop::Descriptor descriptor)
       : server(owner),
@@ -60,7 +60,7 @@
   bool isFinished() const { return unsent.empty() && calls.done(); }
   bool isUsable() const { return !isBroken && !hasEnded && !isFinished(); }
   bool isIdle() const { return calls.open() == 0; }
-  bool hasStalled() const { return stalledAt != Instant() && server.loop_.now() >= stalledAt; }
+  bool hasStalled() const { return stallDeadline != Instant() && server.loop_.now() >= stallDeadline; }
 
   GrpcServer& server;
   ConnectionId id;
@@ -68,21 +68,21 @@
   grpc::ServerCalls calls;
   std::string unsent;
   bool isBroken = false;   // a read or write has failed
-  bool hasEnded = false;   // the client sends no more
-  bool isClosing = false;  // to be closed once it is idle
-  Instant idleSince;       // without a call
-  Instant stalledAt;       // when it is closed unless it takes what is unsent; never: nothing is unsent
+  bool hasEnded = false;   // the client has shut down its sending direction
+  bool isClosing = false;  // the connection is closed once it is idle
+  Instant idleSince;       // the time since which no call has been open
+  Instant stallDeadline;   // the connection is closed if data is still unsent then; Instant() if none is
 };
 
-// A connection's entry among those of the server, for as long as its coroutine runs.
-class GrpcServer::ConnectionEntry {
+// Registers a connection with its server for as long as its coroutine runs.
+class GrpcServer::ConnectionRegistration {
  public:
-  explicit ConnectionEntry(Connection& connection) : connection_(connection) {
+  explicit ConnectionRegistration(Connection& connection) : connection_(connection) {
     connection.server.connections_[connection.id] = &connection;
   }
-  ConnectionEntry(const ConnectionEntry&) = delete;
-  ConnectionEntry& operator=(const ConnectionEntry&) = delete;
-  ~ConnectionEntry() {
+  ConnectionRegistration(const ConnectionRegistration&) = delete;
+  ConnectionRegistration& operator=(const ConnectionRegistration&) = delete;
+  ~ConnectionRegistration() {
     connection_.calls.connectionEnded();
     connection_.server.connections_.erase(connection_.id);
   }
@@ -104,7 +104,8 @@
 
 // --- Calls
 
-// Whoever asks for the connection is about to send on it.
+// Returns the connection of the call, or null if it is closed, and marks it for flush(): each caller is about
+// to send on it.
 GrpcServer::Connection* GrpcServer::find(CallKey call) {
   const auto found = connections_.find(static_cast<ConnectionId>(call >> kCallIdBits));
   if (found == connections_.end()) return nullptr;
@@ -149,7 +150,7 @@
     event_loop::Descriptor descriptor;
     const Io result = listener_->accept(descriptor);
     if (result == Io::some) {
-      accepted(std::move(descriptor));
+      handleAccepted(std::move(descriptor));
     } else if (result == Io::wouldBlock) {
       acceptedThisTurn = 0;
       co_await listener_->changed();
@@ -161,17 +162,18 @@
   listener_.reset();
 }
 
-// At the limit a new connection is closed at once, and the oldest idle one goes, so that the next comes in.
-void GrpcServer::accepted(event_loop::Descriptor descriptor) {
+// Serves a new connection. At the limit the new connection is closed immediately, and so is the connection
+// that has been idle longest, so that the next one can be accepted.
+void GrpcServer::handleAccepted(event_loop::Descriptor descriptor) {
   if (connections_.size() < bounds_.maxConnections) {
-    loop_.spawn(serve(++lastConnection_, std::move(descriptor)));
+    loop_.spawn(serve(++lastConnectionId_, std::move(descriptor)));
   } else {
     const bool closesIdle = closeIdleConnection();
     logConnectionsFull(name_, connections_.size(), closesIdle);
   }
 }
 
-// Closes the connection that has had no call for longest. False: all have some.
+// Closes the connection that has had no call for the longest time. Returns false if all have open calls.
 bool GrpcServer::closeIdleConnection() {
   Connection* oldest = nullptr;
   for (auto& [id, connection] : connections_)
@@ -189,13 +191,14 @@
 event_loop::Task GrpcServer::serve(ConnectionId id, event_loop::Descriptor descriptor) {
   try {
     Connection connection(*this, id, std::move(descriptor));
-    const ConnectionEntry entry(connection);
+    const ConnectionRegistration registration(connection);
     connection.idleSince = loop_.now();
     if (isStopped_) connection.calls.goAway();
     write(connection);
     while (connection.isUsable() && !(connection.isClosing && connection.isIdle())) {
       if (connection.hasStalled()) break;
-      // What is not written yet holds up reads: a client that does not take its answers may ask no more.
+      // Nothing is read while data is unsent: a client that doesn't read its replies can't send more
+      // requests.
       if (connection.stream.canRead() && connection.unsent.empty()) receive(connection);
       if (connection.stream.canWrite()) write(connection);
       if (!connection.isUsable()) break;
@@ -205,7 +208,7 @@
   handler_.advanceTo(loop_.now());
 }
 
-// Reads once: the other connections have their turns in between.
+// Reads once per turn, so that other connections are served in between.
 void GrpcServer::receive(Connection& connection) {
   const auto result = connection.stream.read(readBuffer_);
   if (result.status == Io::failed) connection.isBroken = true;
@@ -218,8 +221,8 @@
   if (connection.stream.canRead()) connection.stream.wake();
 }
 
-// What was taken from the session is written before more is: what a client doesn't read waits in the session,
-// which bounds it.
+// Writes all output that was taken from the session before it takes more. Output that the client doesn't read
+// stays in the session, which limits its size.
 void GrpcServer::write(Connection& connection) {
   while (!connection.isBroken) {
     if (connection.unsent.empty()) connection.unsent = connection.calls.output();
@@ -231,10 +234,10 @@
     connection.unsent.erase(0, result.size);
   }
   if (connection.isBroken || connection.isFinished()) connection.stream.wake();
-  if (connection.unsent.empty()) connection.stalledAt = Instant();
-  if (connection.unsent.empty() || connection.stalledAt != Instant()) return;
-  connection.stalledAt = loop_.now() + kWriteTimeout;
-  connection.stream.wakeAt(connection.stalledAt);
+  if (connection.unsent.empty()) connection.stallDeadline = Instant();
+  if (connection.unsent.empty() || connection.stallDeadline != Instant()) return;
+  connection.stallDeadline = loop_.now() + kWriteTimeout;
+  connection.stream.wakeAt(connection.stallDeadline);
 }
 
 }  // namespace gulltrestle::grpc_server
--- a/src/runtime/grpc_server/grpc_server.h
+++ b/src/runtime/grpc_server/grpc_server.h
@@ -1,5 +1,5 @@
-// Streaming gRPC calls of one method on a listening socket. Each connection is one coroutine, which owns its
-// descriptor; unsent bytes and the number of connections are bounded.
+// A server for streaming gRPC calls of one method. Each connection is served by one coroutine, which owns its
+// descriptor. The unsent bytes and the number of connections are bounded.
 #pragma once
 
 #include <array>
@@ -17,59 +17,59 @@
 
 namespace gulltrestle::grpc_server {
 
-// Identifies a call among those of all connections; never 0.
+// Identifies a call among the calls of all connections. Never 0.
 using CallKey = std::uint64_t;
 
-// Receives the events of all calls, in the order in which they happen. May call the server from within any of
-// these.
+// Receives the events of all calls, in the order in which they occur. May call the server from any of these
+// functions.
 class CallHandler {
  public:
   virtual ~CallHandler() = default;
-  // The time of the events that follow.
+  // Sets the time of the events that follow.
   virtual void advanceTo(Instant now) = 0;
   virtual void opened(CallKey call) = 0;
   virtual void message(CallKey call, std::string_view bytes) = 0;
-  // The client sends no more.
+  // The client sends no more messages on the call.
   virtual void halfClosed(CallKey call) = 0;
-  // Reported once for each call that was opened, however it ended.
+  // Called once for each opened call, regardless of how it ended.
   virtual void ended(CallKey call) = 0;
 };
 
-// Limits on connections and on the calls of each.
+// Limits on the number of connections and on the calls of each connection.
 struct Bounds {
   grpc::Bounds calls;
   std::size_t maxConnections = 16;
 };
 
-// Accepts connections and serves one gRPC method on them. Runs on an event loop, which it must not outlive.
+// Accepts connections and serves one gRPC method on them. Runs on an event loop, which must outlive it.
 class GrpcServer {
  public:
-  // Listens from now on. `name`: before the events in the log. Throws config::ConfigError where the address
-  // can't be bound.
+  // Listens from now on. `method`: the path of the served method. `name`: the prefix of the log events.
+  // Throws config::ConfigError if the address can't be bound.
   GrpcServer(event_loop::EventLoop& loop, const config::Address& address, std::string method, Bounds bounds,
              std::string name, CallHandler& handler);
   GrpcServer(const GrpcServer&) = delete;
   GrpcServer& operator=(const GrpcServer&) = delete;
-  // Its connections' coroutines refer to it: the loop's tasks must have been ended.
+  // The coroutines of connections refer to the server: EventLoop::endTasks() must have been called before.
   ~GrpcServer() = default;
 
-  // Both are queued until flush(); without effect for a call that has ended.
+  // Both queue their output until flush(). They have no effect if the call has ended.
   void send(CallKey call, std::string_view message);
   void finish(CallKey call, grpc::Status status, std::string_view text);
-  // Writes what was sent and finished since.
+  // Writes the output that was queued since the last flush().
   void flush();
-  // No more connections and calls are accepted; those that are open go on.
+  // Stops accepting connections and calls. Open calls continue.
   void stop();
-  // No connection is open.
+  // Returns whether no connection is open.
   bool empty() const { return connections_.empty(); }
 
  private:
   using ConnectionId = std::uint32_t;
   struct Connection;
-  class ConnectionEntry;
+  class ConnectionRegistration;
 
   event_loop::Task acceptConnections();
-  void accepted(event_loop::Descriptor descriptor);
+  void handleAccepted(event_loop::Descriptor descriptor);
   event_loop::Task serve(ConnectionId id, event_loop::Descriptor descriptor);
   void receive(Connection& connection);
   void write(Connection& connection);
@@ -83,10 +83,10 @@
   CallHandler& handler_;
   std::unique_ptr<event_loop::Stream> listener_;
   std::map<ConnectionId, Connection*> connections_;
-  std::set<ConnectionId> unflushed_;  // may have something to write
-  ConnectionId lastConnection_ = 0;
+  std::set<ConnectionId> unflushed_;  // connections that may have output to write
+  ConnectionId lastConnectionId_ = 0;
   bool isStopped_ = false;
-  std::array<char, 64 * 1024> readBuffer_;  // for one read at a time, of any connection
+  std::array<char, 64 * 1024> readBuffer_;  // shared by all connections, for one read at a time
 };
 
 }  // namespace gulltrestle::grpc_server
--- a/src/runtime/grpc_server/grpc_server_log.cpp
+++ b/src/runtime/grpc_server/grpc_server_log.cpp
@@ -5,17 +5,17 @@
 namespace gulltrestle::grpc_server {
 
 void logConnectionsFull(std::string_view server, std::size_t connections, bool closesIdle) {
-  spdlog::warn("event={}.connections_full connections={} one_idle={}", server, connections, closesIdle);
+  spdlog::warn("event={}.connections_full connections={} closes_idle={}", server, connections, closesIdle);
 }
 
 void logAcceptFailed(std::string_view server, event_loop::Io result) {
   spdlog::warn(
-      "event={}.accept_failed why=\"{}\"", server,
+      "event={}.accept_failed reason=\"{}\"", server,
       result == event_loop::Io::noDescriptor ? "no descriptor is left" : "the listening socket failed");
 }
 
 void logConnectionFailed(std::string_view server, std::string_view error) {
-  spdlog::error("event={}.connection_failed why=\"{}\"", server, error);
+  spdlog::error("event={}.connection_failed reason=\"{}\"", server, error);
 }
 
 }  // namespace gulltrestle::grpc_server
--- a/src/runtime/server/accept_loop.cpp
+++ b/src/runtime/server/accept_loop.cpp
@@ -1,4 +1,4 @@
-// The part of the server's client side that accepts connections.
+// The part of ClientConnections that accepts client connections.
 #include <algorithm>
 #include <system_error>
 #include <utility>
@@ -14,12 +14,14 @@
 
 namespace {
 
-// One in this many idle clients is closed at a time to free capacity: closing them one by one would cost a
-// search each.
+// One in this many clients is closed at a time to free capacity, if it is idle: closing them one by one would
+// require one search per client.
 constexpr std::size_t kIdleCloseDivisor = 32;
-// New clients that are accepted per turn: existing ones take precedence over a burst of connections.
+// Upper bound on the new clients per turn, so that existing clients take precedence over a burst of
+// connections.
 constexpr int kMaxAcceptsPerTurn = 8;
-// After a failed accept, lest the loop spins: what is in the way goes as clients and nodes come and go.
+// Pause after a failed accept, to avoid a busy loop. The shortage ends as connections to clients and nodes
+// close.
 constexpr Duration kAcceptRetryDelay = Duration::millis(10);
 
 event_loop::Descriptor listenAt(const config::Address& address) {
@@ -57,21 +59,20 @@
 }
 
 bool ClientConnections::isFull() const {
-  return clients_.size() >= maxClients_ + std::min(closing_.size(), kMaxClosingClients);
+  return clients_.size() >= maxClients_ + std::min(lingering_.size(), kMaxLingeringClients);
 }
 
-// Guards against running out of descriptors: at the limit the client that was idle longest is closed, and
-// where none is idle the new one is rejected. May hurt clients that come back often, which connect anew each
-// time.
+// Prevents running out of descriptors: at the limit the clients that have been idle longest are closed, and
+// if none is idle the new client is rejected. Trade-off: clients that return often must reconnect each time.
 event_loop::Task ClientConnections::acceptClients() {
   int acceptedThisTurn = 0;
-  bool hasFailed = false;  // the last accept failed, which was logged
-  Instant failingSince;    // whoever is accepted now may have been waiting since then; never: none was
-  // What the kernel has accepted when listening stops is served, too.
+  bool hasFailed = false;  // the last accept failed, and the failure was logged
+  Instant failingSince;    // clients that are accepted now may have been waiting since then; Instant() if not
+  // Connections that the kernel has accepted when listening stops are served too.
   for (bool isAccepting = true; isAccepting;) {
     const bool isFullNow = isFull();
-    const bool freesCapacity =
-        isFullNow && (hurryOldestClosing() || gateway_.closeIdleClients(1 + maxClients_ / kIdleCloseDivisor));
+    const bool freesCapacity = isFullNow && (closeOldestLingering() ||
+                                             gateway_.closeIdleClients(1 + maxClients_ / kIdleCloseDivisor));
     if (freesCapacity || ++acceptedThisTurn > kMaxAcceptsPerTurn) {
       acceptedThisTurn = 0;
       listener_->wake();
@@ -83,9 +84,9 @@
     if (result == Io::some || result == Io::wouldBlock) hasFailed = false;
     if (result == Io::wouldBlock) failingSince = Instant();
     if (result == Io::some) {
-      clients_.emplace(++lastClient_, nullptr);
+      clients_.emplace(++lastClientId_, nullptr);
       const Instant maybeWaitingSince = failingSince == Instant() ? earliestArrival() : failingSince;
-      loop_.spawn(serve(lastClient_, std::move(descriptor), !isFullNow, maybeWaitingSince));
+      loop_.spawn(serve(lastClientId_, std::move(descriptor), !isFullNow, maybeWaitingSince));
     } else if (result == Io::wouldBlock) {
       isAccepting = isListening_;
       acceptedThisTurn = 0;
@@ -100,11 +101,11 @@
   listener_.reset();
 }
 
-// Has the oldest of too many closing clients go within a turn; false if there are not too many.
-bool ClientConnections::hurryOldestClosing() {
-  if (closing_.size() <= kMaxClosingClients) return false;
-  Client& oldest = *clients_.at(closing_.front());
-  oldest.isHurried = true;
+// Closes the oldest lingering client in the next turn if too many linger. Returns false if they don't.
+bool ClientConnections::closeOldestLingering() {
+  if (lingering_.size() <= kMaxLingeringClients) return false;
+  Client& oldest = *clients_.at(lingering_.front());
+  oldest.mustCloseNow = true;
   oldest.stream.wake();
   return true;
 }
--- a/src/runtime/server/client_connection.h
+++ b/src/runtime/server/client_connection.h
@@ -1,4 +1,4 @@
-// The state of one client's connection. For the files of ClientConnections only.
+// The state of one client's connection. Internal to the implementation of ClientConnections.
 #pragma once
 
 #include "runtime/server/client_connections.h"
@@ -6,16 +6,16 @@
 
 namespace gulltrestle::server {
 
-// Owned by the coroutine that serves the client.
+// One client's connection. Owned by the coroutine that serves the client.
 struct ClientConnections::Client : Connection {
   using Connection::Connection;
 
-  bool mayOffer = false;   // the gateway wants what was received and not consumed
-  bool isClosing = false;  // to be closed once all is sent
-  bool isHurried = false;  // its descriptor is wanted: what it still sends is waited for no longer
-  Instant unreadSince;     // when what it sends was first left unread; never: it is not
-  Instant noticeSentAt;    // when it was sent a notice, as it may be gone; never: it was not
-  Instant stalledAt;       // when it is closed unless it takes what is unsent; never: nothing is unsent
+  bool isRedeliveryRequested = false;  // the gateway requests the received bytes that it has not consumed
+  bool isClosing = false;              // the connection is closed once all data is sent
+  bool mustCloseNow = false;           // the descriptor is needed: lingering ends immediately
+  Instant unreadSince;    // the time since which received data may be unread; Instant() if none is
+  Instant noticeSentAt;   // when a notice was sent to check the connection; Instant() if none was
+  Instant stallDeadline;  // the connection is closed if data is still unsent then; Instant() if none is
 };
 
 }  // namespace gulltrestle::server
--- a/src/runtime/server/client_connections.cpp
+++ b/src/runtime/server/client_connections.cpp
@@ -13,14 +13,16 @@
 
 namespace {
 
-// Turns are some milliseconds apart; a process that sees nothing for longer was held up.
+// Turns are a few milliseconds apart. A longer gap means that the process was stopped or busy.
 constexpr Duration kStallThreshold = Duration::millis(50);
-// A client that is gone answers a notice with a reset, within a network round trip.
+// The host of a client that has closed its connection answers a notice with a reset, within a network round
+// trip.
 constexpr Duration kResetDelay = Duration::millis(25);
-// A client that is told the end ends its side within a round trip, or is idle: it is waited for this many
-// times the time limit of a connect.
+// After the end of stream is sent, a client closes its end within a round trip unless it is idle. The server
+// waits for it for this multiple of the connect time limit.
 constexpr double kLingerFactor = 2;
-// What a client may send ahead of an answer: some short statements, or the start of a long one.
+// Bytes that a client may send before it receives a response: some short statements, or the start of a long
+// one.
 constexpr std::size_t kMaxPipelinedBytes = 16 * 1024;
 
 }  // namespace
@@ -39,7 +41,7 @@
 void ClientConnections::read(ClientId id) {
   Client* client = find(id);
   if (!client) return;
-  client->mayOffer = true;
+  client->isRedeliveryRequested = true;
   client->stream.wake();
 }
 
@@ -57,12 +59,12 @@
   ConnectionCloseReason reason = ConnectionCloseReason::broken;
   try {
     Client client(loop_, std::move(descriptor), buffers_);
-    const ConnectionEntry<ClientId, Client> entry(clients_, id, client);
+    const ConnectionRegistration<ClientId, Client> registration(clients_, id, client);
     open(id, client, isAccepted);
-    // Where the first report says that something can be read, it may have come with the connection.
+    // Data that is readable at the first report may have arrived together with the connection.
     client.unreadSince = maybeWaitingSince;
-    // One that sends no more is still there as long as nothing reports a reset. One that was reset is gone,
-    // also where what it sent before could still be read.
+    // A client that has only shut down its sending direction stays connected until a reset is reported. A
+    // connection that was reset is closed even if data that arrived before the reset could still be read.
     while (!client.isBroken && !client.stream.hungUp()) {
       const TurnResult result = serveTurn(id, client);
       if (result == TurnResult::closeStalled) reason = ConnectionCloseReason::clientStalled;
@@ -71,9 +73,9 @@
       co_await client.stream.changed();
       if (!client.stream.canRead()) client.unreadSince = Instant();
     }
-    // Guards against bytes that come as this end closes, or are not read yet: a close over them resets the
-    // connection, and the answer that is in transit is lost with it. Nothing of them is forwarded. May hurt
-    // where the descriptor is wanted meanwhile.
+    // Lingering close: closing a socket with unread bytes, or with bytes that arrive during the close, resets
+    // the connection, and the client loses the response that is in transit. These bytes are read and
+    // discarded. Trade-off: the descriptor stays in use in the meantime.
     if (client.isClosing && !client.isBroken && !client.stream.hungUp() &&
         reason != ConnectionCloseReason::clientStalled) {
       const Instant until = startLingering(id, client);
@@ -86,7 +88,7 @@
     }
   } catch (const std::exception& error) { logClientFailed(error.what()); }
   clients_.erase(id);
-  std::erase(closing_, id);
+  std::erase(lingering_, id);
   gateway_.clientClosed(loop_.now(), id, reason);
 }
 
@@ -99,20 +101,21 @@
   }
 }
 
-// One step of a client's connection: the others have their turns in between. `wait`: until something changes.
+// Runs one step of a client's connection, so that other connections are served in between. The result `wait`
+// means until the stream changes.
 ClientConnections::TurnResult ClientConnections::serveTurn(ClientId id, Client& client) {
   client.flush();
   if (client.isBroken || (client.isClosing && !client.hasUnsent())) return TurnResult::close;
-  if (!client.hasUnsent()) client.stalledAt = Instant();
+  if (!client.hasUnsent()) client.stallDeadline = Instant();
   if (client.stream.canRead() && client.unreadSince == Instant()) client.unreadSince = earliestArrival();
   if (client.hasUnsent()) return hasStalled(client) ? TurnResult::closeStalled : TurnResult::wait;
-  if (std::exchange(client.mayOffer, false)) return offerReceived(id, client);
-  if (mayBeGone(client)) {
+  if (std::exchange(client.isRedeliveryRequested, false)) return redeliverReceived(id, client);
+  if (mayBeDisconnected(client)) {
     sendNotice(client);
     return TurnResult::wait;
   }
   if (client.stream.canRead() && !client.hasEnded && mayRead(id, client)) return readClient(id, client);
-  // Its end is behind what is not read yet, as it waits and has sent much ahead.
+  // The end of stream follows data that is not read yet: the client has sent much data ahead while it waits.
   if (client.stream.isPeerHalfClosed() && !client.hasEnded && gateway_.isWaiting(id))
     gateway_.clientHalfClosed(loop_.now(), id);
   return TurnResult::wait;
@@ -122,53 +125,55 @@
   return gateway_.clientReceived(loop_.now(), id, bytes, client.unreadSince);
 }
 
-ClientConnections::TurnResult ClientConnections::offerReceived(ClientId id, Client& client) {
-  client.offerReceived([&](std::string_view bytes) { return deliver(id, client, bytes); });
-  if (client.hasEnded && !client.mayOffer) gateway_.clientHalfClosed(loop_.now(), id);
-  if (!client.mayOffer) return TurnResult::repeat;
-  client.stream.wake();  // the rest in another turn
+ClientConnections::TurnResult ClientConnections::redeliverReceived(ClientId id, Client& client) {
+  client.redeliverReceived([&](std::string_view bytes) { return deliver(id, client, bytes); });
+  if (client.hasEnded && !client.isRedeliveryRequested) gateway_.clientHalfClosed(loop_.now(), id);
+  if (!client.isRedeliveryRequested) return TurnResult::repeat;
+  client.stream.wake();  // the rest is delivered in another turn
   return TurnResult::wait;
 }
 
 ClientConnections::TurnResult ClientConnections::readClient(ClientId id, Client& client) {
   client.read([&](std::string_view bytes) { return deliver(id, client, bytes); });
-  // Only once all is read: what one read leaves behind has been there as long as what it took.
+  // Reset only once everything is read: data that a read left over may be as old as the data that it
+  // returned.
   if (!client.stream.canRead()) client.unreadSince = Instant();
-  if (client.hasEnded && !client.mayOffer) gateway_.clientHalfClosed(loop_.now(), id);
-  // Reported in this turn, before anything more is sent for it.
+  if (client.hasEnded && !client.isRedeliveryRequested) gateway_.clientHalfClosed(loop_.now(), id);
+  // Reported in this turn, before anything more is sent for this client.
   if (client.isBroken) return TurnResult::close;
-  if (client.stream.canRead() || client.mayOffer) client.stream.wake();
+  if (client.stream.canRead() || client.isRedeliveryRequested) client.stream.wake();
   return TurnResult::wait;
 }
 
-// Guards against clients that send requests and never read, which would keep a descriptor and an answer for
-// good.
+// Returns whether the client has not read its responses in time. Prevents clients that send requests and
+// never read from occupying a descriptor and a buffered response forever.
 bool ClientConnections::hasStalled(Client& client) const {
-  if (client.stalledAt != Instant()) return loop_.now() >= client.stalledAt;
-  client.stalledAt = loop_.now() + longestDeadline_;
-  client.stream.wakeAt(client.stalledAt);
+  if (client.stallDeadline != Instant()) return loop_.now() >= client.stallDeadline;
+  client.stallDeadline = loop_.now() + longestDeadline_;
+  client.stream.wakeAt(client.stallDeadline);
   return false;
 }
 
-// What can be read now came no earlier than this. Guards against statements that came while this process was
-// held up: their clients have less time left than they say, and may have gone. May hurt those that came just
-// now.
+// Returns the lower bound on the arrival time of the data that can be read now. Prevents treating statements
+// that arrived while this process was stopped or busy as new: their clients have less time left than they
+// state, and may have disconnected. Trade-off: statements that have just arrived count as older too.
 Instant ClientConnections::earliestArrival() const {
-  const Instant now = loop_.now(), since = loop_.arrivedSince();
+  const Instant now = loop_.now(), since = loop_.arrivalLowerBound();
   return now - since > kStallThreshold ? since : now;
 }
 
-// Whether its end came with a statement that has been there for a while. Guards against attempts for clients
-// that closed long ago: a notice, which clients skip, brings a reset if it is gone. Costs one that only ended
-// its sending that delay.
-bool ClientConnections::mayBeGone(const Client& client) const {
+// Returns whether the client may have disconnected: its end of stream arrived together with a statement that
+// has been waiting for some time. Prevents attempts for clients that closed their connections long ago: a
+// notice, which clients ignore, causes a reset if the client is no longer connected. Trade-off: a client that
+// has only shut down its sending direction is delayed by kResetDelay.
+bool ClientConnections::mayBeDisconnected(const Client& client) const {
   const Instant now = loop_.now();
   if (!client.stream.canRead() || !client.stream.isPeerHalfClosed() || client.hasEnded) return false;
   if (client.unreadSince == Instant() || now - client.unreadSince <= kStallThreshold) return false;
   return client.noticeSentAt == Instant() || now < client.noticeSentAt + kResetDelay;
 }
 
-// Sent once.
+// Sends a notice, once per connection, to find out whether the client is still connected.
 void ClientConnections::sendNotice(Client& client) const {
   if (client.noticeSentAt != Instant()) return;
   client.noticeSentAt = loop_.now();
@@ -176,9 +181,10 @@
   client.send({postgres::notice("still there?")});
 }
 
-// Whether more of what a client sends may be read. Guards the memory limit: what a client sends ahead waits
-// in the kernel while its answer is pending, and where too much is buffered one that goes on with a long
-// message is rejected here. May hurt clients with long values when many send them at a time.
+// Returns whether more data may be read from the client. Enforces the memory limit: data that a client sends
+// ahead stays in the kernel while its response is pending, and a client that continues a long message while
+// the buffers are full is rejected here. Trade-off: clients with long values are rejected when many send them
+// simultaneously.
 bool ClientConnections::mayRead(ClientId id, const Client& client) {
   if (client.receivedBytes() == 0) return true;
   if (gateway_.isWaiting(id)) return client.receivedBytes() < kMaxPipelinedBytes && !buffers_.areFull();
@@ -188,17 +194,17 @@
 
 // --- Closing
 
-// Sends the end, and returns until when the client's end is waited for.
+// Sends the end of stream. Returns the time until which the server waits for the client to close its end.
 Instant ClientConnections::startLingering(ClientId id, Client& client) {
   event_loop::shutDownWriting(client.stream.descriptor());
   const Instant until = loop_.now() + connectLimit_ * kLingerFactor;
   client.stream.wakeAt(until);
-  closing_.push_back(id);
+  lingering_.push_back(id);
   return until;
 }
 
 bool ClientConnections::isLingering(const Client& client, Instant until) const {
-  return !client.hasEnded && !client.isBroken && !client.stream.hungUp() && !client.isHurried &&
+  return !client.hasEnded && !client.isBroken && !client.stream.hungUp() && !client.mustCloseNow &&
          loop_.now() < until;
 }
 
--- a/src/runtime/server/client_connections.h
+++ b/src/runtime/server/client_connections.h
@@ -1,5 +1,5 @@
-// The server's client side: accepts connections and serves each in a coroutine of its own, which passes what
-// it receives to the gateway.
+// The server's connections to clients: accepts them and serves each in a separate coroutine, which passes the
+// received data to the gateway.
 #pragma once
 
 #include <map>
@@ -14,26 +14,26 @@
 
 namespace gulltrestle::server {
 
-// One per server.
+// Accepts, serves and closes client connections. One per server.
 class ClientConnections {
  public:
-  // Listens from now on; connections wait until start(). Throws config::ConfigError where the address can't
-  // be bound or no descriptor is left for clients. The references must outlive this.
+  // Listens from now on; connections wait until start(). Throws config::ConfigError if the address can't be
+  // bound or no descriptor is left for clients. The references must outlive this object.
   ClientConnections(event_loop::EventLoop& loop, gateway::Gateway& gateway, SharedBuffers& buffers,
                     const config::RouterConfig& config, const ReservedResources& reserved);
 
   void start() { loop_.spawn(acceptClients()); }
 
-  // Effects of the gateway; without effect for a client that is gone.
+  // Effects of the gateway. They do nothing if the client has disconnected.
   void write(gateway::ClientId id, gateway::ByteSlices slices);
-  // Offers the gateway what it has not consumed yet.
+  // Delivers the received bytes that the gateway has not consumed to it again.
   void read(gateway::ClientId id);
-  // Closes the connection once all is sent.
+  // Closes the connection once all data is sent.
   void close(gateway::ClientId id);
-  // What the kernel has accepted by then is still served.
+  // Stops listening. Connections that the kernel has accepted by then are still served.
   void stopListening();
 
-  // No client is left after stopListening().
+  // Returns whether stopListening() was called and no client is left.
   bool areFinished() const { return !listener_ && clients_.empty(); }
 
  private:
@@ -41,8 +41,8 @@
   enum class TurnResult { wait, repeat, close, closeStalled };
 
   event_loop::Task acceptClients();
-  // `isAccepted`: else it is told that there are too many clients. `maybeWaitingSince`: it may have been
-  // waiting, with a statement, since then.
+  // `isAccepted`: if false, the client is rejected with an error, as there are too many clients.
+  // `maybeWaitingSince`: the time since which the client may have been waiting, with a statement sent.
   event_loop::Task serve(gateway::ClientId id, event_loop::Descriptor descriptor, bool isAccepted,
                          Instant maybeWaitingSince);
 
@@ -52,15 +52,15 @@
   void open(gateway::ClientId id, Client& client, bool isAccepted);
   TurnResult serveTurn(gateway::ClientId id, Client& client);
   std::size_t deliver(gateway::ClientId id, Client& client, std::string_view bytes);
-  TurnResult offerReceived(gateway::ClientId id, Client& client);
+  TurnResult redeliverReceived(gateway::ClientId id, Client& client);
   TurnResult readClient(gateway::ClientId id, Client& client);
   bool hasStalled(Client& client) const;
-  bool mayBeGone(const Client& client) const;
+  bool mayBeDisconnected(const Client& client) const;
   void sendNotice(Client& client) const;
   bool mayRead(gateway::ClientId id, const Client& client);
   Instant startLingering(gateway::ClientId id, Client& client);
   bool isLingering(const Client& client, Instant until) const;
-  bool hurryOldestClosing();
+  bool closeOldestLingering();
 
   event_loop::EventLoop& loop_;
   gateway::Gateway& gateway_;
@@ -70,9 +70,9 @@
   std::unique_ptr<event_loop::Stream> listener_;
   std::size_t maxClients_;
   bool isListening_ = true;
-  gateway::ClientId lastClient_ = 0;
-  std::map<gateway::ClientId, Client*> clients_;  // null: accepted, and not served yet
-  std::vector<gateway::ClientId> closing_;        // that were sent the end, oldest first
+  gateway::ClientId lastClientId_ = 0;
+  std::map<gateway::ClientId, Client*> clients_;  // null if the client is accepted but not served yet
+  std::vector<gateway::ClientId> lingering_;      // clients that were sent the end of stream, oldest first
 };
 
 }  // namespace gulltrestle::server
--- a/src/runtime/server/connection.cpp
+++ b/src/runtime/server/connection.cpp
@@ -21,7 +21,7 @@
     sent -= skipped;
     unsent_ += slice.substr(skipped);
   }
-  if (!unsent_.empty()) account();
+  if (!unsent_.empty()) updateSharedUsage();
 }
 
 void Connection::flush() {
@@ -32,10 +32,10 @@
     unsent_.erase(0, result.size);
     if (unsent_.empty()) unsent_.shrink_to_fit();
   }
-  account();
+  updateSharedUsage();
 }
 
-void Connection::account() {
+void Connection::updateSharedUsage() {
   const std::size_t bytes = received_.size() + unsent_.size();
   shared_.usedBytes += bytes - accountedBytes_;
   accountedBytes_ = bytes;
--- a/src/runtime/server/connection.h
+++ b/src/runtime/server/connection.h
@@ -1,4 +1,4 @@
-// A connection of the server: its stream, and the bytes that are received and not consumed, or not sent yet.
+// A connection of the server: its stream, the received bytes that are not consumed yet, and the unsent bytes.
 #pragma once
 
 #include <algorithm>
@@ -15,16 +15,16 @@
 
 namespace gulltrestle::server {
 
-// What the connections of a server share.
+// The memory limit and the read buffer that all connections of a server share. Sizes are in bytes.
 struct SharedBuffers {
-  std::size_t maxBytes = 0;                  // that all connections may buffer
-  std::size_t usedBytes = 0;                 // that they do
-  std::array<char, 64 * 1024> readBuffer{};  // for one read at a time, of any connection
+  std::size_t maxBytes = 0;                  // that all connections together may buffer
+  std::size_t usedBytes = 0;                 // that all connections together buffer now
+  std::array<char, 64 * 1024> readBuffer{};  // used for one read at a time
 
   bool areFull() const { return usedBytes >= maxBytes; }
 };
 
-// Owned by the coroutine that serves it.
+// A buffered connection. Owned by the coroutine that serves it.
 class Connection {
  public:
   Connection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor, SharedBuffers& shared)
@@ -32,48 +32,50 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Sends what can be sent at once, and buffers the rest for flush().
+  // Sends as much as possible immediately, and buffers the rest for flush().
   void send(gateway::ByteSlices slices);
-  // Sends what is buffered, as far as possible.
+  // Sends as much of the buffered data as possible.
   void flush();
-  // Reads once. `consume` gets all received bytes that it has not consumed yet, and returns how many it did.
+  // Reads once. `consume` gets all received bytes that are not consumed yet, and returns how many it
+  // consumed.
   template <typename Consume>
   void read(Consume consume);
-  // Offers again what was received and not consumed.
+  // Passes the received bytes that are not consumed yet to `consume` again.
   template <typename Consume>
-  void offerReceived(Consume consume);
+  void redeliverReceived(Consume consume);
 
   bool hasUnsent() const { return !unsent_.empty(); }
   std::size_t receivedBytes() const { return received_.size(); }
-  // Takes what is buffered out of the shared sum; the connection must not be used any more.
+  // Subtracts the buffered bytes from the shared total. The connection must not be used afterwards.
   void releaseBuffers() { shared_.usedBytes -= accountedBytes_; }
 
   event_loop::Stream stream;
-  bool isAborted = false;  // to be closed at once; nothing is sent any more
-  bool hasEnded = false;   // the other side sends no more
+  bool isAborted = false;  // the connection is closed immediately; nothing more is sent
+  bool hasEnded = false;   // the peer has shut down its sending direction
   bool isBroken = false;   // a read or write has failed
 
  private:
-  void account();
+  // Updates the shared total with the bytes that this connection buffers.
+  void updateSharedUsage();
 
   SharedBuffers& shared_;
-  std::string received_;  // and not consumed
+  std::string received_;  // not consumed yet
   std::string unsent_;
-  std::size_t accountedBytes_ = 0;  // of received_ and unsent_, in the shared sum
+  std::size_t accountedBytes_ = 0;  // sizes of received_ and unsent_ that are included in the shared total
 };
 
-// A connection's entry in a table, for as long as its coroutine runs.
+// Registers a connection in a table for as long as its coroutine runs, and releases its buffers at the end.
 template <typename Id, typename ConnectionType>
-class ConnectionEntry {
+class ConnectionRegistration {
  public:
   using Table = std::map<Id, ConnectionType*>;
-  ConnectionEntry(Table& table, Id id, ConnectionType& connection)
+  ConnectionRegistration(Table& table, Id id, ConnectionType& connection)
       : table_(table), id_(id), connection_(connection) {
     table_[id_] = &connection;
   }
-  ConnectionEntry(const ConnectionEntry&) = delete;
-  ConnectionEntry& operator=(const ConnectionEntry&) = delete;
-  ~ConnectionEntry() {
+  ConnectionRegistration(const ConnectionRegistration&) = delete;
+  ConnectionRegistration& operator=(const ConnectionRegistration&) = delete;
+  ~ConnectionRegistration() {
     table_.erase(id_);
     connection_.releaseBuffers();
   }
@@ -98,13 +100,13 @@
   else
     received_.erase(0, consumed);
   if (received_.empty()) received_.shrink_to_fit();
-  account();
+  updateSharedUsage();
 }
 
 template <typename Consume>
-void Connection::offerReceived(Consume consume) {
+void Connection::redeliverReceived(Consume consume) {
   received_.erase(0, consume(std::string_view(received_)));
-  account();
+  updateSharedUsage();
 }
 
 }  // namespace gulltrestle::server
--- a/src/runtime/server/discovery_client.cpp
+++ b/src/runtime/server/discovery_client.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-// A list of a thousand nodes is a fifth of this.
+// A list of a thousand nodes takes a fifth of this.
 constexpr std::size_t kMaxListBytes = 1024 * 1024;
-// A wake-up comes this long after the time it is for, so that the time is over by then.
+// A wake-up is scheduled this long after its deadline, so that the deadline has passed when it runs.
 constexpr Duration kWakeUpMargin = Duration::millis(1);
 
 bool isWhitespace(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
@@ -30,7 +30,7 @@
   return endpoints;
 }
 
-// One HTTP request on a connection of its own, and what has come of it.
+// One HTTP request on a separate connection, and its result so far.
 struct DiscoveryClient::Call {
   Call(event_loop::EventLoop& loop, event_loop::Descriptor descriptor, SharedBuffers& buffers,
        config::Address calledAddress, bool watches)
@@ -47,12 +47,12 @@
   config::Address address;
   bool isWatch;
   Instant startedAt;
-  Instant lastReceivedAt;  // until something was received: when it was sent, or started
+  Instant lastReceivedAt;  // before data is received: when the request was sent, or the call started
   bool isSent = false;
   bool hasReceived = false;
   http1::Response response;
   json::Parser parser;
-  std::size_t documentBytes = 0;  // of the document that the parser has started
+  std::size_t documentBytes = 0;  // of the document that is being parsed
   CallResult result;
 };
 
@@ -70,13 +70,13 @@
   loop_.spawn(followEndpointList());
 }
 
-void DiscoveryClient::moveTo(const std::string& address) {
+void DiscoveryClient::setAddress(const std::string& address) {
   address_ = config::readAddress("discovery", address);
   if (stream_) stream_->wake();
 }
 
-// Where discovery has moved, the whole list there comes next, without a pause: what the old address still
-// sends may be outdated.
+// When the address of discovery changes, the whole list is requested from the new address without a pause, as
+// data that the old address still sends may be outdated.
 event_loop::Task DiscoveryClient::followEndpointList() {
   for (;;) {
     const config::Address address = address_;
@@ -84,13 +84,13 @@
     if (event_loop::Descriptor descriptor = event_loop::startConnecting(address.host, address.port)) {
       Call call(loop_, std::move(descriptor), buffers_, address, isWatching_);
       stream_ = &call.connection.stream;
-      // A drain is known before anything of the same turn is sent.
+      // A drain that arrives in a turn is applied before anything is sent in that turn.
       call.connection.stream.prioritize();
       try {
         while (!call.isOver() && address == address_) {
-          const Duration maxSilence = schedule_.silence(call.isWatch, call.hasReceived);
-          if (hasTimedOut(call, maxSilence)) break;
-          exchange(call, maxSilence);
+          const Duration idleTimeout = schedule_.silence(call.isWatch, call.hasReceived);
+          if (hasTimedOut(call, idleTimeout)) break;
+          sendAndReceive(call, idleTimeout);
           if (!call.isOver()) co_await call.connection.stream.changed();
         }
         finish(call);
@@ -100,7 +100,7 @@
       stream_ = nullptr;
       result = call.result;
     } else {
-      result.failure = "can't be reached: no descriptor is left";
+      result.failure = "no descriptor, port or memory is available";
     }
     if (address != address_) isWatching_ = false;
     if (address != address_ || result.failure.empty()) continue;
@@ -110,22 +110,22 @@
   }
 }
 
-// Guards against a router that was held up and abandons what is there by then: the answer to a request for
-// the whole list is looked at first. A watch is not, as what it reads late may have come before it fell
-// silent.
-bool DiscoveryClient::hasTimedOut(Call& call, Duration maxSilence) const {
+// Prevents a router that was stopped or busy from abandoning a response that has arrived in the meantime: a
+// readable response to a request for the whole list is read before the timeout applies. This doesn't apply to
+// a watch, as data that is read late may have arrived before the watch stopped sending.
+bool DiscoveryClient::hasTimedOut(Call& call, Duration idleTimeout) const {
   const event_loop::Stream& stream = call.connection.stream;
-  const bool isAnswerThere = !call.isWatch && stream.canRead();
+  const bool isResponseReadable = !call.isWatch && stream.canRead();
   const bool isConnecting = !call.isSent && !stream.canWrite();
-  if (loop_.now() - call.lastReceivedAt > maxSilence && !isAnswerThere && (call.isSent || isConnecting))
+  if (loop_.now() - call.lastReceivedAt > idleTimeout && !isResponseReadable && (call.isSent || isConnecting))
     return true;
   if (!isConnecting || loop_.now() - call.startedAt <= config_.deployment.connectLimit) return false;
-  call.result.failure = "does not come up";
+  call.result.failure = "the connection was not established in time";
   return true;
 }
 
-// Sends the request once it can be, reads what is there, and sets the next wake-up.
-void DiscoveryClient::exchange(Call& call, Duration maxSilence) {
+// Sends the request once the connection is writable, reads the available data, and sets the next wake-up.
+void DiscoveryClient::sendAndReceive(Call& call, Duration idleTimeout) {
   Connection& connection = call.connection;
   if (connection.stream.canWrite() && !call.isSent) {
     call.isSent = true;
@@ -138,7 +138,7 @@
     connection.read([&](std::string_view bytes) { return receive(call, bytes); });
   if (connection.stream.canRead() && !call.hasConnectionEnded()) connection.stream.wake();
   const Instant deadline =
-      call.isSent ? call.lastReceivedAt + maxSilence : call.startedAt + config_.deployment.connectLimit;
+      call.isSent ? call.lastReceivedAt + idleTimeout : call.startedAt + config_.deployment.connectLimit;
   connection.stream.wakeAt(deadline + kWakeUpMargin);
 }
 
@@ -148,17 +148,19 @@
   gateway_.onDiscoveryActivity(call.lastReceivedAt);
   const std::size_t used = call.response.feed(bytes, [&](std::string_view body) { receiveBody(call, body); });
   const int status = call.response.status();
-  if (status != 0 && status != 200) throw http1::Malformed("status " + std::to_string(status));
+  if (status != 0 && status != 200)
+    throw http1::Malformed("unexpected HTTP status " + std::to_string(status));
   if (status == 200) schedule_.answered();
   return used;
 }
 
-// Lists may be cut and indented in any way: what ends one is its last bracket. The answer to a request for
-// the whole list is applied once it is over, as one that breaks off may lack more than it shows.
+// Lists may be split and indented in any way: a list ends with its closing bracket. The response to a request
+// for the whole list is applied once it is complete, as a truncated response may lack more than is visible.
 void DiscoveryClient::receiveBody(Call& call, std::string_view body) {
   while (!body.empty()) {
     if (call.parser.done() && !call.isWatch) {
-      if (!std::all_of(body.begin(), body.end(), isWhitespace)) throw http1::Malformed("more than a list");
+      if (!std::all_of(body.begin(), body.end(), isWhitespace))
+        throw http1::Malformed("unexpected data after the endpoint list");
       return;
     }
     if (call.documentBytes == 0 && isWhitespace(body.front())) {
@@ -168,7 +170,8 @@
     const std::size_t used = call.parser.feed(body);
     body.remove_prefix(used);
     call.documentBytes += used;
-    if (call.documentBytes > kMaxListBytes) throw http1::Malformed("the list is too long");
+    if (call.documentBytes > kMaxListBytes)
+      throw http1::Malformed("the endpoint list exceeds the size limit");
     if (!call.isWatch || !call.parser.done()) continue;
     call.documentBytes = 0;
     applyList(call.parser.take(), true);
@@ -176,7 +179,7 @@
   }
 }
 
-// The call is over, has timed out, or discovery has moved.
+// Handles the end of a call: it is over, has timed out, or the address of discovery has changed.
 void DiscoveryClient::finish(Call& call) {
   if (call.connection.hasEnded) call.response.connectionEnded();
   if (call.address == address_ && call.response.done() && !call.isWatch) {
@@ -186,14 +189,14 @@
     call.result.failure.clear();
     lastFailure_.clear();
   } else if (call.isOver()) {
-    call.result.failure = "has ended";
+    call.result.failure = "the connection or the response ended";
   }
 }
 
 void DiscoveryClient::applyList(json::Value document, bool isWatchEvent) {
   config::EndpointList list = config::readEndpointList(document, config_.deployment.zone);
   if (isWatchEvent && !list.isSnapshot && list.version < listVersion_)
-    throw config::ConfigError("version", "goes back");
+    throw config::ConfigError("version", "is lower than that of the previous list");
   listVersion_ = list.version;
   const auto kind = list.isSnapshot ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta;
   if (!list.nodes.empty()) logEndpointList(list);
@@ -201,7 +204,7 @@
 }
 
 void DiscoveryClient::reportFailure(const config::Address& address, const std::string& failure) {
-  const std::string failedCall = (isWatching_ ? "watch " : "list ") + failure;
+  const std::string failedCall = (isWatching_ ? "watch failed: " : "list request failed: ") + failure;
   if (failedCall != lastFailure_) logDiscoveryFailed(address, failedCall);
   lastFailure_ = failedCall;
   gateway_.onEndpointListFailed(loop_.now());
--- a/src/runtime/server/discovery_client.h
+++ b/src/runtime/server/discovery_client.h
@@ -1,5 +1,5 @@
-// The server's connection to discovery: requests the whole endpoint list, then watches its changes; when that
-// ends or fails, it starts anew after a pause.
+// The server's connection to discovery: requests the whole endpoint list, then watches its changes. When a
+// request or watch ends or fails, it tries again after a pause.
 #pragma once
 
 #include <cstdint>
@@ -16,31 +16,32 @@
 
 namespace gulltrestle::server {
 
-// The entries of a list, as the gateway takes them.
+// Converts the entries of an endpoint list to the gateway's type.
 std::vector<gateway::ResolvedEndpoint> resolvedEndpoints(config::EndpointList list);
 
-// One per server.
+// Follows the endpoint list of a discovery service. One per server.
 class DiscoveryClient {
  public:
-  // The references must outlive this.
+  // The references must outlive this object.
   DiscoveryClient(event_loop::EventLoop& loop, gateway::Gateway& gateway, SharedBuffers& buffers,
                   const config::RouterConfig& config);
 
-  // Follows the list from now on. `listVersion`: of the list that is known already. Call it after moveTo().
+  // Follows the list from now on. `listVersion`: the version of the list that is already known. To be called
+  // after setAddress().
   void start(std::uint64_t listVersion);
-  // Discovery is at this address (address:port) from now on; its whole list is requested at once.
-  void moveTo(const std::string& address);
+  // Changes the address of discovery (as address:port). The whole list is requested from it immediately.
+  void setAddress(const std::string& address);
 
  private:
   struct Call;
   struct CallResult {
-    std::string failure = "is silent";  // in words, until the call succeeds; empty: none
-    bool isContentInvalid = false;      // what it sent can't be used: the whole list is needed
+    std::string failure = "no data was received in time";  // for the log; empty if the call succeeded
+    bool isContentInvalid = false;  // the response can't be used: the whole list is requested next
   };
 
   event_loop::Task followEndpointList();
-  bool hasTimedOut(Call& call, Duration maxSilence) const;
-  void exchange(Call& call, Duration maxSilence);
+  bool hasTimedOut(Call& call, Duration idleTimeout) const;
+  void sendAndReceive(Call& call, Duration idleTimeout);
   std::size_t receive(Call& call, std::string_view bytes);
   void receiveBody(Call& call, std::string_view body);
   void finish(Call& call);
@@ -53,10 +54,10 @@
   const config::RouterConfig& config_;
   discovery::PollSchedule schedule_;
   config::Address address_;
-  event_loop::Stream* stream_ = nullptr;  // to discovery, while there is one
+  event_loop::Stream* stream_ = nullptr;  // of the current call; null if there is none
   std::uint64_t listVersion_ = 0;
-  bool isWatching_ = false;  // the next call, or this one, watches changes; else it requests the whole list
-  std::string lastFailure_;  // a call that fails as the one before did is not logged again
+  bool isWatching_ = false;  // whether the current or next call is a watch, not a request for the whole list
+  std::string lastFailure_;  // the same failure is logged only once in a row
 };
 
 }  // namespace gulltrestle::server
--- a/src/runtime/server/node_connections.cpp
+++ b/src/runtime/server/node_connections.cpp
@@ -43,7 +43,7 @@
       reason = ConnectionCloseReason::noDescriptor;
     } else {
       Connection connection(loop_, std::move(descriptor), buffers_);
-      const ConnectionEntry<NodeConnectionId, Connection> entry(connections_, id, connection);
+      const ConnectionRegistration<NodeConnectionId, Connection> registration(connections_, id, connection);
       while (!connection.isAborted && !connection.stream.canWrite()) co_await connection.stream.changed();
       const bool isConnected =
           !connection.isAborted && event_loop::isConnected(connection.stream.descriptor());
@@ -54,7 +54,8 @@
       }
       while (isConnected && !connection.isAborted && !connection.isBroken && !connection.hasEnded) {
         serveTurn(id, connection);
-        // Its end is reported in this turn, before any further decision: nothing is to be written on it.
+        // The end is reported in this turn, before any further decision, so that nothing is written on this
+        // connection.
         if (connection.isBroken || connection.hasEnded) break;
         if (connection.stream.canRead()) connection.stream.wake();
         co_await connection.stream.changed();
--- a/src/runtime/server/node_connections.h
+++ b/src/runtime/server/node_connections.h
@@ -1,5 +1,5 @@
-// The server's connections to nodes: each is opened and served in a coroutine of its own, which passes what
-// it receives to the gateway.
+// The server's connections to nodes: each is opened and served in a separate coroutine, which passes the
+// received data to the gateway.
 #pragma once
 
 #include <map>
@@ -11,19 +11,19 @@
 
 namespace gulltrestle::server {
 
-// One per server.
+// Opens, serves and closes connections to nodes. One per server.
 class NodeConnections {
  public:
-  // The references must outlive this.
+  // The references must outlive this object.
   NodeConnections(event_loop::EventLoop& loop, gateway::Gateway& gateway, SharedBuffers& buffers)
       : loop_(loop), gateway_(gateway), buffers_(buffers) {}
 
   // Effects of the gateway.
-  // `address`: as address:port. The result is reported to the gateway in a later turn.
+  // `address`: in the form address:port. The result is reported to the gateway in a later turn.
   void connect(gateway::NodeConnectionId id, const std::string& address);
-  // The connection must be established. False: not all could be sent at once.
+  // The connection must be established. Returns false if not all data could be sent immediately.
   bool write(gateway::NodeConnectionId id, gateway::ByteSlices slices);
-  // Without effect for a connection that is closed already.
+  // Does nothing if the connection is already closed.
   void close(gateway::NodeConnectionId id);
 
  private:
@@ -33,7 +33,7 @@
   event_loop::EventLoop& loop_;
   gateway::Gateway& gateway_;
   SharedBuffers& buffers_;
-  std::map<gateway::NodeConnectionId, Connection*> connections_;  // null: not started yet
+  std::map<gateway::NodeConnectionId, Connection*> connections_;  // null if not started yet
 };
 
 }  // namespace gulltrestle::server
--- a/src/runtime/server/resource_limits.cpp
+++ b/src/runtime/server/resource_limits.cpp
@@ -4,17 +4,18 @@
 
 namespace {
 
-// Descriptors for neither clients nor nodes: standard streams, epoll, signals, listener, discovery, and
-// connections that are being closed.
+// Descriptors that are reserved for other uses than clients and nodes: standard streams, epoll, signals,
+// listener, discovery, and lingering client connections.
 constexpr std::size_t kReservedDescriptors = 32;
-// One descriptor in this many is for nodes: a router has few transactions in flight per node; the rest is for
-// clients, who hold on to connections.
+// One descriptor in this many is for node connections, as a router has few transactions in flight per node.
+// The rest is for clients, which keep their connections open.
 constexpr std::size_t kNodeConnectionDivisor = 4;
-// Clients have at most one transaction per this many descriptors: a rule of the deployment that is not among
-// its settings.
+// Clients may have at most one open transaction per this many descriptors. The deployment prescribes this
+// rule, but has no setting for it.
 constexpr std::size_t kTransactionDivisor = 3;
-// A quarter of the memory is for statements that are held, and another for what connections buffer: buffers
-// grow by doubling, which may take as much again, and nodes' answers come on top.
+// A quarter of the memory is for queued statements, and another quarter for the buffers of connections.
+// Buffers grow by doubling, which may need the same amount again, and the responses of nodes need memory as
+// well.
 constexpr std::size_t kMemoryDivisor = 4;
 
 std::size_t maxNodeConnections(const config::RouterConfig& config) {
@@ -47,7 +48,7 @@
   const std::size_t available = config.descriptors - kReservedDescriptors - maxNodeConnections(config);
   if (available <= reserved.descriptors)
     throw config::ConfigError("limits.sockets",
-                              "leaves none for clients beside the other fronts' connections");
+                              "leaves no descriptor for clients after those reserved for other components");
   return available - reserved.descriptors;
 }
 
--- a/src/runtime/server/resource_limits.h
+++ b/src/runtime/server/resource_limits.h
@@ -1,4 +1,4 @@
-// How a process divides its file descriptors and memory between clients, nodes and other parts of itself.
+// Divides the file descriptors and the memory of a process between clients, nodes and other components.
 #pragma once
 
 #include <cstddef>
@@ -8,27 +8,28 @@
 
 namespace gulltrestle::server {
 
-// What other parts of the same process take of its limits, and whether degradation levels are enabled.
+// The resources that other components of the process use, and whether degradation levels are enabled.
 struct ReservedResources {
   std::size_t descriptors = 0;
   std::size_t openTransactions = 0;
   bool isDegradationEnabled = false;
 };
 
-// Clients that are being closed no longer count as clients, and use some of the reserved descriptors: this
-// many at most.
-constexpr std::size_t kMaxClosingClients = 12;
+// Upper bound on the lingering client connections that don't count as clients. They use some of the reserved
+// descriptors.
+constexpr std::size_t kMaxLingeringClients = 12;
 
-// The deployment's settings for the router, with what this process decides.
+// Returns the deployment's routing settings, completed with the values that depend on this process.
 RoutingConfig routingConfigOf(const config::RouterConfig& config, const ReservedResources& reserved);
 
+// Returns the limits of the gateway on connections and buffered bytes.
 gateway::Bounds gatewayBoundsOf(const config::RouterConfig& config);
 
-// For the received and unsent bytes of all connections.
+// Returns the upper bound on the received and unsent bytes of all connections.
 std::size_t maxBufferedBytes(const config::RouterConfig& config);
 
-// Clients that may be connected at a time. Throws config::ConfigError if none is left beside what is
-// reserved.
+// Returns the upper bound on concurrently connected clients. Throws config::ConfigError if the reserved
+// descriptors leave none for clients.
 std::size_t maxClients(const config::RouterConfig& config, const ReservedResources& reserved);
 
 }  // namespace gulltrestle::server
--- a/src/runtime/server/server.cpp
+++ b/src/runtime/server/server.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// After a turn that failed: long enough not to spin, and short against any deadline.
+// Pause after a failed turn: long enough to avoid a busy loop, and short compared with any deadline.
 constexpr Duration kRetryDelayAfterFault = Duration::millis(10);
 
 std::string discoveryAddress(const config::RouterConfig& config) {
@@ -50,8 +50,9 @@
 
 Instant Server::endTurn(Instant now) {
   Instant next = now + kRetryDelayAfterFault;
-  // Guards against whatever a turn may throw (lack of memory above all): the transactions of that turn may be
-  // lost, those of all others are not. May hurt by going on with a state that the fault left half changed.
+  // Prevents an exception in a turn, for example for lack of memory, from ending the process: transactions of
+  // that turn may be lost, all others continue. Trade-off: the server continues with state that the exception
+  // may have left partly updated.
   try {
     next = gateway_.endTurn(now);
   } catch (const std::exception& error) { logTurnFailed(error.what()); }
@@ -75,9 +76,9 @@
 
 void Server::stopListening() { clients_.stopListening(); }
 
-void Server::requestEndpointList() {}  // it is followed all the time
+void Server::requestEndpointList() {}  // nothing to do: the list is followed continuously
 
-void Server::followDiscovery(const std::string& address) { discovery_.moveTo(address); }
+void Server::followDiscovery(const std::string& address) { discovery_.setAddress(address); }
 
 void Server::log(std::string line) { logGatewayLine(line); }
 
@@ -85,7 +86,7 @@
 
 event_loop::Task Server::watchSignals() {
   for (;;) {
-    while (const auto signal = event_loop::takeSignal(signals_->descriptor())) {
+    while (const auto signal = event_loop::readSignal(signals_->descriptor())) {
       if (*signal == event_loop::Signal::terminate)
         gateway_.shutDown(loop_.now());
       else
@@ -96,7 +97,7 @@
   }
 }
 
-// Guards against whatever the file contains by then: it may be missing, partly written or invalid.
+// Keeps the current configuration if the file is missing, partly written or invalid.
 void Server::reloadConfig() {
   gateway_.reloadConfig(loop_.now());
   try {
--- a/src/runtime/server/server.h
+++ b/src/runtime/server/server.h
@@ -1,5 +1,5 @@
-// Carries out on sockets what the gateway requests, and passes on to it what happens there. Each connection
-// is one coroutine, which owns its descriptor and its buffers.
+// Performs the gateway's socket operations and passes the resulting events to the gateway. Each connection is
+// served by one coroutine, which owns its descriptor and its buffers.
 #pragma once
 
 #include <memory>
@@ -16,24 +16,24 @@
 
 namespace gulltrestle::server {
 
-// One per process.
+// The network server of a router process, with its event loop. One per process.
 class Server final : private gateway::Effects {
  public:
-  // Listens from now on. Throws config::ConfigError where the address can't be bound or no descriptor is left
+  // Listens from now on. Throws config::ConfigError if the address can't be bound or no descriptor is left
   // for clients.
   explicit Server(config::RouterConfig config, ReservedResources reserved = {});
   ~Server() override;
 
-  // Adds a further part of the process. Before run(); it must outlive the server.
+  // Adds another component of the process. To be called before run(). The component must outlive the server.
   void add(gateway::Component& component) { gateway_.add(component); }
   event_loop::EventLoop& loop() { return loop_; }
   transactions::TransactionTable& transactions() { return gateway_.transactions(); }
 
-  // Serves until a signal terminates it and all is answered.
+  // Serves until a termination signal arrives and the graceful shutdown is complete.
   void run();
 
  private:
-  // Effects.
+  // --- gateway::Effects
   void connect(gateway::NodeConnectionId id, const std::string& address) override;
   bool writeNode(gateway::NodeConnectionId id, gateway::ByteSlices slices) override;
   void closeNode(gateway::NodeConnectionId id) override;
--- a/src/runtime/server/server_log.cpp
+++ b/src/runtime/server/server_log.cpp
@@ -13,19 +13,17 @@
 
 void logGatewayLine(std::string_view line) { spdlog::info("{}", line); }
 
-void logTurnFailed(std::string_view error) { spdlog::error("a turn failed: {}", error); }
+void logTurnFailed(std::string_view error) { spdlog::error("event loop turn failed: {}", error); }
 
 void logTaskFailed(const std::exception_ptr& failure) {
   try {
     std::rethrow_exception(failure);
-  } catch (const std::exception& error) { spdlog::error("a connection's task failed: {}", error.what()); }
+  } catch (const std::exception& error) { spdlog::error("connection task failed: {}", error.what()); }
 }
 
-void logClientFailed(std::string_view error) { spdlog::error("a client's connection failed: {}", error); }
+void logClientFailed(std::string_view error) { spdlog::error("client connection failed: {}", error); }
 
-void logNodeConnectionFailed(std::string_view error) {
-  spdlog::error("a connection to a node failed: {}", error);
-}
+void logNodeConnectionFailed(std::string_view error) { spdlog::error("node connection failed: {}", error); }
 
 void logAcceptFailed(event_loop::Io result) {
   spdlog::warn("no new client can be taken: {}", result == event_loop::Io::noDescriptor
@@ -34,7 +32,7 @@
 }
 
 void logDiscoveryFailed(const config::Address& address, std::string_view failedCall) {
-  spdlog::warn("discovery at {}:{}: the {}", address.host, address.port, failedCall);
+  spdlog::warn("discovery at {}:{}: {}", address.host, address.port, failedCall);
 }
 
 void logEndpointList(const config::EndpointList& list) {
--- a/src/runtime/server/server_log.h
+++ b/src/runtime/server/server_log.h
@@ -9,25 +9,26 @@
 
 namespace gulltrestle::server {
 
-// --- The process
+// --- Process
 void logListening(const config::RouterConfig& config);
 void logEnded();
-// A line of the gateway, which puts it together.
+// A line that the gateway has formatted.
 void logGatewayLine(std::string_view line);
-// A turn was broken off by an exception.
+// A turn of the event loop was aborted by an exception. `error`: the text of that exception.
 void logTurnFailed(std::string_view error);
-// A task has ended by an exception.
+// A task has ended with an exception.
 void logTaskFailed(const std::exception_ptr& failure);
 
-// --- Connections. `error`: of the exception that ended one.
+// --- Connections. `error`: the text of the exception that ended the connection.
 void logClientFailed(std::string_view error);
 void logNodeConnectionFailed(std::string_view error);
-// `result`: of the accept that failed.
+// Accepting a client failed. `result`: the status of that call.
 void logAcceptFailed(event_loop::Io result);
 
 // --- Discovery
-// `failedCall`: the call and its failure, in words.
+// `failedCall`: the kind of the call and the reason for its failure.
 void logDiscoveryFailed(const config::Address& address, std::string_view failedCall);
+// An endpoint list with nodes was received.
 void logEndpointList(const config::EndpointList& list);
 
 }  // namespace gulltrestle::server
