--- a/src/runtime/event_loop/event_loop.cpp
+++ b/src/runtime/event_loop/event_loop.cpp
@@ -29,8 +29,7 @@
 // Upper bound on the events handled in one turn; further events are reported in the next one.
 constexpr std::size_t kMaxEventsPerTurn = 256;
 
-// Pause after epoll or memory was unavailable: short compared with any deadline, and long enough to avoid a
-// busy loop.
+// Pause after epoll or memory was unavailable: short compared with any deadline, long enough not to spin.
 constexpr Duration kRetryPause = Duration::millis(10);
 // Upper bound on the timeout of one epoll_wait(); one turn per minute has a negligible cost.
 constexpr std::int64_t kMaxWaitMillis = 60'000;
@@ -38,7 +37,7 @@
 
 // A wait that took less than this returned immediately.
 constexpr Duration kNoWait = Duration::millis(1);
-// A wait that exceeded its timeout by more than this was delayed: the process did not run in the meantime.
+// A wait that exceeded its timeout by more than this was delayed: the process was stopped or not scheduled.
 constexpr Duration kLateWait = Duration::millis(50);
 
 // Set by SIGCONT: the process was stopped and has resumed. The result of epoll_wait() doesn't show this if an
@@ -222,8 +221,7 @@
 
 void EventLoop::add(Stream& stream) {
   stream.id_ = ++lastStreamId_;
-  // The system may be out of memory or of epoll watches temporarily: the registration is retried before each
-  // wait.
+  // The system may temporarily be out of memory or epoll watches: each wait retries the registration first.
   if (!updateInterest(stream) && errno != ENOMEM && errno != ENOSPC)
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   streams_.emplace(stream.id_, &stream);
--- a/src/runtime/event_loop/retry_system_call.h
+++ b/src/runtime/event_loop/retry_system_call.h
@@ -6,8 +6,7 @@
 
 namespace gulltrestle::event_loop {
 
-// Returns whether, according to the manual pages, a call that failed with this errno may succeed shortly
-// afterwards.
+// Returns whether a call that failed with this errno may soon succeed, according to the manual pages.
 bool isTransientError(int error);
 
 // Repeats a system call, with pauses, until its result is not negative, and returns that result. Writes one
--- a/src/runtime/event_loop/sockets.cpp
+++ b/src/runtime/event_loop/sockets.cpp
@@ -50,8 +50,8 @@
 // Many clients connect simultaneously when a router has just started; the kernel rejects further ones.
 constexpr int kBacklog = 1024;
 
-// Consecutive connections that failed before they were accepted; accept() fails after this many, to avoid a
-// busy loop.
+// Consecutive connections that failed before they were accepted; accept() fails after this many, to
+// avoid spinning.
 constexpr int kMaxFailedAccepts = 16;
 
 // Returns whether this machine is temporarily unable to start any connection, regardless of the peer.
@@ -150,8 +150,7 @@
     const bool isShortage = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
     if (isShortage) return Io::noDescriptor;
     if (errno == EBADF || errno == EINVAL || errno == ENOTSOCK) return Io::failed;
-    // Otherwise the connection was reset before it was accepted, or the call was interrupted: try the next
-    // one.
+    // Otherwise the connection was reset while it waited, or the call was interrupted: try the next one.
   }
   return Io::failed;
 }
--- a/src/runtime/event_loop/stream.cpp
+++ b/src/runtime/event_loop/stream.cpp
@@ -77,8 +77,7 @@
   if ((registeredEvents_ & kWritable) == 0) loop_.updateInterestLater(*this);
 }
 
-// While data can't be read or written for lack of memory, level-triggered reports would repeat without a
-// pause.
+// Prevents level-triggered reports from repeating without a pause while the system is short of memory.
 void Stream::pauseReports() {
   areReportsPaused_ = true;
   loop_.pauseReports(*this);
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -57,7 +57,7 @@
       streams_(transactions,
                downstream::ext_proc::HeaderMapping(config.headers, settings.routing, settings.classNames),
                endpoint_leases::LeaseRegistry(settings.routing.transactionClasses, config.placement,
-                                              config.remembered, incarnation),
+                                              config.registryBounds, incarnation),
                {settings.drainGrace, settings.notifiedWithin}, config.streams, *this),
       healthChecker_(transactions, settings.connectLimit, kMaxHealthChecks, *this) {
   transactions_.addTransport(streams_.transport());
@@ -126,8 +126,7 @@
     return result.status == Io::some || result.status == Io::wouldBlock;
   }
 
-  // Reads the available data, up to the end of the response. Returns false if the connection has ended or
-  // failed.
+  // Reads the available data, up to the end of the response. Returns false if no more data can follow.
   [[nodiscard]] bool receive() {
     std::array<char, kReadBytes> buffer;
     while (!response.done()) {
--- a/src/runtime/grpc_server/grpc_server.cpp
+++ b/src/runtime/grpc_server/grpc_server.cpp
@@ -197,8 +197,7 @@
     write(connection);
     while (connection.isUsable() && !(connection.isClosing && connection.isIdle())) {
       if (connection.hasStalled()) break;
-      // Nothing is read while data is unsent: a client that doesn't read its replies can't send more
-      // requests.
+      // Nothing is read while data is unsent: a client that doesn't read replies can't send requests.
       if (connection.stream.canRead() && connection.unsent.empty()) receive(connection);
       if (connection.stream.canWrite()) write(connection);
       if (!connection.isUsable()) break;
--- a/src/runtime/grpc_server/grpc_server.h
+++ b/src/runtime/grpc_server/grpc_server.h
@@ -20,8 +20,7 @@
 // Identifies a call among the calls of all connections. Never 0.
 using CallKey = std::uint64_t;
 
-// Receives the events of all calls, in the order in which they occur. May call the server from any of these
-// functions.
+// Receives the events of all calls in order of occurrence. May call the server from any of these functions.
 class CallHandler {
  public:
   virtual ~CallHandler() = default;
--- a/src/runtime/server/accept_loop.cpp
+++ b/src/runtime/server/accept_loop.cpp
@@ -14,14 +14,12 @@
 
 namespace {
 
-// One in this many clients is closed at a time to free capacity, if it is idle: closing them one by one would
-// require one search per client.
+// To free capacity, idle clients are closed in batches of the client limit divided by this: closing them one
+// by one would require one search per client.
 constexpr std::size_t kIdleCloseDivisor = 32;
-// Upper bound on the new clients per turn, so that existing clients take precedence over a burst of
-// connections.
+// Upper bound on new clients per turn: existing clients take precedence over a burst of connections.
 constexpr int kMaxAcceptsPerTurn = 8;
-// Pause after a failed accept, to avoid a busy loop. The shortage ends as connections to clients and nodes
-// close.
+// Pause after a failed accept, to avoid a busy loop. The shortage ends when other connections close.
 constexpr Duration kAcceptRetryDelay = Duration::millis(10);
 
 event_loop::Descriptor listenAt(const config::Address& address) {
@@ -101,7 +99,7 @@
   listener_.reset();
 }
 
-// Closes the oldest lingering client in the next turn if too many linger. Returns false if they don't.
+// Closes the oldest lingering client in the next turn if too many linger. Returns false otherwise.
 bool ClientConnections::closeOldestLingering() {
   if (lingering_.size() <= kMaxLingeringClients) return false;
   Client& oldest = *clients_.at(lingering_.front());
--- a/src/runtime/server/client_connections.cpp
+++ b/src/runtime/server/client_connections.cpp
@@ -15,14 +15,12 @@
 
 // Turns are a few milliseconds apart. A longer gap means that the process was stopped or busy.
 constexpr Duration kStallThreshold = Duration::millis(50);
-// The host of a client that has closed its connection answers a notice with a reset, within a network round
-// trip.
+// If a client has closed its connection, a notice is answered with a reset within a network round trip.
 constexpr Duration kResetDelay = Duration::millis(25);
 // After the end of stream is sent, a client closes its end within a round trip unless it is idle. The server
 // waits for it for this multiple of the connect time limit.
 constexpr double kLingerFactor = 2;
-// Bytes that a client may send before it receives a response: some short statements, or the start of a long
-// one.
+// Bytes that a client may send ahead of a response: some short statements, or the start of a long one.
 constexpr std::size_t kMaxPipelinedBytes = 16 * 1024;
 
 }  // namespace
@@ -101,8 +99,8 @@
   }
 }
 
-// Runs one step of a client's connection, so that other connections are served in between. The result `wait`
-// means until the stream changes.
+// Runs one step of a client's connection, so that other connections are served in between. After the result
+// `wait`, the client is served again when its stream changes.
 ClientConnections::TurnResult ClientConnections::serveTurn(ClientId id, Client& client) {
   client.flush();
   if (client.isBroken || (client.isClosing && !client.hasUnsent())) return TurnResult::close;
@@ -135,8 +133,7 @@
 
 ClientConnections::TurnResult ClientConnections::readClient(ClientId id, Client& client) {
   client.read([&](std::string_view bytes) { return deliver(id, client, bytes); });
-  // Reset only once everything is read: data that a read left over may be as old as the data that it
-  // returned.
+  // Reset only once everything is read: data that a read leaves over is as old as the data it returned.
   if (!client.stream.canRead()) client.unreadSince = Instant();
   if (client.hasEnded && !client.isRedeliveryRequested) gateway_.clientHalfClosed(loop_.now(), id);
   // Reported in this turn, before anything more is sent for this client.
@@ -154,7 +151,7 @@
   return false;
 }
 
-// Returns the lower bound on the arrival time of the data that can be read now. Prevents treating statements
+// Returns a lower bound on the arrival time of the data that can be read now. Prevents treating statements
 // that arrived while this process was stopped or busy as new: their clients have less time left than they
 // state, and may have disconnected. Trade-off: statements that have just arrived count as older too.
 Instant ClientConnections::earliestArrival() const {
--- a/src/runtime/server/connection.h
+++ b/src/runtime/server/connection.h
@@ -36,8 +36,7 @@
   void send(gateway::ByteSlices slices);
   // Sends as much of the buffered data as possible.
   void flush();
-  // Reads once. `consume` gets all received bytes that are not consumed yet, and returns how many it
-  // consumed.
+  // Reads once. `consume` gets all received bytes not consumed yet, and returns how many it consumed.
   template <typename Consume>
   void read(Consume consume);
   // Passes the received bytes that are not consumed yet to `consume` again.
@@ -59,7 +58,7 @@
   void updateSharedUsage();
 
   SharedBuffers& shared_;
-  std::string received_;  // not consumed yet
+  std::string received_;  // received and not consumed yet
   std::string unsent_;
   std::size_t accountedBytes_ = 0;  // sizes of received_ and unsent_ that are included in the shared total
 };
--- a/src/runtime/server/node_connections.cpp
+++ b/src/runtime/server/node_connections.cpp
@@ -54,8 +54,7 @@
       }
       while (isConnected && !connection.isAborted && !connection.isBroken && !connection.hasEnded) {
         serveTurn(id, connection);
-        // The end is reported in this turn, before any further decision, so that nothing is written on this
-        // connection.
+        // Reported in this turn, before any further decision, so that nothing is written on this connection.
         if (connection.isBroken || connection.hasEnded) break;
         if (connection.stream.canRead()) connection.stream.wake();
         co_await connection.stream.changed();
--- a/src/runtime/server/resource_limits.cpp
+++ b/src/runtime/server/resource_limits.cpp
@@ -14,8 +14,7 @@
 // rule, but has no setting for it.
 constexpr std::size_t kTransactionDivisor = 3;
 // A quarter of the memory is for queued statements, and another quarter for the buffers of connections.
-// Buffers grow by doubling, which may need the same amount again, and the responses of nodes need memory as
-// well.
+// Buffers grow by doubling, which may need the same amount again, and responses of nodes need more memory.
 constexpr std::size_t kMemoryDivisor = 4;
 
 std::size_t maxNodeConnections(const config::RouterConfig& config) {
