--- a/tests/poll_schedule.cpp
+++ b/tests/poll_schedule.cpp
@@ -1,5 +1,5 @@
-// When discovery is polled. Run as `poll_schedule CASE`: prints the times chosen, and what many routers that
-// poll so bring about.
+// The schedule of calls to discovery. Run as `poll_schedule CASE`: prints its times, and the load that many
+// routers with this schedule cause.
 #include "discovery/poll_schedule.h"
 
 #include <deque>
@@ -21,10 +21,10 @@
   for (const bool isPolled : {false, true})
     for (const int grace : {2000, 1000, 500, 250, 0}) {
       PollSchedule schedule(isPolled, Duration::millis(grace), 7);
-      std::cout << (isPolled ? "asked for" : "pushed") << ", grace " << grace << ": an answer is waited for "
-                << inMillis(schedule.silence(false, false)) << ", its rest "
-                << inMillis(schedule.silence(false, true)) << ", a watch's first word "
-                << inMillis(schedule.silence(true, false)) << ", its next "
+      std::cout << (isPolled ? "polled" : "pushed") << ", grace " << grace << ": timeout of a list request "
+                << inMillis(schedule.silence(false, false)) << ", of the rest of its answer "
+                << inMillis(schedule.silence(false, true)) << ", of a watch "
+                << inMillis(schedule.silence(true, false)) << ", of its next data "
                 << inMillis(schedule.silence(true, true)) << "; pauses";
       for (int i = 0; i < 6; ++i) std::cout << " " << inMillis(schedule.pause());
       schedule.answered();
@@ -32,9 +32,9 @@
     }
 }
 
-// One discovery service for all, which rejects every call while more than a tenth of the routers have called
-// within the last quarter of a second, be they rejected or not. All start at once and stop once they are
-// answered.
+// One discovery service for all routers. It rejects every call while more than a tenth of the routers have
+// called within the last quarter of a second; rejected calls count, too. All routers start at once, and each
+// stops when it is answered.
 void manyRoutersAtOnce() {
   for (const bool isPolled : {false, true})
     for (const int routers : {30, 340}) {
@@ -59,9 +59,9 @@
         else
           lastAnswered = now;
       }
-      std::cout << (isPolled ? "asked for" : "pushed") << ", " << routers << " routers: " << due.size()
-                << " without a list after a minute, the last answered after " << inMillis(lastAnswered)
-                << " ms, " << callCount << " calls\n";
+      std::cout << (isPolled ? "polled" : "pushed") << ", " << routers << " routers: " << due.size()
+                << " without an endpoint list after a minute, the last answered after "
+                << inMillis(lastAnswered) << " ms, " << callCount << " calls\n";
     }
 }
 
--- a/tests/small.cpp
+++ b/tests/small.cpp
@@ -1,8 +1,9 @@
-// A small model of claims, explored in every order: the real decisions of three voters and of two routers
-// that are asked to run a transaction of one id; one of them may restart and be asked again. Messages stay in
-// the order of their connection, writes become durable or not, a voter loses its power, its disk, or both.
-// Each state is visited once; two orders that give each voter and coordinator the same history lead to the
-// same state. Run as `small CASE`: prints what was visited.
+// Model checker for claims. It explores all orders of events in a small model that uses the production code
+// of three voters and of two routers that claim a transaction with the same id. One of the routers may
+// restart and claim it again. Messages of a connection stay in order, writes become durable or not, and a
+// voter loses its power, or its power and its disk. Each state is visited once: two orders that give each
+// voter and coordinator the same history lead to the same state. Run as `small CASE`: prints the number of
+// states.
 #include <algorithm>
 #include <array>
 #include <functional>
@@ -20,17 +21,23 @@
 
 namespace {
 
-enum class Bug { none, sentBeforeDurable, oneVoteSuffices, lostDiskTakenForComplete, releasesUnknownOutcome };
-constexpr const char* kBugs[] = {"none", "a vote is told before it is durable",
-                                 "a claimant takes one vote for enough",
-                                 "a lost disk is taken for a whole one, whatever others know",
-                                 "the end of what may have run is told as never ran"};
+enum class Bug {
+  none,
+  sentBeforeDurable,
+  oneVoteTreatedAsMajority,
+  lostDiskTreatedAsComplete,
+  releasesUnknownOutcome
+};
+constexpr const char* kBugNames[] = {
+    "none", "a vote is sent before it is durable", "a claimant treats one vote as a majority",
+    "a lost disk is treated as complete, ignoring the replies of other voters",
+    "a transaction with an unknown outcome is reported as never run"};
 
-struct Limits {
-  int powerLosses = 1, disksLost = 1, starts = 1, timeouts = 2;
+struct FaultLimits {
+  int powerLosses = 1, diskLosses = 1, routerRestarts = 1, timeouts = 2;
 };
 
-constexpr std::size_t kVoters = 3, kRouters = 2;
+constexpr std::size_t kVoterCount = 3, kRouterCount = 2;
 const Instant kNow = Instant() + Duration::millis(1'000'000);
 const std::string kId = "b1", kValue = "v";
 
@@ -41,7 +48,7 @@
 }
 
 struct Disk {
-  std::vector<VoterIncarnation> own;
+  std::vector<VoterIncarnation> ownStarts;
   std::uint64_t newSince = 0;
   bool isComplete = true;
   std::map<std::string, ClaimRecord> entries;
@@ -50,7 +57,7 @@
 
 struct Write {
   std::vector<DiskChange> changes;
-  bool vote = false;  // of this token, to that router
+  bool sendsVote = false;  // once durable, the vote for `token` is sent to `router`
   ClaimToken token;
   std::size_t router = 0;
 };
@@ -64,7 +71,7 @@
     return router == later.router && voter == later.voter && start == later.start &&
            (kind == Kind::vote) == (later.kind == Kind::vote);
   }
-  // But for the voter: they are alike.
+  // Ignores the voter, as voters are interchangeable.
   std::uint64_t hash() const {
     std::uint64_t h = hashCombine(static_cast<std::uint64_t>(kind), router);
     h = hashCombine(h, start * 64 + number);
@@ -79,20 +86,21 @@
     std::vector<Write> writes;
     std::uint64_t history = 1;
   };
-  struct Router {
+  struct RouterState {
     std::optional<ClaimCoordinator> coordinator;
     std::uint64_t start = 1, history = 1;
-    enum class At { idle, asked, admitted, running, over } at = At::idle;
-    std::array<std::uint64_t, kVoters> heard{};
+    enum class Phase { idle, claiming, admitted, running, ended } phase = Phase::idle;
+    std::array<std::uint64_t, kVoterCount> receivedVotes{};
   };
-  std::vector<VoterState> voters{kVoters};
-  std::vector<Router> routers{kRouters};
+  std::vector<VoterState> voters{kVoterCount};
+  std::vector<RouterState> routers{kRouterCount};
   std::vector<Message> messages;
-  Limits remainingFaults;
-  int ran = 0;
+  FaultLimits remainingFaults;
+  int executionCount = 0;
 
-  // Voters are alike: which is which makes no other state. Nor does the order in which votes came: the sum
-  // of what a router heard from each is part of that voter's share.
+  // Identifies the state. Voters are interchangeable: states that differ only by a permutation of the voters
+  // are the same state. The order in which votes arrived does not matter either: the sum of the hashes of the
+  // votes that a router received from a voter is part of that voter's share.
   std::uint64_t key() const {
     std::vector<std::uint64_t> shares;
     for (std::size_t k = 0; k < voters.size(); ++k) {
@@ -100,129 +108,132 @@
       for (const auto& message : messages)
         if (message.voter == k) sum += hashCombine(3, message.hash());
       std::uint64_t h = hashCombine(hashCombine(voters[k].history, voters[k].writes.size()), sum);
-      for (const auto& r : routers) h = hashCombine(h, r.heard[k]);
+      for (const auto& r : routers) h = hashCombine(h, r.receivedVotes[k]);
       shares.push_back(h);
     }
     std::sort(shares.begin(), shares.end());
     std::uint64_t h = 7;
     for (const std::uint64_t share : shares) h = hashCombine(h, share);
     for (const auto& r : routers)
-      h = hashCombine(hashCombine(h, r.history), static_cast<std::uint64_t>(r.at) * 16 + r.start);
+      h = hashCombine(hashCombine(h, r.history), static_cast<std::uint64_t>(r.phase) * 16 + r.start);
     return hashCombine(
-        h, static_cast<std::uint64_t>(remainingFaults.powerLosses * 1000 + remainingFaults.disksLost * 100 +
-                                      remainingFaults.starts * 10 + remainingFaults.timeouts) *
+        h, static_cast<std::uint64_t>(remainingFaults.powerLosses * 1000 + remainingFaults.diskLosses * 100 +
+                                      remainingFaults.routerRestarts * 10 + remainingFaults.timeouts) *
                    8 +
-               static_cast<std::uint64_t>(ran));
+               static_cast<std::uint64_t>(executionCount));
   }
 };
 
 class Search {
  public:
-  Search(Bug bug, Limits limits) : bug_(bug) {
+  Search(Bug bug, FaultLimits limits) : bug_(bug) {
     State state;
     state.remainingFaults = limits;
-    for (std::size_t k = 0; k < kVoters; ++k) {
-      state.voters[k].disk.own.push_back({1, 100 + k});
-      boot(state, k);
+    for (std::size_t k = 0; k < kVoterCount; ++k) {
+      state.voters[k].disk.ownStarts.push_back({1, 100 + k});
+      startVoter(state, k);
     }
     startClaim(state, 0);
     pending_.push_back(std::move(state));
   }
-  // What broke; empty: nothing.
+  // Visits all states. Returns the violation found; empty: none.
   std::string run(std::size_t maxStates) {
-    while (!pending_.empty() && fault_.empty() && seen_.size() < maxStates) {
+    while (!pending_.empty() && violation_.empty() && visited_.size() < maxStates) {
       State state = std::move(pending_.back());
       pending_.pop_back();
-      if (!seen_.insert(state.key()).second) continue;
+      if (!visited_.insert(state.key()).second) continue;
       expand(state);
     }
-    if (fault_.empty() && !pending_.empty()) return "too many states";
-    return fault_;
+    if (violation_.empty() && !pending_.empty()) return "too many states";
+    return violation_;
   }
-  // From the beginning to an end by chance, so many times: a fault is not behind all that begins alike.
-  std::string walk(std::uint64_t maxWalks) {
-    const State first = pending_.front();
+  // Runs up to `maxWalks` random walks from the initial state to an end state. Prevents a violation from
+  // being found only after all orders with the same beginning. Returns the violation found; empty: none.
+  std::string walkRandomly(std::uint64_t maxWalks) {
+    const State initial = pending_.front();
     isWalking_ = true;
-    for (walks_ = 0; walks_ < maxWalks && fault_.empty(); ++walks_) {
-      pending_ = {first};
-      while (!pending_.empty() && fault_.empty()) {
+    for (walks_ = 0; walks_ < maxWalks && violation_.empty(); ++walks_) {
+      pending_ = {initial};
+      while (!pending_.empty() && violation_.empty()) {
         const State state =
             std::move(pending_[std::uniform_int_distribution<std::size_t>(0, pending_.size() - 1)(random_)]);
         pending_.clear();
         expand(state);
       }
     }
-    return fault_;
+    return violation_;
   }
   std::uint64_t walks() const { return walks_; }
-  std::size_t states() const { return seen_.size(); }
-  std::uint64_t steps() const { return steps_; }
-  std::uint64_t ends() const { return ends_; }
+  std::size_t states() const { return visited_.size(); }
+  std::uint64_t transitions() const { return transitions_; }
+  std::uint64_t endStates() const { return endStates_; }
 
  private:
-  // On a walk failures are rare, or all would fail before anything was done; else everything is tried.
-  bool failsNow() { return !isWalking_ || random_() % 16 == 0; }
-  static std::string name(std::size_t k) { return "k" + std::to_string(k); }
-  // Another state, after `change`.
+  // Whether a fault is injected now. On random walks faults are rare, as otherwise all nodes would fail
+  // before any progress; a search of all orders tries every fault.
+  bool injectsFault() { return !isWalking_ || random_() % 16 == 0; }
+  static std::string voterName(std::size_t k) { return "k" + std::to_string(k); }
+  // Adds the state that `change` leads to.
   void addSuccessor(const State& from, const std::function<void(State&)>& change) {
-    ++steps_;
+    ++transitions_;
     State next = from;
     change(next);
-    if (next.ran > 1) fault_ = "ran twice";
-    // Votes that nobody waits for any more change nothing.
+    if (next.executionCount > 1) violation_ = "transaction ran twice";
+    // Votes that no router awaits any more have no effect.
     std::erase_if(next.messages, [&](const Message& message) {
       const auto& router = next.routers[message.router];
       return message.kind == Message::Kind::vote &&
-             (router.start != message.start || router.at != State::Router::At::asked);
+             (router.start != message.start || router.phase != State::RouterState::Phase::claiming);
     });
     pending_.push_back(std::move(next));
   }
 
   void startClaim(State& state, std::size_t r) {
     ClaimCoordinatorLimits limits;
-    limits.voterCount = bug_ == Bug::oneVoteSuffices && r == 0 ? 1 : kVoters;
+    limits.voterCount = bug_ == Bug::oneVoteTreatedAsMajority && r == 0 ? 1 : kVoterCount;
     limits.retention = Duration::millis(600'000);
     auto& router = state.routers[r];
     router.coordinator.emplace(limits, 1);
     for (std::size_t k = 0; k < limits.voterCount; ++k)
       router.coordinator->setReachable(k, state.voters[k].voter.has_value());
-    router.at = State::Router::At::asked;
+    router.phase = State::RouterState::Phase::claiming;
     router.coordinator->beginClaim(kNow, 1, kId, Duration::millis(2000));
-    carryOut(state, r);
+    processOutputs(state, r);
   }
-  // Where it is on disk, after a greeting to all that are up.
-  void boot(State& state, std::size_t k) {
-    auto& at = state.voters[k];
+  // Starts the voter from its disk and exchanges greetings with all voters that are up.
+  void startVoter(State& state, std::size_t k) {
+    auto& voterState = state.voters[k];
     StoredState stored;
-    stored.ownStarts = at.disk.own;
-    stored.newSince = at.disk.newSince;
-    stored.isComplete = at.disk.isComplete;
-    stored.voterStarts = at.disk.starts;
-    for (std::size_t n = 0; n < kVoters; ++n) stored.voterLists.current.names.insert(name(n));
+    stored.ownStarts = voterState.disk.ownStarts;
+    stored.newSince = voterState.disk.newSince;
+    stored.isComplete = voterState.disk.isComplete;
+    stored.voterStarts = voterState.disk.starts;
+    for (std::size_t n = 0; n < kVoterCount; ++n) stored.voterLists.current.names.insert(voterName(n));
     stored.voterLists.current.version = 1;
-    for (const auto& [id, entry] : at.disk.entries) stored.claims.push_back(entry);
-    at.voter.emplace(kNow, name(k), VotingMemberLimits(), std::move(stored));
-    // Twice: the number of its start may have to grow.
+    for (const auto& [id, entry] : voterState.disk.entries) stored.claims.push_back(entry);
+    voterState.voter.emplace(kNow, voterName(k), VotingMemberLimits(), std::move(stored));
+    // Two rounds, as the number of its start may have to increase after the first.
     for (int round = 0; round < 2; ++round)
-      for (std::size_t n = 0; n < kVoters; ++n) {
+      for (std::size_t n = 0; n < kVoterCount; ++n) {
         if (n == k || !state.voters[n].voter) continue;
         auto& other = state.voters[n];
-        const auto knownStart = other.voter->onGreeting(name(k), at.voter->start());
+        const auto knownStart = other.voter->onGreeting(voterName(k), voterState.voter->start());
         apply(other.disk, other.voter->takeChanges());
-        const bool ignoresReply = bug_ == Bug::lostDiskTakenForComplete;
-        at.voter->onGreetingReply(
-            kNow, name(n), at.voter->start().number,
-            ignoresReply ? VoterIncarnation() : knownStart.value_or(VoterIncarnation()));
-        apply(at.disk, at.voter->takeChanges());
-        at.voter->onGreeting(name(n), other.voter->start());
-        other.voter->onGreetingReply(
-            kNow, name(k), other.voter->start().number,
-            at.disk.starts.contains(name(n)) ? at.disk.starts[name(n)] : VoterIncarnation());
-        apply(at.disk, at.voter->takeChanges());
+        const bool ignoresReplies = bug_ == Bug::lostDiskTreatedAsComplete;
+        voterState.voter->onGreetingReply(
+            kNow, voterName(n), voterState.voter->start().number,
+            ignoresReplies ? VoterIncarnation() : knownStart.value_or(VoterIncarnation()));
+        apply(voterState.disk, voterState.voter->takeChanges());
+        voterState.voter->onGreeting(voterName(n), other.voter->start());
+        other.voter->onGreetingReply(kNow, voterName(k), other.voter->start().number,
+                                     voterState.disk.starts.contains(voterName(n))
+                                         ? voterState.disk.starts[voterName(n)]
+                                         : VoterIncarnation());
+        apply(voterState.disk, voterState.voter->takeChanges());
         apply(other.disk, other.voter->takeChanges());
-        other.history = hashCombine(other.history, 1000 + at.voter->start().number * 8 + k);
+        other.history = hashCombine(other.history, 1000 + voterState.voter->start().number * 8 + k);
       }
-    at.history = hashCombine(at.history, 77);
+    voterState.history = hashCombine(voterState.history, 77);
   }
   static void apply(Disk& disk, const std::vector<DiskChange>& changes) {
     for (const auto& change : changes) {
@@ -233,14 +244,14 @@
       const auto* start = std::get_if<VoterStartRecord>(&change);
       if (!start) continue;
       if (start->voter.empty())
-        disk.own.push_back(start->incarnation);
+        disk.ownStarts.push_back(start->incarnation);
       else
         disk.starts[start->voter] = start->incarnation;
     }
   }
 
-  // What a coordinator says and decides goes where it belongs.
-  void carryOut(State& state, std::size_t r) {
+  // Delivers the messages and applies the decisions of the coordinator.
+  void processOutputs(State& state, std::size_t r) {
     auto& router = state.routers[r];
     for (const auto& message : router.coordinator->takeMessages()) {
       Message out;
@@ -255,14 +266,14 @@
     }
     for (const auto& decision : router.coordinator->takeDecisions()) {
       using Kind = ClaimCoordinator::Decision::Kind;
-      if (decision.kind == Kind::alreadyCommitted && state.ran == 0)
-        fault_ = "told as committed and never ran";
+      if (decision.kind == Kind::alreadyCommitted && state.executionCount == 0)
+        violation_ = "transaction was reported as committed but never ran";
       if (decision.kind == Kind::admitted) {
-        router.at = State::Router::At::admitted;
+        router.phase = State::RouterState::Phase::admitted;
       } else {
-        router.at = State::Router::At::over;
+        router.phase = State::RouterState::Phase::ended;
         router.coordinator->onTransactionEnded(decision.txn, ClaimCoordinator::ExecutionOutcome::neverRan);
-        carryOut(state, r);
+        processOutputs(state, r);
       }
     }
   }
@@ -278,8 +289,9 @@
   }
   void queue(State& state, std::size_t k, Write write) {
     write.changes = state.voters[k].voter->takeChanges();
-    if (!write.changes.empty() || write.vote) state.voters[k].writes.push_back(std::move(write));
-    // Where no power is lost any more it makes no difference when: the vote may take as long to arrive.
+    if (!write.changes.empty() || write.sendsVote) state.voters[k].writes.push_back(std::move(write));
+    // Without further power losses the time of the write makes no difference, as a delay of the vote in
+    // transit has the same effect.
     while (state.remainingFaults.powerLosses == 0 && !state.voters[k].writes.empty()) this->write(state, k);
   }
   void write(State& state, std::size_t k) {
@@ -288,56 +300,57 @@
     voter.writes.erase(voter.writes.begin());
     voter.history = hashCombine(voter.history, 55);
     apply(voter.disk, write.changes);
-    if (!write.vote) return;
+    if (!write.sendsVote) return;
     const auto vote = voter.voter->onWritten(kId, write.token, true);
     if (vote && bug_ != Bug::sentBeforeDurable) sendVote(state, k, write.router, write.token, *vote);
   }
   void deliver(State& state, const Message& message) {
     if (message.kind == Message::Kind::vote) {
       auto& router = state.routers[message.router];
-      if (router.start != message.start || router.at != State::Router::At::asked) return;
-      router.heard[message.voter] += hashCombine(5, message.hash());
+      if (router.start != message.start || router.phase != State::RouterState::Phase::claiming) return;
+      router.receivedVotes[message.voter] += hashCombine(5, message.hash());
       router.coordinator->onVote(message.voter, message.number, message.vote);
-      return carryOut(state, message.router);
+      return processOutputs(state, message.router);
     }
-    auto& at = state.voters[message.voter];
-    if (!at.voter) return;
-    at.history = hashCombine(at.history, message.hash());
+    auto& voterState = state.voters[message.voter];
+    if (!voterState.voter) return;
+    voterState.history = hashCombine(voterState.history, message.hash());
     const ClaimToken token{"r" + std::to_string(message.router), message.start, message.number};
     Write write;
-    if (message.kind == Message::Kind::release) at.voter->onReleased(kId, token);
-    if (message.kind == Message::Kind::committed) at.voter->onCommitted(kNow, kId, token, kValue);
+    if (message.kind == Message::Kind::release) voterState.voter->onReleased(kId, token);
+    if (message.kind == Message::Kind::committed) voterState.voter->onCommitted(kNow, kId, token, kValue);
     if (message.kind == Message::Kind::claim) {
-      const auto vote = at.voter->onClaim(kNow, kId, token);
+      const auto vote = voterState.voter->onClaim(kNow, kId, token);
       if (vote) return sendVote(state, message.voter, message.router, token, *vote);
       if (bug_ == Bug::sentBeforeDurable)
         sendVote(state, message.voter, message.router, token, {Vote::Kind::granted, false, ""});
-      write.vote = true;
+      write.sendsVote = true;
       write.token = token;
       write.router = message.router;
     }
     queue(state, message.voter, std::move(write));
   }
 
-  // Adds all states that may come next. A state without any is an end.
+  // Adds all successors of the state. A state without any is an end state.
   void expand(const State& state) {
-    // Nobody is left who may run the transaction.
-    const bool isOver = state.remainingFaults.starts == 0 &&
-                        std::all_of(state.routers.begin(), state.routers.end(),
-                                    [](const auto& router) { return router.at == State::Router::At::over; });
+    // No router can run the transaction any more.
+    const bool isOver = state.remainingFaults.routerRestarts == 0 &&
+                        std::all_of(state.routers.begin(), state.routers.end(), [](const auto& router) {
+                          return router.phase == State::RouterState::Phase::ended;
+                        });
     if (isOver) {
-      ++ends_;
+      ++endStates_;
       return;
     }
     bool hasSuccessor = expandMessages(state);
-    for (std::size_t k = 0; k < kVoters; ++k) hasSuccessor = expandVoter(state, k) || hasSuccessor;
-    for (std::size_t r = 0; r < kRouters; ++r) hasSuccessor = expandRouter(state, r) || hasSuccessor;
-    if (!hasSuccessor) ++ends_;
+    for (std::size_t k = 0; k < kVoterCount; ++k) hasSuccessor = expandVoter(state, k) || hasSuccessor;
+    for (std::size_t r = 0; r < kRouterCount; ++r) hasSuccessor = expandRouter(state, r) || hasSuccessor;
+    if (!hasSuccessor) ++endStates_;
   }
 
-  // Each of these returns whether there is a successor other than by a fault.
+  // Each of the following functions returns whether the state has a successor without a fault.
 
-  // Any message arrives that is the first of its stream, which keeps its order.
+  // A message arrives. Streams keep their order, so only the first message of a stream can.
   bool expandMessages(const State& state) {
     bool hasSuccessor = false;
     for (std::size_t i = 0; i < state.messages.size(); ++i) {
@@ -355,20 +368,20 @@
     return hasSuccessor;
   }
 
-  // A write becomes durable, power or disk are lost, or the voter starts again.
+  // A write becomes durable, the voter loses its power, with or without its disk, or it restarts.
   bool expandVoter(const State& state, std::size_t k) {
-    const auto& at = state.voters[k];
+    const auto& voterState = state.voters[k];
     bool hasSuccessor = false;
-    if (at.voter && !at.writes.empty()) {
+    if (voterState.voter && !voterState.writes.empty()) {
       hasSuccessor = true;
       addSuccessor(state, [&](State& next) { write(next, k); });
     }
-    if (at.voter && state.remainingFaults.powerLosses > 0 && failsNow()) {
+    if (voterState.voter && state.remainingFaults.powerLosses > 0 && injectsFault()) {
       addSuccessor(state, [&](State& next) { losePower(next, k, false); });
-      if (state.remainingFaults.disksLost > 0)
+      if (state.remainingFaults.diskLosses > 0)
         addSuccessor(state, [&](State& next) { losePower(next, k, true); });
     }
-    if (!at.voter) {
+    if (!voterState.voter) {
       hasSuccessor = true;
       addSuccessor(state, [&](State& next) { restartVoter(next, k); });
     }
@@ -376,68 +389,69 @@
   }
 
   void restartVoter(State& next, std::size_t k) {
-    auto& starts = next.voters[k].disk.own;
+    auto& starts = next.voters[k].disk.ownStarts;
     starts.push_back({starts.empty() ? 1 : starts.back().number + 1, 200 + k});
-    boot(next, k);
-    for (std::size_t r = 0; r < kRouters; ++r) {
+    startVoter(next, k);
+    for (std::size_t r = 0; r < kRouterCount; ++r) {
       if (next.routers[r].coordinator) next.routers[r].coordinator->setReachable(k, true);
-      next.routers[r].heard[k] = hashCombine(next.routers[r].heard[k], 300);
+      next.routers[r].receivedVotes[k] = hashCombine(next.routers[r].receivedVotes[k], 300);
     }
   }
 
-  // A router is asked, runs the transaction to one of its ends, times out, or restarts.
+  // A router claims the transaction, executes it to one of its outcomes, times out, or restarts.
   bool expandRouter(const State& state, std::size_t r) {
-    using At = State::Router::At;
+    using Phase = State::RouterState::Phase;
     const auto& router = state.routers[r];
     bool hasSuccessor = false;
-    if (router.at == At::idle) {
+    if (router.phase == Phase::idle) {
       hasSuccessor = true;
       addSuccessor(state, [&](State& next) {
         next.routers[r].history = hashCombine(next.routers[r].history, 900);
         startClaim(next, r);
       });
     }
-    if (router.at == At::asked && state.remainingFaults.timeouts > 0 && failsNow())
+    if (router.phase == Phase::claiming && state.remainingFaults.timeouts > 0 && injectsFault())
       addSuccessor(state, [&](State& next) { timeOut(next, r); });
-    if (router.at == At::admitted || router.at == At::running) {
+    if (router.phase == Phase::admitted || router.phase == Phase::running) {
       hasSuccessor = true;
       expandExecution(state, r);
     }
-    // It starts again and is asked for the id once more; messages of before may still arrive.
-    if (r == 0 && state.remainingFaults.starts > 0 && failsNow())
+    // The router restarts and claims the id again; messages from before the restart may still arrive.
+    if (r == 0 && state.remainingFaults.routerRestarts > 0 && injectsFault())
       addSuccessor(state, [&](State& next) { restartRouter(next, r); });
     return hasSuccessor;
   }
 
-  // The transaction is not run, runs, is committed, or its outcome stays unknown.
+  // The transaction is not executed, is executed, is committed, or its outcome remains unknown.
   void expandExecution(const State& state, std::size_t r) {
-    using At = State::Router::At;
+    using Phase = State::RouterState::Phase;
     using Outcome = ClaimCoordinator::ExecutionOutcome;
-    if (state.routers[r].at == At::admitted) {
-      addExecutionStep(state, r, At::over, [](State&, ClaimCoordinator& coordinator) {
+    if (state.routers[r].phase == Phase::admitted) {
+      addExecutionStep(state, r, Phase::ended, [](State&, ClaimCoordinator& coordinator) {
         coordinator.onTransactionEnded(1, Outcome::neverRan);
       });
-      addExecutionStep(state, r, At::running, [](State& next, ClaimCoordinator&) { ++next.ran; });
+      addExecutionStep(state, r, Phase::running,
+                       [](State& next, ClaimCoordinator&) { ++next.executionCount; });
     } else {
-      addExecutionStep(state, r, At::over, [](State&, ClaimCoordinator& coordinator) {
+      addExecutionStep(state, r, Phase::ended, [](State&, ClaimCoordinator& coordinator) {
         coordinator.onCommitted(1, kValue);
         coordinator.onTransactionEnded(1, Outcome::committed);
       });
-      addExecutionStep(state, r, At::over, [this](State&, ClaimCoordinator& coordinator) {
+      addExecutionStep(state, r, Phase::ended, [this](State&, ClaimCoordinator& coordinator) {
         coordinator.onTransactionEnded(
             1, bug_ == Bug::releasesUnknownOutcome ? Outcome::neverRan : Outcome::unknown);
       });
     }
   }
 
-  void addExecutionStep(const State& state, std::size_t r, State::Router::At then,
+  void addExecutionStep(const State& state, std::size_t r, State::RouterState::Phase then,
                         const std::function<void(State&, ClaimCoordinator&)>& change) {
     addSuccessor(state, [&](State& next) {
       auto& router = next.routers[r];
-      router.at = then;
+      router.phase = then;
       router.history = hashCombine(router.history, 400 + static_cast<std::uint64_t>(then));
       change(next, *router.coordinator);
-      carryOut(next, r);
+      processOutputs(next, r);
     });
   }
 
@@ -445,34 +459,34 @@
     --next.remainingFaults.timeouts;
     next.routers[r].history = hashCombine(next.routers[r].history, 500);
     next.routers[r].coordinator->runTimers(kNow + Duration::millis(900));
-    carryOut(next, r);
+    processOutputs(next, r);
   }
 
   void restartRouter(State& next, std::size_t r) {
-    --next.remainingFaults.starts;
+    --next.remainingFaults.routerRestarts;
     ++next.routers[r].start;
-    next.routers[r].heard = {};
+    next.routers[r].receivedVotes = {};
     next.routers[r].history = hashCombine(next.routers[r].history, 600);
     startClaim(next, r);
   }
 
-  void losePower(State& state, std::size_t k, bool disk) {
+  void losePower(State& state, std::size_t k, bool losesDisk) {
     --state.remainingFaults.powerLosses;
-    auto& at = state.voters[k];
-    at.history = hashCombine(at.history, disk ? 700 : 701);
-    at.voter.reset();
-    at.writes.clear();
-    if (disk) {
-      --state.remainingFaults.disksLost;
-      at.disk = Disk();
-      at.disk.isComplete = bug_ == Bug::lostDiskTakenForComplete;
+    auto& voterState = state.voters[k];
+    voterState.history = hashCombine(voterState.history, losesDisk ? 700 : 701);
+    voterState.voter.reset();
+    voterState.writes.clear();
+    if (losesDisk) {
+      --state.remainingFaults.diskLosses;
+      voterState.disk = Disk();
+      voterState.disk.isComplete = bug_ == Bug::lostDiskTreatedAsComplete;
     }
     std::erase_if(state.messages, [&](const Message& message) { return message.voter == k; });
-    for (std::size_t r = 0; r < kRouters; ++r) {
-      state.routers[r].heard[k] = hashCombine(state.routers[r].heard[k], 800);
+    for (std::size_t r = 0; r < kRouterCount; ++r) {
+      state.routers[r].receivedVotes[k] = hashCombine(state.routers[r].receivedVotes[k], 800);
       if (!state.routers[r].coordinator) continue;
       state.routers[r].coordinator->setReachable(k, false);
-      carryOut(state, r);
+      processOutputs(state, r);
     }
   }
 
@@ -480,29 +494,30 @@
   std::mt19937_64 random_{1};
   bool isWalking_ = false;
   std::vector<State> pending_;
-  std::unordered_set<std::uint64_t> seen_;
-  std::uint64_t steps_ = 0, ends_ = 0, walks_ = 0;
-  std::string fault_;
+  std::unordered_set<std::uint64_t> visited_;
+  std::uint64_t transitions_ = 0, endStates_ = 0, walks_ = 0;
+  std::string violation_;
 };
 
-void exploreOrders(const std::vector<Limits>& allLimits) {
-  for (const Limits& limits : allLimits) {
+void exploreOrders(const std::vector<FaultLimits>& allLimits) {
+  for (const FaultLimits& limits : allLimits) {
     Search search(Bug::none, limits);
-    const std::string fault = search.run(100'000'000);
-    std::cout << limits.powerLosses << " losses of power, " << limits.disksLost << " of disks, "
-              << limits.starts << " starts, " << limits.timeouts << " claims out of time: " << search.states()
-              << " states, " << search.steps() << " steps, " << search.ends()
-              << " ends: " << (fault.empty() ? "nothing ran twice, nothing false was told" : fault)
+    const std::string violation = search.run(100'000'000);
+    std::cout << limits.powerLosses << " power losses, " << limits.diskLosses << " disk losses, "
+              << limits.routerRestarts << " router restarts, " << limits.timeouts
+              << " claim timeouts: " << search.states() << " states, " << search.transitions()
+              << " transitions, " << search.endStates() << " end states: "
+              << (violation.empty() ? "no transaction ran twice, no outcome was reported falsely" : violation)
               << std::endl;
   }
 }
 
-// Random walks find each built-in bug, and nothing where there is none.
+// Random walks must find each built-in bug, and no violation without one.
 void findBuiltInBugs() {
   for (int bug = 0; bug < 5; ++bug) {
     Search search(static_cast<Bug>(bug), {1, 1, 1, 2});
-    const std::string fault = search.walk(bug == 0 ? 4'000 : 1'000'000);
-    std::cout << kBugs[bug] << ": " << (fault.empty() ? "nothing broken" : fault) << " after "
+    const std::string violation = search.walkRandomly(bug == 0 ? 4'000 : 1'000'000);
+    std::cout << kBugNames[bug] << ": " << (violation.empty() ? "no violation" : violation) << " after "
               << search.walks() << " walks" << std::endl;
   }
 }
@@ -511,7 +526,7 @@
 
 int main(int argc, char** argv) {
   const std::string name = argc > 1 ? argv[1] : "";
-  // In CI what takes seconds; `more` what takes minutes.
+  // CI runs the cases that take seconds; `more` takes minutes.
   if (name == "claim-orders") return exploreOrders({{0, 0, 0, 2}}), 0;
   if (name == "more") return exploreOrders({{1, 0, 0, 0}, {0, 0, 1, 0}}), 0;
   if (name == "built-in-bugs") return findBuiltInBugs(), 0;
