--- a/tests/decisions.cpp
+++ b/tests/decisions.cpp
@@ -120,7 +120,7 @@
     RouterHarness harness(config);
     startGroup(harness);
     harness.hidesHealthChecks = true;
-    harness.describe("write 1 is sent at 10, and " + writeState +
+    harness.describe("a write is sent at 10, and " + writeState +
                      "; both replicas have applied all up to 30 when the session reads, at 40");
     harness.at(10, [&](Router& r) {
       auto write = harness.txn(1, 1);
--- a/tests/invariants.cpp
+++ b/tests/invariants.cpp
@@ -14,6 +14,7 @@
 
 std::string subject() { return "txn a to node n"; }
 
+// Prints the verdict of each check and each notification of the listener.
 class InvariantsHarness {
  public:
   InvariantsHarness() {
--- a/tests/poll_schedule.cpp
+++ b/tests/poll_schedule.cpp
@@ -19,12 +19,12 @@
 
 void pollIntervals() {
   for (const bool isPolled : {false, true})
-    for (const int grace : {2000, 1000, 500, 250, 0}) {
-      PollSchedule schedule(isPolled, Duration::millis(grace), 7);
-      std::cout << (isPolled ? "polled" : "pushed") << ", grace " << grace << ": timeout of a list request "
-                << inMillis(schedule.silence(false, false)) << ", of the rest of its answer "
-                << inMillis(schedule.silence(false, true)) << ", of a watch "
-                << inMillis(schedule.silence(true, false)) << ", of its next data "
+    for (const int drainGrace : {2000, 1000, 500, 250, 0}) {
+      PollSchedule schedule(isPolled, Duration::millis(drainGrace), 7);
+      std::cout << (isPolled ? "polled" : "pushed") << ", drain grace " << drainGrace
+                << ": timeout of a list request " << inMillis(schedule.silence(false, false))
+                << ", of the rest of its answer " << inMillis(schedule.silence(false, true))
+                << ", of a watch " << inMillis(schedule.silence(true, false)) << ", of its next data "
                 << inMillis(schedule.silence(true, true)) << "; pauses";
       for (int i = 0; i < 6; ++i) std::cout << " " << inMillis(schedule.pause());
       schedule.answered();
@@ -37,16 +37,16 @@
 // stops when it is answered.
 void manyRoutersAtOnce() {
   for (const bool isPolled : {false, true})
-    for (const int routers : {30, 340}) {
+    for (const int routerCount : {30, 340}) {
       std::vector<PollSchedule> schedules;
       std::priority_queue<std::pair<Duration, int>, std::vector<std::pair<Duration, int>>, std::greater<>>
           due;
-      for (int i = 0; i < routers; ++i) {
+      for (int i = 0; i < routerCount; ++i) {
         schedules.emplace_back(isPolled, Duration::seconds(1), static_cast<std::uint64_t>(i));
         due.push({Duration::micros(i), i});
       }
       std::deque<Duration> recentCalls;
-      Duration lastAnswered;
+      Duration lastAnsweredAt;
       long callCount = 0;
       while (!due.empty() && due.top().first < Duration::seconds(60)) {
         const auto [now, i] = due.top();
@@ -54,14 +54,14 @@
         ++callCount;
         recentCalls.push_back(now);
         while (now - recentCalls.front() > Duration::millis(250)) recentCalls.pop_front();
-        if (std::ssize(recentCalls) * 10 > routers)
+        if (std::ssize(recentCalls) * 10 > routerCount)
           due.push({now + schedules[static_cast<std::size_t>(i)].pause(), i});
         else
-          lastAnswered = now;
+          lastAnsweredAt = now;
       }
-      std::cout << (isPolled ? "polled" : "pushed") << ", " << routers << " routers: " << due.size()
+      std::cout << (isPolled ? "polled" : "pushed") << ", " << routerCount << " routers: " << due.size()
                 << " without an endpoint list after a minute, the last answered after "
-                << inMillis(lastAnswered) << " ms, " << callCount << " calls\n";
+                << inMillis(lastAnsweredAt) << " ms, " << callCount << " calls\n";
     }
 }
 
--- a/tests/small.cpp
+++ b/tests/small.cpp
@@ -21,9 +21,10 @@
 
 namespace {
 
+// Bugs that can be built into the model, to show that random walks find them.
 enum class Bug {
   none,
-  sentBeforeDurable,
+  voteSentBeforeDurable,
   oneVoteTreatedAsMajority,
   lostDiskTreatedAsComplete,
   releasesUnknownOutcome
@@ -33,6 +34,7 @@
     "a lost disk is treated as complete, ignoring the replies of other voters",
     "a transaction with an unknown outcome is reported as never run"};
 
+// How often each fault may still occur.
 struct FaultLimits {
   int powerLosses = 1, diskLosses = 1, routerRestarts = 1, timeouts = 2;
 };
@@ -47,14 +49,16 @@
   return a ^ a >> 31;
 }
 
+// The durable state of a voter.
 struct Disk {
   std::vector<VoterIncarnation> ownStarts;
   std::uint64_t newSince = 0;
   bool isComplete = true;
-  std::map<std::string, ClaimRecord> entries;
-  std::map<std::string, VoterIncarnation> starts;
+  std::map<std::string, ClaimRecord> claims;
+  std::map<std::string, VoterIncarnation> voterStarts;
 };
 
+// Changes that are not durable yet.
 struct Write {
   std::vector<DiskChange> changes;
   bool sendsVote = false;  // once durable, the vote for `token` is sent to `router`
@@ -62,11 +66,13 @@
   std::size_t router = 0;
 };
 
+// A message in flight between a router and a voter.
 struct Message {
   enum class Kind { claim, release, committed, vote } kind = Kind::claim;
   std::size_t router = 0, voter = 0;
   std::uint64_t start = 0, number = 0;
   Vote vote;
+  // Whether this message must be delivered before one that was sent later.
   bool isAheadOf(const Message& later) const {
     return router == later.router && voter == later.voter && start == later.start &&
            (kind == Kind::vote) == (later.kind == Kind::vote);
@@ -79,6 +85,7 @@
   }
 };
 
+// The state of all voters and routers, with the messages in flight between them.
 struct State {
   struct VoterState {
     std::optional<VotingMember> voter;
@@ -90,7 +97,7 @@
     std::optional<ClaimCoordinator> coordinator;
     std::uint64_t start = 1, history = 1;
     enum class Phase { idle, claiming, admitted, running, ended } phase = Phase::idle;
-    std::array<std::uint64_t, kVoterCount> receivedVotes{};
+    std::array<std::uint64_t, kVoterCount> voteHistory{};
   };
   std::vector<VoterState> voters{kVoterCount};
   std::vector<RouterState> routers{kRouterCount};
@@ -108,7 +115,7 @@
       for (const auto& message : messages)
         if (message.voter == k) sum += hashCombine(3, message.hash());
       std::uint64_t h = hashCombine(hashCombine(voters[k].history, voters[k].writes.size()), sum);
-      for (const auto& r : routers) h = hashCombine(h, r.receivedVotes[k]);
+      for (const auto& r : routers) h = hashCombine(h, r.voteHistory[k]);
       shares.push_back(h);
     }
     std::sort(shares.begin(), shares.end());
@@ -124,6 +131,7 @@
   }
 };
 
+// Explores the states that are reachable from the initial one, with the given bug built in.
 class Search {
  public:
   Search(Bug bug, FaultLimits limits) : bug_(bug) {
@@ -207,10 +215,10 @@
     stored.ownStarts = voterState.disk.ownStarts;
     stored.newSince = voterState.disk.newSince;
     stored.isComplete = voterState.disk.isComplete;
-    stored.voterStarts = voterState.disk.starts;
+    stored.voterStarts = voterState.disk.voterStarts;
     for (std::size_t n = 0; n < kVoterCount; ++n) stored.voterLists.current.names.insert(voterName(n));
     stored.voterLists.current.version = 1;
-    for (const auto& [id, entry] : voterState.disk.entries) stored.claims.push_back(entry);
+    for (const auto& [id, claim] : voterState.disk.claims) stored.claims.push_back(claim);
     voterState.voter.emplace(kNow, voterName(k), VotingMemberLimits(), std::move(stored));
     // Two rounds, as the number of its start may have to increase after the first.
     for (int round = 0; round < 2; ++round)
@@ -226,8 +234,8 @@
         apply(voterState.disk, voterState.voter->takeChanges());
         voterState.voter->onGreeting(voterName(n), other.voter->start());
         other.voter->onGreetingReply(kNow, voterName(k), other.voter->start().number,
-                                     voterState.disk.starts.contains(voterName(n))
-                                         ? voterState.disk.starts[voterName(n)]
+                                     voterState.disk.voterStarts.contains(voterName(n))
+                                         ? voterState.disk.voterStarts[voterName(n)]
                                          : VoterIncarnation());
         apply(voterState.disk, voterState.voter->takeChanges());
         apply(other.disk, other.voter->takeChanges());
@@ -237,8 +245,8 @@
   }
   static void apply(Disk& disk, const std::vector<DiskChange>& changes) {
     for (const auto& change : changes) {
-      if (const auto* claim = std::get_if<ClaimRecord>(&change)) disk.entries[claim->id] = *claim;
-      if (const auto* removal = std::get_if<ClaimRemoval>(&change)) disk.entries.erase(removal->id);
+      if (const auto* claim = std::get_if<ClaimRecord>(&change)) disk.claims[claim->id] = *claim;
+      if (const auto* removal = std::get_if<ClaimRemoval>(&change)) disk.claims.erase(removal->id);
       if (const auto* voting = std::get_if<VotingRecord>(&change))
         disk.isComplete = voting->isComplete, disk.newSince = voting->newSince;
       const auto* start = std::get_if<VoterStartRecord>(&change);
@@ -246,7 +254,7 @@
       if (start->voter.empty())
         disk.ownStarts.push_back(start->incarnation);
       else
-        disk.starts[start->voter] = start->incarnation;
+        disk.voterStarts[start->voter] = start->incarnation;
     }
   }
 
@@ -287,14 +295,15 @@
     out.vote = vote;
     state.messages.push_back(out);
   }
-  void queue(State& state, std::size_t k, Write write) {
+  void queueWrite(State& state, std::size_t k, Write write) {
     write.changes = state.voters[k].voter->takeChanges();
     if (!write.changes.empty() || write.sendsVote) state.voters[k].writes.push_back(std::move(write));
     // Without further power losses the time of the write makes no difference, as a delay of the vote in
     // transit has the same effect.
-    while (state.remainingFaults.powerLosses == 0 && !state.voters[k].writes.empty()) this->write(state, k);
+    while (state.remainingFaults.powerLosses == 0 && !state.voters[k].writes.empty())
+      this->completeWrite(state, k);
   }
-  void write(State& state, std::size_t k) {
+  void completeWrite(State& state, std::size_t k) {
     auto& voter = state.voters[k];
     const Write write = voter.writes.front();
     voter.writes.erase(voter.writes.begin());
@@ -302,13 +311,13 @@
     apply(voter.disk, write.changes);
     if (!write.sendsVote) return;
     const auto vote = voter.voter->onWritten(kId, write.token, true);
-    if (vote && bug_ != Bug::sentBeforeDurable) sendVote(state, k, write.router, write.token, *vote);
+    if (vote && bug_ != Bug::voteSentBeforeDurable) sendVote(state, k, write.router, write.token, *vote);
   }
   void deliver(State& state, const Message& message) {
     if (message.kind == Message::Kind::vote) {
       auto& router = state.routers[message.router];
       if (router.start != message.start || router.phase != State::RouterState::Phase::claiming) return;
-      router.receivedVotes[message.voter] += hashCombine(5, message.hash());
+      router.voteHistory[message.voter] += hashCombine(5, message.hash());
       router.coordinator->onVote(message.voter, message.number, message.vote);
       return processOutputs(state, message.router);
     }
@@ -322,13 +331,13 @@
     if (message.kind == Message::Kind::claim) {
       const auto vote = voterState.voter->onClaim(kNow, kId, token);
       if (vote) return sendVote(state, message.voter, message.router, token, *vote);
-      if (bug_ == Bug::sentBeforeDurable)
+      if (bug_ == Bug::voteSentBeforeDurable)
         sendVote(state, message.voter, message.router, token, {Vote::Kind::granted, false, ""});
       write.sendsVote = true;
       write.token = token;
       write.router = message.router;
     }
-    queue(state, message.voter, std::move(write));
+    queueWrite(state, message.voter, std::move(write));
   }
 
   // Adds all successors of the state. A state without any is an end state.
@@ -374,7 +383,7 @@
     bool hasSuccessor = false;
     if (voterState.voter && !voterState.writes.empty()) {
       hasSuccessor = true;
-      addSuccessor(state, [&](State& next) { write(next, k); });
+      addSuccessor(state, [&](State& next) { completeWrite(next, k); });
     }
     if (voterState.voter && state.remainingFaults.powerLosses > 0 && injectsFault()) {
       addSuccessor(state, [&](State& next) { losePower(next, k, false); });
@@ -394,7 +403,7 @@
     startVoter(next, k);
     for (std::size_t r = 0; r < kRouterCount; ++r) {
       if (next.routers[r].coordinator) next.routers[r].coordinator->setReachable(k, true);
-      next.routers[r].receivedVotes[k] = hashCombine(next.routers[r].receivedVotes[k], 300);
+      next.routers[r].voteHistory[k] = hashCombine(next.routers[r].voteHistory[k], 300);
     }
   }
 
@@ -444,12 +453,12 @@
     }
   }
 
-  void addExecutionStep(const State& state, std::size_t r, State::RouterState::Phase then,
+  void addExecutionStep(const State& state, std::size_t r, State::RouterState::Phase nextPhase,
                         const std::function<void(State&, ClaimCoordinator&)>& change) {
     addSuccessor(state, [&](State& next) {
       auto& router = next.routers[r];
-      router.phase = then;
-      router.history = hashCombine(router.history, 400 + static_cast<std::uint64_t>(then));
+      router.phase = nextPhase;
+      router.history = hashCombine(router.history, 400 + static_cast<std::uint64_t>(nextPhase));
       change(next, *router.coordinator);
       processOutputs(next, r);
     });
@@ -465,7 +474,7 @@
   void restartRouter(State& next, std::size_t r) {
     --next.remainingFaults.routerRestarts;
     ++next.routers[r].start;
-    next.routers[r].receivedVotes = {};
+    next.routers[r].voteHistory = {};
     next.routers[r].history = hashCombine(next.routers[r].history, 600);
     startClaim(next, r);
   }
@@ -483,7 +492,7 @@
     }
     std::erase_if(state.messages, [&](const Message& message) { return message.voter == k; });
     for (std::size_t r = 0; r < kRouterCount; ++r) {
-      state.routers[r].receivedVotes[k] = hashCombine(state.routers[r].receivedVotes[k], 800);
+      state.routers[r].voteHistory[k] = hashCombine(state.routers[r].voteHistory[k], 800);
       if (!state.routers[r].coordinator) continue;
       state.routers[r].coordinator->setReachable(k, false);
       processOutputs(state, r);
@@ -499,6 +508,7 @@
   std::string violation_;
 };
 
+// Visits all states within each of the limits.
 void exploreOrders(const std::vector<FaultLimits>& allLimits) {
   for (const FaultLimits& limits : allLimits) {
     Search search(Bug::none, limits);
