--- a/src/degradation/admission_table.cpp
+++ b/src/degradation/admission_table.cpp
@@ -6,28 +6,29 @@
 
 namespace {
 
-// A read counts as long if its latency target is at least this many times the shortest: the same factor by
-// which the router places long reads.
+// A read is long if its latency target is at least this multiple of the shortest one. The router uses the
+// same factor to place long reads.
 constexpr double kLongReadFactor = 4;
-// The shortest time that a latency target counts as, lest the weight for it grows without bound.
+// Lower bound on a latency target, so that the weight per second stays bounded.
 constexpr double kMinSeconds = 1e-3;
 
-// The priority weight of a class for the time that it takes. Its latency target stands for that time, which
-// no setting states.
+// The priority weight of a class per second of execution time. No setting states the execution time; the
+// latency target is used as an estimate of it.
 double weightPerSecond(const TransactionClass& transactionClass) {
   return transactionClass.priorityWeight / std::max(transactionClass.latencyTarget.inSeconds(), kMinSeconds);
 }
 
-// Effect and read level are separate settings: a read may be one that may run at most once.
-bool mayBeReduced(const TransactionClass& transactionClass) {
+// Whether a degradation level may restrict the class. Effect and read level are separate settings: a read may
+// be at-most-once.
+bool mayBeRestricted(const TransactionClass& transactionClass) {
   return transactionClass.level < ReadLevel::write && transactionClass.effect == Effect::idempotent;
 }
 
-// The figures of a deployment that each of its classes is compared with.
+// Statistics over the classes of a deployment, against which each class is compared.
 struct ClassSummary {
   Duration shortestLatencyTarget;  // of all classes
-  double medianWeight = 0;         // per second, of the classes that may be reduced
-  double maxWeight = 0;            // likewise
+  double medianWeight = 0;         // per second, of the classes that may be restricted
+  double maxWeight = 0;            // per second, of the same classes
 };
 
 ClassSummary summarize(const std::vector<TransactionClass>& classes) {
@@ -36,7 +37,7 @@
   std::vector<double> weights;
   for (const TransactionClass& transactionClass : classes) {
     summary.shortestLatencyTarget = std::min(summary.shortestLatencyTarget, transactionClass.latencyTarget);
-    if (mayBeReduced(transactionClass)) weights.push_back(weightPerSecond(transactionClass));
+    if (mayBeRestricted(transactionClass)) weights.push_back(weightPerSecond(transactionClass));
   }
   if (weights.empty()) return summary;
   std::sort(weights.begin(), weights.end());
@@ -47,7 +48,7 @@
 
 AdmissionPolicy defaultPolicy(const TransactionClass& transactionClass, Level level,
                               const ClassSummary& summary) {
-  if (!mayBeReduced(transactionClass)) return AdmissionPolicy::all;
+  if (!mayBeRestricted(transactionClass)) return AdmissionPolicy::all;
   const double weight = weightPerSecond(transactionClass);
   if (level >= 4)
     return weight < summary.maxWeight ? AdmissionPolicy::withSpareCapacity
@@ -94,14 +95,14 @@
   for (std::size_t row = 0; row < table.size(); ++row) {
     const std::string level = "level " + std::to_string(row + 1);
     if (table[row].admission.size() != classes.size())
-      throw InvalidAdmissionTable(level + ": has not a word for each txn type");
+      throw InvalidAdmissionTable(level + ": expected one policy for each txn type");
     for (std::size_t type = 0; type < classes.size(); ++type) {
       const AdmissionPolicy policy = table[row].admission[type];
       const std::string cell = level + ", txn type " + std::to_string(type);
       if (row > 0 && policy < table[row - 1].admission[type])
-        throw InvalidAdmissionTable(cell + ": lets in what the level below refuses");
+        throw InvalidAdmissionTable(cell + ": admits transactions that the level below rejects");
       if (policy != AdmissionPolicy::all && classes[type].effect != Effect::idempotent)
-        throw InvalidAdmissionTable(cell + ": refuses what may not run twice");
+        throw InvalidAdmissionTable(cell + ": rejects transactions that are not idempotent");
     }
   }
 }
--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -6,33 +6,34 @@
 
 namespace {
 
-// An interval lasts until a standing wait can be told from chance: eight transactions, a lower quarter of
-// which is two. Within these limits: no less than a queue takes to show, no more than an operator waits for a
-// change.
+// An interval has enough samples to distinguish a standing wait from chance: eight transactions, whose lower
+// quartile is two. It is at least as long as a queue takes to become visible, and no longer than an operator
+// waits for a change.
 constexpr std::size_t kMinSamples = 8;
 constexpr Duration kMinInterval = Duration::millis(500), kMaxInterval = Duration::millis(3000);
-// Samples stored per interval: a busy group has thousands, and the latest show the current state.
+// Samples stored per interval. A busy group has thousands; the latest ones show the current state.
 constexpr std::size_t kMaxSamples = 256;
-// The standing wait is this quantile: the lower quarter.
+// The standing wait is the lower quartile: 1/4.
 constexpr std::size_t kWaitQuantile = 4;
-// A transaction that waited and was abandoned counts as if it had taken this many times its latency target.
+// The sample, as a fraction of the latency target, for a transaction that was abandoned after a wait.
 constexpr double kAbandonedWait = 2;
-// A transaction that was abandoned before this fraction of its latency target did not wait: it was rejected,
-// by a level or as it came too late. It tells nothing of the load. Guards against clients that retry at once,
-// whose storm would hold a level up; may hurt where nodes reject at once what they can't take: their answers
-// to the others show it.
+// A transaction that was abandoned before this fraction of its latency target did not wait: it was rejected
+// on arrival, by a level or because its remaining time was too short, and carries no information on the load.
+// Prevents a level from being kept up by the retry storm of clients that retry immediately. Trade-off: a node
+// that rejects excess transactions immediately is not noticed by these rejections, but by its answers to the
+// other transactions.
 constexpr double kMinWait = 0.1;
-// Where this fraction of this router's own limits is used, every group with waiting transactions counts as
-// overloaded: beyond it, clients and transactions would be rejected indiscriminately. Above the three
-// quarters at which the router frees capacity by itself, so that a level is raised only where that was not
+// Once this fraction of the router's own limits is used, every group with waiting transactions counts as
+// overloaded: at the limits, clients and transactions are rejected indiscriminately. It is above the three
+// quarters at which the router starts to free capacity, so that a level is raised only if that was not
 // enough.
 constexpr double kFullUtilization = 0.85;
-// Groups that are stored; endpoint lists name far fewer.
+// Maximum number of stored groups; endpoint lists name far fewer.
 constexpr std::size_t kMaxGroups = 10'000;
-// For the limit on changes per minute.
+// The window of the limit on changes per minute.
 constexpr Duration kMinute = Duration::millis(60'000);
 
-// Mixes the seed and the group's number, as SplitMix64 does, into a factor from 1 to 4/3.
+// Hashes the seed and the group's number, with the constants of SplitMix64, to a factor from 1 to 4/3.
 double holdFactorOf(std::uint64_t seed, GroupId group) {
   constexpr std::uint64_t kGoldenGamma = 0x9E3779B97F4A7C15u, kMixMultiplier = 0xBF58476D1CE4E5B9u;
   constexpr unsigned kFractionBits = 24;
@@ -101,8 +102,8 @@
   ++countsOf(group, type).answered;
 }
 
-// Clients may name any group, but only one that has nodes ever answers: the others are not stored. Guards
-// against an unbounded number of names, which would fill the table and evict real groups.
+// Clients may name any group, but only a group that has nodes ever answers; the others are not stored.
+// Prevents an unbounded number of names from filling the table and evicting real groups.
 void DegradationController::recordAbandoned(Instant now, GroupId id, std::size_t type,
                                             double targetFraction) {
   const auto known = groups_.find(id);
@@ -117,7 +118,7 @@
   ++countsOf(group, type).abandoned;
 }
 
-// Guards against a pause of the process or its machine, which looks like a queue at every node at once.
+// A pause of the process or its machine would otherwise look like a queue at every node at once.
 void DegradationController::onProcessStalled(Instant) {
   for (auto& [id, group] : groups_) group.startNewInterval();
 }
@@ -156,8 +157,8 @@
   const bool isIntervalComplete =
       length >= kMaxInterval || (length >= kMinInterval && group.waits.size() >= kMinSamples);
   if (!isIntervalComplete) return std::nullopt;
-  // Nothing was answered at all: a hang, a partition, a change of primary. Rejecting some classes helps no
-  // other then, and the router avoids silent nodes. Guards against levels that a hang raises, and that
+  // No transaction was answered: a hang, a partition or a failover. Rejecting some classes does not help the
+  // others then, and the router already avoids silent nodes. Prevents a hang from raising a level that would
   // outlast it.
   const bool isGroupSilent = !group.waits.empty() && group.abandoned == group.waits.size();
   std::optional<Change> change;
@@ -177,16 +178,16 @@
   return changeLevel(now, id, group, level, bounds_.pinnedLevel ? Cause::pinned : Cause::capped);
 }
 
-// The standing wait is the lower quarter of the interval's samples: a burst leaves some quick answers among
-// the slow ones, a standing queue leaves none (CoDel's minimum, with some allowance for chance). Guards
-// against levels that follow bursts; may hurt where a quarter of the transactions never queue, as they go to
-// nodes of their own.
+// The standing wait is the lower quartile of the interval's samples: a burst leaves some fast answers among
+// the slow ones, a standing queue leaves none (as CoDel's minimum, with some allowance for chance). Prevents
+// levels from following bursts. Trade-off: a queue is missed if a quarter of the transactions never wait in
+// it because they go to other nodes.
 std::optional<Change> DegradationController::decideByWait(Instant now, GroupId id, Group& group) const {
   if (!group.waits.empty()) group.standingWait = quantile(group.waits, kWaitQuantile);
   const bool isWaiting = group.standingWait >= bounds_.raiseAbove;
   const bool isOwnLimitNear = ownUtilization_ >= kFullUtilization && group.standingWait >= bounds_.lowerBelow;
-  // Raised at once from full service, else after the level was held. Where changes are used up the higher
-  // level stays.
+  // From level 0 the level is raised immediately, else after the minimum hold time. Once the changes per
+  // minute are used up the current level stays.
   const bool mayRaise = group.waits.size() >= kMinSamples && group.level < bounds_.maxLevel &&
                         wasHeldLongEnough(now, group) && mayChange(group);
   if (mayRaise && (isWaiting || isOwnLimitNear))
@@ -196,7 +197,7 @@
 }
 
 std::optional<Change> DegradationController::decideLowering(Instant now, GroupId id, Group& group) const {
-  // A group without transactions is calm, too.
+  // A group without transactions is calm as well.
   const bool isCalm = group.standingWait < bounds_.lowerBelow || group.waits.empty();
   if (!isCalm) {
     group.leaveTrial();
@@ -216,7 +217,7 @@
   std::vector<Change> changes;
   nextDue_ = Instant();
   for (auto& [id, group] : groups_) {
-    // Without transactions an interval starts by itself while there is a level to leave.
+    // Above level 0 an interval starts even without transactions, so that an idle group returns to level 0.
     if (group.intervalStartedAt == Instant() && group.level > 0) group.intervalStartedAt = now;
     if (const auto change = decideGroup(now, id, group)) changes.push_back(*change);
     states_[id] = {group.level,        group.isInTrial ? bounds_.trialFraction : 0,
--- a/src/degradation_service/degradation_config.cpp
+++ b/src/degradation_service/degradation_config.cpp
@@ -15,12 +15,14 @@
 using config::NumberField;
 using config::StringField;
 
+// A level that an operator has set.
 struct OperatorLevel {
   degradation::Level level = 0;
   std::string setBy;
 };
 
-// A level that an operator sets. The operator's name is required, for others who see its effect.
+// Reads a level that an operator sets. The operator's name is required, so that others who see the effect
+// know who set it.
 OperatorLevel readOperatorLevel(ConfigSection& top, const std::string& key) {
   ConfigSection section = top.section(key);
   OperatorLevel read;
@@ -28,7 +30,8 @@
       static_cast<degradation::Level>(section.read(IntegerField{"level", 0, 0, degradation::kMaxLevel}));
   if (!section.has("level")) throw ConfigError(section.path("level"), "is missing");
   read.setBy = section.read(StringField{"by", ""});
-  if (read.setBy.empty()) throw ConfigError(section.path("by"), "is missing: who sets it");
+  if (read.setBy.empty())
+    throw ConfigError(section.path("by"), "is missing: expected the name of the operator");
   section.rejectUnknownKeys();
   return read;
 }
@@ -38,14 +41,14 @@
   for (const AdmissionPolicy policy : {AdmissionPolicy::all, AdmissionPolicy::withReadyReplica,
                                        AdmissionPolicy::withSpareCapacity, AdmissionPolicy::none})
     if (degradation::nameOf(policy) == name) return policy;
-  throw ConfigError(row.path(className), "'" + name + "' is none of all, ready, spare, none");
+  throw ConfigError(row.path(className), "'" + name + "' is not one of all, ready, spare, none");
 }
 
 degradation::Bounds readBounds(ConfigSection& top) {
   degradation::Bounds bounds;
   bounds.raiseAbove = top.read(NumberField{"up", bounds.raiseAbove, 0.05, 10});
   bounds.lowerBelow = top.read(NumberField{"down", bounds.lowerBelow, 0.01, 10});
-  if (bounds.lowerBelow >= bounds.raiseAbove) throw ConfigError("down", "is not below up");
+  if (bounds.lowerBelow >= bounds.raiseAbove) throw ConfigError("down", "is not less than up");
   bounds.minHold = top.read(MillisecondsField{"shortest_stay_ms", bounds.minHold, 500, 3'600'000});
   bounds.calmPeriod = top.read(MillisecondsField{"calm_ms", bounds.calmPeriod, 500, 3'600'000});
   bounds.trialPeriod = top.read(MillisecondsField{"trial_ms", bounds.trialPeriod, 500, 3'600'000});
@@ -55,7 +58,7 @@
   return bounds;
 }
 
-// Replaces the policies of `table` that the file sets.
+// Overrides the policies of `table` that the file sets.
 void readTable(ConfigSection& top, const std::vector<std::string>& classNames,
                degradation::AdmissionTable& table) {
   ConfigSection section = top.section("table");
--- a/src/degradation_service/degradation_config.h
+++ b/src/degradation_service/degradation_config.h
@@ -1,4 +1,4 @@
-// The configuration file of degradation levels: parsed, checked key by key, with defaults derived from the
+// Parses and validates the configuration file of the degradation levels. Defaults are derived from the
 // settings.
 #pragma once
 
@@ -11,17 +11,17 @@
 
 namespace gulltrestle::degradation_service {
 
-// What the file sets, or the defaults.
+// The configuration of the degradation levels: the values of the file, or their defaults.
 struct DegradationConfig {
   degradation::Bounds bounds;
   degradation::AdmissionTable table;
-  std::string pinnedBy, cappedBy;  // the operators who set the levels; empty: not set
-  std::string statusFile;          // empty: no status document is written
+  std::string pinnedBy, cappedBy;  // who set the pinned level and the maximum level; empty: not set
+  std::string statusFile;          // path; empty: no status document is written
   Duration statusInterval = Duration::millis(5000);
 };
 
-// `classNames`: of the transaction classes, in the same order. Both throw config::ConfigError, which names
-// the key at fault.
+// Read the configuration from a text or from a file. `classNames`: the names of the transaction classes, in
+// the same order. Both throw config::ConfigError, which names the invalid key.
 DegradationConfig readDegradationConfig(std::string_view text, const std::vector<TransactionClass>& classes,
                                         const std::vector<std::string>& classNames);
 DegradationConfig readDegradationConfigFile(const std::string& path,
--- a/src/degradation_service/degradation_service.cpp
+++ b/src/degradation_service/degradation_service.cpp
@@ -12,26 +12,26 @@
 
 // How often the state is logged while any group is at a level above 0.
 constexpr Duration kLogInterval = Duration::millis(30'000);
-// Groups in one log line; the status document has them all.
+// Maximum number of groups in one log line; the status document lists all of them.
 constexpr std::size_t kMaxLoggedGroups = 20;
 
-// The fraction of a class's transactions that were rejected on arrival, since the start.
+// The fraction of a class's transactions since the start that were rejected on arrival.
 double rejectedFraction(const DegradationController::Counts& counts) {
   const auto total = counts.answered + counts.abandoned + counts.rejected;
   return total > 0 ? static_cast<double>(counts.rejected) / static_cast<double>(total) : 0;
 }
 
-std::string formatFigure(double value) {
+std::string formatDecimal(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.2f", value);
   return text;
 }
 
-double rounded(double value) { return std::stod(formatFigure(value)); }
+double rounded(double value) { return std::stod(formatDecimal(value)); }
 
-// How many classes of a group are reported.
-std::size_t reportedClasses(const DegradationController::GroupState& state,
-                            const std::vector<std::string>& classNames) {
+// The number of classes of a group that are reported.
+std::size_t reportedClassCount(const DegradationController::GroupState& state,
+                               const std::vector<std::string>& classNames) {
   return std::min(state.countsByClass.size(), classNames.size());
 }
 
@@ -44,7 +44,7 @@
   status["cause"] = nameOf(state.cause);
   status["for_ms"] = state.since == Instant() ? 0 : (now - state.since).inMicros() / 1000;
   status["wait"] = rounded(state.standingWait);
-  for (std::size_t type = 0; type < reportedClasses(state, classNames); ++type) {
+  for (std::size_t type = 0; type < reportedClassCount(state, classNames); ++type) {
     const DegradationController::Counts& counts = state.countsByClass[type];
     status["types"][classNames[type]] = {{"answered", counts.answered},
                                          {"given_up", counts.abandoned},
@@ -63,15 +63,15 @@
   status["last_violation"] = {{"check", nameOf(last.check)}, {"rule", last.rule}, {"subject", last.subject}};
 }
 
-// A group's part of the log line on the state.
-std::string groupLogKey(GroupId group, const DegradationController::GroupState& state,
-                        const std::vector<std::string>& classNames) {
-  std::string key = " group" + std::to_string(group) + "=" + std::to_string(state.level) +
-                    (state.trialFraction > 0 ? "t" : "");
-  for (std::size_t type = 0; type < reportedClasses(state, classNames); ++type)
+// The key and value of one group in the `levels.state` log line.
+std::string groupLogEntry(GroupId group, const DegradationController::GroupState& state,
+                          const std::vector<std::string>& classNames) {
+  std::string entry = " group" + std::to_string(group) + "=" + std::to_string(state.level) +
+                      (state.trialFraction > 0 ? "t" : "");
+  for (std::size_t type = 0; type < reportedClassCount(state, classNames); ++type)
     if (const double fraction = rejectedFraction(state.countsByClass[type]); fraction > 0)
-      key += "," + classNames[type] + ":" + formatFigure(fraction);
-  return key;
+      entry += "," + classNames[type] + ":" + formatDecimal(fraction);
+  return entry;
 }
 
 }  // namespace
@@ -86,8 +86,8 @@
       log_(std::move(log)),
       controller_(config_.bounds, seed) {
   enable();
-  log_("event=levels.on up=" + formatFigure(config_.bounds.raiseAbove) +
-       " down=" + formatFigure(config_.bounds.lowerBelow) + operatorKeys());
+  log_("event=levels.enabled up=" + formatDecimal(config_.bounds.raiseAbove) +
+       " down=" + formatDecimal(config_.bounds.lowerBelow) + operatorKeys());
 }
 
 void DegradationService::enable() {
@@ -95,7 +95,7 @@
                                   [this](const degradation::Change& change) { logChange(change); });
 }
 
-// What operators have set, as keys that end a log line.
+// The levels that operators have set, as keys at the end of a log line.
 std::string DegradationService::operatorKeys() const {
   std::string keys;
   if (config_.bounds.pinnedLevel)
@@ -109,7 +109,7 @@
 void DegradationService::logChange(const degradation::Change& change) {
   log_("event=levels.changed group=" + std::to_string(change.group) + " from=" + std::to_string(change.from) +
        " to=" + std::to_string(change.to) + " cause=" + std::string(nameOf(change.cause)) +
-       " wait=" + formatFigure(change.wait) + " txns=" + std::to_string(change.txns) + operatorKeys());
+       " wait=" + formatDecimal(change.wait) + " txns=" + std::to_string(change.txns) + operatorKeys());
 }
 
 void DegradationService::reloadConfig() {
@@ -117,9 +117,9 @@
     config_ = readConfig_();
     controller_.setBounds(config_.bounds);
     enable();
-    log_("event=levels.read_anew" + operatorKeys());
+    log_("event=levels.config_reloaded" + operatorKeys());
   } catch (const std::exception& error) {
-    log_("event=levels.not_taken why=\"" + std::string(error.what()) + "\"");
+    log_("event=levels.config_rejected reason=\"" + std::string(error.what()) + "\"");
   }
 }
 
@@ -147,12 +147,12 @@
   const bool isLogDue = loggedAt_ == Instant() || now - loggedAt_ >= kLogInterval;
   const bool isWritten = config_.statusFile.empty() || writeStatusFile(now);
   if (!isLogDue) return;
-  // Service goes on without the document; the log reports the failure once per interval.
+  // The gateway continues without the document; the failure is logged once per log interval.
   if (!isWritten) log_("event=levels.status_failed file=\"" + config_.statusFile + "\"");
-  logReducedGroups(now);
+  logDegradedGroups(now);
 }
 
-// Writes to another file and renames it, so that readers always find a complete document.
+// Writes a temporary file and renames it, so that readers always find a complete document.
 bool DegradationService::writeStatusFile(Instant now) const {
   const std::string temporary = config_.statusFile + ".new";
   std::ofstream file(temporary, std::ios::binary | std::ios::trunc);
@@ -161,17 +161,17 @@
   return file && std::rename(temporary.c_str(), config_.statusFile.c_str()) == 0;
 }
 
-void DegradationService::logReducedGroups(Instant now) {
-  std::string groupKeys;
-  std::size_t reducedGroups = 0;
+void DegradationService::logDegradedGroups(Instant now) {
+  std::string groupEntries;
+  std::size_t degradedGroups = 0;
   for (const auto& [group, state] : controller_.states()) {
     if (state.level == 0) continue;
-    ++reducedGroups;
-    if (reducedGroups <= kMaxLoggedGroups) groupKeys += groupLogKey(group, state, classNames_);
+    ++degradedGroups;
+    if (degradedGroups <= kMaxLoggedGroups) groupEntries += groupLogEntry(group, state, classNames_);
   }
-  if (reducedGroups == 0) return;
+  if (degradedGroups == 0) return;
   loggedAt_ = now;
-  log_("event=levels.now reduced=" + std::to_string(reducedGroups) + groupKeys + operatorKeys());
+  log_("event=levels.state degraded=" + std::to_string(degradedGroups) + groupEntries + operatorKeys());
 }
 
 }  // namespace gulltrestle::degradation_service
--- a/src/degradation_service/degradation_service.h
+++ b/src/degradation_service/degradation_service.h
@@ -1,5 +1,5 @@
-// Degradation levels of a running process: owns the controller, logs each change, reports the state in the
-// log and in a status document at intervals, and reloads the configuration.
+// Runs degradation levels in a gateway process: owns the controller, logs each change, reports the state at
+// intervals in the log and in a status document, and reloads the configuration.
 #pragma once
 
 #include <functional>
@@ -12,17 +12,17 @@
 
 namespace gulltrestle::degradation_service {
 
-// Enables degradation on the transaction table, which must not outlive this.
+// The component that enables degradation on a transaction table. The table must not outlive it.
 class DegradationService final : public gateway::Component {
  public:
   using Log = std::function<void(const std::string& line)>;
-  // `readConfig`: reads the configuration for a reload; it may throw config::ConfigError.
+  // `readConfig` reads the configuration at each reload and may throw config::ConfigError.
   DegradationService(transactions::TransactionTable& transactions, DegradationConfig config,
                      std::vector<std::string> classNames, std::uint64_t seed,
                      std::function<DegradationConfig()> readConfig, Log log);
 
   void onDiscoveryActivity() override {}
-  // Writes the status document and logs the state, when they are due.
+  // Writes the status document and logs the state if they are due.
   void endTurn() override;
   void flush() override {}
   Instant nextDue() const override {
@@ -30,10 +30,11 @@
   }
   void stop() override {}
   bool empty() const override { return true; }
-  // An invalid configuration is logged with the key at fault, and the former one stays in effect.
+  // Reloads the configuration. An invalid one is logged with the invalid key, and the previous one stays in
+  // effect.
   void reloadConfig() override;
 
-  // The status document, as JSON.
+  // Returns the status document as JSON.
   std::string status(Instant now) const;
 
  private:
@@ -41,7 +42,7 @@
   void logChange(const degradation::Change& change);
   std::string operatorKeys() const;
   bool writeStatusFile(Instant now) const;
-  void logReducedGroups(Instant now);
+  void logDegradedGroups(Instant now);
 
   transactions::TransactionTable& transactions_;
   DegradationConfig config_;
@@ -49,7 +50,7 @@
   std::function<DegradationConfig()> readConfig_;
   Log log_;
   degradation::DegradationController controller_;
-  Instant statusWrittenAt_, loggedAt_;  // never: not yet
+  Instant statusWrittenAt_, loggedAt_;  // Instant(): not yet
 };
 
 }  // namespace gulltrestle::degradation_service
--- a/src/discovery/poll_schedule.cpp
+++ b/src/discovery/poll_schedule.cpp
@@ -6,24 +6,25 @@
 
 namespace {
 
-// Discovery sends an empty line every 2 s while nothing changes: after two that did not come it is silent.
+// Discovery sends an empty line every 2 s while nothing changes. After two missing ones the call has failed.
 constexpr Duration kMaxSilence = Duration::millis(5000);
-// A polled service's first byte may take as long as that interval, and some more. A call that is lost and the
-// longest pause are over within the 6 s after which its content counts as announced.
+// The first byte of a polled service may take as long as that 2 s interval, plus a margin. A lost call and
+// the longest backoff together fit within the 6 s after which its content counts as announced.
 constexpr Duration kMaxFirstByteDelay = Duration::millis(2500);
-// A request for the whole list is answered at once by a discovery on this machine. While that is down calls
-// are never answered, also not once it is back, which is when its drains start to count: with the pause below
-// the next call comes well within their second. Hurts where discovery takes longer than this for a first
-// byte.
+// A discovery on this machine answers a request for the whole list immediately. A call made while it is down
+// is never answered, not even after it has recovered, which is when its drains start to count: with the
+// backoff below, the next call is made well within their grace period of one second. Trade-off: calls fail if
+// discovery takes longer than this for the first byte.
 constexpr Duration kMaxAnswerDelay = Duration::millis(400);
-// Between two calls: a list that is so much older costs little, and no storm arises.
-constexpr Duration kPause = Duration::millis(250);
-// Where lists are polled the pause is doubled this many times: to 2 s, with jitter.
+// Base backoff between two calls: a list that is this much older costs little, and calls cannot become a
+// storm.
+constexpr Duration kBaseBackoff = Duration::millis(250);
+// If lists are polled the backoff is doubled up to this many times: to 2 s, with jitter.
 constexpr int kMaxDoublings = 3;
-// The jitter's factors on a pause.
+// Range of the random factor on the backoff.
 constexpr double kMinJitter = 0.5, kMaxJitter = 1.5;
-// The grace period that the times above are chosen for; with a shorter one they are shorter in proportion,
-// down to the factor.
+// The drain grace period that kMaxAnswerDelay and kBaseBackoff are defined for. With a shorter one they are
+// reduced in proportion, down to kMinTimeFactor times their value.
 constexpr Duration kReferenceGrace = Duration::seconds(1);
 constexpr double kMinTimeFactor = 0.1;
 
@@ -37,16 +38,16 @@
 Duration PollSchedule::silence(bool isWatch, bool hasReceived) const {
   if (isPolled_ && !hasReceived) return kMaxFirstByteDelay;
   if (isWatch || isPolled_) return kMaxSilence;
-  // One that has started to answer is up.
+  // A discovery that has started to answer is up.
   return hasReceived ? kMaxAnswerDelay : kMaxAnswerDelay * timeFactor_;
 }
 
 Duration PollSchedule::pause() {
-  if (!isPolled_) return kPause * timeFactor_;
+  if (!isPolled_) return kBaseBackoff * timeFactor_;
   const double jitter = std::uniform_real_distribution<>(kMinJitter, kMaxJitter)(random_);
   const int doublings = std::min(failedCalls_, kMaxDoublings);
   ++failedCalls_;
-  return kPause * (jitter * (1 << doublings));
+  return kBaseBackoff * (jitter * (1 << doublings));
 }
 
 }  // namespace gulltrestle::discovery
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -1,9 +1,9 @@
-// When discovery is called for the endpoint list: what is requested first, how long an answer is awaited, and
-// how long until the next call after a failed one. No I/O, no clock.
+// The schedule of calls to discovery for the endpoint list: whether a watch or the whole list is requested
+// first, the timeout of a call, and the backoff after a failed one. No I/O, no clock.
 //
-// Where lists are pushed, discovery runs on this machine: calls are cheap, and a drain counts as announced as
-// soon as it is there. Where they are polled, one service answers all routers: if those that are rejected
-// call again together, they keep it overloaded for good, as a rejected call is work, too.
+// If lists are pushed, discovery runs on this machine: calls are cheap, and a drain counts as announced as
+// soon as discovery has it. If lists are polled, one service answers all routers: rejected calls cost it work
+// as well, so routers that retry at the same time after a rejection would keep it overloaded permanently.
 #pragma once
 
 #include <cstdint>
@@ -13,29 +13,30 @@
 
 namespace gulltrestle::discovery {
 
-// One per connection to discovery.
+// The schedule of one connection to discovery.
 class PollSchedule {
  public:
-  // `isPolled`: lists are polled from a service; else they are pushed. `drainGrace`: how long after the
-  // announcement of a drain a router may still send to the node. `seed`: of the backoff's jitter.
+  // `isPolled`: lists are polled from a service, else they are pushed. `drainGrace`: the time after the
+  // announcement of a drain during which a router may still send to the node. `seed`: for the jitter of the
+  // backoff.
   PollSchedule(bool isPolled, Duration drainGrace, std::uint64_t seed);
 
-  // Whether a watch that starts from the known list comes first, and again after one that failed without
-  // invalid content; else the whole list does. Changes cost the service less.
+  // Whether to start with a watch from the known list, and to retry one that failed without invalid content
+  // with another watch, rather than request the whole list. Changes cost the service less than whole lists.
   bool watchesAtOnce() const { return isPolled_; }
-  // How long a call may be silent. `hasReceived`: something of its answer has come already.
+  // The maximum time without data from a call. `hasReceived`: part of the answer has been received.
   Duration silence(bool isWatch, bool hasReceived) const;
-  // A call was answered: ends the backoff.
+  // Resets the backoff after a call that was answered.
   void answered() { failedCalls_ = 0; }
-  // A call has failed. Returns the time until the next one; where lists are polled it draws one random
+  // Records a failed call and returns the time until the next one. If lists are polled it draws one random
   // number.
   Duration pause();
 
  private:
   bool isPolled_;
-  double timeFactor_;  // on times that are chosen for a grace period of a second
+  double timeFactor_;  // scales times that are defined for a grace period of one second
   std::mt19937_64 random_;
-  int failedCalls_ = 0;  // since the last that was answered
+  int failedCalls_ = 0;  // since the last answered call
 };
 
 }  // namespace gulltrestle::discovery
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,3 +1,4 @@
+// The program: reads the configuration, runs the gateway with its optional parts, or runs a sub-command.
 #include <cstdlib>
 #include <iostream>
 #include <memory>
@@ -24,52 +25,53 @@
 
 using namespace gulltrestle;
 
-// Variables that name the configuration files of optional parts.
-constexpr const char *kLevels = "GULLTRESTLE_LEVELS", *kLogging = "GULLTRESTLE_LOGGING",
-                     *kProcessor = "GULLTRESTLE_EXT_PROC", *kFleet = "GULLTRESTLE_FLEET";
+// Environment variables that name the configuration files of the optional parts.
+constexpr const char *kLevelsVariable = "GULLTRESTLE_LEVELS", *kLoggingVariable = "GULLTRESTLE_LOGGING",
+                     *kExtProcVariable = "GULLTRESTLE_EXT_PROC", *kFleetVariable = "GULLTRESTLE_FLEET";
 
-// The path that an environment variable names; empty where it is unset.
+// The value of an environment variable that holds a path; empty if it is unset.
 std::string pathFrom(const char* variable) {
   const char* path = std::getenv(variable);
   return path ? path : "";
 }
 
-// Reads the configuration files of the optional parts and collects what is wrong with all of them, so that an
-// operator can fix every fault in one go.
+// Reads the configuration files of the optional parts and collects the errors of all of them, so that an
+// operator sees every error at once.
 class OptionalConfigFiles {
  public:
-  // The parsed file; none where the variable is unset or the file can't be used.
+  // Returns the parsed file; nullopt if the variable is unset or the file is invalid.
   template <typename Read>
   auto read(const char* variable, Read readFile) -> std::optional<decltype(readFile())> {
     if (pathFrom(variable).empty()) return std::nullopt;
     try {
       return readFile();
     } catch (const config::ConfigError& error) {
-      addFault(variable, error.what());
+      addError(variable, error.what());
       return std::nullopt;
     }
   }
+  // Adds an error if the variable is set and the part is not built in.
   void requireBuiltIn(const char* variable, bool isBuiltIn, const std::string& part) {
     if (!pathFrom(variable).empty() && !isBuiltIn)
-      addFault(variable, "is set, and " + part + " is not built in");
+      addError(variable, "is set, but " + part + " is not built in");
   }
-  // Throws std::runtime_error with all faults; returns where there are none.
-  void throwIfFaulty() const {
-    if (!faults_.empty()) throw std::runtime_error(faults_);
+  // Throws std::runtime_error with the collected errors, if there are any.
+  void throwIfInvalid() const {
+    if (!errors_.empty()) throw std::runtime_error(errors_);
   }
 
  private:
-  void addFault(const std::string& variable, const std::string& fault) {
-    faults_ += (faults_.empty() ? "" : "; ") + variable + ": " + fault;
+  void addError(const std::string& variable, const std::string& message) {
+    errors_ += (errors_.empty() ? "" : "; ") + variable + ": " + message;
   }
-  std::string faults_;
+  std::string errors_;
 };
 
 void logStart(const config::RouterConfig& config) {
   logging::StartEvent event;
   event.version = build_info::version();
   event.partsBuiltIn = build_info::partsBuiltIn();
-  for (const char* variable : {kLevels, kLogging, kProcessor, kFleet})
+  for (const char* variable : {kLevelsVariable, kLoggingVariable, kExtProcVariable, kFleetVariable})
     if (!pathFrom(variable).empty()) event.enabledParts.emplace_back(variable);
   event.routerName = config.name;
   event.transactionClasses = config.deployment.classNames.size();
@@ -78,6 +80,7 @@
 }
 
 #ifdef GULLTRESTLE_FLEET
+// The longest deadline of the at-most-once transaction classes; zero if there are none.
 Duration longestAtMostOnceDeadline(const RoutingConfig& routing) {
   Duration longest;
   for (const auto& transactionClass : routing.transactionClasses)
@@ -86,38 +89,42 @@
 }
 #endif
 
-// The configuration of the router and of each optional part that the environment names.
+// The configuration of the router and of each optional part whose environment variable is set.
 class Configuration {
  public:
-  // Throws config::ConfigError or std::runtime_error, which name the key, or every faulty file.
+  // Throws config::ConfigError, which names the invalid key of the router's configuration, or
+  // std::runtime_error, which names every invalid file of the optional parts.
   Configuration() : router_(config::readRouterConfig()) {
     OptionalConfigFiles files;
-    files.requireBuiltIn(kProcessor, build_info::hasExternalProcessor(), "the external processor");
-    files.requireBuiltIn(kFleet, build_info::hasFleet(), "what several routers settle among themselves");
-    degradation_ = files.read(kLevels, [this] { return readDegradation(); });
-    logging_ = files.read(kLogging, readLogging);
+    files.requireBuiltIn(kExtProcVariable, build_info::hasExternalProcessor(), "the external processor");
+    files.requireBuiltIn(kFleetVariable, build_info::hasFleet(), "coordination between routers");
+    degradation_ = files.read(kLevelsVariable, [this] { return readDegradation(); });
+    logging_ = files.read(kLoggingVariable, readLogging);
 #ifdef GULLTRESTLE_EXT_PROC
-    extProc_ =
-        files.read(kProcessor, [] { return ext_proc_server::readExtProcConfigFile(pathFrom(kProcessor)); });
+    extProc_ = files.read(kExtProcVariable,
+                          [] { return ext_proc_server::readExtProcConfigFile(pathFrom(kExtProcVariable)); });
 #endif
 #ifdef GULLTRESTLE_FLEET
-    cluster_ = files.read(kFleet, [this] { return readCluster(); });
+    cluster_ = files.read(kFleetVariable, [this] { return readCluster(); });
 #endif
-    files.throwIfFaulty();
+    files.throwIfInvalid();
   }
 
   const config::RouterConfig& router() const { return router_; }
   const auto& degradation() const { return degradation_; }
   const auto& logging() const { return logging_; }
 
-  // Read again at each SIGHUP; each throws config::ConfigError.
+  // Called again at each SIGHUP. Each throws config::ConfigError.
   degradation_service::DegradationConfig readDegradation() const {
-    return degradation_service::readDegradationConfigFile(
-        pathFrom(kLevels), router_.deployment.routing.transactionClasses, router_.deployment.classNames);
+    return degradation_service::readDegradationConfigFile(pathFrom(kLevelsVariable),
+                                                          router_.deployment.routing.transactionClasses,
+                                                          router_.deployment.classNames);
+  }
+  static logging::LoggingConfig readLogging() {
+    return logging::readLoggingConfigFile(pathFrom(kLoggingVariable));
   }
-  static logging::LoggingConfig readLogging() { return logging::readLoggingConfigFile(pathFrom(kLogging)); }
 
-  // What the optional parts take of the process's limits.
+  // The share of the process's limits that the optional parts use.
   server::ReservedResources reservedResources() const {
     server::ReservedResources reserved;
     reserved.isDegradationEnabled = degradation_.has_value();
@@ -139,7 +146,7 @@
 #ifdef GULLTRESTLE_FLEET
   const auto& cluster() const { return cluster_; }
   cluster::ClusterConfig readCluster() const {
-    return cluster::readClusterConfigFile(pathFrom(kFleet), router_.name,
+    return cluster::readClusterConfigFile(pathFrom(kFleetVariable), router_.name,
                                           longestAtMostOnceDeadline(router_.deployment.routing));
   }
 #endif
@@ -156,7 +163,7 @@
 #endif
 };
 
-// Assembles the server and its optional parts, and serves until it is told to end.
+// Assembles the server and its optional parts, and serves until shutdown is requested.
 void serve() {
   const Configuration configuration;
   const config::RouterConfig& router = configuration.router();
@@ -175,10 +182,10 @@
 #ifdef GULLTRESTLE_EXT_PROC
   std::optional<ext_proc_server::ExtProcServer> extProcServer;
   if (configuration.extProc()) {
-    // Names this start in the tokens of its leases: the time in microseconds tells two starts apart.
-    const std::string startName = router.name + "." + std::to_string(server.loop().now().inMicros());
+    // Identifies this incarnation in the tokens of its leases; the time in microseconds makes it unique.
+    const std::string incarnationName = router.name + "." + std::to_string(server.loop().now().inMicros());
     server.add(extProcServer.emplace(server.loop(), server.transactions(), router.deployment,
-                                     *configuration.extProc(), startName));
+                                     *configuration.extProc(), incarnationName));
   }
 #endif
 #ifdef GULLTRESTLE_FLEET
@@ -191,26 +198,26 @@
   server.run();
 }
 
-// Runs a sub-command. Returns its exit code: 2 where the arguments are wrong.
-int runCommand(int count, char** arguments) {
-  if (std::string(arguments[1]) == "--version") {
+// Runs a sub-command and returns its exit code; 2 if the arguments are invalid.
+int runCommand(int argc, char** argv) {
+  if (std::string(argv[1]) == "--version") {
     std::cout << "gulltrestle " << build_info::version() << ", built in: " << build_info::partsBuiltIn()
               << "\n";
     return 0;
   }
 #ifdef GULLTRESTLE_FLEET
-  return cli::run(count, arguments, std::cout, std::cerr);
+  return cli::run(argc, argv, std::cout, std::cerr);
 #else
-  std::cerr << "gulltrestle: " << count - 1 << " words on the command line, and no commands are built in\n";
+  std::cerr << "gulltrestle: " << argc - 1 << " command-line arguments, but no sub-commands are built in\n";
   return 2;
 #endif
 }
 
 }  // namespace
 
-int main(int count, char** arguments) {
+int main(int argc, char** argv) {
   try {
-    if (count > 1) return runCommand(count, arguments);
+    if (argc > 1) return runCommand(argc, argv);
     event_loop::blockSignals();
     logging::setUpLog();
     serve();
--- a/src/observability/logging/logging_config.h
+++ b/src/observability/logging/logging_config.h
@@ -1,4 +1,4 @@
-// The configuration file of what is logged beyond changes and failures.
+// Parses the logging configuration file, which selects what is logged in addition to changes and failures.
 #pragma once
 
 #include <string>
@@ -6,13 +6,14 @@
 
 namespace gulltrestle::logging {
 
-// What is logged beyond changes and failures.
+// What is logged in addition to changes and failures.
 struct LoggingConfig {
-  // Each transaction from its arrival to its answer, and why connections are closed.
+  // Log each transaction from its arrival to its answer, and the reason why each connection is closed.
   bool tracesTransactions = false;
 };
 
-// Both throw config::ConfigError, which names the key.
+// Read the configuration from a text or from a file. Both throw config::ConfigError, which names the invalid
+// key.
 LoggingConfig readLoggingConfig(std::string_view text);
 LoggingConfig readLoggingConfigFile(const std::string& path);
 
--- a/src/observability/logging/process_log.h
+++ b/src/observability/logging/process_log.h
@@ -1,4 +1,4 @@
-// The log of the process: its form, and the event of a start.
+// The log of the process: its line format and the event logged at the start.
 #pragma once
 
 #include <cstddef>
@@ -8,21 +8,22 @@
 
 namespace gulltrestle::logging {
 
-// Sets the form of all lines: time, level and text. Each line is written at once.
+// Sets the format of all lines (time, level and text) and flushes the log after each line.
 void setUpLog();
 
-// What a router says of itself when it starts.
+// The fields of the `start` event, which a router logs when it starts.
 struct StartEvent {
   std::string_view version;
   std::string partsBuiltIn;
-  std::vector<std::string> enabledParts;  // the variables that name their configuration files
+  std::vector<std::string> enabledParts;  // the environment variables that name their configuration files
   std::string routerName;
   std::size_t transactionClasses = 0;
   unsigned routerCount = 0;
 };
+// Logs the `start` event.
 void logStart(const StartEvent& event);
 
-// A line that a component puts together.
+// Logs a line that a component has formatted.
 void logLine(const std::string& line);
 
 }  // namespace gulltrestle::logging
--- a/src/observability/logging/transaction_logging.cpp
+++ b/src/observability/logging/transaction_logging.cpp
@@ -20,7 +20,7 @@
   try {
     apply(readConfig_());
   } catch (const std::exception& error) {
-    log_("event=logging.not_taken why=\"" + std::string(error.what()) + "\"");
+    log_("event=logging.config_rejected reason=\"" + std::string(error.what()) + "\"");
   }
 }
 
--- a/src/observability/logging/transaction_logging.h
+++ b/src/observability/logging/transaction_logging.h
@@ -1,5 +1,5 @@
-// Switches the trace of transactions and connections on and off in a running process, as its configuration
-// says at the start and at each SIGHUP.
+// Turns the trace of transactions and connections on and off in a running process, as configured at the start
+// and at each SIGHUP.
 #pragma once
 
 #include <functional>
@@ -11,11 +11,11 @@
 
 namespace gulltrestle::logging {
 
-// The component that turns the transaction trace on and off.
+// The component that applies the logging configuration to the transaction trace.
 class TransactionLogging final : public gateway::Component {
  public:
   using Log = std::function<void(const std::string& line)>;
-  // `readConfig`: reads the configuration again; it may throw config::ConfigError.
+  // `readConfig` reads the configuration at each reload and may throw config::ConfigError.
   TransactionLogging(transactions::Trace& trace, const LoggingConfig& config,
                      std::function<LoggingConfig()> readConfig, Log log);
 
@@ -25,7 +25,8 @@
   Instant nextDue() const override { return Instant(); }
   void stop() override {}
   bool empty() const override { return true; }
-  // A configuration that can't be used is logged with its key and changes nothing.
+  // Reloads the configuration. An invalid one is logged with the invalid key, and the previous one stays in
+  // effect.
   void reloadConfig() override;
 
  private:
