--- a/src/store/connection.cpp
+++ b/src/store/connection.cpp
@@ -11,9 +11,10 @@
 
 }  // namespace
 
-// A rollback journal that is truncated, with full synchronization: once a commit returns, all of it is in the
-// one file, where the checksums cover each byte. A write-ahead log would cost one sync instead of three, but
-// a flipped byte in its middle passes for the torn end of a power loss, and later commits are lost silently.
+// Uses a truncated rollback journal with full synchronization: once a commit returns, all of it is in the
+// database file, where the checksums cover each byte. A write-ahead log would cost one sync per commit
+// instead of three, but a flipped byte in its middle is mistaken for the torn end that a power loss leaves,
+// and all later commits are lost silently.
 Connection::Connection(const std::string& path, OpenMode mode) : path_(path) {
   const int access =
       mode == OpenMode::reading ? SQLITE_OPEN_READONLY : SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
@@ -71,7 +72,7 @@
   return *this;
 }
 
-// SQLite's integers are signed: numbers from 2^63 on are stored as negative ones.
+// SQLite's integers are signed: numbers from 2^63 on are stored as negative values.
 Statement& Statement::bind(std::uint64_t number) {
   sqlite3_bind_int64(statement_.get(), ++boundParameters_, static_cast<std::int64_t>(number));
   return *this;
--- a/src/store/connection.h
+++ b/src/store/connection.h
@@ -1,4 +1,4 @@
-// One connection to an SQLite file, and its statements. Not for several threads at a time.
+// A connection to an SQLite file and its prepared statements. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,25 @@
 
 namespace gulltrestle::store {
 
-// Closes the file as it ends; what was not committed is rolled back. All functions throw CorruptDatabase,
-// LockedDatabase or DiskError.
+// An open SQLite file. The destructor closes it and rolls back uncommitted changes. All functions throw
+// CorruptDatabase, LockedDatabase or DiskError.
 class Connection {
  public:
-  // `writing` creates a file that is missing, locks it against other processes, and rolls back a commit that
-  // was cut off. `reading` changes nothing.
+  // `writing` creates a missing file, locks it against other processes and rolls back an interrupted commit.
+  // `reading` changes nothing.
   enum class OpenMode { writing, reading };
 
   Connection(const std::string& path, OpenMode mode);
 
-  // Runs SQL text that has no parameters and whose rows do not matter.
+  // Runs SQL text without parameters. Rows that it returns are ignored.
   void execute(const char* sql);
   [[nodiscard]] bool isReadOnly() const;
-  // Of the file.
+  // The path of the file.
   [[nodiscard]] const std::string& path() const { return path_; }
 
  private:
   friend class Statement;
-  // Throws the error that SQLite's result code stands for.
+  // Throws the error that corresponds to SQLite's result code.
   [[noreturn]] void fail(int code) const;
 
   struct Closer {
@@ -40,18 +40,20 @@
   std::unique_ptr<sqlite3, Closer> handle_;
 };
 
-// One prepared statement: its parameters are bound in their order, then it is stepped through its rows.
-// Lives no longer than its connection. Throws as the connection does.
+// A prepared statement: the parameters are bound in order, then step() moves through the rows. Must not
+// outlive its connection. Throws the same errors as the connection.
 class Statement {
  public:
   Statement(const Connection& connection, const char* sql);
 
+  // Binds the next parameter.
   Statement& bind(const std::string& bytes);
   Statement& bind(std::uint64_t number);
-  // Goes to the next row; false: there is none. A statement that changes rows does so at the first call.
+  // Advances to the next row. False: there are no more rows. The first call executes a statement that changes
+  // rows.
   bool step();
 
-  // Columns of the present row, counted from 0.
+  // Columns of the current row, numbered from 0.
   [[nodiscard]] std::string text(int column) const;
   [[nodiscard]] std::uint64_t number(int column) const;
   [[nodiscard]] bool flag(int column) const { return number(column) != 0; }
--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -31,26 +31,26 @@
 constexpr char kNewSinceKey[] = "new_since";
 constexpr char kMaintenanceKey[] = "work";
 constexpr char kDigestKey[] = "digest";
-// Those that are in the digest in every format, also while they have no value.
+// Keys that the digest covers in every format, even while they have no value.
 constexpr const char* kCheckedKeys[] = {kFormatKey, kVoterKey, kCompleteKey, kNewSinceKey};
 
-// Starts of its own that a voting member remembers. One that others know of and that is older than these is
-// taken for another disk's: the member abstains once more, which is safe.
+// Number of its own starts that a voting member keeps. If another member knows of an older start, that start
+// is attributed to another disk: the voting member abstains once more, which is safe.
 constexpr std::uint64_t kMaxOwnStarts = 64;
 
-// The number below which starts of that voter are removed: of another voter only the newest counts.
-std::uint64_t oldestRememberedStart(const VoterStartRecord& newest) {
+// Starts of this voter with lower numbers are removed. Of other voters only the newest start is kept.
+std::uint64_t oldestKeptStart(const VoterStartRecord& newest) {
   const std::uint64_t number = newest.incarnation.number;
   if (!newest.voter.empty()) return number;
   return number > kMaxOwnStarts ? number - kMaxOwnStarts : 0;
 }
 
-// From the column of its number and the next one, of its draw.
+// Reads an incarnation: its number from the given column, its draw from the next one.
 VoterIncarnation incarnationAt(const Statement& row, int column) {
   return {.number = row.number(column), .draw = row.number(column + 1)};
 }
 
-// From a row of place, version and keeper.
+// Reads a row with the columns place, version and keeper.
 VoterListRow voterListRowAt(const Statement& row) {
   return {.position = row.number(0), .version = row.number(1), .voter = row.text(2)};
 }
@@ -66,7 +66,7 @@
     throw UnsupportedFormat("it has format " + format + ", this program " + kFormat, path);
   voter_ = meta(kVoterKey);
 } catch (const StoreError&) { throw; } catch (const std::exception& error) {
-  // Whatever else goes wrong while a file is opened counts as damage of it.
+  // Any other error while the file is opened is treated as damage to the file.
   throw CorruptDatabase(error.what(), path);
 }
 
@@ -130,7 +130,7 @@
   for (const char* key : kCheckedKeys) digest_ ^= checksumOf(MetaRow{key, meta(key)});
   state.isComplete = meta(kCompleteKey) == "1";
   state.acceptorState = meta(kMaintenanceKey);
-  // Older formats have no such row: an empty one counts for nothing in the digest.
+  // Older formats lack this row, so an empty value must not change the digest.
   digest_ ^=
       checksumOf(MetaRow{kMaintenanceKey, state.acceptorState}) ^ checksumOf(MetaRow{kMaintenanceKey, ""});
 }
@@ -246,7 +246,7 @@
 }
 
 void Database::apply(const VoterStartRecord& start) {
-  const std::uint64_t oldest = oldestRememberedStart(start);
+  const std::uint64_t oldest = oldestKeptStart(start);
   Statement old(connection_,
                 "SELECT number, draw FROM starts WHERE keeper = ? AND (number < ? OR number = ?)");
   old.bind(start.voter).bind(oldest).bind(start.incarnation.number);
--- a/src/store/database.h
+++ b/src/store/database.h
@@ -1,8 +1,8 @@
-// The rows of a store: reads all of them with their checksums, and changes them in transactions. One
-// connection to one file; not for several threads at a time. Used by Store, which owns folder and thread.
+// The rows of a store: loads all of them, verifies their checksums, and changes them in transactions. Holds
+// one connection to one file; not thread-safe. Used by Store, which owns the folder and the writer thread.
 //
-// Each row has a checksum, and the database one digest over all of them (store/row_checksums.h), so that a
-// row that is missing, of an older state or changed by others is noticed.
+// Each row has a checksum, and the database has one digest over all rows (store/row_checksums.h). The digest
+// detects rows that are missing, outdated or changed by another program.
 #pragma once
 
 #include <cstdint>
@@ -15,32 +15,32 @@
 
 namespace gulltrestle::store {
 
-// All rows of one file.
+// The rows of one database file.
 class Database {
  public:
   using OpenMode = Connection::OpenMode;
   using DiskChange = idempotency::DiskChange;
 
-  // Opens the file; when writing, creates one that is missing. Throws CorruptDatabase, LockedDatabase,
+  // Opens the file; creates a missing file when opened for writing. Throws CorruptDatabase, LockedDatabase,
   // UnsupportedFormat, DiskError.
   Database(const std::string& path, OpenMode mode);
 
-  // Whether the file has no tables yet: initialize() is to be called before anything else.
+  // Whether the file has no tables yet. If so, initialize() must be called first.
   [[nodiscard]] bool isNew() const { return isNew_; }
-  // Creates the tables. `voter` is the voting member whose store it is. Throws DiskError.
+  // Creates the tables. `voter` is the voting member that the store belongs to. Throws DiskError.
   void initialize(const std::string& voter, const idempotency::VotingRecord& voting);
-  // The voting member whose store it is.
+  // The voting member that the store belongs to.
   [[nodiscard]] const std::string& voter() const { return voter_; }
-  // All rows, checked against the digest; a file of an older format that is open for writing is brought up to
-  // date. Throws CorruptDatabase, DiskError.
+  // Returns all rows after verifying them against the digest. Upgrades a file of an older format if it is
+  // open for writing. Throws CorruptDatabase, DiskError.
   idempotency::StoredState load();
-  // All changes of all groups in one transaction: once it returns they are durable. Throws DiskError or
-  // CorruptDatabase: they may be durable or not, all or none, and the connection is of no further use. After
-  // load() or initialize() only.
+  // Commits all changes of all groups in one transaction; they are durable when it returns. Throws DiskError
+  // or CorruptDatabase; then either all changes are durable or none, and the connection must not be used any
+  // more. Must be called after load() or initialize().
   void commit(const std::vector<const std::vector<DiskChange>*>& groups);
 
  private:
-  // One row of the table `meta`; empty where there is none.
+  // The value of a row of the table `meta`; empty if there is no such row.
   std::string meta(const std::string& key) const;
   void setMeta(const std::string& key, const std::string& value);
 
@@ -54,7 +54,7 @@
   void loadVoterLists(idempotency::StoredState& state);
   void upgrade(const std::string& format);
 
-  // One change of each kind, within a transaction.
+  // Each applies one change within the open transaction.
   void apply(const idempotency::ClaimRecord& claim);
   void apply(const idempotency::ClaimRemoval& removal);
   void apply(const idempotency::VoterStartRecord& start);
@@ -65,7 +65,7 @@
   void apply(const idempotency::VoterListHistory& lists);
   void apply(const idempotency::MaintenanceRecord& maintenance);
   void insertVoterList(std::uint64_t position, const idempotency::VoterList& list);
-  // Takes the claim of that id out of the digest, if there is one.
+  // Removes the checksum of the claim with this id, if there is one, from the digest.
   void removeClaimChecksum(const std::string& id);
 
   Connection connection_;
--- a/src/store/errors.h
+++ b/src/store/errors.h
@@ -1,4 +1,4 @@
-// Errors of the store: what failed, in which file or folder, and whether another attempt can succeed.
+// Errors of the store: what failed, in which file or folder, and whether a retry can succeed.
 #pragma once
 
 #include <stdexcept>
@@ -7,20 +7,20 @@
 
 namespace gulltrestle::store {
 
-// What has to happen before another attempt can succeed.
+// What has to happen before a retry can succeed.
 enum class RetryCondition {
-  newConnection,   // the file has to be opened again; the fault may pass by itself
+  newConnection,   // the file has to be opened again; the fault may be temporary
   operatorAction,  // an operator has to change something outside of this program
   never,           // the same request fails again
 };
 
-// Base of all. what() is a message for an operator.
+// Base class of all errors of the store. what() is a message for operators.
 class StoreError : public std::runtime_error {
  public:
   StoreError(const std::string& message, std::string path, RetryCondition retryCondition)
       : std::runtime_error(message), path_(std::move(path)), retryCondition_(retryCondition) {}
 
-  // The file or folder.
+  // The file or folder that the error occurred in.
   [[nodiscard]] const std::string& path() const noexcept { return path_; }
   [[nodiscard]] RetryCondition retryCondition() const noexcept { return retryCondition_; }
 
@@ -29,18 +29,18 @@
   RetryCondition retryCondition_;
 };
 
-// --- Of a database file. The message does not name the file.
+// --- Errors of a database file. The message does not contain its path.
 
-// The file is not what was written: a damaged structure, a checksum that does not match, a missing table. The
-// file has to be set aside.
+// The contents of the file differ from what was written: a damaged structure, a checksum mismatch, a missing
+// table. The file has to be set aside.
 class CorruptDatabase : public StoreError {
  public:
   CorruptDatabase(const std::string& message, std::string path)
       : StoreError(message, std::move(path), RetryCondition::never) {}
 };
 
-// The disk or the system failed, which says nothing about the file's contents. The connection is of no
-// further use.
+// The disk or the operating system failed, which says nothing about the file's contents. The connection must
+// not be used any more.
 class DiskError : public StoreError {
  public:
   DiskError(const std::string& message, std::string path)
@@ -51,27 +51,28 @@
 class LockedDatabase : public StoreError {
  public:
   explicit LockedDatabase(std::string path)
-      : StoreError("another process has it", std::move(path), RetryCondition::newConnection) {}
+      : StoreError("another process has locked it", std::move(path), RetryCondition::newConnection) {}
 };
 
-// A newer version wrote the file, in a format that this one does not know.
+// A newer version wrote the file in a format that this version does not support.
 class UnsupportedFormat : public StoreError {
  public:
   UnsupportedFormat(const std::string& message, std::string path)
       : StoreError(message, std::move(path), RetryCondition::operatorAction) {}
 };
 
-// --- Of a voting member's folder. The message names it.
+// --- Errors of a voting member's folder. The message contains its path.
 
-// The folder can't be used: it is missing, another process has it, it belongs to another voting member or a
-// newer version wrote it, or the disk failed.
+// The folder can't be used: it is missing, another process has locked it, it belongs to another voting
+// member, a newer version wrote it, or the disk failed.
 class UnusableFolder : public StoreError {
  public:
   UnusableFolder(const std::string& message, std::string path)
       : StoreError(message, std::move(path), RetryCondition::operatorAction) {}
 };
 
-// The configured voter lists may not follow those that the folder was last served under. Nothing was written.
+// The configured voter lists are not an allowed successor of those that were last in effect for this folder.
+// Nothing was written.
 class RejectedVoterList : public StoreError {
  public:
   RejectedVoterList(const std::string& message, std::string path)
--- a/src/store/row_checksums.cpp
+++ b/src/store/row_checksums.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A column as text with its length, so that no two rows' columns run into each other.
+// Encodes a column as text with its length in front, so that the boundaries between columns are unambiguous.
 std::string column(const std::string& text) { return std::to_string(text.size()) + ":" + text + ","; }
 std::string column(std::uint64_t number) { return column(std::to_string(number)); }
 std::string flag(bool isSet) { return isSet ? "1" : "0"; }
--- a/src/store/row_checksums.h
+++ b/src/store/row_checksums.h
@@ -1,8 +1,8 @@
 // Checksums of the rows of a store's database. The database keeps one digest over all rows, the exclusive or
-// of their checksums, which does not depend on their order: a row that changes takes its old checksum out and
-// puts its new one in.
+// of their checksums, which does not depend on their order: changing a row removes its old checksum from the
+// digest and adds the new one.
 //
-// They are stored: what a checksum is made of must never change for a row that older versions wrote.
+// The digest is stored, so the input of a checksum must never change for rows that older versions wrote.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,21 @@
 
 namespace gulltrestle::store {
 
-// --- Rows that no record of idempotency/stored_state.h stands for
+// --- Rows without a record type in idempotency/stored_state.h
 
-// A row of `lists`: one voter of one list.
+// A row of the table `lists`: one voter of one voter list.
 struct VoterListRow {
-  std::uint64_t position = 0;  // 0: the list that is served under; from 1: lists before it
+  std::uint64_t position = 0;  // 0: the current list; 1 and above: previous lists
   std::uint64_t version = 0;
   std::string voter;
 };
 
-// A row of `meta`.
+// A row of the table `meta`.
 struct MetaRow {
   std::string key, value;
 };
 
-// --- A row of each table
+// --- The checksum of a row of each table
 
 std::uint64_t checksumOf(const idempotency::ClaimRecord& row);
 std::uint64_t checksumOf(const idempotency::VoterStartRecord& row);
--- a/src/store/schema.cpp
+++ b/src/store/schema.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr char kFirstTables[] =
+constexpr char kFormat1Tables[] =
     "CREATE TABLE meta (key BLOB PRIMARY KEY, value BLOB) WITHOUT ROWID;"
     "CREATE TABLE starts (keeper BLOB, number INTEGER, draw INTEGER, PRIMARY KEY (keeper, number)) WITHOUT "
     "ROWID;"
@@ -12,8 +12,9 @@
     "INTEGER,"
     " value BLOB) WITHOUT ROWID;"
     "CREATE TABLE nodes (id BLOB PRIMARY KEY, version INTEGER, leaving INTEGER) WITHOUT ROWID";
-constexpr char kPrimaries[] = "CREATE TABLE primaries (grp INTEGER PRIMARY KEY, node BLOB, version INTEGER)";
-constexpr char kMembersAndLists[] =
+constexpr char kPrimariesTable[] =
+    "CREATE TABLE primaries (grp INTEGER PRIMARY KEY, node BLOB, version INTEGER)";
+constexpr char kMembersAndListsTables[] =
     "CREATE TABLE members (router BLOB PRIMARY KEY, number INTEGER, draw INTEGER) WITHOUT ROWID;"
     "CREATE TABLE lists (place INTEGER, version INTEGER, keeper BLOB, PRIMARY KEY (place, keeper)) WITHOUT "
     "ROWID";
@@ -29,14 +30,14 @@
 bool hasMembersAndLists(const std::string& format) { return format != "1" && format != "2"; }
 
 void createTables(Connection& connection) {
-  connection.execute(kFirstTables);
-  connection.execute(kPrimaries);
-  connection.execute(kMembersAndLists);
+  connection.execute(kFormat1Tables);
+  connection.execute(kPrimariesTable);
+  connection.execute(kMembersAndListsTables);
 }
 
 void addMissingTables(Connection& connection, const std::string& format) {
-  if (!hasPrimaries(format)) connection.execute(kPrimaries);
-  if (!hasMembersAndLists(format)) connection.execute(kMembersAndLists);
+  if (!hasPrimaries(format)) connection.execute(kPrimariesTable);
+  if (!hasMembersAndLists(format)) connection.execute(kMembersAndListsTables);
 }
 
 }  // namespace gulltrestle::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -19,12 +19,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-// Before a commit is retried on a disk that failed. Changes that are queued meanwhile wait for the retry.
-constexpr auto kPauseAfterFailure = std::chrono::milliseconds(500);
-// Damaged files beside the present one, before an operator has to remove some.
-constexpr int kMaxSetAside = 999;
+// Delay before a failed commit is retried. Changes that are queued in the meantime wait for the retry.
+constexpr auto kCommitRetryDelay = std::chrono::milliseconds(500);
+// Maximum number of damaged files kept in a folder. Beyond it an operator has to remove some.
+constexpr int kMaxDamagedFiles = 999;
 
-std::string fileIn(const std::string& folder) { return folder + "/claims.db"; }
+std::string databasePath(const std::string& folder) { return folder + "/claims.db"; }
 
 bool exists(const std::string& path) {
   struct stat status {};
@@ -36,25 +36,25 @@
   return ::stat(path.c_str(), &status) == 0 && S_ISDIR(status.st_mode);
 }
 
-// In bytes; 0 where there is no such file.
+// The size in bytes; 0 if the file does not exist.
 std::uint64_t sizeOf(const std::string& path) {
   struct stat status {};
   return ::stat(path.c_str(), &status) == 0 ? static_cast<std::uint64_t>(status.st_size) : 0;
 }
 
-Duration since(Clock::time_point began) {
-  const auto passed = std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - began);
-  return Duration::micros(passed.count());
+Duration elapsedSince(Clock::time_point startTime) {
+  const auto elapsed = std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - startTime);
+  return Duration::micros(elapsed.count());
 }
 
-// Renames the damaged file and its journal to a name that is free. Returns the file's.
+// Renames the damaged file and its journal to an unused name. Returns the new path of the file.
 std::string moveAside(const std::string& path) {
-  for (int n = 1; n <= kMaxSetAside; ++n) {
-    const std::string aside = path + ".damaged" + std::to_string(n);
-    if (exists(aside)) continue;
-    if (std::rename(path.c_str(), aside.c_str()) != 0) break;
-    std::rename((path + "-journal").c_str(), (aside + "-journal").c_str());
-    return aside;
+  for (int n = 1; n <= kMaxDamagedFiles; ++n) {
+    const std::string asidePath = path + ".damaged" + std::to_string(n);
+    if (exists(asidePath)) continue;
+    if (std::rename(path.c_str(), asidePath.c_str()) != 0) break;
+    std::rename((path + "-journal").c_str(), (asidePath + "-journal").c_str());
+    return asidePath;
   }
   throw UnusableFolder(path + " is damaged and can't be moved aside", path);
 }
@@ -64,8 +64,8 @@
 Store::Store(const std::string& folder, const std::string& voter, std::uint64_t draw,
              const std::vector<idempotency::VoterList>& lists)
     : folder_(folder), voter_(voter) {
-  if (!isFolder(folder)) throw UnusableFolder(folder + " is no folder", folder);
-  const std::string path = fileIn(folder);
+  if (!isFolder(folder)) throw UnusableFolder(folder + " is not a folder", folder);
+  const std::string path = databasePath(folder);
   try {
     openOrSetAside(path);
     if (database_->voter() != voter)
@@ -79,7 +79,7 @@
   thread_ = std::thread([this] { run(); });
 }
 
-// A damaged file is set aside; the second attempt begins an empty one.
+// Sets a damaged file aside; the second attempt then creates an empty one.
 void Store::openOrSetAside(const std::string& path) {
   constexpr int kAttempts = 2;
   for (int attempt = 1; attempt <= kAttempts; ++attempt) {
@@ -96,7 +96,7 @@
   }
 }
 
-// Makes this start durable, with the voter lists that it serves under, and whether earlier votes still count.
+// Makes this start durable, together with its voter lists and whether earlier votes still count.
 void Store::recordStart(std::uint64_t draw, const std::vector<idempotency::VoterList>& lists) {
   const std::uint64_t previousNumber = state_.ownStarts.empty() ? 0 : state_.ownStarts.back().number;
   const idempotency::VoterIncarnation start{.number = previousNumber + 1, .draw = draw};
@@ -144,18 +144,18 @@
 StoreStatistics Store::statistics() const {
   const std::lock_guard lock(mutex_);
   StoreStatistics statistics = statistics_;
-  statistics.sinceLastCommit = since(lastDurable_);
+  statistics.sinceLastCommit = elapsedSince(lastDurable_);
   return statistics;
 }
 
-// Changes that are queued while one group is written make up the next one.
+// Changes that are queued while a group is committed form the next group.
 void Store::run() {
-  std::vector<QueuedWrite> group;  // what is being written, with what failed before
+  std::vector<QueuedWrite> group;  // the writes of this commit, with those of failed commits before it
   bool lastCommitFailed = false;
   while (collect(group, lastCommitFailed)) {
-    const auto began = Clock::now();
+    const auto startTime = Clock::now();
     lastCommitFailed = !commit(group);
-    report(group, !lastCommitFailed, since(began));
+    report(group, !lastCommitFailed, elapsedSince(startTime));
     if (!lastCommitFailed) group.clear();
     wakeOwner();
   }
@@ -164,7 +164,7 @@
 bool Store::collect(std::vector<QueuedWrite>& group, bool lastCommitFailed) {
   std::unique_lock lock(mutex_);
   if (lastCommitFailed)
-    writeQueued_.wait_for(lock, kPauseAfterFailure, [&] { return isStopping_; });
+    writeQueued_.wait_for(lock, kCommitRetryDelay, [&] { return isStopping_; });
   else
     writeQueued_.wait(lock, [&] { return isStopping_ || !queue_.empty(); });
   for (QueuedWrite& queued : queue_) group.push_back(std::move(queued));
@@ -172,14 +172,14 @@
   return !isStopping_ || (!group.empty() && !lastCommitFailed);
 }
 
-// A commit that failed leaves the connection with pages that may or may not be on disk: it is closed, and the
-// file is read again, as a sync that "succeeds" after one that failed proves nothing.
+// After a failed commit it is unknown which pages are on disk, and a sync that succeeds after one that failed
+// proves nothing. The connection is therefore closed, and the file is opened and read again.
 bool Store::commit(const std::vector<QueuedWrite>& group) {
   std::string fault;
   try {
     if (!database_) {
-      auto reopened = std::make_unique<Database>(fileIn(folder_), Database::OpenMode::writing);
-      if (reopened->isNew()) throw DiskError("the file is gone", fileIn(folder_));
+      auto reopened = std::make_unique<Database>(databasePath(folder_), Database::OpenMode::writing);
+      if (reopened->isNew()) throw DiskError("the file is missing", databasePath(folder_));
       reopened->load();
       database_ = std::move(reopened);
     }
@@ -195,7 +195,7 @@
 }
 
 void Store::report(std::vector<QueuedWrite>& group, bool isDurable, Duration commitDuration) {
-  const std::uint64_t fileBytes = sizeOf(fileIn(folder_));
+  const std::uint64_t fileBytes = sizeOf(databasePath(folder_));
   const std::lock_guard lock(mutex_);
   statistics_.longestCommit = std::max(statistics_.longestCommit, commitDuration);
   statistics_.fileBytes = fileBytes;
@@ -221,21 +221,21 @@
 }
 
 void create(const std::string& folder, const std::string& voter) {
-  if (exists(fileIn(folder))) throw UnusableFolder(fileIn(folder) + " is there already", folder);
+  if (exists(databasePath(folder))) throw UnusableFolder(databasePath(folder) + " already exists", folder);
   if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST)
     throw UnusableFolder(folder + ": " + std::strerror(errno), folder);
   try {
-    Database(fileIn(folder), Database::OpenMode::writing)
+    Database(databasePath(folder), Database::OpenMode::writing)
         .initialize(voter, {.isComplete = true, .newSince = 0});
   } catch (const std::exception& error) {
-    throw UnusableFolder(fileIn(folder) + ": " + error.what(), folder);
+    throw UnusableFolder(databasePath(folder) + ": " + error.what(), folder);
   }
 }
 
 FolderContents read(const std::string& folder) {
   FolderContents contents;
-  const std::string path = fileIn(folder);
-  if (!exists(path)) throw UnusableFolder(path + " is not there", folder);
+  const std::string path = databasePath(folder);
+  if (!exists(path)) throw UnusableFolder(path + " does not exist", folder);
   try {
     Database database(path, Database::OpenMode::reading);
     contents.voter = database.voter();
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,9 +1,10 @@
-// A voting member's folder, with its state (idempotency/stored_state.h) in an SQLite database of one file. A
-// thread writes queued changes in groups, one transaction each, and notifies the owner when they are durable.
+// A voting member's folder. It holds the member's state (idempotency/stored_state.h) in a single-file SQLite
+// database. A writer thread commits queued changes in groups, one transaction per group, and notifies the
+// owner when they are durable.
 //
-// Each row has a checksum, and the database one over all rows: a file that was truncated, of which a bit was
-// flipped, or that another program wrote to is noticed when it is opened. It is then set aside under another
-// name and an empty one created, which is not complete: the voting member abstains for the time of retention.
+// Each row has a checksum, and the database has a digest over all rows. A file that was truncated, that has a
+// flipped bit or that another program wrote to is detected when it is opened. It is then renamed, and an
+// empty database is created that is marked as incomplete: the voting member abstains for the retention time.
 // Errors are those of store/errors.h.
 #pragma once
 
@@ -25,52 +26,55 @@
 
 namespace gulltrestle::store {
 
-// For status documents and alerts.
+// Statistics of a store, for status documents and alerts.
 struct StoreStatistics {
   std::uint64_t commits = 0, failedCommits = 0;
   std::uint64_t durableChanges = 0;
   std::size_t queuedChanges = 0;  // not durable yet
   Duration longestCommit;
-  Duration sinceLastCommit;     // that did not fail, or since the start
-  std::uint64_t fileBytes = 0;  // when it was last looked at, after a commit
-  std::string lastFault;        // of the last commit; empty: it did not fail
+  Duration sinceLastCommit;     // since the last successful commit, or since the start
+  std::uint64_t fileBytes = 0;  // as of the last commit
+  std::string lastFault;        // error of the last commit; empty if it succeeded
 };
 
 class Database;
 
-// The store of one voting member, for as long as its process runs. Public functions are called by the owner's
-// thread; its event loop watches descriptor() and calls takeCompleted().
+// The store of a voting member while its process runs. Public functions must be called by the owner's thread,
+// whose event loop watches descriptor() and calls takeCompleted().
 class Store {
  public:
   using WriteId = std::uint64_t;
   using DiskChange = idempotency::DiskChange;
 
-  // Opens the folder of the voting member of that name, and makes this start durable in it, under the last of
-  // the voter lists. `draw`: of this start's incarnation. Throws UnusableFolder, RejectedVoterList.
+  // Opens the folder of the voting member `voter` and makes this start durable in it, with the last of
+  // `lists` as the current voter list. `draw` is the draw of this start's incarnation. Throws UnusableFolder,
+  // RejectedVoterList.
   Store(const std::string& folder, const std::string& voter, std::uint64_t draw,
         const std::vector<idempotency::VoterList>& lists);
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
-  // Writes the queue first, unless the disk fails.
+  // Commits the queued writes first, unless the disk fails.
   ~Store();
 
   const idempotency::StoredState& storedState() const { return state_; }
-  // Moves it out to the voting member, and leaves none here.
+  // Moves the stored state out; storedState() is empty afterwards.
   idempotency::StoredState takeStoredState() { return std::exchange(state_, {}); }
-  // For an operator: where a damaged file was moved to, and its damage; empty: there was none.
+  // For operators: the new path of a damaged file and its damage; empty if no file was damaged.
   const std::string& setAside() const { return setAside_; }
 
   // Readable when takeCompleted() has something to return.
   int descriptor() const { return descriptor_; }
-  // Changes go to disk in the order in which they were queued. One id for all of them, above earlier ones.
+  // Queues changes; they are written in the order in which they were queued. Returns one id for all of them,
+  // greater than all earlier ids.
   WriteId write(std::vector<DiskChange> changes);
-  // The end of a write. `isDurable`: its changes are, and all that were queued before. Else the disk failed:
-  // they may be or not; they stay queued and are tried again, but their end is not reported a second time.
+  // The result of a write. `isDurable`: its changes and all changes queued before them are durable. Otherwise
+  // the disk failed and its changes may or may not be durable; they stay queued and are retried, but the
+  // result of the retry is not reported.
   struct CompletedWrite {
     WriteId id;
     bool isDurable;
   };
-  // Since the last call, in the order in which they were queued.
+  // The writes completed since the last call, in the order in which they were queued.
   [[nodiscard]] std::vector<CompletedWrite> takeCompleted();
   StoreStatistics statistics() const;
 
@@ -78,19 +82,19 @@
   struct QueuedWrite {
     WriteId id;
     std::vector<DiskChange> changes;
-    bool isReported = false;  // as completed, by a commit that failed
+    bool isReported = false;  // whether a failed commit was already reported as its result
   };
 
-  // Opening, before the thread starts.
+  // Called by the constructor, before the thread starts.
   void openOrSetAside(const std::string& path);
   void recordStart(std::uint64_t draw, const std::vector<idempotency::VoterList>& lists);
 
-  // The thread.
+  // Called by the writer thread.
   void run();
-  // Waits for a write, or for a pause after a failure, and moves the queue to the end of `group`. False: the
-  // store ends, and there is nothing more to commit.
+  // Waits for a write, or for the retry delay after a failed commit, and appends the queue to `group`. False:
+  // the store is stopping and there is nothing more to commit.
   bool collect(std::vector<QueuedWrite>& group, bool lastCommitFailed);
-  // Opens the file once more where the last commit failed. True: the group is durable.
+  // Reopens the file first if the last commit failed. True: the group is durable.
   bool commit(const std::vector<QueuedWrite>& group);
   void report(std::vector<QueuedWrite>& group, bool isDurable, Duration commitDuration);
   void wakeOwner() const;
@@ -98,10 +102,10 @@
   const std::string folder_, voter_;
   std::string setAside_;
   idempotency::StoredState state_;
-  std::unique_ptr<Database> database_;  // used by the thread alone, once it runs; null after a failed commit
+  std::unique_ptr<Database> database_;  // once the thread runs, used by it only; null after a failed commit
   int descriptor_ = -1;
 
-  mutable std::mutex mutex_;  // guards all below but the thread itself
+  mutable std::mutex mutex_;  // guards all members below except thread_
   std::condition_variable writeQueued_;
   std::vector<QueuedWrite> queue_;
   std::vector<CompletedWrite> completed_;
@@ -114,17 +118,17 @@
 
 // --- For operators, while no router uses the folder
 
-// Creates the empty store of a new voting member, whose votes count at once. Throws UnusableFolder, also
-// where there is a store already.
+// Creates the empty store of a new voting member, whose votes count immediately. Throws UnusableFolder, also
+// if the folder already has a store.
 void create(const std::string& folder, const std::string& voter);
 
-// What a folder holds.
+// The contents of a folder.
 struct FolderContents {
-  std::string voter;  // the voting member whose store it is
+  std::string voter;  // the voting member that the store belongs to
   idempotency::StoredState state;
-  std::optional<std::string> damage;  // where there is some, nothing else counts
+  std::optional<std::string> damage;  // if set, the other members are not valid
 };
-// Changes nothing. Throws UnusableFolder.
+// Reads a folder without changing it. Throws UnusableFolder.
 [[nodiscard]] FolderContents read(const std::string& folder);
 
 }  // namespace gulltrestle::store
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -1,6 +1,6 @@
-// The store: power lost at every operation on a simulated disk, files cut and flipped at every byte, disks
-// that fail and recover, folders that can't be opened, files of an earlier release. Run as `store CASE`:
-// prints the case's trace.
+// Tests the store: power loss at every operation of a simulated disk, files truncated and corrupted at every
+// byte, disks that fail and recover, folders that can't be opened, and files of an earlier release. Run as
+// `store CASE`: prints the trace of the case.
 #include "store/store.h"
 
 #include <poll.h>
@@ -38,7 +38,7 @@
 namespace {
 
 using Changes = std::vector<idempotency::DiskChange>;
-constexpr const char* kFile = "claims.db";
+constexpr const char* kDatabaseFile = "claims.db";
 
 const idempotency::VoterList kFirstVoterList{1, {"k1", "k2"}}, kSecondVoterList{2, {"k1", "k4"}};
 const VoterListHistory kBothVoterLists{.current = kSecondVoterList, .previous = {kFirstVoterList}};
@@ -58,16 +58,16 @@
   return claim;
 }
 
-// What is committed one after the other: inserts, removals, starts, and pages that split.
-std::vector<Changes> scriptOfCommits() {
-  std::vector<Changes> all{{VoterStartRecord{"", {1, 5}}}, {VoterStartRecord{"k2", {3, 9}}}};
-  int next = 0;
+// The commits of a script, in order: insertions, removals, starts, and enough rows to split pages.
+std::vector<Changes> commitScript() {
+  std::vector<Changes> commits{{VoterStartRecord{"", {1, 5}}}, {VoterStartRecord{"k2", {3, 9}}}};
+  int lastId = 0;
   for (int group = 0; group < 10; ++group) {
     Changes changes;
-    for (int n = 0; n <= group % 4 * 6; ++n) changes.push_back(openClaim(++next, group));
-    if (group % 3 == 1) changes.push_back(committedClaim(next - 1, group));
+    for (int n = 0; n <= group % 4 * 6; ++n) changes.push_back(openClaim(++lastId, group));
+    if (group % 3 == 1) changes.push_back(committedClaim(lastId - 1, group));
     if (group % 4 == 3)
-      for (int n = 1; n < 9; ++n) changes.push_back(ClaimRemoval{claimId(next - 2 * n)});
+      for (int n = 1; n < 9; ++n) changes.push_back(ClaimRemoval{claimId(lastId - 2 * n)});
     if (group % 4 == 2) changes.push_back(NodeDrainRecord{"n" + std::to_string(group), 9, group == 2});
     if (group == 3) changes.push_back(RouterStartRecord{"r4", {7, 70}});
     if (group == 6) changes.push_back(kBothVoterLists);
@@ -75,40 +75,42 @@
     if (group == 8) changes.push_back(kSecondVoterListAlone);
     if (group == 9) changes.push_back(NodeDrainRecord{"n2", 0, false});
     if (group == 5) changes.push_back(VotingRecord{.isComplete = false, .newSince = 4});
-    all.push_back(changes);
+    commits.push_back(changes);
   }
-  return all;
+  return commits;
 }
 
-const std::vector<idempotency::VoterList> kOneVoter{{1, {"k1"}}};
+const std::vector<idempotency::VoterList> kSingleVoterList{{1, {"k1"}}};
 
-// The state as one text, equal where states are.
-std::string shown(const idempotency::StoredState& state) {
+// Describes a state in one line. Equal states have equal descriptions.
+std::string describe(const idempotency::StoredState& state) {
   std::map<std::string, std::string> rows;
   for (const auto& claim : state.claims)
     rows[claim.id] = claim.token.router + "/" + std::to_string(claim.token.number) +
                      (claim.isCommitted ? "=" + claim.value : "");
-  std::string out = (state.isComplete ? "whole " : "silent ") + std::to_string(state.newSince);
+  std::string out = (state.isComplete ? "votes " : "abstains ") + std::to_string(state.newSince);
   for (const auto& own : state.ownStarts)
     out += " own" + std::to_string(own.number) + "/" + std::to_string(own.draw);
   for (const auto& [name, start] : state.voterStarts) out += " " + name + std::to_string(start.number);
   for (const auto& [name, start] : state.routerStarts)
-    out += " " + name + " speaks by " + std::to_string(start.number);
+    out += " " + name + " start " + std::to_string(start.number);
   for (const auto& name : state.voterLists.current.names)
     out += " list" + std::to_string(state.voterLists.current.version) + ":" + name;
   for (const auto& list : state.voterLists.previous)
-    for (const auto& name : list.names) out += " before" + std::to_string(list.version) + ":" + name;
+    for (const auto& name : list.names) out += " previous" + std::to_string(list.version) + ":" + name;
   for (const auto& [id, drain] : state.nodeDrains)
-    out += " " + id + (drain.isDraining ? " leaves by " : " stays by ") + std::to_string(drain.listVersion);
+    out += " " + id + (drain.isDraining ? " drains by version " : " stays by version ") +
+           std::to_string(drain.listVersion);
   for (const auto& [id, row] : rows) out += " " + id + ":" + row;
   return out;
 }
 
-// Plays the script; returns how many commits were reported as durable, the creation of the tables included.
-std::size_t play(const std::vector<Changes>& script) {
+// Commits the script; returns the number of commits reported as durable, including the creation of the
+// tables.
+std::size_t commitAll(const std::vector<Changes>& script) {
   std::size_t durable = 0;
   try {
-    Database database(kFile, Database::OpenMode::writing);
+    Database database(kDatabaseFile, Database::OpenMode::writing);
     if (database.isNew()) database.initialize("k1", {.isComplete = true, .newSince = 0});
     database.load();
     durable = 1;
@@ -117,67 +119,67 @@
       ++durable;
     }
   } catch (const std::exception&) {
-    // The disk failed, which is what these cases are about.
+    // The disk failed, which is the subject of these cases.
   }
   return durable;
 }
 
-// By how many commits are durable: the state as it must be found again.
+// The state expected after reopening the file, indexed by the number of durable commits.
 std::vector<std::string> expectedStates(const std::vector<Changes>& script) {
   std::vector<std::string> states{""};
   for (std::size_t commits = 0; commits <= script.size(); ++commits) {
     Disk::instance().reset();
-    play({script.begin(), script.begin() + static_cast<std::ptrdiff_t>(commits)});
-    states.push_back(shown(Database(kFile, Database::OpenMode::writing).load()));
+    commitAll({script.begin(), script.begin() + static_cast<std::ptrdiff_t>(commits)});
+    states.push_back(describe(Database(kDatabaseFile, Database::OpenMode::writing).load()));
   }
   return states;
 }
 
-std::string loaded() {
-  Database database(kFile, Database::OpenMode::writing);
-  return database.isNew() ? "" : shown(database.load());
+std::string describeLoaded() {
+  Database database(kDatabaseFile, Database::OpenMode::writing);
+  return database.isNew() ? "" : describe(database.load());
 }
 
-// The state, or what is wrong with the file.
-std::string loadedOrDamage() {
+// The description of the state, or the damage of the file.
+std::string describeLoadedOrDamage() {
   try {
-    return loaded();
+    return describeLoaded();
   } catch (const std::exception& error) { return std::string("damaged: ") + error.what(); }
 }
 
-// What was reported as durable is there, and at most the commit under way beside it.
+// Whether all commits reported as durable are present, and nothing else but possibly the commit in progress.
 bool isExpected(const std::string& found, const std::vector<std::string>& states, std::size_t durable) {
   return found == states[durable] || (durable + 1 < states.size() && found == states[durable + 1]);
 }
 
 struct PowerLossResult {
   std::uint64_t losses = 0, lossesInRecovery = 0;
-  std::string fault;  // empty: none was found
+  std::string fault;  // empty if none was found
 };
 
 void losePowerInRecovery(std::mt19937& random) {
   Disk::instance().powerLossAt = Disk::instance().operations + 1 + random() % 4;
   try {
-    loaded();
+    describeLoaded();
   } catch (const std::exception&) {
-    // The power is lost meanwhile.
+    // Power is lost during the recovery.
   }
   Disk::instance().restorePower(random);
 }
 
-// Power is lost at each operation of the script, several times with another part of what was not synced; and
-// once more at an operation of the recovery after that.
-PowerLossResult losePowerEverywhere(int repetitions, bool liesAboutSyncs) {
-  const auto script = scriptOfCommits();
+// Loses power at each operation of the script, several times, each time with a different part of the unsynced
+// content on disk. Every second repetition also loses power during the recovery that follows.
+PowerLossResult losePowerAtEachOperation(int repetitions, bool ignoreSyncs) {
+  const auto script = commitScript();
   const auto states = expectedStates(script);
   PowerLossResult result;
   for (std::uint64_t operation = 1;; ++operation) {
     for (int repetition = 0; repetition < repetitions; ++repetition) {
       std::mt19937 random(static_cast<unsigned>(operation * 1000 + static_cast<std::uint64_t>(repetition)));
       Disk::instance().reset();
-      Disk::instance().ignoresSyncs = liesAboutSyncs;
+      Disk::instance().ignoresSyncs = ignoreSyncs;
       Disk::instance().powerLossAt = operation;
-      const std::size_t durable = play(script);
+      const std::size_t durable = commitAll(script);
       if (!Disk::instance().powerLost && operation > Disk::instance().operations) return result;
       Disk::instance().restorePower(random);
       ++result.losses;
@@ -185,9 +187,9 @@
         losePowerInRecovery(random);
         ++result.lossesInRecovery;
       }
-      const std::string found = loadedOrDamage();
+      const std::string found = describeLoadedOrDamage();
       if (isExpected(found, states, durable)) continue;
-      result.fault = "operation " + std::to_string(operation) + ", time " + std::to_string(repetition) +
+      result.fault = "operation " + std::to_string(operation) + ", repetition " + std::to_string(repetition) +
                      ", after commit " + std::to_string(durable) + ": " + found.substr(0, 60);
       return result;
     }
@@ -197,71 +199,72 @@
 void losePower() {
   constexpr int kRepetitions = 12;
   Disk::install();
-  const PowerLossResult result = losePowerEverywhere(kRepetitions, false);
+  const PowerLossResult result = losePowerAtEachOperation(kRepetitions, false);
   std::cout << "power lost at " << result.losses << " points, " << result.lossesInRecovery
             << " times again during recovery: "
-            << (result.fault.empty() ? "nothing invented, lost or doubled" : result.fault) << "\n";
-  const PowerLossResult lying = losePowerEverywhere(kRepetitions, true);
-  std::cout << "a disk that says that it synced and did not: "
-            << (lying.fault.empty() ? "NOT FOUND" : "found after ")
-            << (lying.fault.empty() ? "" : std::to_string(lying.losses)) << " points\n";
+            << (result.fault.empty() ? "nothing invented, lost or duplicated" : result.fault) << "\n";
+  const PowerLossResult ignoringSyncs = losePowerAtEachOperation(kRepetitions, true);
+  std::cout << "a disk that reports syncs without syncing: "
+            << (ignoringSyncs.fault.empty() ? "NOT DETECTED" : "detected after ")
+            << (ignoringSyncs.fault.empty() ? "" : std::to_string(ignoringSyncs.losses)) << " points\n";
 }
 
-// How files were found that should be as they were or be noticed as damaged.
+// Counts of damaged files by outcome: loaded intact, detected as damaged, or loaded with a wrong state.
 struct DamageResult {
   std::uint64_t intact = 0, damaged = 0, wrong = 0;
 
   void add(const std::string& file, const std::string& intactState) {
     Disk::instance().reset();
-    Disk::instance().files[kFile] = std::make_shared<disk::File>(disk::File{file, file, true});
+    Disk::instance().files[kDatabaseFile] = std::make_shared<disk::File>(disk::File{file, file, true});
     try {
-      ++(loaded() == intactState ? intact : wrong);
+      ++(describeLoaded() == intactState ? intact : wrong);
     } catch (const std::exception&) { ++damaged; }
   }
 };
 
-// Each byte of the file changed, and the file cut at each: found as it was, or known as damaged.
-void damageEachByte() {
+// Flips a bit in each byte of the file and truncates the file at each byte: it must load intact or be
+// detected as damaged.
+void corruptEachByte() {
   Disk::install();
   Disk::instance().reset();
-  play(scriptOfCommits());
-  const std::string file = Disk::instance().files.at(kFile)->content, intactState = loaded();
+  commitAll(commitScript());
+  const std::string file = Disk::instance().files.at(kDatabaseFile)->content, intactState = describeLoaded();
   DamageResult flipped;
   for (std::size_t at = 0; at < file.size(); ++at) {
     std::string changed = file;
     changed[at] = static_cast<char>(changed[at] ^ (1 << at % 8));
     flipped.add(changed, intactState);
   }
-  std::cout << file.size() << " bytes flipped: as it was or known as damaged "
+  std::cout << file.size() << " bytes flipped: intact or detected as damaged "
             << flipped.intact + flipped.damaged << ", wrong " << flipped.wrong << "; damaged "
             << (flipped.damaged > 1000 ? "many" : "FEW") << "\n";
   DamageResult cut;
   for (std::size_t size = 1; size < file.size(); ++size) cut.add(file.substr(0, size), intactState);
-  std::cout << "cut at each byte: damaged " << (cut.damaged > file.size() / 2 ? "most" : "FEW") << ", wrong "
-            << cut.wrong << "\n";
+  std::cout << "truncated at each byte: damaged " << (cut.damaged > file.size() / 2 ? "most" : "FEW")
+            << ", wrong " << cut.wrong << "\n";
 }
 
-// Operations that fail with an error, a sync that fails once and then succeeds among them; the store opens
-// its file again and goes on.
+// Fails each operation once with an error, including a sync that fails once and then succeeds; the store
+// reopens its file and continues.
 void failEachOperation() {
   Disk::install();
-  const auto script = scriptOfCommits();
+  const auto script = commitScript();
   const auto states = expectedStates(script);
   Disk::instance().reset();
-  play(script);
+  commitAll(script);
   const std::uint64_t operations = Disk::instance().operations;
   std::uint64_t wrong = 0;
   for (std::uint64_t operation = 1; operation <= operations; ++operation) {
     Disk::instance().reset();
     Disk::instance().failingOperations = {operation};
-    const std::size_t durable = play(script);
+    const std::size_t durable = commitAll(script);
     Disk::instance().failingOperations.clear();
-    if (!isExpected(loadedOrDamage(), states, durable)) ++wrong;
+    if (!isExpected(describeLoadedOrDamage(), states, durable)) ++wrong;
   }
-  std::cout << operations << " operations failed, each once: wrong after it " << wrong << "\n";
+  std::cout << operations << " operations failed, each once: wrong states afterwards " << wrong << "\n";
 }
 
-// A folder of its own, through the system's own files.
+// A temporary folder in the real file system. The destructor removes it.
 class Folder {
  public:
   Folder() { path_ = scratchFolder("store"); }
@@ -272,7 +275,7 @@
   std::string path_;
 };
 
-// Whether they became durable.
+// Queues the changes, waits for the result and returns whether they are durable.
 bool write(Store& store, Changes changes) {
   const Store::WriteId id = store.write(std::move(changes));
   for (;;) {
@@ -283,72 +286,73 @@
   }
 }
 
-std::string without(std::string text, const std::string& path) {
+std::string withoutPath(std::string text, const std::string& path) {
   for (std::size_t at; (at = text.find(path)) != std::string::npos;) text.replace(at, path.size(), "FOLDER");
   return text;
 }
 
 void openFolders() {
   const Folder folder;
-  const auto attempt = [&](const std::string& description, const std::function<void()>& call) {
+  const auto printOutcome = [&](const std::string& description, const std::function<void()>& call) {
     try {
       call();
-      std::cout << description << ": taken\n";
+      std::cout << description << ": accepted\n";
     } catch (const UnusableFolder& error) {
-      std::cout << description << ": " << without(error.what(), folder.path()) << "\n";
+      std::cout << description << ": " << withoutPath(error.what(), folder.path()) << "\n";
     }
   };
-  attempt("no folder", [&] { Store(folder.path() + "/none", "k1", 1, kOneVoter); });
+  printOutcome("no folder", [&] { Store(folder.path() + "/none", "k1", 1, kSingleVoterList); });
   create(folder.path(), "k1");
-  attempt("made twice", [&] { create(folder.path(), "k1"); });
-  attempt("another's", [&] { Store(folder.path(), "k2", 1, kOneVoter); });
+  printOutcome("created twice", [&] { create(folder.path(), "k1"); });
+  printOutcome("store of another voter", [&] { Store(folder.path(), "k2", 1, kSingleVoterList); });
   {
-    Store store(folder.path(), "k1", 11, kOneVoter);
-    std::cout << "new, by an operator's word: " << shown(store.storedState()) << "\n";
+    Store store(folder.path(), "k1", 11, kSingleVoterList);
+    std::cout << "new, created by an operator: " << describe(store.storedState()) << "\n";
     std::cout << "durable: " << write(store, {openClaim(1, 4), openClaim(2, 5)}) << "\n";
-    attempt("in use", [&] { Store(folder.path(), "k1", 2, kOneVoter); });
-    attempt("a look while in use", [&] { std::ignore = read(folder.path()); });
+    printOutcome("in use", [&] { Store(folder.path(), "k1", 2, kSingleVoterList); });
+    printOutcome("read while in use", [&] { std::ignore = read(folder.path()); });
     store.write({committedClaim(2, 5)});
   }
-  { const Store secondStart(folder.path(), "k1", 12, kOneVoter); }
+  { const Store secondStart(folder.path(), "k1", 12, kSingleVoterList); }
   const FolderContents contents = read(folder.path());
-  std::cout << "after two starts, " << contents.voter << ": " << shown(contents.state).substr(0, 70) << "\n";
+  std::cout << "after two starts, " << contents.voter << ": " << describe(contents.state).substr(0, 70)
+            << "\n";
   {
     std::fstream file(folder.path() + "/claims.db", std::ios::in | std::ios::out | std::ios::binary);
-    for (std::streamoff page = 2; page <= 5; ++page) {  // rows stand at a page's end
+    for (std::streamoff page = 2; page <= 5; ++page) {  // rows are at the end of a page
       file.seekp(page * 4096 - 60);
       file << "something else";
     }
   }
-  std::cout << "damaged: " << (read(folder.path()).damage ? "seen" : "NOT SEEN") << "\n";
-  Store store(folder.path(), "k1", 13, kOneVoter);
-  std::cout << "started on it: " << shown(store.storedState()) << "; set aside: " << !store.setAside().empty()
-            << "\n";
+  std::cout << "damaged: " << (read(folder.path()).damage ? "detected" : "NOT DETECTED") << "\n";
+  Store store(folder.path(), "k1", 13, kSingleVoterList);
+  std::cout << "started on the damaged folder: " << describe(store.storedState())
+            << "; set aside: " << !store.setAside().empty() << "\n";
 }
 
-// The disk is full for a while, as no file of this process may grow: the store reports that, and recovers by
-// itself.
+// The disk is full for a time, simulated by a file size limit of this process: the store reports the failure
+// and recovers without a restart.
 void recoverFromFullDisk() {
   const Folder folder;
   create(folder.path(), "k1");
-  Store store(folder.path(), "k1", 11, kOneVoter);
+  Store store(folder.path(), "k1", 11, kSingleVoterList);
   std::cout << "durable: " << write(store, {openClaim(1, 4)}) << "\n";
   std::signal(SIGXFSZ, SIG_IGN);
-  rlimit before{};
-  getrlimit(RLIMIT_FSIZE, &before);
-  const rlimit none{512, before.rlim_max};
-  setrlimit(RLIMIT_FSIZE, &none);
+  rlimit previousLimit{};
+  getrlimit(RLIMIT_FSIZE, &previousLimit);
+  const rlimit fullDiskLimit{512, previousLimit.rlim_max};
+  setrlimit(RLIMIT_FSIZE, &fullDiskLimit);
   std::cout << "full: " << write(store, {openClaim(2, 4)}) << ", " << write(store, {openClaim(3, 4)}) << "\n";
   const StoreStatistics statistics = store.statistics();
-  std::cout << "queued " << statistics.queuedChanges << ", a fault is told " << !statistics.lastFault.empty()
-            << "\n";
-  setrlimit(RLIMIT_FSIZE, &before);
+  std::cout << "queued " << statistics.queuedChanges << ", a fault is reported "
+            << !statistics.lastFault.empty() << "\n";
+  setrlimit(RLIMIT_FSIZE, &previousLimit);
   bool durable = false;
   for (int n = 0; n < 40 && !durable; ++n) durable = write(store, {openClaim(4, 4)});
-  std::cout << "healed: " << durable << ", queued " << store.statistics().queuedChanges << "\n";
+  std::cout << "recovered: " << durable << ", queued " << store.statistics().queuedChanges << "\n";
 }
 
-// --- Files that an earlier release wrote: tests/store/stored_0_10/README.md
+// --- Files written by an earlier release: tests/store/stored_0_10/README.md
 
 const std::vector<idempotency::VoterList> kStoredLists{
     {1, {"k1", "k2", "k3"}}, {2, {"k1", "k2", "k4"}}, {3, {"k1", "k4", "k5"}}};
@@ -357,7 +361,8 @@
   return std::string(GULLTRESTLE_STORED_FOLDER) + "/" + name;
 }
 
-// Bytes that are no printable ASCII as \xHH; a text of one repeated byte as its length.
+// Writes bytes that are not printable ASCII as \xHH, and more than 100 bytes of the same value as their
+// count.
 std::string printable(const std::string& text) {
   if (text.size() > 100 && text.find_first_not_of(text[0]) == std::string::npos)
     return std::to_string(text.size()) + " times " + text[0];
@@ -391,27 +396,27 @@
               << (claim->isCommitted ? ", committed with '" + printable(claim->value) + "'" : "") << "\n";
 }
 
-void printPlan(const idempotency::StoredState& state) {
+void printMaintenance(const idempotency::StoredState& state) {
   if (state.acceptorState.empty()) {
-    std::cout << "  maintenance: nothing was written\n";
+    std::cout << "  maintenance: no state was written\n";
     return;
   }
   const maintenance::Acceptor acceptor(state.acceptorState, state.isComplete);
   const maintenance::AcceptedValue& accepted = acceptor.accepted();
   std::cout << "  maintenance: " << (acceptor.isComplete() ? "complete" : "incomplete") << ", ballot "
             << accepted.ballot.number << " of " << accepted.ballot.draw << ", version "
-            << accepted.version.version << " of " << accepted.version.draw << ", the text is "
-            << (acceptor.serialized() == state.acceptorState ? "what" : "NOT WHAT")
-            << " an acceptor writes\n";
+            << accepted.version.version << " of " << accepted.version.draw << ", serialized again: "
+            << (acceptor.serialized() == state.acceptorState ? "identical" : "NOT IDENTICAL") << " text\n";
   const maintenance::Plan plan = maintenance::readPlan(accepted.value);
   std::cout << "  plan " << plan.version << ", applied: " << joined(plan.appliedRequests) << "\n";
   for (const auto& machine : plan.machines)
     std::cout << "  machine " << machine.name << " in " << machine.zone << " is "
               << maintenance::nameOf(machine.phase) << " since " << machine.phaseVersion << " ('"
               << machine.reason << "'), nodes: " << joined(machine.nodes)
-              << ", routers: " << joined(machine.routers) << ", takes " << machine.expectedDuration.inMicros()
-              << " us, wanted within " << machine.wantedWithin.inMicros() << " us, by " << machine.request
-              << " of " << machine.requestedBy << ", attempts " << machine.attempts << "\n";
+              << ", routers: " << joined(machine.routers) << ", expected duration "
+              << machine.expectedDuration.inMicros() << " us, due within " << machine.wantedWithin.inMicros()
+              << " us, by " << machine.request << " of " << machine.requestedBy << ", attempts "
+              << machine.attempts << "\n";
 }
 
 void printState(const idempotency::StoredState& state) {
@@ -432,15 +437,15 @@
     std::cout << "  primary of group " << group << ": " << primary.node << " by version "
               << primary.listVersion << "\n";
   printClaims(state);
-  printPlan(state);
+  printMaintenance(state);
 }
 
-// What a voting member answers to claims of other routers for ids that were stored.
+// Prints the votes of a voting member on claims of another router for ids that are stored.
 void printVotes(const idempotency::StoredState& state) {
   idempotency::VotingMember voter(Instant::atMicros(1), "k1", {}, state);
   for (const char* id : {"last", "order-1002", "order-1001"}) {
     const auto vote = voter.onClaim(Instant::atMicros(2), id, {"r9", 1, 1});
-    std::cout << "  claimed anew, " << id << ": "
+    std::cout << "  claimed by another router, " << id << ": "
               << (!vote ? "NO VOTE"
                   : vote->kind != idempotency::Vote::Kind::takenByOther
                       ? "NOT TAKEN"
@@ -449,7 +454,7 @@
   }
 }
 
-// One change of each kind.
+// Changes of most kinds, on top of the stored state.
 Changes furtherChanges(const idempotency::StoredState& state) {
   Changes changes{committedClaim(1, 1),
                   ClaimRemoval{"order-1001"},
@@ -469,7 +474,7 @@
 }
 
 void copyStoredFile(const Folder& folder) {
-  std::filesystem::copy_file(storedFile("claims.db"), folder.path() + "/" + kFile);
+  std::filesystem::copy_file(storedFile("claims.db"), folder.path() + "/" + kDatabaseFile);
 }
 
 void openEarlierRelease() {
@@ -484,7 +489,7 @@
     printState(store.storedState());
     printVotes(store.storedState());
     Changes changes = furtherChanges(store.storedState());
-    std::cout << "written on: durable " << write(store, std::move(changes)) << "\n";
+    std::cout << "further changes: durable " << write(store, std::move(changes)) << "\n";
   }
   Store store(folder.path(), "k1", 15, kStoredLists);
   std::cout << "opened again, set aside '" << store.setAside() << "'\n";
@@ -495,27 +500,28 @@
   Store store(folder.path(), "k1", 14, kStoredLists);
   std::cout << "opened, set aside " << !store.setAside().empty() << "\n";
   printState(store.storedState());
-  std::cout << "written on: durable " << write(store, {committedClaim(1, 1)}) << "\n";
+  std::cout << "further changes: durable " << write(store, {committedClaim(1, 1)}) << "\n";
 }
 
-// The last commit of the stored file, cut off: its process ended before the journal was truncated, so it is
-// rolled back; and the file lost its end, so it is set aside.
+// Two ways in which the last commit of the stored file was interrupted. The process ended before it truncated
+// the journal: the commit is rolled back. The file lost its last page: it is set aside.
 void openEarlierReleaseCutOff() {
   {
     const Folder folder;
     copyStoredFile(folder);
-    std::filesystem::copy_file(storedFile("last_commit.journal"), folder.path() + "/" + kFile + "-journal");
-    std::cout << "a commit that did not end\n";
+    std::filesystem::copy_file(storedFile("last_commit.journal"),
+                               folder.path() + "/" + kDatabaseFile + "-journal");
+    std::cout << "an interrupted commit\n";
     printOpened(folder);
   }
   const Folder folder;
   copyStoredFile(folder);
-  const std::string path = folder.path() + "/" + kFile;
+  const std::string path = folder.path() + "/" + kDatabaseFile;
   std::filesystem::resize_file(path, std::filesystem::file_size(path) - 4096);
   std::cout << "a file without its last page: damage is "
-            << (read(folder.path()).damage ? "seen" : "NOT SEEN") << "\n";
+            << (read(folder.path()).damage ? "detected" : "NOT DETECTED") << "\n";
   printOpened(folder);
-  std::cout << "what was set aside is kept: " << std::filesystem::exists(path + ".damaged1") << "\n";
+  std::cout << "the damaged file is kept: " << std::filesystem::exists(path + ".damaged1") << "\n";
 }
 
 }  // namespace
@@ -523,7 +529,7 @@
 int main(int argc, char** argv) {
   const std::map<std::string, std::function<void()>> cases{
       {"power-loss", losePower},
-      {"damaged-bytes", damageEachByte},
+      {"damaged-bytes", corruptEachByte},
       {"failing-operations", failEachOperation},
       {"opening-folders", openFolders},
       {"full-disk", recoverFromFullDisk},
