--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -1,4 +1,4 @@
-// What the sub-commands have in common: how they end, how they fail, and how they are run.
+// Types shared by the sub-commands: exit codes, actions and errors.
 #pragma once
 
 #include <functional>
@@ -8,19 +8,19 @@
 
 namespace gulltrestle::cli {
 
-// Of the process. Scripts of operators go by these numbers.
+// Exit codes of the process. Operators' scripts depend on these numbers.
 enum class ExitCode {
   success = 0,
-  failure = 1,           // or what was inspected is not sound
-  invalidArguments = 2,  // also where there is nothing to be run
-  pending = 3,           // something is awaited (status, work)
+  failure = 1,           // also: the inspected file or folder is damaged
+  invalidArguments = 2,  // also: no sub-command to run
+  pending = 3,           // still waiting for something (status, work)
 };
 
-// Runs the sub-command that was parsed.
+// Runs the parsed sub-command.
 using Action = std::function<ExitCode()>;
 
-// A file or folder that the arguments name is not what the command needs. Another run succeeds only once it
-// is: what() tells the operator which it is and its fault.
+// Reports that a file or folder named by the arguments is unusable. A retry succeeds only after the operator
+// has corrected it: what() returns its path and the error.
 class CommandError : public std::runtime_error {
  public:
   CommandError(const std::string& path, std::string_view fault)
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -14,25 +14,27 @@
 
 ExitCode parseAndRun(int argumentCount, const char* const* arguments, std::ostream& out,
                      std::ostream& errors) {
-  CLI::App app("gulltrestle: without a command it serves, as the file that BALANCER_CONFIG names says",
-               "gulltrestle");
+  CLI::App app(
+      "gulltrestle: without a command, runs the router with the configuration file that BALANCER_CONFIG "
+      "names",
+      "gulltrestle");
   app.require_subcommand(1);
   Action action;
-  addStore(app, out, action);
-  addStatus(app, out, action);
-  addWork(app, out, action);
+  addStoreCommand(app, out, action);
+  addStatusCommand(app, out, action);
+  addWorkCommand(app, out, action);
   try {
     app.parse(argumentCount, arguments);
     return action ? action() : ExitCode::invalidArguments;
   } catch (const CLI::CallForHelp&) {
     out << app.help();
     return ExitCode::success;
-  } catch (const CLI::ParseError& bad) {
-    errors << "gulltrestle: " << bad.what() << "\nSee gulltrestle --help.\n";
+  } catch (const CLI::ParseError& error) {
+    errors << "gulltrestle: " << error.what() << "\nSee gulltrestle --help.\n";
     return ExitCode::invalidArguments;
-  } catch (const std::exception& bad) {
-    // Whichever layer it comes from, its text is for the operator.
-    errors << "gulltrestle: " << bad.what() << "\n";
+  } catch (const std::exception& error) {
+    // The texts of all layers' exceptions are meant for the operator.
+    errors << "gulltrestle: " << error.what() << "\n";
     return ExitCode::failure;
   }
 }
--- a/src/cli/status_command.h
+++ b/src/cli/status_command.h
@@ -1,4 +1,5 @@
-// `gulltrestle status FILE`: what a running router's status document says of its recovery.
+// `gulltrestle status FILE`: prints a running router's status document, in particular the state of its
+// recovery.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -8,8 +9,9 @@
 
 namespace gulltrestle::cli {
 
-// Adds the sub-command; once it is parsed, `action` runs it. Exit codes: 0 all groups admit everything; 3
-// some group waits; 1 the document can't be read.
-void addStatus(CLI::App& app, std::ostream& out, Action& action);
+// Adds the sub-command, which stores its implementation in `action` when it is parsed. Exit codes: 0 all
+// groups admit everything; 3 some group is waiting, or there is no group (the latter not with --json); 1 the
+// document cannot be read.
+void addStatusCommand(CLI::App& app, std::ostream& out, Action& action);
 
 }  // namespace gulltrestle::cli
--- a/src/cli/store_command.cpp
+++ b/src/cli/store_command.cpp
@@ -18,18 +18,17 @@
   const auto contents = store::read(options.folder);
   if (contents.damage) {
     out << "damaged: " << *contents.damage << "\n"
-        << "A router that starts on it sets the file aside and gives no votes for the time of retention.\n";
+        << "A router that starts with this file renames it and casts no votes for the retention time.\n";
     return ExitCode::failure;
   }
   std::size_t committed = 0;
   for (const auto& claim : contents.state.claims) committed += claim.isCommitted;
-  out << "keeper " << contents.voter << ": sound\n"
-      << "ids " << contents.state.claims.size() << ", known as committed " << committed << "\n"
-      << "starts " << (contents.state.ownStarts.empty() ? 0 : contents.state.ownStarts.back().number)
-      << "; its votes "
-      << (contents.state.isComplete ? "count from the next start on"
-                                    : "wait out the time of retention at the next start")
-      << "\n";
+  out << "voter " << contents.voter << ": intact\n"
+      << "transaction ids " << contents.state.claims.size() << ", known to be committed " << committed << "\n"
+      << "last incarnation "
+      << (contents.state.ownStarts.empty() ? 0 : contents.state.ownStarts.back().number)
+      << "; after the next start, votes "
+      << (contents.state.isComplete ? "count at once" : "count only after the retention time") << "\n";
   return ExitCode::success;
 }
 
@@ -42,42 +41,46 @@
   std::size_t shown = 0;
   for (const auto& claim : contents.state.claims) {
     if (++shown > options.maxShown) break;
-    out << claim.id << " claimed by " << claim.token.router << " number " << claim.token.number
+    out << claim.id << " claimed by " << claim.token.router << ", claim number " << claim.token.number
         << (claim.isCommitted ? ", committed, value of " + std::to_string(claim.value.size()) + " bytes" : "")
         << "\n";
   }
   if (shown > options.maxShown) out << "and " << contents.state.claims.size() - options.maxShown << " more\n";
   for (const auto& [name, start] : contents.state.voterStarts)
-    out << "keeper " << name << " was heard at start " << start.number << "\n";
+    out << "voter " << name << " last seen at incarnation " << start.number << "\n";
   return ExitCode::success;
 }
 
 }  // namespace
 
-void addStore(CLI::App& app, std::ostream& out, Action& action) {
-  auto* command = app.add_subcommand("store", "A keeper's folder of votes for txns that may run only once");
+void addStoreCommand(CLI::App& app, std::ostream& out, Action& action) {
+  auto* command =
+      app.add_subcommand("store", "Create or inspect a voter's store of votes on at-most-once transactions");
   command->require_subcommand(1);
   const auto options = std::make_shared<Options>();
   const auto add = [&](const char* name, const char* description, Action run) {
     auto* subcommand = command->add_subcommand(name, description);
-    subcommand->add_option("FOLDER", options->folder, "The folder that the fleet's file names as store")
+    subcommand
+        ->add_option("FOLDER", options->folder, "The folder that the cluster configuration names as store")
         ->required();
     subcommand->callback([&action, run = std::move(run)] { action = run; });
     return subcommand;
   };
-  add("create", "A new installation's: its votes count at once. Never for a keeper whose disk was lost",
+  add("create",
+      "Create the store of a voter in a new installation, whose votes count at once. Never use it for a "
+      "voter whose disk was lost",
       [options, &out] {
         store::create(options->folder, options->voter);
-        out << "made for the keeper " << options->voter << "\n";
+        out << "created the store of voter " << options->voter << "\n";
         return ExitCode::success;
       })
-      ->add_option("--keeper", options->voter, "The name of its router")
+      ->add_option("--keeper", options->voter, "Name of the voter's router")
       ->required();
-  add("check", "Whether it is sound, and what it holds in short",
+  add("check", "Check the store for damage and print a summary",
       [options, &out] { return check(*options, out); });
-  add("show", "The ids that it holds", [options, &out] {
+  add("show", "Print the transaction ids in the store", [options, &out] {
     return show(*options, out);
-  })->add_option("--most", options->maxShown, "How many ids at most");
+  })->add_option("--most", options->maxShown, "Maximum number of transaction ids to print");
 }
 
 }  // namespace gulltrestle::cli
--- a/src/cli/store_command.h
+++ b/src/cli/store_command.h
@@ -1,4 +1,4 @@
-// `gulltrestle store`: a voter's store folder, while no router uses it.
+// `gulltrestle store`: creates or inspects a voter's store folder while no router uses it.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -8,7 +8,7 @@
 
 namespace gulltrestle::cli {
 
-// Adds the sub-command; once it is parsed, `action` runs it and returns the exit code.
-void addStore(CLI::App& app, std::ostream& out, Action& action);
+// Adds the sub-command, which stores its implementation in `action` when it is parsed.
+void addStoreCommand(CLI::App& app, std::ostream& out, Action& action);
 
 }  // namespace gulltrestle::cli
--- a/src/cli/work_command.cpp
+++ b/src/cli/work_command.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// How often the answer is looked for.
+// Interval between checks for the answer file.
 constexpr auto kPollInterval = std::chrono::milliseconds(50);
 
 struct Options {
@@ -25,27 +25,27 @@
   bool asJson = false;
 };
 
-std::string contentOf(const std::string& path) {
+std::string readFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw CommandError(path, " can't be read");
+  if (!file) throw CommandError(path, " cannot be read");
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// Unique for each request: a router that finds it again after a crash knows it by that.
+// Returns a unique id. It lets a router that finds the request again after a crash recognize it.
 std::string newRequestId() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return std::to_string(std::chrono::duration_cast<std::chrono::microseconds>(now).count()) + "-" +
          std::to_string(getpid());
 }
 
-// Written beside and renamed, so that the router finds a complete file.
+// Writes a temporary file and renames it, so that the router never reads an incomplete request.
 void writeRequest(const Options& options, const std::string& base,
                   const maintenance::OperatorRequest& request) {
   std::ofstream file(base + ".new", std::ios::binary);
   file << encoded(request) << "\n";
   file.close();
   if (!file || std::rename((base + ".new").c_str(), (base + ".ask.json").c_str()) != 0)
-    throw CommandError(options.folder, ": the request can't be put there");
+    throw CommandError(options.folder, ": the request cannot be written to this folder");
 }
 
 ExitCode printAnswer(const nlohmann::json& answer, const std::string& requestId, std::ostream& out) {
@@ -53,7 +53,7 @@
     out << "done: request " << requestId << "\n";
     return ExitCode::success;
   }
-  out << "refused: " << answer.at("why").get<std::string>() << "\n";
+  out << "rejected: " << answer.at("why").get<std::string>() << "\n";
   return ExitCode::failure;
 }
 
@@ -67,8 +67,8 @@
       return printAnswer(nlohmann::json::parse(file), requestId, out);
     std::this_thread::sleep_for(kPollInterval);
   }
-  out << "no answer yet: request " << requestId << " waits in " << options.folder
-      << "; is a keeper running there that reaches more than half of the others?\n";
+  out << "no answer yet: request " << requestId << " is pending in " << options.folder
+      << "; check that a voter uses this folder and reaches more than half of the other voters\n";
   return ExitCode::pending;
 }
 
@@ -76,39 +76,40 @@
   out << machine.at("machine").get<std::string>() << ": " << machine.at("phase").get<std::string>() << ", by "
       << machine.at("by").get<std::string>();
   if (const auto attempts = machine.at("tries").get<unsigned>(); attempts > 0)
-    out << ", " << attempts << " tries given up";
+    out << ", " << attempts << " attempts abandoned";
   if (const auto reason = machine.at("why").get<std::string>(); !reason.empty()) out << "; " << reason;
-  if (machine.contains("awaits")) out << "; awaits " << machine.at("awaits").get<std::string>();
+  if (machine.contains("awaits")) out << "; waiting for " << machine.at("awaits").get<std::string>();
   out << "\n";
 }
 
-ExitCode printPlan(const nlohmann::json& work, std::ostream& out) {
-  std::size_t open = 0;
-  for (const auto& machine : work.at("machines")) {
-    open += machine.at("phase").get<std::string>() != "over";
+ExitCode printPlan(const nlohmann::json& plan, std::ostream& out) {
+  std::size_t unfinished = 0;
+  for (const auto& machine : plan.at("machines")) {
+    unfinished += machine.at("phase").get<std::string>() != "over";
     printMachine(machine, out);
   }
-  out << "plan " << work.at("version").get<std::uint64_t>() << ", " << open << " machines open; this router "
-      << (work.at("foreman").get<bool>() ? "carries it on" : "does not carry it on") << ", lease "
-      << work.at("lease_ms").get<std::int64_t>() << " ms\n";
-  return open > 0 ? ExitCode::pending : ExitCode::success;
+  out << "plan " << plan.at("version").get<std::uint64_t>() << ", " << unfinished
+      << " machines unfinished; this router "
+      << (plan.at("foreman").get<bool>() ? "is the maintenance leader" : "is not the maintenance leader")
+      << ", lease " << plan.at("lease_ms").get<std::int64_t>() << " ms\n";
+  return unfinished > 0 ? ExitCode::pending : ExitCode::success;
 }
 
 ExitCode list(const Options& options, std::ostream& out) {
   try {
-    const auto status = nlohmann::json::parse(contentOf(options.file));
-    const auto& work = status.at("work");
-    if (!options.asJson) return printPlan(work, out);
-    out << work.dump(2) << "\n";
+    const auto status = nlohmann::json::parse(readFile(options.file));
+    const auto& plan = status.at("work");
+    if (!options.asJson) return printPlan(plan, out);
+    out << plan.dump(2) << "\n";
     return ExitCode::success;
   } catch (const nlohmann::json::exception&) {
-    throw CommandError(options.file, " is no status document of a router that knows of work");
+    throw CommandError(options.file, " is not a status document with a maintenance plan");
   }
 }
 
 // --- Sub-commands
 
-// What they are added to.
+// The parent command, and the state that its sub-commands share.
 struct CommandContext {
   CLI::App& work;
   std::shared_ptr<Options> options;
@@ -116,13 +117,16 @@
   Action& action;
 };
 
-// A sub-command that puts a request into a keeper's folder.
+// Adds a sub-command that writes a request into a voter's maintenance folder.
 CLI::App& addRequest(const CommandContext& context, const char* name, const char* description,
                      std::function<maintenance::OperatorRequest()> makeRequest) {
   const auto& options = context.options;
   CLI::App& command = *context.work.add_subcommand(name, description);
-  command.add_option("FOLDER", options->folder, "A keeper's work.folder")->required();
-  command.add_option("--by", options->requestedBy, "Whose word it is, for the log")->required();
+  command
+      .add_option("FOLDER", options->folder,
+                  "The folder of a voter (work.folder of its cluster configuration)")
+      ->required();
+  command.add_option("--by", options->requestedBy, "Name of the operator, for the log")->required();
   command.add_option("--wait", options->waitSeconds, "Seconds to wait for the answer");
   command.callback(
       [options, &out = context.out, &action = context.action, makeRequest = std::move(makeRequest)] {
@@ -131,46 +135,48 @@
   return command;
 }
 
-// Validated here first: a fault is reported at once, with its key.
+// Reads and validates the request before it is sent, so that an error is reported at once, with its key.
 maintenance::OperatorRequest readPlanRequest(const Options& options) {
-  maintenance::OperatorRequest request = maintenance::readOperatorRequest(contentOf(options.file));
+  maintenance::OperatorRequest request = maintenance::readOperatorRequest(readFile(options.file));
   if (request.kind != maintenance::OperatorRequest::Kind::plan)
-    throw CommandError(options.file, " asks for no work");
+    throw CommandError(options.file, " does not request maintenance");
   request.requestedBy = options.requestedBy;
   return request;
 }
 
-maintenance::OperatorRequest requestOn(const Options& options, maintenance::OperatorRequest::Kind kind) {
+maintenance::OperatorRequest machineRequest(const Options& options, maintenance::OperatorRequest::Kind kind) {
   return {kind, options.requestedBy, {}, options.machine};
 }
 
-void addAsk(const CommandContext& context) {
+void addAskCommand(const CommandContext& context) {
   const auto& options = context.options;
-  addRequest(context, "ask", "Asks for work on the machines that a file names",
+  addRequest(context, "ask", "Request maintenance of the machines that a file lists",
              [options] { return readPlanRequest(*options); })
       .add_option("FILE", options->file, "The machines, as JSON")
       ->required();
 }
 
-void addStop(const CommandContext& context) {
+void addStopCommand(const CommandContext& context) {
   const auto& options = context.options;
-  addRequest(context, "stop", "Stops the work on a machine, or on all", [options] {
-    return requestOn(*options, maintenance::OperatorRequest::Kind::stop);
-  }).add_option("MACHINE", options->machine, "Without: all");
+  addRequest(context, "stop", "Stop the maintenance of a machine, or of all machines", [options] {
+    return machineRequest(*options, maintenance::OperatorRequest::Kind::stop);
+  }).add_option("MACHINE", options->machine, "The machine; all machines if omitted");
 }
 
-void addDone(const CommandContext& context) {
+void addDoneCommand(const CommandContext& context) {
   const auto& options = context.options;
-  addRequest(context, "done", "Gives back a machine that was told free",
-             [options] { return requestOn(*options, maintenance::OperatorRequest::Kind::done); })
+  addRequest(context, "done",
+             "Report that the work on a released machine is done, so that it returns to service",
+             [options] { return machineRequest(*options, maintenance::OperatorRequest::Kind::done); })
       .add_option("MACHINE", options->machine, "Which")
       ->required();
 }
 
-void addList(const CommandContext& context) {
+void addListCommand(const CommandContext& context) {
   const auto& options = context.options;
-  CLI::App& command = *context.work.add_subcommand("list", "What is out, what waits for what, and for whom");
-  command.add_option("FILE", options->file, "A keeper's status_file")->required();
+  CLI::App& command = *context.work.add_subcommand(
+      "list", "List the machines of the plan, what each waits for and who requested it");
+  command.add_option("FILE", options->file, "The status_file of a voter")->required();
   command.add_flag("--json", options->asJson, "As JSON");
   command.callback([options, &out = context.out, &action = context.action] {
     action = [options, &out] { return list(*options, out); };
@@ -179,15 +185,15 @@
 
 }  // namespace
 
-void addWork(CLI::App& app, std::ostream& out, Action& action) {
+void addWorkCommand(CLI::App& app, std::ostream& out, Action& action) {
   CLI::App& work =
-      *app.add_subcommand("work", "Machines that are to be taken out for work, one after another");
+      *app.add_subcommand("work", "Maintenance: take machines out of service, one after another");
   work.require_subcommand(1);
   const CommandContext context{work, std::make_shared<Options>(), out, action};
-  addAsk(context);
-  addStop(context);
-  addDone(context);
-  addList(context);
+  addAskCommand(context);
+  addStopCommand(context);
+  addDoneCommand(context);
+  addListCommand(context);
 }
 
 }  // namespace gulltrestle::cli
--- a/src/cli/work_command.h
+++ b/src/cli/work_command.h
@@ -8,8 +8,9 @@
 
 namespace gulltrestle::cli {
 
-// Adds the sub-command; once it is parsed, `action` runs it. Exit codes: 0 applied; 1 rejected, or a file
-// can't be read; 3 no answer yet, and the request stays; list: 3 some machine is not finished.
-void addWork(CLI::App& app, std::ostream& out, Action& action);
+// Adds the sub-command, which stores its implementation in `action` when it is parsed. Exit codes: 0 applied;
+// 1 rejected, or a file cannot be read; 3 no answer yet, the request remains pending; of list: 3 some machine
+// is not finished.
+void addWorkCommand(CLI::App& app, std::ostream& out, Action& action);
 
 }  // namespace gulltrestle::cli
--- a/src/config/address.cpp
+++ b/src/config/address.cpp
@@ -14,11 +14,11 @@
   address.host = text.substr(0, colon);
   in_addr ignored{};
   if (colon == std::string_view::npos || inet_pton(AF_INET, address.host.c_str(), &ignored) != 1)
-    throw ConfigError(key, "'" + std::string(text) + "' is not an address:port of IPv4");
+    throw ConfigError(key, "'" + std::string(text) + "' is not an IPv4 address:port");
   const auto port = text.substr(colon + 1);
   const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), address.port);
   if (error != std::errc{} || end != port.data() + port.size() || address.port == 0)
-    throw ConfigError(key, "'" + std::string(text) + "' has no port from 1 to 65535");
+    throw ConfigError(key, "'" + std::string(text) + "' has an invalid port: expected 1 to 65535");
   return address;
 }
 
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -7,8 +7,8 @@
 
 namespace gulltrestle::config {
 
-// Configuration that can't be used. The message names the key, by its path from the top of the document, and
-// the fault. Trying again helps only after the configuration was changed.
+// Reports an invalid configuration. The message consists of the key, as its path from the top of the
+// document, and the error. A retry succeeds only after the configuration has changed.
 class ConfigError : public std::runtime_error {
  public:
   ConfigError(std::string_view key, std::string_view fault)
--- a/src/config/config_section.cpp
+++ b/src/config/config_section.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// None where the text as a whole is not a number of this type.
+// Returns nullopt unless the entire text is a number of this type.
 template <typename T>
 std::optional<T> parseNumber(std::string_view text) {
   T number{};
@@ -18,11 +18,11 @@
   return number;
 }
 
-// As errors name the type that a value has not.
-std::string nameOf(Value::Kind kind) {
+// The description of an expected type in error messages, after "is not".
+std::string describeType(Value::Kind kind) {
   switch (kind) {
     case Value::Kind::string:
-      return "a text";
+      return "a string";
     case Value::Kind::boolean:
       return "true or false";
     case Value::Kind::number:
@@ -30,7 +30,7 @@
     case Value::Kind::object:
       return "an object";
     case Value::Kind::array:
-      return "a list";
+      return "an array";
     case Value::Kind::null:
       return "null";
   }
@@ -62,13 +62,13 @@
 
 void ConfigSection::rejectUnknownKeys() const {
   for (std::size_t i = 0; i < isKnown_.size(); ++i)
-    if (!isKnown_[i]) throw ConfigError(path(value_->names[i]), "is not known here");
+    if (!isKnown_[i]) throw ConfigError(path(value_->names[i]), "is not a known key");
 }
 
 // --- Checks
 
 const Value& ConfigSection::checkType(std::string_view key, const Value& value, Value::Kind kind) const {
-  if (value.kind != kind) throw ConfigError(path(key), "is not " + nameOf(kind));
+  if (value.kind != kind) throw ConfigError(path(key), "is not " + describeType(kind));
   return value;
 }
 
@@ -113,7 +113,7 @@
   if (!value) return field.defaultValue;
   const auto number = parseNumber<std::size_t>(value->text);
   if (!number || *number < field.min || *number > field.max)
-    throw ConfigError(path(field.key), "'" + value->text + "' is no whole number from " +
+    throw ConfigError(path(field.key), "'" + value->text + "' is not a whole number from " +
                                            std::to_string(field.min) + " to " + std::to_string(field.max));
   return *number;
 }
--- a/src/config/config_section.h
+++ b/src/config/config_section.h
@@ -15,22 +15,23 @@
 
 namespace gulltrestle::config {
 
-// A field of an object: its key, the value where the object has none, and the permitted range, both ends
-// included. Keys are referred to: a field is used in the expression that makes it.
+// Descriptions of the fields of an object: the key, the default value for an absent field, and the permitted
+// range, both ends included. A description refers to the text of its key, so it must not outlive the
+// expression that creates it.
 
-// A string that must not be empty where it is set.
+// A string, which must not be empty if it is set.
 struct StringField {
   std::string_view key;
   std::string_view defaultValue = {};
 };
 
-// True or false.
+// A boolean.
 struct BooleanField {
   std::string_view key;
   bool defaultValue = false;
 };
 
-// A whole number.
+// A non-negative integer.
 struct IntegerField {
   std::string_view key;
   std::size_t defaultValue = 0;
@@ -38,7 +39,7 @@
   std::size_t max = std::numeric_limits<std::size_t>::max();
 };
 
-// A finite number, whole or not.
+// A finite number, integral or fractional.
 struct NumberField {
   std::string_view key;
   double defaultValue = 0;
@@ -46,7 +47,7 @@
   double max = std::numeric_limits<double>::max();
 };
 
-// A duration that is written as a whole number of milliseconds.
+// A duration, written as an integer number of milliseconds.
 struct MillisecondsField {
   std::string_view key;
   Duration defaultValue = {};
@@ -55,42 +56,42 @@
 };
 
 // One JSON object of a configuration document. Every access marks its key as known; rejectUnknownKeys() then
-// throws for keys that nobody asked for. Refers to the JSON value, which must outlive it.
+// throws for keys that were never accessed. Refers to the JSON value, which must outlive this object.
 //
-// All accessors throw ConfigError, which names the key, where a value has another type or is out of range.
+// All accessors throw ConfigError, which names the key, if a value has the wrong type or is out of range.
 class ConfigSection {
  public:
-  // `path`: of the object, before its keys in errors; empty for the top of the document, which errors name
-  // `documentName`. Throws ConfigError where the value is no object.
+  // `path`: path of the object, the prefix of its keys in errors; empty for the top of the document, which
+  // errors call `documentName`. Throws ConfigError if the value is not an object.
   explicit ConfigSection(const json::Value& value, std::string path = {},
                          std::string_view documentName = kDefaultDocumentName);
 
-  // The value of a field; the default where it is absent or null.
+  // Returns the value of a field, or its default if the field is absent or null.
   std::string read(const StringField& field);
   bool read(const BooleanField& field);
   std::size_t read(const IntegerField& field);
   double read(const NumberField& field);
   Duration read(const MillisecondsField& field);
-  // An object; an empty one where it is absent or null.
+  // Returns an object, or an empty one if it is absent or null.
   ConfigSection section(std::string_view key);
 
-  // The value of a field that must be there. Defaults do not count.
+  // Returns the value of a required field. Its default is not used.
   std::string require(const StringField& field);
   bool require(const BooleanField& field);
   double require(const NumberField& field);
   ConfigSection requireSection(std::string_view key);
   const std::vector<json::Value>& requireList(std::string_view key);
 
-  // The value as it is written, of any type; null where the key is absent.
+  // Returns the unchecked value, of any type; null if the key is absent.
   const json::Value* find(std::string_view key);
-  // There is a value that is not null.
+  // Returns whether the key is present with a value other than null.
   bool has(std::string_view key);
   const std::vector<std::string>& keys() const { return value_->names; }
   const json::Value& value() const { return *value_; }
-  // The path of a key from the top of the document.
+  // Returns the path of a key from the top of the document.
   std::string path(std::string_view key) const;
-  // Call it after all known keys were accessed. Guards against misspelt keys, which would pass for absent
-  // ones.
+  // Throws ConfigError for a key that was not accessed. To be called after all known keys were accessed.
+  // Prevents a misspelled key from being treated as an absent one.
   void rejectUnknownKeys() const;
 
  private:
@@ -102,7 +103,7 @@
 
   const json::Value* value_;
   std::string path_;
-  std::vector<bool> isKnown_;  // one per key of the object
+  std::vector<bool> isKnown_;  // whether the key was accessed; one per key of the object
 };
 
 }  // namespace gulltrestle::config
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -11,9 +11,9 @@
 
 using json::Value;
 
-// Whole numbers up to here are exact in a double.
+// Integers up to this value are represented exactly by a double.
 constexpr double kMaxExactNumber = 9e15;
-// Unix time in milliseconds: nothing starts after the year 5138.
+// Latest valid start time, in milliseconds of Unix time: the year 5138.
 constexpr double kMaxUnixMillis = 1e14;
 
 Health readHealth(const std::string& state) {
@@ -23,13 +23,15 @@
   throw ConfigError("servers.state", "'" + state + "' is not known");
 }
 
-// Empty where the value is absent or no string: discovery may serve more than is known here.
+// Returns an empty string if the value is absent or not a string: discovery may serve values that this
+// version does not know.
 std::string_view stringOrEmpty(ConfigSection& server, std::string_view key) {
   const Value* value = server.find(key);
   return value && value->kind == Value::Kind::string ? std::string_view(value->text) : std::string_view();
 }
 
-// When the node started, in Unix time as positions are; 0 is long ago.
+// Returns the start time of the node, in Unix time like log positions. 0, also for an absent value, means
+// long ago.
 Instant readStart(ConfigSection& server) {
   constexpr std::string_view kKey = "started_ms";
   const double millis =
--- a/src/config/endpoint_list.h
+++ b/src/config/endpoint_list.h
@@ -1,4 +1,4 @@
-// Endpoint lists as discovery serves them, and where it does.
+// The format of the endpoint lists that discovery serves, and the HTTP paths that serve them.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,21 @@
 
 namespace gulltrestle::config {
 
-// A snapshot of all endpoints, or the changes after an earlier version.
+// A snapshot of all endpoints, or the changes since an earlier version.
 struct EndpointList {
   struct Node {
     EndpointEntry entry;
-    std::string address;  // as address:port
+    std::string address;  // address:port
   };
   std::uint64_t version = 0;
   bool isSnapshot = false;
   std::vector<Node> nodes;
 };
 
-// Reads a list. `zone`: this router's own. Throws ConfigError.
+// Reads a list. `zone`: zone of this router. Throws ConfigError.
 EndpointList readEndpointList(const json::Value& document, const std::string& zone);
 
-// The HTTP paths by which discovery serves the whole list, and its changes after a version.
+// The HTTP paths at which discovery serves the complete list, and its changes after a version.
 std::string listPath();
 std::string watchPath(std::uint64_t version);
 
--- a/src/config/json_document.cpp
+++ b/src/config/json_document.cpp
@@ -13,7 +13,7 @@
     parser.feed(text);
     parser.finish();
   } catch (const json::Malformed& error) {
-    throw ConfigError(documentName, std::string("is no JSON: ") + error.what());
+    throw ConfigError(documentName, std::string("is not valid JSON: ") + error.what());
   }
   return parser.take();
 }
@@ -21,7 +21,7 @@
 json::Value loadDocument(const std::string& path, std::string_view documentName) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream content;
-  if (!file || !(content << file.rdbuf())) throw ConfigError(documentName, "'" + path + "' can't be read");
+  if (!file || !(content << file.rdbuf())) throw ConfigError(documentName, "'" + path + "' cannot be read");
   return parseDocument(content.str(), documentName);
 }
 
--- a/src/config/json_document.h
+++ b/src/config/json_document.h
@@ -1,4 +1,4 @@
-// JSON documents of the configuration: the router's own file and those of the optional parts.
+// JSON documents of the configuration: the router's own file and the files of the optional parts.
 #pragma once
 
 #include <string>
@@ -8,13 +8,13 @@
 
 namespace gulltrestle::config {
 
-// By which errors name a document as a whole, where it has no name of its own.
+// The name of a document in errors that concern the whole document, unless the caller provides another.
 constexpr std::string_view kDefaultDocumentName = "the file";
 
-// Parses a whole document. Throws ConfigError, which names `documentName`, where the text is not JSON.
+// Parses a whole document. Throws ConfigError, which names `documentName`, if the text is not valid JSON.
 json::Value parseDocument(std::string_view text, std::string_view documentName = kDefaultDocumentName);
 
-// The same from a file. Throws ConfigError also where the file can't be read.
+// Like parseDocument(), for the contents of a file. Throws ConfigError also if the file cannot be read.
 json::Value loadDocument(const std::string& path, std::string_view documentName = kDefaultDocumentName);
 
 }  // namespace gulltrestle::config
--- a/src/config/json_settings.cpp
+++ b/src/config/json_settings.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-bool isPlain(const Value& value) {
+bool isScalar(const Value& value) {
   return value.kind != Value::Kind::object && value.kind != Value::Kind::array;
 }
 
-// Of the names of what is within.
-std::string prefixOf(const std::string& name) { return name.empty() ? name : name + "."; }
+// The prefix of the dotted names of the members of an object or list with this name.
+std::string memberPrefix(const std::string& name) { return name.empty() ? name : name + "."; }
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 
 void JsonSettings::add(const std::string& name, const Value& value) {
   if (value.kind == Value::Kind::object) {
-    const std::string prefix = prefixOf(name);
+    const std::string prefix = memberPrefix(name);
     for (std::size_t i = 0; i < value.items.size(); ++i) add(prefix + value.names[i], value.items[i]);
   } else if (value.kind == Value::Kind::array) {
     addList(name, value);
@@ -34,9 +34,9 @@
 }
 
 void JsonSettings::addList(const std::string& name, const Value& list) {
-  const std::string prefix = prefixOf(name);
+  const std::string prefix = memberPrefix(name);
   values_[prefix + "count"] = std::to_string(list.items.size());
-  if (!list.items.empty() && std::all_of(list.items.begin(), list.items.end(), isPlain)) {
+  if (!list.items.empty() && std::all_of(list.items.begin(), list.items.end(), isScalar)) {
     std::string joined;
     for (const Value& item : list.items) joined += (joined.empty() ? "" : ",") + item.text;
     values_[name] = joined;
--- a/src/config/json_settings.h
+++ b/src/config/json_settings.h
@@ -1,4 +1,4 @@
-// A deployment's settings in a JSON document.
+// The settings of a deployment, from a JSON document.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,8 @@
 
 namespace gulltrestle::config {
 
-// The values of a JSON object by dotted name, as deployment::SettingsSource defines it. Keeps copies of them.
+// Provides the values of a JSON object by dotted name, as defined by deployment::SettingsSource. Copies the
+// values.
 class JsonSettings final : public deployment::SettingsSource {
  public:
   explicit JsonSettings(const json::Value& settings) { add("", settings); }
--- a/src/config/router_config.cpp
+++ b/src/config/router_config.cpp
@@ -16,16 +16,17 @@
 
 using json::Value;
 
-// The variable that names the file; errors name the file as a whole by it.
+// The environment variable with the path of the file. Errors that concern the whole file name this variable.
 constexpr const char* kFileVariable = "BALANCER_CONFIG";
-// Below this there is no room for a router: its own descriptors and a few connections.
+// Minimum for a router: its own descriptors and a few connections.
 constexpr std::size_t kMinDescriptors = 64;
 constexpr double kMaxDescriptors = 1e7;
-// Nor below this for its code, its buffers and a few long values: it takes one to six MiB in service.
+// The minimum covers code, buffers and a few long values. A router in service uses one to six MiB.
 constexpr double kMinMemoryMiB = 8, kMaxMemoryMiB = 1e6;
 constexpr unsigned kBytesPerMiBShift = 20;
 
-// The value of an environment variable or of a key of the file.
+// Returns the value of an environment variable or of a key of the file, depending on the precedence. Throws
+// ConfigError if neither has a value.
 std::string readVariableOrKey(const char* variable, ConfigSection& file, std::string_view key,
                               ValuePrecedence precedence) {
   const char* value = std::getenv(variable);
@@ -39,7 +40,7 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc{} || end != text.data() + text.size())
-    throw ConfigError("seed", "'" + text + "' is not a number in hex");
+    throw ConfigError("seed", "'" + text + "' is not a hexadecimal number");
   return seed;
 }
 
@@ -87,12 +88,12 @@
   const char* path = std::getenv(kFileVariable);
   if (!path || !*path) throw ConfigError(kFileVariable, "is not set");
   RouterConfig config = readDocument(loadDocument(path, kFileVariable), precedence);
-  // The process may be allowed fewer than the configuration says.
-  rlimit allowed{};
-  if (getrlimit(RLIMIT_NOFILE, &allowed) == 0 && allowed.rlim_cur < config.descriptors)
-    config.descriptors = static_cast<std::size_t>(allowed.rlim_cur);
+  // The limit of the process (RLIMIT_NOFILE) may be lower than the configured one.
+  rlimit processLimit{};
+  if (getrlimit(RLIMIT_NOFILE, &processLimit) == 0 && processLimit.rlim_cur < config.descriptors)
+    config.descriptors = static_cast<std::size_t>(processLimit.rlim_cur);
   if (config.descriptors < kMinDescriptors)
-    throw ConfigError("limits.sockets", "the process is allowed too few");
+    throw ConfigError("limits.sockets", "the open file limit of the process (RLIMIT_NOFILE) is too low");
   return config;
 }
 
--- a/src/config/router_config.h
+++ b/src/config/router_config.h
@@ -1,4 +1,4 @@
-// The router's own configuration, from the environment and the file that BALANCER_CONFIG names.
+// The router's own configuration, from environment variables and the file that BALANCER_CONFIG names.
 #pragma once
 
 #include <cstddef>
@@ -14,30 +14,30 @@
 
 namespace gulltrestle::config {
 
-// Checked, with defaults filled in.
+// The validated configuration, with defaults filled in.
 struct RouterConfig {
   std::string name;
   Address listen, discovery;
   std::uint64_t seed = 0;
   std::size_t memoryBytes = 0;
-  std::size_t descriptors = 0;
-  EndpointList known;  // to start from until discovery answers
+  std::size_t descriptors = 0;  // maximum number of open file descriptors
+  EndpointList known;           // initial endpoint list, used until discovery responds
   deployment::DeploymentSettings deployment;
 };
 
-// Which one counts where both a variable of the environment and the file have a value: the variable at the
-// start; the file when it is read again, as only the file can have changed.
+// Which value takes precedence if both an environment variable and the file have one: the variable at the
+// start; the file at a configuration reload, because only the file can have changed.
 enum class ValuePrecedence { environment, file };
 
-// Reads the environment and the file that BALANCER_CONFIG names. The limit on descriptors is no higher than
-// the process's own. Throws ConfigError.
+// Reads the environment and the file that BALANCER_CONFIG names. Lowers the limit on descriptors to that of
+// the process. Throws ConfigError.
 RouterConfig readRouterConfig(ValuePrecedence precedence = ValuePrecedence::environment);
 
-// The same from the text of a file, without the process's own limits.
+// Like readRouterConfig(), for the text of a file and without the limits of the process.
 RouterConfig parseRouterConfig(std::string_view text,
                                ValuePrecedence precedence = ValuePrecedence::environment);
 
-// The keys of values that have changed and take effect only after a restart.
+// Returns the keys whose values have changed and take effect only after a restart.
 std::vector<std::string> keysNeedingRestart(const RouterConfig& running, const RouterConfig& reloaded);
 
 }  // namespace gulltrestle::config
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -1,4 +1,5 @@
-// Random settings: each that the deployment page allows has to start a router. Run as `settings CASE`.
+// Checks that a router starts with random settings, which cover what the deployment page allows. Run as
+// `settings CASE`.
 #include <fstream>
 #include <iostream>
 #include <memory>
@@ -16,8 +17,8 @@
 
 namespace {
 
-constexpr std::uint64_t kSeedsInProcess = 10'000, kSeedsOfProcesses = 48;
-constexpr std::uint64_t kMaxPrintedFaults = 5;
+constexpr std::uint64_t kInProcessSeeds = 10'000, kProcessSeeds = 48;
+constexpr std::uint64_t kMaxPrintedFailures = 5;
 
 std::string readFile(const std::string& path) {
   std::ifstream file(path);
@@ -40,7 +41,7 @@
   int answers = 0;
 };
 
-// From the text of the file to a router that has had some turns, as main() puts them together.
+// Parses the text of a configuration file, builds the router from it like main(), and runs it for some turns.
 void startInProcess(const std::string& text, const std::string& levels) {
   const auto config = config::parseRouterConfig(text);
   RoutingConfig routing = config.deployment.routing;
@@ -75,17 +76,18 @@
     router.endTurn(now);
     now = now + Duration::millis(100);
   }
-  // A greeting for each client, and a final answer to each transaction: nothing can be reached.
+  // Each client gets a response to its startup message, and each transaction a final answer: no node is
+  // reachable.
   const auto expected = 1 + 2 * routing.transactionClasses.size();
   if (sockets.answers != static_cast<int>(expected))
     throw std::runtime_error(std::to_string(sockets.answers) + " answers for " + std::to_string(expected));
 }
 
-// Counts starts that failed, and prints the first of them.
-class Faults {
+// Counts failed starts, and prints the first ones.
+class StartFailures {
  public:
-  void add(std::uint64_t seed, const std::string& fault) {
-    if (++count_ <= kMaxPrintedFaults) std::cout << "  seed " << seed << ": " << fault << "\n";
+  void add(std::uint64_t seed, const std::string& error) {
+    if (++count_ <= kMaxPrintedFailures) std::cout << "  seed " << seed << ": " << error << "\n";
   }
   std::uint64_t count() const { return count_; }
 
@@ -93,25 +95,26 @@
   std::uint64_t count_ = 0;
 };
 
-// Finds values that are derived from settings and fail a check of their own (the incident of 2026-12-02).
+// Guards against values that are derived from valid settings and then fail a check of their own, so that the
+// router does not start (the incident of 2026-12-02).
 void startRoutersInProcess(std::uint64_t firstSeed, std::uint64_t count) {
   const std::string levels = readFile(GULLTRESTLE_LEVELS_FILE);
-  Faults faults;
+  StartFailures failures;
   for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed) try {
       startInProcess(settings::randomConfiguration(seed), levels);
-    } catch (const std::exception& fault) { faults.add(seed, fault.what()); }
-  std::cout << count << " settings, " << faults.count() << " did not start\n";
+    } catch (const std::exception& error) { failures.add(seed, error.what()); }
+  std::cout << count << " settings, " << failures.count() << " did not start\n";
 }
 
-// One process of the program and what it was started with.
+// A process of the program, with its seed, port and configuration file.
 struct StartedProcess {
   explicit StartedProcess(std::uint64_t settingsSeed)
       : seed(settingsSeed),
         file("settings-" + std::to_string(getpid()) + "-" + std::to_string(seed) + ".json") {
-    settings::RouterAddresses place;
-    place.listen = "127.0.0.1:" + std::to_string(port.number());
-    place.known = R"({"version":1,"full":true,"servers":[]})";
-    std::ofstream(file) << settings::randomConfiguration(seed, place);
+    settings::RouterAddresses addresses;
+    addresses.listen = "127.0.0.1:" + std::to_string(port.number());
+    addresses.known = R"({"version":1,"full":true,"servers":[]})";
+    std::ofstream(file) << settings::randomConfiguration(seed, addresses);
     child = std::make_unique<Child>(std::vector<std::string>{
         "BALANCER_CONFIG=" + file, std::string("GULLTRESTLE_LEVELS=") + GULLTRESTLE_LEVELS_FILE});
   }
@@ -123,9 +126,10 @@
   std::unique_ptr<Child> child;
 };
 
-// The same with the program itself: each process logs that it listens, and exits with code 0 on SIGTERM.
+// Starts the program itself with random settings: each process must log that it listens, and exit with code 0
+// on SIGTERM.
 void startProcesses(std::uint64_t firstSeed, std::uint64_t count) {
-  Faults faults;
+  StartFailures failures;
   std::vector<std::unique_ptr<StartedProcess>> started;
   for (std::uint64_t seed = firstSeed; seed < firstSeed + count; ++seed)
     started.push_back(std::make_unique<StartedProcess>(seed));
@@ -134,23 +138,23 @@
     process->child->signal(SIGTERM);
   }
   for (const auto& process : started) {
-    process->child->waitForLine("no line has this");
+    process->child->waitForLine("(matches no line: reads to the end)");
     if (const int code = process->child->wait(); code != 0)
-      faults.add(process->seed, "exit code " + std::to_string(code) + ", " + process->child->lastLine());
+      failures.add(process->seed, "exit code " + std::to_string(code) + ", " + process->child->lastLine());
   }
-  std::cout << count << " processes, " << faults.count() << " did not start\n";
+  std::cout << count << " processes, " << failures.count() << " did not start\n";
 }
 
 }  // namespace
 
 int main(int count, char** arguments) {
   const std::string name = count > 1 ? arguments[1] : "";
-  // By hand: `settings random-in-process FIRST COUNT` goes on where CI ends.
+  // `settings random-in-process FIRST COUNT`, run manually, covers seeds beyond those of CI.
   const std::uint64_t firstSeed = count > 3 ? std::stoull(arguments[2]) : 1;
   const std::uint64_t seedCount = count > 3 ? std::stoull(arguments[3]) : 0;
   if (name == "random-in-process")
-    return startRoutersInProcess(firstSeed, seedCount > 0 ? seedCount : kSeedsInProcess), 0;
+    return startRoutersInProcess(firstSeed, seedCount > 0 ? seedCount : kInProcessSeeds), 0;
   if (name == "random-processes")
-    return startProcesses(firstSeed, seedCount > 0 ? seedCount : kSeedsOfProcesses), 0;
+    return startProcesses(firstSeed, seedCount > 0 ? seedCount : kProcessSeeds), 0;
   return 2;
 }
--- a/tests/setups.cpp
+++ b/tests/setups.cpp
@@ -1,5 +1,5 @@
-// The cluster's configuration with each kind of fault, the command line, and a voter's answers to peers that
-// it rejects and to false reports. Run as `setups CASE`: prints the case's trace.
+// Tests cluster configurations with each kind of error, the command line, and a voter's replies to peers that
+// it rejects and to false observations. Run as `setups CASE`: prints the trace of the case.
 #include <unistd.h>
 
 #include <cstdlib>
@@ -25,11 +25,11 @@
 
 namespace {
 
-// Reads the configuration as the router `name` and prints what was read, or the error.
+// Reads the configuration as the router `name` and prints the result or the error.
 void readConfiguration(const std::string& text, const std::string& name = "a") {
   try {
     const ClusterConfig config = readClusterConfig(text, name, ms(3000));
-    std::cout << "taken: keepers " << config.voterListText() << "; routers " << config.routers.size()
+    std::cout << "accepted: voters " << config.voterListText() << "; routers " << config.routers.size()
               << "; store '" << config.storeFolder << "'; connections " << config.maxConnections << "\n";
   } catch (const config::ConfigError& error) { std::cout << error.what() << "\n"; }
 }
@@ -83,7 +83,7 @@
   std::string base_;
 };
 
-// One committed claim, one that is not, and the start of another voter.
+// Writes a committed claim, an uncommitted one, and an incarnation of another voter.
 void fillStore(const std::string& folder) {
   store::Store store(folder, "r1", 5, {{1, {"r1"}}});
   idempotency::ClaimRecord claim;
@@ -154,10 +154,10 @@
   std::filesystem::remove_all(base);
 }
 
-// A voter's claim dispatcher, with other routers' messages delivered to it by hand.
-class World final : public Effects {
+// A voter's claim dispatcher. The test delivers the messages of other routers and completes the disk writes.
+class VoterHarness final : public Effects {
  public:
-  World()
+  VoterHarness()
       : transactions_(trace::defaultConfig({trace::transactionClass(ReadLevel::write, Effect::atMostOnce)}),
                       7, 1 << 20, [] {}) {
     const ClusterConfig config = readClusterConfig(
@@ -170,15 +170,16 @@
     dispatcher_ = std::make_unique<ClaimDispatcher>(transactions_, RoutingConfig{}, config,
                                                     LocalRouter{"a", 99, stored}, *this);
   }
-  // Prints what happens, and delivers the message.
+  // Prints the title and delivers the message.
   void deliver(PeerStreamId stream, const std::string& title, const std::string& bytes) {
     std::cout << title << "\n";
     dispatcher_->onMessage(stream, bytes);
   }
-  // All writes in flight end.
+  // Completes all writes in flight.
   void endWrites(bool areDurable) {
-    std::cout << (areDurable ? "durable\n" : "the disk fails\n");
-    for (const StoreWriteId write : std::exchange(tickets_, {})) dispatcher_->onWritten(write, areDurable);
+    std::cout << (areDurable ? "durable\n" : "the disk write fails\n");
+    for (const StoreWriteId write : std::exchange(pendingWrites_, {}))
+      dispatcher_->onWritten(write, areDurable);
   }
   ClaimDispatcher& dispatcher() { return *dispatcher_; }
   std::string status() const {
@@ -189,20 +190,21 @@
   }
 
  private:
-  void sendToVoter(idempotency::VoterIndex keeper, const PeerMessage&) override {
-    std::cout << "  to keeper " << keeper << "\n";
+  void sendToVoter(idempotency::VoterIndex voter, const PeerMessage&) override {
+    std::cout << "  to voter " << voter << "\n";
   }
   void reply(PeerStreamId stream, const PeerReply& reply) override {
     std::cout << "  to stream " << stream << ": ";
-    if (const auto* heard = std::get_if<GreetingReply>(&reply))
-      std::cout << "heard " << heard->number << ", knew " << heard->previousVoterIncarnation.number << "\n";
-    else if (const auto* seen = std::get_if<ObservationReport>(&reply))
-      std::cout << "saw " << seen->nodes.size() << " nodes, " << (seen->hasRecovered ? "serves" : "starts")
-                << "\n";
-    else if (const auto* entered = std::get_if<JoinReply>(&reply))
-      std::cout << "entered " << entered->newest.number << " drawn " << entered->newest.draw << "\n";
-    else if (const auto* reports = std::get_if<HeartbeatReply>(&reply)) {
-      for (const auto& report : reports->reports)
+    if (const auto* greeting = std::get_if<GreetingReply>(&reply))
+      std::cout << "greeted as incarnation " << greeting->number << ", previous "
+                << greeting->previousVoterIncarnation.number << "\n";
+    else if (const auto* observations = std::get_if<ObservationReport>(&reply))
+      std::cout << "observed " << observations->nodes.size() << " nodes, "
+                << (observations->hasRecovered ? "recovered" : "recovering") << "\n";
+    else if (const auto* joined = std::get_if<JoinReply>(&reply))
+      std::cout << "joined as " << joined->newest.number << ", draw " << joined->newest.draw << "\n";
+    else if (const auto* heartbeat = std::get_if<HeartbeatReply>(&reply)) {
+      for (const auto& report : heartbeat->reports)
         std::cout << report.router << " " << report.incarnation.number << " "
                   << static_cast<int>(report.liveness) << "; ";
       std::cout << "\n";
@@ -211,118 +213,122 @@
                 << static_cast<int>(std::get<VoteReply>(reply).vote.kind) << "\n";
   }
   void rejectStream(PeerStreamId stream, std::string_view reason) override {
-    std::cout << "  stream " << stream << " refused: " << reason << "\n";
+    std::cout << "  stream " << stream << " rejected: " << reason << "\n";
   }
   StoreWriteId write(std::vector<idempotency::DiskChange> changes) override {
     std::cout << "  to disk: " << changes.size() << "\n";
-    tickets_.push_back(++last_);
-    return last_;
+    pendingWrites_.push_back(++lastWriteId_);
+    return lastWriteId_;
   }
-  void terminate() override { std::cout << "  ends itself\n"; }
-  void announce(std::uint64_t version, const std::set<std::string>& out) override {
-    std::cout << "  announces plan " << version << ", out " << out.size() << "\n";
+  void terminate() override { std::cout << "  terminates\n"; }
+  void announce(std::uint64_t version, const std::set<std::string>& excludedNodes) override {
+    std::cout << "  announces plan " << version << ", excluded nodes " << excludedNodes.size() << "\n";
   }
   void log(std::string_view event, const std::string& fields) override {
     std::cout << "  " << event << " " << fields << "\n";
   }
   transactions::TransactionTable transactions_;
   std::unique_ptr<ClaimDispatcher> dispatcher_;
-  std::vector<StoreWriteId> tickets_;
-  StoreWriteId last_ = 0;
+  std::vector<StoreWriteId> pendingWrites_;
+  StoreWriteId lastWriteId_ = 0;
 };
 
 const std::string kVoterList = "1: a b c";
 
-void rejectBeforeJoin(World& world) {
-  world.deliver(1, "nonsense", "\xff\xff\xff");
-  world.deliver(1, "an empty word", "");
-  world.deliver(1, "a claim before a greeting", encoded(PeerMessage(Claim{"b1", 1})));
-  world.deliver(1, "a stranger greets", encoded(PeerMessage(Greeting{"z", kVoterList, 5, {}})));
-  world.deliver(1, "a router with another list", encoded(PeerMessage(Greeting{"d", "1: a b", 5, {}})));
-  world.deliver(1, "a router greets", encoded(PeerMessage(Greeting{"d", kVoterList, 5, {}})));
-  world.endWrites(true);
-  world.deliver(1, "it claims and has not entered", encoded(PeerMessage(Claim{"b1", 1})));
-  world.deliver(1, "it enters by a number from the future", encoded(PeerMessage(JoinRequest{1'000'000'000})));
-  world.endWrites(true);
-  world.deliver(1, "it enters, and the disk fails", encoded(PeerMessage(JoinRequest{1})));
-  world.endWrites(false);
-  world.deliver(1, "it greets again", encoded(PeerMessage(Greeting{"d", kVoterList, 5, {}})));
-  world.endWrites(true);
-  world.deliver(1, "it claims, and the keeper has not heard the others",
-                encoded(PeerMessage(Claim{"b1", 1})));
+void rejectBeforeJoin(VoterHarness& harness) {
+  harness.deliver(1, "malformed bytes", "\xff\xff\xff");
+  harness.deliver(1, "an empty message", "");
+  harness.deliver(1, "a claim before a greeting", encoded(PeerMessage(Claim{"b1", 1})));
+  harness.deliver(1, "a router that is not configured greets",
+                  encoded(PeerMessage(Greeting{"z", kVoterList, 5, {}})));
+  harness.deliver(1, "a router with another voter list greets",
+                  encoded(PeerMessage(Greeting{"d", "1: a b", 5, {}})));
+  harness.deliver(1, "a router greets", encoded(PeerMessage(Greeting{"d", kVoterList, 5, {}})));
+  harness.endWrites(true);
+  harness.deliver(1, "it claims before it has joined", encoded(PeerMessage(Claim{"b1", 1})));
+  harness.deliver(1, "it joins with an incarnation number that is far too high",
+                  encoded(PeerMessage(JoinRequest{1'000'000'000})));
+  harness.endWrites(true);
+  harness.deliver(1, "it joins, and the disk write fails", encoded(PeerMessage(JoinRequest{1})));
+  harness.endWrites(false);
+  harness.deliver(1, "it greets again", encoded(PeerMessage(Greeting{"d", kVoterList, 5, {}})));
+  harness.endWrites(true);
+  harness.deliver(1, "it claims before the voter has a reply from another voter",
+                  encoded(PeerMessage(Claim{"b1", 1})));
 }
 
-void rejectWithoutQuorum(World& world) {
-  std::cout << "a keeper answers with nonsense: ";
+void rejectWithoutQuorum(VoterHarness& harness) {
+  std::cout << "a voter replies with malformed bytes: ";
   try {
-    world.dispatcher().onReply(1, "\xff\xff");
-  } catch (const MalformedMessage& bad) { std::cout << bad.what() << "\n"; }
-  std::cout << "one answers\n";
-  world.dispatcher().onReply(1, encoded(PeerReply(GreetingReply{1, {}, {}})));
-  world.deliver(1, "it claims", encoded(PeerMessage(Claim{"b1", 2})));
-  world.endWrites(false);
+    harness.dispatcher().onReply(1, "\xff\xff");
+  } catch (const MalformedMessage& error) { std::cout << error.what() << "\n"; }
+  std::cout << "a voter replies\n";
+  harness.dispatcher().onReply(1, encoded(PeerReply(GreetingReply{1, {}, {}})));
+  harness.deliver(1, "it claims", encoded(PeerMessage(Claim{"b1", 2})));
+  harness.endWrites(false);
 }
 
-void rejectRestartedVoter(World& world) {
-  world.deliver(2, "a keeper greets, and its start can't be kept",
-                encoded(PeerMessage(Greeting{"b", kVoterList, 6, {3, 60}})));
-  world.endWrites(false);
-  world.deliver(3, "it greets again", encoded(PeerMessage(Greeting{"b", kVoterList, 6, {3, 60}})));
-  world.endWrites(true);
-  world.deliver(3, "it enters", encoded(PeerMessage(JoinRequest{1})));
-  world.endWrites(true);
-  world.deliver(3, "it claims the same", encoded(PeerMessage(Claim{"b1", 1})));
-  world.dispatcher().onStreamEnded(3);
-  world.deliver(3, "a claim on a stream that ended", encoded(PeerMessage(Claim{"b2", 2})));
+void rejectRestartedVoter(VoterHarness& harness) {
+  harness.deliver(2, "a voter greets, and the disk write of its incarnation fails",
+                  encoded(PeerMessage(Greeting{"b", kVoterList, 6, {3, 60}})));
+  harness.endWrites(false);
+  harness.deliver(3, "it greets again", encoded(PeerMessage(Greeting{"b", kVoterList, 6, {3, 60}})));
+  harness.endWrites(true);
+  harness.deliver(3, "it joins", encoded(PeerMessage(JoinRequest{1})));
+  harness.endWrites(true);
+  harness.deliver(3, "it claims the same transaction id", encoded(PeerMessage(Claim{"b1", 1})));
+  harness.dispatcher().onStreamEnded(3);
+  harness.deliver(3, "a claim on a stream that has ended", encoded(PeerMessage(Claim{"b2", 2})));
 }
 
-void rejectSecondProcess(World& world) {
-  world.deliver(4, "another process of the name d greets",
-                encoded(PeerMessage(Greeting{"d", kVoterList, 8, {}})));
-  world.endWrites(true);
-  world.deliver(4, "it enters by the same number", encoded(PeerMessage(JoinRequest{1})));
-  world.endWrites(true);
-  world.deliver(4, "it enters by the next one", encoded(PeerMessage(JoinRequest{2})));
-  world.deliver(1, "the first claims meanwhile", encoded(PeerMessage(Claim{"b4", 3})));
-  world.endWrites(true);
-  world.deliver(1, "the first beats", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
-  world.deliver(4, "the second beats", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
+void rejectSecondProcess(VoterHarness& harness) {
+  harness.deliver(4, "another process with the name d greets",
+                  encoded(PeerMessage(Greeting{"d", kVoterList, 8, {}})));
+  harness.endWrites(true);
+  harness.deliver(4, "it joins with the same incarnation number", encoded(PeerMessage(JoinRequest{1})));
+  harness.endWrites(true);
+  harness.deliver(4, "it joins with the next incarnation number", encoded(PeerMessage(JoinRequest{2})));
+  harness.deliver(1, "the first process claims while that write is in flight",
+                  encoded(PeerMessage(Claim{"b4", 3})));
+  harness.endWrites(true);
+  harness.deliver(1, "the first process sends a heartbeat", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
+  harness.deliver(4, "the second process sends a heartbeat", encoded(PeerMessage(Heartbeat{1, {4, 0, 0}})));
 }
 
-void rejectRemovedRouter(World& world) {
-  std::cout << "d is taken off the list\n";
+void rejectRemovedRouter(VoterHarness& harness) {
+  std::cout << "d is removed from the list of routers\n";
   const ClusterConfig withoutRouter = readClusterConfig(
       R"({"keepers":{"a":"127.0.0.1:1","b":"127.0.0.1:2","c":"127.0.0.1:3"},"routers":["e"],"store":"/s"})",
       "a", ms(2000));
-  world.dispatcher().reloadConfig(withoutRouter);
-  world.deliver(5, "it greets", encoded(PeerMessage(Greeting{"d", kVoterList, 8, {}})));
-  std::cout << "another keeper knows a start of this one that its disk doesn't\n";
-  world.dispatcher().onReply(2, encoded(PeerReply(GreetingReply{1, {9, 70}, {}})));
-  world.endWrites(true);
+  harness.dispatcher().reloadConfig(withoutRouter);
+  harness.deliver(5, "it greets", encoded(PeerMessage(Greeting{"d", kVoterList, 8, {}})));
+  std::cout << "another voter knows an incarnation of this voter that is not on its disk\n";
+  harness.dispatcher().onReply(2, encoded(PeerReply(GreetingReply{1, {9, 70}, {}})));
+  harness.endWrites(true);
 }
 
 void rejectedPeers() {
-  World world;
-  rejectBeforeJoin(world);
-  rejectWithoutQuorum(world);
-  rejectRestartedVoter(world);
-  rejectSecondProcess(world);
-  rejectRemovedRouter(world);
+  VoterHarness harness;
+  rejectBeforeJoin(harness);
+  rejectWithoutQuorum(harness);
+  rejectRestartedVoter(harness);
+  rejectSecondProcess(harness);
+  rejectRemovedRouter(harness);
 }
 
-// Applies a report of the voter `by`.
-void report(World& world, idempotency::VoterIndex by, const std::string& title,
+// Delivers an observation report of the voter `by`.
+void report(VoterHarness& harness, idempotency::VoterIndex by, const std::string& title,
             const ObservationReport& observations) {
   std::cout << title << "\n";
-  world.dispatcher().onReply(by, encoded(PeerReply(observations)));
-  world.dispatcher().endTurn();
+  harness.dispatcher().onReply(by, encoded(PeerReply(observations)));
+  harness.dispatcher().endTurn();
 }
 
 recovery::Observation observation(const NodeId& node, Role role, std::int64_t positionMillis) {
   return {node, Instant(), role, Instant() + ms(positionMillis), ms(3)};
 }
 
-// The primary p and its replica a.
+// Returns an endpoint list of the primary p and its replica a.
 std::vector<transactions::ResolvedEndpoint> primaryAndReplica() {
   std::vector<transactions::ResolvedEndpoint> list;
   for (const NodeId node : {"p", "a"}) {
@@ -334,10 +340,10 @@
   return list;
 }
 
-// Runs the status command on the world's status document.
-void printStatus(const World& world) {
+// Runs the status command on the status document of the harness.
+void printStatus(const VoterHarness& harness) {
   const auto path = std::filesystem::path(scratch()) / ("gulltrestle-status-" + std::to_string(getpid()));
-  std::ofstream(path) << world.status();
+  std::ofstream(path) << harness.status();
   std::ostringstream out, errors;
   const std::string file = path.string();
   const char* arguments[] = {"gulltrestle", "status", file.c_str()};
@@ -346,50 +352,51 @@
   std::filesystem::remove(path);
 }
 
-// Voters that report falsely on nodes, and what the status command prints of it.
+// Voters report false observations of nodes: prints their effects and the output of the status command.
 void falseObservations() {
-  World world;
+  VoterHarness harness;
   auto list = primaryAndReplica();
-  world.dispatcher().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
-  world.dispatcher().endTurn();
-  report(world, 1, "one tells that the replica is a year ahead",
+  harness.dispatcher().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
+  harness.dispatcher().endTurn();
+  report(harness, 1, "a voter reports a false log position of the replica, far ahead",
          {{observation("a", Role::replica, 1 << 30)}, false});
-  report(world, 2, "another tells the truth: what both reach is proven",
+  report(harness, 2, "another voter reports the true position: the position that both reach is proven",
          {{observation("a", Role::replica, 10)}, false});
-  report(world, 1, "one tells that the replica is the primary",
+  report(harness, 1, "a voter reports that the replica is the primary",
          {{observation("a", Role::primary, 20)}, false});
-  report(world, 1, "one tells of a node that no list names", {{observation("z", Role::primary, 20)}, false});
-  std::cout << "one tells of a primary by a list from the future\n";
-  world.dispatcher().onReply(1, encoded(PeerReply(PrimaryUpdates{{1, {"a", 1'000'000}}})));
-  world.dispatcher().endTurn();
-  std::cout << "the node that the list names says that it is the primary\n";
-  world.dispatcher().recovery().onLoadReport("p", {Role::primary, Instant() + ms(30), {}});
-  world.dispatcher().endTurn();
-  printStatus(world);
-  std::cout << "an operator decides\n";
+  report(harness, 1, "a voter reports a node that is not in the endpoint list",
+         {{observation("z", Role::primary, 20)}, false});
+  std::cout << "a voter reports a primary with an endpoint list version that is far too high\n";
+  harness.dispatcher().onReply(1, encoded(PeerReply(PrimaryUpdates{{1, {"a", 1'000'000}}})));
+  harness.dispatcher().endTurn();
+  std::cout << "the primary of the endpoint list reports that it is the primary\n";
+  harness.dispatcher().recovery().onLoadReport("p", {Role::primary, Instant() + ms(30), {}});
+  harness.dispatcher().endTurn();
+  printStatus(harness);
+  std::cout << "an operator forces the stage\n";
   ClusterConfig forced;
   forced.forcedStage = recovery::Stage::all;
   forced.forcedBy = "kim";
-  world.dispatcher().reloadConfig(forced);
-  world.dispatcher().endTurn();
-  printStatus(world);
+  harness.dispatcher().reloadConfig(forced);
+  harness.dispatcher().endTurn();
+  printStatus(harness);
 }
 
-// Two voters report a replica before any endpoint list is there: with the list its position is proven.
+// Two voters report a replica before there is an endpoint list: its position is proven once the list arrives.
 void observationsBeforeList() {
-  World world;
+  VoterHarness harness;
   for (const idempotency::VoterIndex by : {1, 2}) {
-    std::cout << "one tells of a replica\n";
-    world.dispatcher().onReply(
+    std::cout << "a voter reports a replica\n";
+    harness.dispatcher().onReply(
         by, encoded(PeerReply(ObservationReport{{observation("a", Role::replica, 10)}, false})));
-    world.dispatcher().endTurn();
+    harness.dispatcher().endTurn();
   }
-  std::cout << "a list names it\n";
+  std::cout << "an endpoint list with the replica arrives\n";
   std::vector<transactions::ResolvedEndpoint> list(1);
   list.back().entry.node = "a";
   list.back().entry.group = 1;
-  world.dispatcher().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
-  world.dispatcher().endTurn();
+  harness.dispatcher().amendEndpointList(EndpointUpdateKind::snapshot, 5, list);
+  harness.dispatcher().endTurn();
 }
 
 }  // namespace
