--- a/src/downstream/ext_proc/header_mapping.cpp
+++ b/src/downstream/ext_proc/header_mapping.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-// An id is stored for as long as its transaction is remembered; a UUID has 36.
+// Bounds the memory of remembered transactions, each of which stores its id. A UUID has 36 bytes.
 constexpr std::size_t kMaxIdBytes = 128;
-// Of a transaction class that is not known, in the error.
+// Length to which an error message cuts the name of an unknown transaction class.
 constexpr std::size_t kMaxNameBytesInError = 64;
-// A day: no client waits longer, and what is added to it can't overflow.
+// One day: no client waits longer, and sums with this value can't overflow.
 constexpr std::uint64_t kMaxMillis = 86'400'000;
-// Bounds the count of a proxy that retries without an end.
+// Bounds the attempt count of a proxy that retries endlessly.
 constexpr std::uint64_t kMaxAttempts = 1000;
-constexpr std::uint64_t kMaxGroup = 9'000'000'000'000'000;  // as in endpoint lists
+constexpr std::uint64_t kMaxGroup = 9'000'000'000'000'000;  // same limit as in endpoint lists
 constexpr std::uint64_t kMaxHttpStatus = 999;
 
-// Null: the header is absent or empty.
+// Returns null if the header is absent or empty.
 const std::string* find(const wire::Headers& headers, const std::string& name) {
   const auto found =
       std::find_if(headers.begin(), headers.end(), [&](const auto& header) { return header.name == name; });
@@ -39,21 +39,21 @@
   return *value;
 }
 
-std::optional<std::uint64_t> parseWhole(std::string_view text, std::uint64_t max) {
+std::optional<std::uint64_t> parseUnsigned(std::string_view text, std::uint64_t max) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size() || value > max) return std::nullopt;
   return value;
 }
 
-std::uint64_t wholeOf(const std::string& name, std::string_view text, std::uint64_t max) {
-  const auto value = parseWhole(text, max);
+std::uint64_t unsignedOf(const std::string& name, std::string_view text, std::uint64_t max) {
+  const auto value = parseUnsigned(text, max);
   if (!value) throw InvalidHeader(name, "is no whole number up to " + std::to_string(max));
   return *value;
 }
 
 Duration millisOf(const std::string& name, std::string_view text) {
-  return Duration::millis(static_cast<std::int64_t>(wholeOf(name, text, kMaxMillis)));
+  return Duration::millis(static_cast<std::int64_t>(unsignedOf(name, text, kMaxMillis)));
 }
 
 WriteProgress writeProgressOf(std::string_view value) {
@@ -68,7 +68,8 @@
     : names_(std::move(names)),
       classes_(config.transactionClasses),
       isSessionAgeProvided_(config.sessionAgeProvided) {
-  for (std::size_t row = 0; row < classNames.size(); ++row) classRows_.emplace(classNames[row], row);
+  for (std::size_t index = 0; index < classNames.size(); ++index)
+    classIndexes_.emplace(classNames[index], index);
 }
 
 HeaderMapping::ParsedRequest HeaderMapping::readRequest(const wire::Headers& headers) const {
@@ -77,7 +78,7 @@
   leaseRequest.id = require(headers, names_.id);
   if (leaseRequest.id.size() > kMaxIdBytes) throw InvalidHeader(names_.id, "is too long");
   transaction.type = leaseRequest.transactionClass = readTransactionClass(headers);
-  transaction.group = wholeOf(names_.group, require(headers, names_.group), kMaxGroup);
+  transaction.group = unsignedOf(names_.group, require(headers, names_.group), kMaxGroup);
   const Duration remainingTime = millisOf(names_.remainingTime, require(headers, names_.remainingTime));
   transaction.remainingTime = leaseRequest.remainingTime =
       std::min(remainingTime, classes_[transaction.type].deadline);
@@ -88,8 +89,8 @@
 
 std::size_t HeaderMapping::readTransactionClass(const wire::Headers& headers) const {
   const std::string& name = require(headers, names_.transactionClass);
-  const auto found = classRows_.find(name);
-  if (found == classRows_.end())
+  const auto found = classIndexes_.find(name);
+  if (found == classIndexes_.end())
     throw InvalidHeader(names_.transactionClass,
                         "txn type '" + name.substr(0, kMaxNameBytesInError) + "' is not known");
   return found->second;
@@ -103,7 +104,7 @@
   }
   if (level != ReadLevel::session) return;
   transaction.session = transactions::sessionOf(require(headers, names_.session));
-  transaction.writeAge = Duration();  // the session has no write to see
+  transaction.writeAge = Duration();  // the session has no write that the read must see
   if (!isSessionAgeProvided_) return;
   if (const auto* age = find(headers, names_.writeAge)) {
     const Duration writeAge = millisOf(names_.writeAge, *age);
@@ -115,7 +116,7 @@
                                       endpoint_leases::LeaseRequest& request) const {
   if (const auto* attempt = find(headers, names_.attempt))
     request.attempt =
-        static_cast<unsigned>(std::max<std::uint64_t>(1, wholeOf(names_.attempt, *attempt, kMaxAttempts)));
+        static_cast<unsigned>(std::max<std::uint64_t>(1, unsignedOf(names_.attempt, *attempt, kMaxAttempts)));
   if (const auto* progress = find(headers, names_.writeProgress))
     request.writeProgress = writeProgressOf(*progress);
   if (const auto* token = find(headers, names_.leaseToken)) request.token = token->substr(0, kMaxIdBytes);
@@ -124,7 +125,7 @@
 endpoint_leases::ProxyReport HeaderMapping::readReport(const wire::Headers& headers) const {
   endpoint_leases::ProxyReport report;
   if (const auto* status = find(headers, ":status"))
-    report.httpStatus = static_cast<int>(parseWhole(*status, kMaxHttpStatus).value_or(0));
+    report.httpStatus = static_cast<int>(parseUnsigned(*status, kMaxHttpStatus).value_or(0));
   if (const auto* progress = find(headers, names_.writeProgress))
     report.writeProgress = writeProgressOf(*progress);
   if (const auto* outcome = find(headers, names_.nodeOutcome)) report.nodeOutcome = *outcome;
--- a/src/downstream/ext_proc/header_mapping.h
+++ b/src/downstream/ext_proc/header_mapping.h
@@ -1,5 +1,5 @@
-// Maps HTTP headers to transactions, lease requests and proxies' reports. The names of the headers are from
-// the configuration. No I/O, no clock.
+// Maps HTTP headers to transactions, lease requests and proxy reports. The configuration sets the names of
+// the headers. Performs no I/O and reads no clock.
 #pragma once
 
 #include <map>
@@ -19,38 +19,38 @@
 
 // Names of headers, in lower case.
 struct HeaderNames {
-  // Of a request, set by its client or the proxy.
+  // Request headers, set by the client or the proxy.
   std::string id = "x-txn-id", transactionClass = "x-txn-type", group = "x-txn-group",
               session = "x-txn-session", remainingTime = "x-txn-patience-ms", writeAge = "x-txn-write-age-ms",
               attempt = "x-envoy-attempt-count", writeProgress = "x-txn-written";
-  // Of a decision; the lease's token is also read from a later request.
+  // Headers that a decision sets. The lease token is also read from a later request.
   std::string destination = "x-gateway-destination-endpoint", leaseToken = "x-txn-submission",
               leaseDuration = "x-txn-send-within-ms", outcome = "x-txn-outcome",
               retryAfter = "x-txn-retry-after-ms";
-  // Of a node's answer, in addition to those of its load report.
+  // Headers of a node's answer, in addition to those of its load report.
   std::string nodeOutcome = "x-node-outcome", sentToAddress = "x-txn-sent-to";
   load_report::Names loadReport;
 };
 
-// The headers of a request are not those of a transaction; the message names the header.
+// Thrown if the headers of a request don't describe a valid transaction. The message names the header.
 class InvalidHeader : public std::runtime_error {
  public:
   InvalidHeader(const std::string& name, const std::string& what) : std::runtime_error(name + ": " + what) {}
 };
 
-// Immutable.
+// Parses the headers of requests and answers. Immutable after construction.
 class HeaderMapping {
  public:
-  // `classNames`: of the transaction classes, in the same order.
+  // `classNames`: names of the transaction classes, in the order of `config`.
   HeaderMapping(HeaderNames names, const RoutingConfig& config, const std::vector<std::string>& classNames);
 
   struct ParsedRequest {
-    Transaction transaction;  // without an id and prior attempts
+    Transaction transaction;  // the id and prior attempts are not set
     endpoint_leases::LeaseRequest leaseRequest;
   };
-  // Throws InvalidHeader.
+  // Throws InvalidHeader if a required header is missing or duplicated, or if a value is invalid.
   ParsedRequest readRequest(const wire::Headers& headers) const;
-  // Never throws: what can't be read is left out, so that nothing is learnt from it.
+  // Never throws. Values that can't be parsed are left out, so that the router learns nothing from them.
   endpoint_leases::ProxyReport readReport(const wire::Headers& headers) const;
 
   const HeaderNames& names() const { return names_; }
@@ -62,7 +62,7 @@
 
   HeaderNames names_;
   std::vector<TransactionClass> classes_;
-  std::map<std::string, std::size_t, std::less<>> classRows_;  // rows of classes_, by name
+  std::map<std::string, std::size_t, std::less<>> classIndexes_;  // indexes into classes_, by name
   bool isSessionAgeProvided_;
 };
 
--- a/src/downstream/ext_proc/request_streams.cpp
+++ b/src/downstream/ext_proc/request_streams.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// An event of one kind is logged once in this time: a few lines a minute are read, more are not.
+// Each event name is logged at most once in this interval: operators read a few lines a minute, not more.
 constexpr Duration kLogInterval = Duration::millis(10000);
 
 }  // namespace
@@ -28,7 +28,7 @@
 
 // --- Events
 
-// Guards the memory against more streams than are allowed over all connections.
+// Closes a stream that exceeds the limit over all connections. Prevents unbounded memory use.
 void RequestStreams::onOpened(StreamKey key) {
   Stream& stream = streams_[key];
   const bool isFull = streams_.size() > bounds_.maxStreams;
@@ -47,7 +47,7 @@
   try {
     request = wire::readRequest(bytes);
   } catch (const wire::Malformed& error) { return rejectMessage(key, error.what()); }
-  if (request.wantsNoAnswer) return;  // the proxy only shows what passes
+  if (request.wantsNoAnswer) return;  // observability mode: the proxy only mirrors its traffic
   Stream& stream = found->second;
   switch (request.phase) {
     case wire::Phase::requestHeaders:
@@ -67,16 +67,16 @@
     stream.request = mapping_.readRequest(headers);
   } catch (const InvalidHeader& error) { return rejectRequest(key, stream, error.what()); }
   ++counts_.requested;
-  stream.hold = endpoint_leases::holdDeadlines(transactions_.now(), stream.request.transaction.remainingTime,
-                                               bounds_.messageTimeout);
+  stream.decisionDeadlines = endpoint_leases::holdDeadlines(
+      transactions_.now(), stream.request.transaction.remainingTime, bounds_.messageTimeout);
   requestLease(key, stream);
 }
 
 void RequestStreams::onResponseHeaders(StreamKey key, Stream& stream, const wire::Headers& headers) {
   if (stream.stage == Stage::leased) return handleReport(key, stream, mapping_.readReport(headers));
   if (stream.stage != Stage::answered) return rejectMessage(key, "response_headers came before a decision");
-  // Of a lease that counts as ended since another attempt of its transaction came: it passes, and changes
-  // nothing.
+  // The lease counts as ended because another attempt of its transaction was received: the answer passes
+  // through and has no effect.
   const bool hadLease = stream.lease.duration > Duration();
   if (hadLease && !std::exchange(stream.hasReported, true))
     return effects_.send(key, wire::continued(wire::Phase::responseHeaders));
@@ -94,7 +94,7 @@
   if (found == streams_.end()) return;
   Stream& stream = found->second;
   stream.hasHalfClosed = true;
-  // No outcome can be reported any more. One that waits for a decision may still get it.
+  // The proxy can't report an outcome any more. A stream that waits for a decision can still receive it.
   if (stream.stage == Stage::leased) releaseTransaction(key, stream);
   if (stream.stage == Stage::opened || stream.stage == Stage::answered)
     effects_.close(key, StreamCloseReason::finished, "");
@@ -109,8 +109,8 @@
   streams_.erase(found);
 }
 
-// The transaction is not the stream's any more: it is granted no lease, and what a lease brought about is not
-// known.
+// Detaches the stream from its transaction: the stream is granted no lease, and the outcome of a lease that
+// it holds stays unknown.
 void RequestStreams::releaseTransaction(StreamKey key, Stream& stream) {
   if (stream.stage == Stage::opened || stream.stage == Stage::answered) return;
   if (stream.stage == Stage::leased) ++counts_.unreported;
@@ -124,20 +124,20 @@
 
 // --- Lease requests
 
-// Called again for a stream that awaits the end of an earlier attempt.
+// Called again for a stream that waits for the end of an earlier attempt.
 void RequestStreams::requestLease(StreamKey key, Stream& stream) {
   const LeaseDecision decision =
       leaseRegistry_.requestLease(transactions_.now(), key, stream.request.leaseRequest);
   if (decision.action == LeaseDecision::Action::wait) {
     stream.stage = Stage::awaitingPrior;
     awaitingPrior_.insert(key);
-    return setDeadline(key, stream, std::min(decision.waitUntil, stream.hold.answerBy));
+    return setDeadline(key, stream, std::min(decision.waitUntil, stream.decisionDeadlines.answerBy));
   }
   awaitingPrior_.erase(key);
   stream.stage = Stage::awaitingDecision;
   if (decision.action == LeaseDecision::Action::answer) return deny(key, stream, decision);
-  replace(decision.unreportedStream);
-  replace(decision.supersededStream);
+  supersede(decision.unreportedStream);
+  supersede(decision.supersededStream);
   openTransaction(key, stream, decision.priorAttempts);
 }
 
@@ -145,16 +145,19 @@
   Transaction transaction = stream.request.transaction;
   transaction.priorAttempts = std::move(priorAttempts);
   transaction.maxLocalAttempts = 1;
-  transaction.maxHold = stream.hold.answerBy - transactions_.now();
+  transaction.maxHold = stream.decisionDeadlines.answerBy - transactions_.now();
   stream.txn = transactions_.openTransaction(*this, key, transport_, std::move(transaction), {},
                                              stream.request.leaseRequest.id);
   owners_[stream.txn] = key;
-  const bool mayRequestExtension = stream.hold.extensionRequestAt != Instant();
-  setDeadline(key, stream, mayRequestExtension ? stream.hold.extensionRequestAt : stream.hold.answerBy);
+  const bool mayRequestExtension = stream.decisionDeadlines.extensionRequestAt != Instant();
+  setDeadline(
+      key, stream,
+      mayRequestExtension ? stream.decisionDeadlines.extensionRequestAt : stream.decisionDeadlines.answerBy);
 }
 
-// A later attempt of the stream's transaction has come: whoever sent this one has given it up. 0: none.
-void RequestStreams::replace(StreamKey key) {
+// Ends a stream because a later attempt of its transaction was received: the sender has abandoned the earlier
+// one. No effect for key 0, which stands for no stream.
+void RequestStreams::supersede(StreamKey key) {
   const auto found = streams_.find(key);
   if (key == 0 || found == streams_.end()) return;
   Stream& stream = found->second;
@@ -177,16 +180,18 @@
 void RequestStreams::endTurn() {
   transport_.endTurn();
   leaseRegistry_.dropExpired(transactions_.now());
-  // The end that they await may have come. Requesting changes the set.
+  // The earlier attempts that these streams wait for may have ended. Iterates over a copy because
+  // requestLease() changes the set.
   for (const StreamKey key : std::vector<StreamKey>(awaitingPrior_.begin(), awaitingPrior_.end()))
     if (const auto found = streams_.find(key);
         found != streams_.end() && found->second.stage == Stage::awaitingPrior)
       requestLease(key, found->second);
-  while (!deadlines_.empty() && deadlines_.begin()->at <= transactions_.now()) onDue(deadlines_.begin()->key);
+  while (!deadlines_.empty() && deadlines_.begin()->at <= transactions_.now())
+    onDeadline(deadlines_.begin()->key);
 }
 
-// The stream's deadline, the earliest of all, has come.
-void RequestStreams::onDue(StreamKey key) {
+// Handles the expired deadline of a stream, which is the earliest one.
+void RequestStreams::onDeadline(StreamKey key) {
   Stream& stream = streams_.at(key);
   const Instant deadline = stream.deadline;
   setDeadline(key, stream, {});
@@ -201,7 +206,7 @@
       break;
     case Stage::awaitingPrior:
     case Stage::awaitingDecision:
-      onHoldDue(key, stream, deadline);
+      onDecisionDeadline(key, stream, deadline);
       break;
     case Stage::reported:
     case Stage::answered:
@@ -209,17 +214,17 @@
   }
 }
 
-// A stream that waits for its decision requests an extension, or gets its rejection.
-void RequestStreams::onHoldDue(StreamKey key, Stream& stream, Instant deadline) {
-  if (deadline == stream.hold.extensionRequestAt) {
-    effects_.send(key, wire::wait(stream.hold.extension));
-    setDeadline(key, stream, stream.hold.answerBy);
+// Requests a timeout extension for a stream that waits for its decision, or rejects it.
+void RequestStreams::onDecisionDeadline(StreamKey key, Stream& stream, Instant deadline) {
+  if (deadline == stream.decisionDeadlines.extensionRequestAt) {
+    effects_.send(key, wire::wait(stream.decisionDeadlines.extension));
+    setDeadline(key, stream, stream.decisionDeadlines.answerBy);
     return;
   }
-  // The router knows how long the transaction may be held and has given it up by now; a stream that waits for
-  // another one is unknown to it. Guards the one final answer: the proxy stops waiting a moment
+  // The router knows how long the transaction may be queued and has given it up by now, but it doesn't know a
+  // stream that waits for another one. Ensures exactly one final answer: the proxy stops waiting a moment
   // later.
-  if (deadline < stream.hold.answerBy) return;
+  if (deadline < stream.decisionDeadlines.answerBy) return;
   if (stream.txn != 0) transactions_.onClientLeft(stream.txn);
   awaitingPrior_.erase(key);
   sendImmediate(key, stream, {.outcome = FinalOutcome::rejected, .reason = "no node was free in time"});
--- a/src/downstream/ext_proc/request_streams.h
+++ b/src/downstream/ext_proc/request_streams.h
@@ -1,19 +1,21 @@
-// Streams of proxies that request an endpoint lease for each HTTP request: their phases, the transactions
-// that they stand for, and what each is answered. One stream is one attempt; endpoint_leases::LeaseRegistry
-// decides which streams are attempts of one transaction. It reads no socket and no clock.
+// Streams of proxies that request an endpoint lease for each HTTP request: the phases of a stream, its
+// transaction, and the answers to the proxy. One stream is one attempt; endpoint_leases::LeaseRegistry
+// decides which streams are attempts of one transaction. Reads no socket and no clock.
 //
 //   stage             meaning                                        next stage
-//   opened            it has not requested anything                  awaitingPrior or awaitingDecision: the
-//                                                                    request's headers have come
-//   awaitingPrior     an earlier attempt of its transaction has      awaitingDecision: it has, or is given up
-//                     not ended
-//   awaitingDecision  its transaction is with the router             leased: a lease was granted
-//   leased            the proxy sends the attempt                    reported: the answer's headers have come
-//   reported          the node's answer is held until the router     answered: it has
-//                     has decided
-//   answered          all is decided, further phases pass
+//   opened            nothing was requested yet                      awaitingPrior or awaitingDecision: the
+//                                                                    request headers were received
+//   awaitingPrior     an earlier attempt of the transaction has      awaitingDecision: that attempt has ended
+//                     not ended                                      or is given up
+//   awaitingDecision  the router has the transaction                 leased: a lease was granted
+//   leased            the proxy sends the attempt                    reported: the answer's headers were
+//                                                                    received
+//   reported          the node's answer is held back until the       answered: the router has decided
+//                     router has decided
+//   answered          the decision is final; further phases pass
+//                     through
 //
-// From every stage it may go to answered, by a rejection or its end.
+// Every stage can change to answered, by a rejection or the end of the stream.
 #pragma once
 
 #include <compare>
@@ -35,28 +37,28 @@
 
 using endpoint_leases::StreamKey;
 
-// Why a stream is closed here; each stands for a status of gRPC.
+// Why the gateway closes a stream. Each reason maps to a gRPC status.
 enum class StreamCloseReason { finished, invalidMessage, overdue, tooManyStreams, unavailable };
 
-// What the streams request of whoever has the sockets.
+// Actions that the streams request from the owner of the sockets.
 class Effects {
  public:
   virtual ~Effects() = default;
   virtual void send(StreamKey stream, std::string_view message) = 0;
-  // Closes the stream after what was sent.
+  // Closes the stream once all sent messages are written.
   virtual void close(StreamKey stream, StreamCloseReason reason, std::string_view message) = 0;
-  // `event`: its stable name; `fields`: as key=value.
+  // `event`: stable name of the event. `fields`: key=value pairs.
   virtual void log(std::string_view event, const std::string& fields) = 0;
 };
 
 // Limits on streams of proxies.
 struct Bounds {
-  std::size_t maxStreams = 1000;                     // open at a time
-  Duration requestTimeout = Duration::millis(2000);  // for the request's headers, from the stream's opening
+  std::size_t maxStreams = 1000;                     // open at the same time
+  Duration requestTimeout = Duration::millis(2000);  // from the opening of a stream to its request headers
   endpoint_leases::MessageTimeout messageTimeout;
 };
 
-// One per process at most.
+// Serves the streams of all proxies. At most one instance per process.
 class RequestStreams final : private transactions::DownstreamHandler,
                              private upstream::delegated::LeaseHandler {
  public:
@@ -65,32 +67,32 @@
                  endpoint_leases::LeaseRegistry leaseRegistry, endpoint_leases::DrainRule drainRule,
                  Bounds bounds, Effects& effects);
 
-  // --- Events, after TransactionTable::advanceTo() for their time.
+  // --- Events. TransactionTable::advanceTo() must be called with the time of the event first.
 
   void onOpened(StreamKey key);
   void onMessage(StreamKey key, std::string_view bytes);
-  // The proxy sends no more.
+  // The proxy sends no more messages.
   void onHalfClosed(StreamKey key);
   void onEnded(StreamKey key);
-  // Discovery sent something, be it nothing new.
+  // Discovery sent a message, even if it changes nothing.
   void onDiscoveryActivity() { transport_.onDiscoveryActivity(); }
 
-  // Answers and closes the streams whose time is over.
+  // Answers and closes the streams whose deadline has expired.
   void endTurn();
-  // When endTurn() has something to do; never: nothing is due.
+  // Returns when endTurn() has to be called next; never: no timer is pending.
   Instant nextDue() const;
-  // From now on, further streams are closed.
+  // Closes every stream that is opened from now on.
   void stop() { isStopped_ = true; }
   bool empty() const { return streams_.empty(); }
   transactions::UpstreamTransport& transport() { return transport_; }
 
-  // Since the start, for logs and status.
+  // Counts since the start of the process, for logs and status.
   struct Counts {
     std::uint64_t requested = 0, granted = 0, committed = 0, rejected = 0, rolledBack = 0;
-    std::uint64_t denied = 0;      // answered without the router
+    std::uint64_t denied = 0;      // requests answered without the router
     std::uint64_t unreported = 0;  // leases whose attempt's outcome was not reported
-    std::uint64_t misused = 0;     // leases that were used for another address
-    std::uint64_t malformed = 0;   // messages and requests
+    std::uint64_t misused = 0;     // leases that were used for another address than the granted one
+    std::uint64_t malformed = 0;   // invalid messages and requests
   };
   const Counts& counts() const { return counts_; }
   std::size_t rememberedTransactionCount() const { return leaseRegistry_.size(); }
@@ -98,23 +100,23 @@
 
  private:
   enum class Stage { opened, awaitingPrior, awaitingDecision, leased, reported, answered };
-  // A transaction's final answer.
+  // Final answer to a transaction.
   struct Answer {
     endpoint_leases::FinalOutcome outcome = endpoint_leases::FinalOutcome::rejected;
-    Duration retryAfter{};      // of a rejection; zero: no advice
-    unsigned level = 0;         // the degradation level that rejected it; 0: none did
-    std::string_view reason{};  // of what is not committed, static; may be empty
+    Duration retryAfter{};      // of a rejection; zero: unspecified
+    unsigned level = 0;         // degradation level that caused the rejection; 0: none
+    std::string_view reason{};  // why it was not committed; static storage, may be empty
   };
   struct Stream {
     Stage stage = Stage::opened;
     HeaderMapping::ParsedRequest request;
-    TxnId txn = 0;                // 0: none was opened
-    bool ownsTransaction = true;  // false: the transaction of its id is another stream's
-    endpoint_leases::HoldDeadlines hold;
+    TxnId txn = 0;                // 0: no transaction was opened
+    bool ownsTransaction = true;  // false: another stream owns the transaction with this id
+    endpoint_leases::HoldDeadlines decisionDeadlines;
     upstream::delegated::EndpointLease lease;
-    std::optional<Answer> pendingAnswer;  // the router's, given while nothing could be sent
+    std::optional<Answer> pendingAnswer;  // answer of the router that can't be sent yet
     bool hasHalfClosed = false, hasReported = false;
-    Instant deadline;  // never: nothing is awaited
+    Instant deadline;  // never: no timer is pending
   };
   struct Deadline {
     Instant at;
@@ -123,15 +125,15 @@
   };
   struct LogLimit {
     Instant loggedAt;
-    std::size_t suppressedCount = 0;  // since then
+    std::size_t suppressedCount = 0;  // since the last logged line
   };
 
-  // DownstreamHandler.
+  // DownstreamHandler
   void committed(transactions::OwnerId owner, const transactions::ResultValue& value) override;
   void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override;
   void rolledBack(transactions::OwnerId owner) override;
   bool requiresValue() const override { return false; }
-  // LeaseHandler.
+  // LeaseHandler
   bool onLeaseGranted(TxnId txn, const upstream::delegated::EndpointLease& lease) override;
 
   // Messages and requests
@@ -140,7 +142,7 @@
   void onBodyOrTrailers(StreamKey key, Stream& stream, wire::Phase phase);
   void requestLease(StreamKey key, Stream& stream);
   void openTransaction(StreamKey key, Stream& stream, PriorAttempts priorAttempts);
-  void replace(StreamKey key);
+  void supersede(StreamKey key);
   void releaseTransaction(StreamKey key, Stream& stream);
 
   // Reports and answers (stream_answers.cpp)
@@ -153,8 +155,8 @@
   void rejectMessage(StreamKey key, std::string_view reason);
 
   // Deadlines
-  void onDue(StreamKey key);
-  void onHoldDue(StreamKey key, Stream& stream, Instant deadline);
+  void onDeadline(StreamKey key);
+  void onDecisionDeadline(StreamKey key, Stream& stream, Instant deadline);
   void setDeadline(StreamKey key, Stream& stream, Instant deadline);
   void logLimited(std::string_view event, const std::string& fields);
 
@@ -165,10 +167,10 @@
   Effects& effects_;
   upstream::delegated::DelegatedTransport transport_;
   std::map<StreamKey, Stream> streams_;
-  std::map<TxnId, StreamKey> owners_;  // of transactions that await their answer or have a lease
-  std::set<StreamKey> awaitingPrior_;  // in that stage
-  std::set<Deadline> deadlines_;       // of streams_
-  std::map<std::string, LogLimit, std::less<>> logLimits_;  // by event
+  std::map<TxnId, StreamKey> owners_;  // transactions that wait for their answer or have a lease
+  std::set<StreamKey> awaitingPrior_;  // streams in stage awaitingPrior
+  std::set<Deadline> deadlines_;       // deadlines of streams_
+  std::map<std::string, LogLimit, std::less<>> logLimits_;  // by event name
   Counts counts_;
   bool isStopped_ = false;
 };
--- a/src/downstream/ext_proc/stream_answers.cpp
+++ b/src/downstream/ext_proc/stream_answers.cpp
@@ -1,4 +1,4 @@
-// The part of the request streams that takes proxies' reports and answers them: leases, final answers,
+// The part of RequestStreams that handles reports of proxies and sends answers: leases, final answers,
 // denials and errors.
 #include <utility>
 
@@ -11,14 +11,14 @@
 
 namespace {
 
-// A lease whose outcome is not reported in time has ended for the router; its stream may still bring an
-// answer for this long, then it is closed. Longer than any message timeout of a proxy that is alive.
+// A lease whose outcome is not reported by its deadline has ended for the router. Its stream stays open for
+// this long and may still deliver an answer. Longer than the message timeout of any live proxy.
 constexpr Duration kLateReportTime = Duration::millis(5000);
 
-// Of a field in a log line.
+// Length to which a field of a log line is cut.
 constexpr std::size_t kMaxQuotedBytes = 120;
 
-// Statuses of HTTP.
+// HTTP status codes.
 constexpr int kBadRequest = 400, kInternalServerError = 500, kServiceUnavailable = 503;
 
 std::string_view nameOf(FinalOutcome outcome) {
@@ -33,7 +33,8 @@
   return "unknown";
 }
 
-// Of a field in a log line: what a stranger sent must not look like another field or line.
+// Quotes a field of a log line. Replaces the characters by which untrusted input could look like another
+// field or line.
 std::string quoted(std::string_view text) {
   std::string quoted = "\"";
   for (const char c : text.substr(0, kMaxQuotedBytes)) {
@@ -43,7 +44,7 @@
   return quoted + '"';
 }
 
-// Whole milliseconds, as headers have them.
+// Rounds down to whole milliseconds, the unit of the headers.
 std::int64_t millisOf(Duration duration) { return duration.inMicros() / 1000; }
 
 }  // namespace
@@ -68,7 +69,7 @@
                                      {{names.destination, lease.address},
                                       {names.leaseToken, token},
                                       {names.leaseDuration, std::to_string(millisOf(lease.duration))}}));
-  if (stream.hasHalfClosed) {  // it can't report the outcome
+  if (stream.hasHalfClosed) {  // the proxy can't report the outcome
     releaseTransaction(key, stream);
     effects_.close(key, StreamCloseReason::finished, "");
   }
@@ -88,8 +89,9 @@
   leaseRegistry_.onAttemptEnded(transactions_.now(), stream.request.leaseRequest.id, key, outcome);
   const bool isAnswerPending = transactions_.isAnswerPending(stream.txn);
   transport_.onReport(stream.txn, report);
-  if (isAnswerPending) return;  // the router's answer comes by the end of the turn
-  // The router gave the transaction up before; nobody was answered yet, and a commit is the truth.
+  if (isAnswerPending) return;  // the router answers by the end of the turn
+  // The router has given up the transaction already, but no answer was sent yet: a reported commit takes
+  // precedence over the router's answer.
   if (outcome == AttemptOutcome::committed) return deliverAnswer(key, {.outcome = FinalOutcome::committed});
   deliverAnswer(key, stream.pendingAnswer.value_or(Answer{.outcome = FinalOutcome::rolledBack}));
 }
@@ -112,7 +114,7 @@
   const auto found = streams_.find(key);
   if (found == streams_.end()) return;
   Stream& stream = found->second;
-  if (stream.stage == Stage::leased) {  // nothing can be sent before the proxy's next message
+  if (stream.stage == Stage::leased) {  // no message may be sent before the proxy's next one
     stream.pendingAnswer = answer;
     return;
   }
@@ -121,7 +123,7 @@
   sendImmediate(key, stream, answer);
 }
 
-// The node's own answer passes.
+// Lets the node's own answer pass through.
 void RequestStreams::sendCommitted(StreamKey key, Stream& stream) {
   constexpr FinalOutcome kOutcome = FinalOutcome::committed;
   ++counts_.committed;
@@ -133,7 +135,7 @@
   if (stream.hasHalfClosed) effects_.close(key, StreamCloseReason::finished, "");
 }
 
-// In place of a node's answer: rejected or rolled back.
+// Sends a rejection or a rollback in place of a node's answer.
 void RequestStreams::sendImmediate(StreamKey key, Stream& stream, const Answer& answer) {
   const bool isRejected = answer.outcome == FinalOutcome::rejected;
   ++(isRejected ? counts_.rejected : counts_.rolledBack);
@@ -148,7 +150,7 @@
   immediate.status = isRejected ? kServiceUnavailable : kInternalServerError;
   immediate.headers = {{names.outcome, outcome}};
   if (isRejected && answer.retryAfter > Duration()) {
-    // The standard header has seconds only; the exact time is in the other one.
+    // The standard header has whole seconds only; the other header has the exact time.
     const std::int64_t millis = millisOf(answer.retryAfter);
     immediate.headers.push_back({"retry-after", std::to_string((millis + 999) / 1000)});
     immediate.headers.push_back({names.retryAfter, std::to_string(millis)});
@@ -162,7 +164,7 @@
 
 // --- Denials and errors
 
-// Answered without the router, as the lease registry decided.
+// Sends the answer that the lease registry decided on, without the router.
 void RequestStreams::deny(StreamKey key, Stream& stream, const LeaseDecision& decision) {
   ++counts_.denied;
   logLimited("ext_proc.denied",
@@ -171,7 +173,7 @@
   sendImmediate(key, stream, {.outcome = decision.outcome, .reason = decision.reason});
 }
 
-// Its headers are not those of a transaction: an error, and nothing was opened.
+// Answers a request with invalid headers with an error. No transaction was opened.
 void RequestStreams::rejectRequest(StreamKey key, Stream& stream, std::string_view reason) {
   ++counts_.malformed;
   logLimited("ext_proc.bad_request", "why=" + quoted(reason));
--- a/src/downstream/postgres/client_messages.cpp
+++ b/src/downstream/postgres/client_messages.cpp
@@ -1,4 +1,4 @@
-// The part of the client sessions that reads what clients send.
+// The part of ClientSessions that reads messages of clients.
 #include <algorithm>
 #include <utility>
 
@@ -12,14 +12,14 @@
 
 namespace {
 
-// A value of 64 KiB is twice that as hex digits; the rest of a statement is short.
+// A value of 64 KiB takes twice as many bytes as hex digits; the rest of a statement is short.
 constexpr std::size_t kMaxQueryBytes = 2 * 64 * 1024 + 4096;
 
-// A client's startup, and any message once it has started, must be complete within this many times the
-// settings' limit for connections: a message takes some round trips where a connection takes one.
+// Time limit for a client's startup and for each message that has started, as a multiple of the configured
+// connect timeout: a message takes several round trips where a connection takes one.
 constexpr double kMessageTimeFactor = 8;
 
-// Messages of one client that are handled per turn. Clients that await their answers send one or two.
+// Messages of one client that are handled per turn. Clients that wait for each answer send one or two.
 constexpr int kMaxMessagesPerTurn = 4;
 
 }  // namespace
@@ -30,13 +30,13 @@
   startMessageTimer(id, client);
 }
 
-// Guards against clients that send nothing, or half of a message, and keep a descriptor and what they sent.
-// May hurt those whose network takes seconds for a message.
+// Prevents clients that send nothing, or half of a message, from keeping a descriptor and their buffered
+// bytes. Trade-off: closes clients whose network takes seconds for a message.
 void ClientSessions::startMessageTimer(ClientId id, Client& client) {
-  setDeadline(id, client, transactions_.now() + bounds_.connectLimit * kMessageTimeFactor);
+  setDeadline(id, client, transactions_.now() + limits_.connectLimit * kMessageTimeFactor);
 }
 
-// `deadline` never: nothing is awaited from the client.
+// `deadline`: when the client is closed; never: nothing is awaited from it.
 void ClientSessions::setDeadline(ClientId id, Client& client, Instant deadline) {
   if (client.deadline != Instant()) deadlines_.erase({client.deadline, id});
   client.deadline = deadline;
@@ -44,8 +44,8 @@
 }
 
 std::size_t ClientSessions::onReceived(ClientId id, std::string_view bytes, Instant unreadSince) {
-  // What was left unread may have come at any time since: the earliest counts, so that no more time is
-  // assumed than there is.
+  // Bytes that were left unread may have arrived at any time since then. The earliest time counts, so that
+  // the remaining time is never overestimated.
   const Instant now = transactions_.now();
   const Instant arrivedAt = unreadSince == Instant() ? now : std::min(unreadSince, now);
   if (const auto found = clients_.find(id); found != clients_.end())
@@ -62,7 +62,8 @@
   return consumed;
 }
 
-// Consumes messages up to one that awaits its answer. All bytes of a client that is closed count as consumed.
+// Consumes messages until the client has to wait for an answer. All bytes of a closed client count as
+// consumed.
 std::size_t ClientSessions::consumeMessages(ClientId id, std::string_view bytes) {
   const std::size_t size = bytes.size();
   for (int handled = 0;; ++handled) {
@@ -105,7 +106,7 @@
   return true;
 }
 
-// `consumedBefore`: how many of the waiting bytes were consumed already.
+// `consumedBefore`: number of bytes that onReceived() has consumed before `bytes` in the same call.
 bool ClientSessions::consumeMessage(ClientId id, Client& client, std::string_view& bytes,
                                     std::size_t consumedBefore) {
   const std::size_t sizeBefore = bytes.size();
@@ -113,7 +114,8 @@
   if (!message) return false;
   const Instant arrivedAt = client.arrivals.arrivalOf(consumedBefore + sizeBefore - bytes.size());
   const auto request = wire::requestOf(message->type);
-  if (client.stage == Stage::rejecting && request != wire::Request::goodbye && request != wire::Request::sync)
+  if (client.stage == Stage::skippingToSync && request != wire::Request::goodbye &&
+      request != wire::Request::sync)
     return true;
   std::string_view body = message->body;
   switch (request) {
@@ -128,7 +130,7 @@
       effects_.writeClient(id, {wire::readyForQuery()});
       break;
     case wire::Request::extended:
-      client.stage = Stage::rejecting;
+      client.stage = Stage::skippingToSync;
       effects_.writeClient(id, {wire::error("ERROR", wire::kNotSupported, "only simple queries are taken")});
       break;
     case wire::Request::functionCall:
@@ -144,8 +146,8 @@
 
 void ClientSessions::handleQuery(ClientId id, Client& client, std::string_view text, Instant arrivedAt) {
   if (wire::isBlank(text)) {
-    if (isListKnown_) return answerEmptyQuery(id, client);
-    client.awaitsListKnown = true;
+    if (isEndpointListKnown_) return answerEmptyQuery(id, client);
+    client.awaitsEndpointList = true;
     return;
   }
   try {
@@ -153,7 +155,7 @@
   } catch (const wire::InvalidStatement& invalid) { answerError(id, invalid.code(), invalid.what()); }
 }
 
-// Throws wire::InvalidStatement if the statement is invalid or rejected here.
+// Throws wire::InvalidStatement if the statement is invalid or if this router rejects it.
 void ClientSessions::openTransaction(ClientId id, Client& client, std::string_view text, Instant arrivedAt) {
   if (stoppedAt_ != Instant() && arrivedAt >= stoppedAt_ && client.isActive)
     throw wire::InvalidStatement(wire::kRefused, "refused: this router ends");
@@ -161,7 +163,8 @@
   const std::size_t type = classOf(statement);
   if (transactions_.isOpen(statement.id))
     throw wire::InvalidStatement(wire::kBadValue, "field id of the comment names a txn that is open");
-  // Guards the memory limit against many long statements at a time; may hurt while nodes are slow.
+  // Keeps the memory limit if many long statements are in flight. Trade-off: rejects statements while nodes
+  // are slow.
   if (!transactions_.hasCapacityFor(text.size()))
     throw wire::InvalidStatement(wire::kRefused, "refused: too much is held here");
   if (!std::exchange(client.isActive, true)) ++activeClients_;
@@ -178,7 +181,8 @@
                                              std::move(message));
 }
 
-// The row of the statement's transaction class.
+// Returns the index of the statement's transaction class. Throws wire::InvalidStatement if the class is
+// unknown or doesn't match the statement.
 std::size_t ClientSessions::classOf(const wire::Statement& statement) const {
   const auto found = classes_.find(statement.typeName);
   if (found == classes_.end())
@@ -200,13 +204,13 @@
   if (level >= ReadLevel::write || level == ReadLevel::session)
     transaction.session = transactions::sessionOf(statement.key);
   if (level == ReadLevel::session) {
-    transaction.writeAge = Duration();  // the session has no write to see
+    transaction.writeAge = Duration();  // the session has no write that the read must see
     if (statement.afterMs.value_or(0) > 0) {
       const Instant writtenAt = Instant() + Duration::millis(static_cast<std::int64_t>(*statement.afterMs));
       transaction.writeAge = std::max(now - writtenAt, Duration::micros(1));
     }
   }
-  // Its client counts from when it was sent, also where it waited here behind others.
+  // The client's timeout starts when it sends the statement, also if the statement waited here behind others.
   transaction.remainingTime =
       Duration::millis(static_cast<std::int64_t>(statement.waitMs)) - (now - arrivedAt);
   return transaction;
--- a/src/downstream/postgres/client_sessions.cpp
+++ b/src/downstream/postgres/client_sessions.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-// Where a connection is wanted for another client, one that connected this fraction of the connect limit ago
-// and sent nothing may be closed: a startup message leaves together with the last packet that establishes the
-// connection.
+// If a connection is needed for another client, a client that connected this fraction of the connect timeout
+// ago and sent nothing may be closed: a startup message is sent together with the last packet that
+// establishes the connection.
 constexpr double kStartupFraction = 0.1;
 
-// Idle clients are closed while more than this fraction of the bound on active clients is used, one in this
-// many of the bound at a time.
+// Idle clients are closed while more than this fraction of the bound on active clients is used, about one in
+// kActiveCloseDivisor of the bound at a time.
 constexpr std::size_t kActiveNumerator = 3, kActiveDenominator = 4;
 constexpr std::size_t kActiveCloseDivisor = 32;
 
@@ -26,11 +26,12 @@
 
 ClientSessions::ClientSessions(transactions::TransactionTable& transactions,
                                transactions::UpstreamTransport& transport, const RoutingConfig& config,
-                               const std::vector<std::string>& classNames, Bounds bounds, Effects& effects)
-    : transactions_(transactions), transport_(transport), bounds_(bounds), effects_(effects) {
-  for (std::size_t row = 0; row < config.transactionClasses.size(); ++row) {
-    classes_.emplace(classNames[row], row);
-    readLevels_.push_back(config.transactionClasses[row].level);
+                               const std::vector<std::string>& classNames, ClientLimits limits,
+                               Effects& effects)
+    : transactions_(transactions), transport_(transport), limits_(limits), effects_(effects) {
+  for (std::size_t index = 0; index < config.transactionClasses.size(); ++index) {
+    classes_.emplace(classNames[index], index);
+    readLevels_.push_back(config.transactionClasses[index].level);
   }
 }
 
@@ -72,7 +73,7 @@
 // --- Other answers
 
 void ClientSessions::answerEmptyQuery(ClientId id, Client& client) {
-  client.awaitsListKnown = false;
+  client.awaitsEndpointList = false;
   effects_.writeClient(id, {wire::emptyQueryResponse(), wire::readyForQuery()});
 }
 
@@ -81,10 +82,10 @@
 }
 
 void ClientSessions::onEndpointListKnown() {
-  isListKnown_ = true;
+  isEndpointListKnown_ = true;
   std::vector<ClientId> waiting;
   for (const auto& [id, client] : clients_)
-    if (client.awaitsListKnown) waiting.push_back(id);
+    if (client.awaitsEndpointList) waiting.push_back(id);
   for (const ClientId id : waiting) {
     answerEmptyQuery(id, clients_.at(id));
     resumeReading(id);
@@ -93,7 +94,7 @@
 
 // --- Closing
 
-// The error is the final answer to whatever the client awaits.
+// Sends the error as the final answer to any pending request of the client, and closes the connection.
 void ClientSessions::closeWithError(ClientId id, std::string_view code, std::string_view text) {
   effects_.writeClient(id, {wire::error("FATAL", code, text)});
   traceClose(id, text);
@@ -101,7 +102,7 @@
   onClosed(id);
 }
 
-// The client awaits no answer. The connection is closed after what was written is sent.
+// Closes the connection of a client that awaits no answer, once all written bytes are sent.
 void ClientSessions::close(ClientId id, ConnectionCloseReason reason) {
   const auto subject = [id] { return "client " + std::to_string(id); };
   if (!transactions_.invariants().mayClose(transactions_.now(), isWaiting(id), subject)) return;
@@ -127,9 +128,9 @@
   transactions_.onClientLeft(txn);
 }
 
-// A client that sends no more may still await its answer, or may be gone: both look alike. A notice, which
-// clients skip, brings a reset if it is gone. Guards against work for clients that left, and against leaving
-// one that only ended its sending without its answer. May hurt a client that can't take a notice.
+// A half-closed client may still await its answer or may be gone: both look alike. A notice, which clients
+// skip, causes a reset if the client is gone. Prevents work for clients that left, and still answers clients
+// that only ended their sending. Trade-off: breaks clients that can't handle a notice.
 void ClientSessions::onHalfClosed(ClientId id) {
   const auto found = clients_.find(id);
   if (found == clients_.end()) return;
@@ -149,7 +150,7 @@
 
 // --- Idle clients
 
-// One that has just connected may have sent its first query already, and is not idle yet.
+// A client that has just connected may have sent its first query already and is not idle yet.
 bool ClientSessions::hasJustConnected(const Client& client, Duration limit) const {
   return client.stage == Stage::startup && transactions_.now() - client.idleSince < limit;
 }
@@ -164,7 +165,7 @@
   for (const auto& [id, client] : clients_) {
     const bool isIncluded = client.isActive || which == IdleClients::all;
     if (isIncluded && !client.isWaiting() && !client.hasUnreadMessages &&
-        !hasJustConnected(client, bounds_.connectLimit * kStartupFraction))
+        !hasJustConnected(client, limits_.connectLimit * kStartupFraction))
       idle.push_back({client.idleSince, id});
   }
   const std::size_t count = std::min(max, idle.size());
@@ -173,12 +174,13 @@
   return count > 0;
 }
 
-// Clients keep a bounded number of connections for transactions. Where each sends one and stays, all of them
-// are soon idle, and no other client can send any. Guards against that: beyond three quarters of the bound
-// those idle longest are closed, some at a time. May hurt clients with so many busy connections that one is
-// closed just when it is wanted again: such a query is sent again, on a new connection.
+// Clients keep a bounded number of connections for transactions. If each sends one transaction and stays
+// connected, all of them are soon idle and no other client can send a transaction. Prevents that: beyond
+// three quarters of the bound the longest idle clients are closed, some at a time. Trade-off: a client with
+// many busy connections may lose one just when it needs it again, and has to repeat that query on a new
+// connection.
 void ClientSessions::limitActiveClients() {
-  const std::size_t bound = bounds_.maxActiveClients;
+  const std::size_t bound = limits_.maxActiveClients;
   if (bound > 0 && activeClients_ * kActiveDenominator > bound * kActiveNumerator)
     closeIdle(1 + bound / kActiveCloseDivisor, IdleClients::active);
 }
@@ -186,7 +188,7 @@
 void ClientSessions::closeIdleAtShutDown() {
   std::vector<ClientId> idle;
   for (const auto& [id, client] : clients_)
-    if (client.txn == 0 && !client.hasUnreadMessages && !hasJustConnected(client, bounds_.connectLimit))
+    if (client.txn == 0 && !client.hasUnreadMessages && !hasJustConnected(client, limits_.connectLimit))
       idle.push_back(id);
   for (const ClientId id : idle) close(id, ConnectionCloseReason::shuttingDown);
 }
--- a/src/downstream/postgres/client_sessions.h
+++ b/src/downstream/postgres/client_sessions.h
@@ -1,5 +1,5 @@
-// Sessions of clients that speak the PostgreSQL protocol: their startup and messages, the transactions that
-// they request and the answers that they get. It reads no socket and no clock.
+// Sessions of clients that use the PostgreSQL protocol: their startup and messages, the transactions that
+// they request and the answers that they receive. Reads no socket and no clock.
 #pragma once
 
 #include <compare>
@@ -18,83 +18,84 @@
 
 namespace gulltrestle::downstream::postgres {
 
-// Identifies a client's connection; never used again for another.
+// Identifies a client's connection. Ids are never reused.
 using ClientId = std::uint64_t;
 
-// What the sessions request of whoever has the sockets.
+// Actions that the sessions request from the owner of the sockets.
 class Effects {
  public:
   virtual ~Effects() = default;
-  // The slices are valid during the call only.
+  // The slices are valid only during the call.
   virtual void writeClient(ClientId client, transactions::ByteSlices slices) = 0;
-  // Offers what the client has sent meanwhile, and all that follows, in a later call of onReceived().
+  // Passes the unconsumed bytes and all that follow to a later call of onReceived().
   virtual void readClient(ClientId client) = 0;
-  // Closes the connection once all is written.
+  // Closes the connection once all written bytes are sent.
   virtual void closeClient(ClientId client) = 0;
 };
 
-// What the settings and the process's limits leave for clients.
-struct Bounds {
-  Duration connectLimit;             // for a connection to be established
-  std::size_t maxActiveClients = 0;  // connections that clients keep for transactions; 0: any number
+// Limits for clients, derived from the settings and the process's resource limits.
+struct ClientLimits {
+  Duration connectLimit;             // time limit for establishing a connection
+  std::size_t maxActiveClients = 0;  // connections that clients keep for transactions; 0: unlimited
 };
 
-// One per gateway.
+// Manages the sessions of all PostgreSQL clients. One instance per gateway.
 class ClientSessions final : private transactions::DownstreamHandler {
  public:
-  // `transport`: carries their transactions to nodes. `classNames`: of the transaction classes, in the same
-  // order. The references must outlive this.
+  // `transport`: carries the transactions to nodes. `classNames`: names of the transaction classes, in the
+  // order of `config`. The references must outlive this.
   ClientSessions(transactions::TransactionTable& transactions, transactions::UpstreamTransport& transport,
-                 const RoutingConfig& config, const std::vector<std::string>& classNames, Bounds bounds,
+                 const RoutingConfig& config, const std::vector<std::string>& classNames, ClientLimits limits,
                  Effects& effects);
 
-  // --- Events, after TransactionTable::advanceTo() for their time.
+  // --- Events. TransactionTable::advanceTo() must be called with the time of the event first.
 
   void onOpened(ClientId id);
-  // Returns how many bytes were consumed; the rest is offered again, with more behind it, after readClient().
-  // `unreadSince`: since when the latest bytes had been left unread; never: they were read as they came.
+  // Returns the number of consumed bytes. After readClient() the rest is passed again, followed by newer
+  // bytes. `unreadSince`: since when the latest bytes had been left unread; never: they were read on arrival.
   std::size_t onReceived(ClientId id, std::string_view bytes, Instant unreadSince = {});
-  // The client sends no more.
+  // The client sends no more data.
   void onHalfClosed(ClientId id);
   void onClosed(ClientId id);
-  // There is no memory for what the client sends: it gets an error, and is closed.
+  // Sends an error to a client whose data exceeds the memory limit, and closes it.
   void reject(ClientId id);
-  // Some endpoint list is known: empty queries, which wait for one, are answered.
+  // The first endpoint list was received: answers the empty queries that wait for it.
   void onEndpointListKnown();
 
-  // Closes the clients whose time for a message is over.
+  // Closes the clients whose message deadline has expired.
   void endTurn();
-  // When endTurn() has something to do; never: nothing is due.
+  // Returns when endTurn() has to be called next; never: no timer is pending.
   Instant nextDue() const { return deadlines_.empty() ? Instant() : deadlines_.begin()->at; }
 
-  // From now on, further statements of clients that had a transaction are rejected. One that has just
-  // connected is served once.
+  // Rejects further statements of clients that had a transaction. A client that has just connected is served
+  // once.
   void stop() { stoppedAt_ = transactions_.now(); }
   // Closes the clients that are idle and have not just connected.
   void closeIdleAtShutDown();
-  // Closes the clients that have been idle longest, `max` at most; false if none is idle.
+  // Closes the clients that have been idle longest, at most `max`. Returns false if none is idle.
   bool closeIdle(std::size_t max) { return closeIdle(max, IdleClients::all); }
 
   bool empty() const { return clients_.empty(); }
-  // Whether the client awaits an answer.
+  // Returns whether the client awaits an answer.
   bool isWaiting(ClientId id) const;
 
  private:
-  // Rejecting: an exchange of the extended protocol was rejected, and is skipped up to its Sync.
-  enum class Stage { startup, ready, rejecting };
+  // skippingToSync: an exchange of the extended protocol was rejected, and messages are skipped up to its
+  // Sync.
+  enum class Stage { startup, ready, skippingToSync };
   enum class IdleClients { all, active };
   struct Client {
     Stage stage = Stage::startup;
-    TxnId txn = 0;                   // whose answer it awaits; 0: none
-    bool awaitsListKnown = false;    // it has sent an empty query
-    bool hasHalfClosed = false;      // and was sent a notice
-    bool isActive = false;           // it had a transaction here
-    bool hasUnreadMessages = false;  // what it has sent meanwhile is not read yet
-    ArrivalTimes arrivals;           // of what it has sent and is not consumed yet
+    TxnId txn = 0;                    // transaction whose answer the client awaits; 0: none
+    bool awaitsEndpointList = false;  // it sent an empty query before the first list
+    bool hasHalfClosed = false;       // and a notice was sent
+    bool isActive = false;            // it has had a transaction
+    bool hasUnreadMessages = false;   // bytes that were sent meanwhile are not read yet
+    ArrivalTimes arrivals;            // of unconsumed bytes
     Instant idleSince;
-    Instant deadline;  // for a message that has started, or its startup; never: none is awaited
+    Instant deadline;  // of the startup or of a partial message; never: nothing is awaited
 
-    bool isWaiting() const { return txn != 0 || awaitsListKnown; }
+    bool isWaiting() const { return txn != 0 || awaitsEndpointList; }
   };
   struct Deadline {
     Instant at;
@@ -102,12 +103,12 @@
     auto operator<=>(const Deadline&) const = default;
   };
 
-  // DownstreamHandler.
+  // DownstreamHandler
   void committed(transactions::OwnerId owner, const transactions::ResultValue& value) override;
   void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override;
   void rolledBack(transactions::OwnerId owner) override;
 
-  // Reading (client_messages.cpp). Each bool: a message was consumed.
+  // Reading (client_messages.cpp). A bool result tells whether a message was consumed.
   std::size_t consumeMessages(ClientId id, std::string_view bytes);
   bool consumeStartup(ClientId id, Client& client, std::string_view& bytes);
   bool consumeMessage(ClientId id, Client& client, std::string_view& bytes, std::size_t consumedBefore);
@@ -133,14 +134,14 @@
 
   transactions::TransactionTable& transactions_;
   transactions::UpstreamTransport& transport_;
-  std::map<std::string, std::size_t, std::less<>> classes_;  // rows, by name
-  std::vector<ReadLevel> readLevels_;                        // a row per class
-  Bounds bounds_;
+  std::map<std::string, std::size_t, std::less<>> classes_;  // indexes, by name
+  std::vector<ReadLevel> readLevels_;                        // by index of the class
+  ClientLimits limits_;
   Effects& effects_;
-  bool isListKnown_ = false;
-  Instant stoppedAt_;  // never: it is not
+  bool isEndpointListKnown_ = false;
+  Instant stoppedAt_;  // never: not stopped
   std::map<ClientId, Client> clients_;
-  std::set<Deadline> deadlines_;  // of clients_
+  std::set<Deadline> deadlines_;  // deadlines of clients_
   std::size_t activeClients_ = 0;
 };
 
--- a/src/upstream/delegated/delegated_transport.cpp
+++ b/src/upstream/delegated/delegated_transport.cpp
@@ -7,14 +7,14 @@
 void DelegatedTransport::startAttempt(AttemptId attemptId, const NodeId& node) {
   const auto* endpoint = transactions_.endpoints().find(node);
   const auto* attempt = transactions_.attempt(attemptId);
-  // Health checks are another transport's, and a hedge beside an outstanding lease can't be given to anyone.
+  // Health checks need another transport, and a hedge can't be granted while the transaction has a lease.
   if (!attempt || !endpoint || transactions_.endpoints().isDraining(node) || leases_.contains(attemptId.txn))
     return transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
   const Instant now = transactions_.now(), reportBy = attempt->abandonAt;
   const Duration duration = endpoint_leases::leaseDuration(now, attempt->sendBy, drainRule_, listAge_);
   if (duration == Duration() || !transactions_.maySend(attemptId, node, reportBy - now))
     return transactions_.onAttemptEnded(attemptId, node, AttemptOutcome::notSent);
-  // Stored ahead of the call: the lease may be reported from within it.
+  // Stored before the call, because the handler may report the lease from within it.
   const std::string address = endpoint->address;
   leases_.emplace(attemptId.txn, OutstandingLease{attemptId, node, address, reportBy});
   deadlines_.insert({reportBy, attemptId.txn});
@@ -46,7 +46,7 @@
   if (!lease) return std::nullopt;
   const AttemptOutcome outcome = endpoint_leases::outcomeOf(report, lease->address);
   if (outcome == AttemptOutcome::committed) transactions_.commit(txn, {});
-  // The proxy has the connections, and does not report which was the last.
+  // The proxy owns the connections and doesn't report which one was the last.
   if (outcome == AttemptOutcome::noConnection || outcome == AttemptOutcome::connectionLost)
     transactions_.onNodeDisconnected(lease->node);
   transactions_.onAttemptEnded(lease->attemptId, lease->node, outcome,
@@ -59,7 +59,7 @@
     transactions_.onAttemptEnded(lease->attemptId, lease->node, endpoint_leases::kUnreportedOutcome);
 }
 
-// Guards the node's capacity against proxies that never report. May hurt where an answer is still in transit:
+// Frees the node's capacity if a proxy never reports. Trade-off: ignores an answer that is still in transit;
 // its client's time is up by then.
 void DelegatedTransport::endTurn() {
   while (!deadlines_.empty() && deadlines_.begin()->reportBy <= transactions_.now()) {
--- a/src/upstream/delegated/delegated_transport.h
+++ b/src/upstream/delegated/delegated_transport.h
@@ -1,6 +1,6 @@
-// An upstream transport that sends nothing itself: it grants an endpoint lease to whoever requested the
-// transaction, who sends the attempt to the node and reports its outcome. An attempt ends by that report, by
-// silence until its time is up, or when nobody is left who could report. It reads no socket and no clock.
+// Upstream transport that sends nothing itself: it grants an endpoint lease to the requester of the
+// transaction, which sends the attempt to the node and reports its outcome. An attempt ends by that report,
+// by a timeout, or when no requester is left that could report. Reads no socket and no clock.
 #pragma once
 
 #include <compare>
@@ -15,19 +15,19 @@
 
 namespace gulltrestle::upstream::delegated {
 
-// The permission to send one attempt to a node.
+// Permission to send one attempt to a node.
 struct EndpointLease {
   NodeId node;
   std::string address;  // of the node, as address:port
-  Duration duration;    // how long it is valid
-  Instant reportBy;     // silence until then ends the attempt
+  Duration duration;    // validity of the lease from its grant
+  Instant reportBy;     // the attempt ends if no report arrives by then
 };
 
-// Passes leases on to those who requested the transactions.
+// Passes leases on to the requesters of the transactions.
 class LeaseHandler {
  public:
   virtual ~LeaseHandler() = default;
-  // False: nobody is left to take the lease, and it was not passed on.
+  // Returns false if no requester is left and the lease was not passed on.
   virtual bool onLeaseGranted(TxnId txn, const EndpointLease& lease) = 0;
 };
 
@@ -43,18 +43,18 @@
   void onEndpointList(const std::vector<NodeId>&) override {}
   void forgetNode(const NodeId&) override {}
 
-  // --- Each of the next two ends the transaction's lease; no effect where it has none.
+  // --- The next two functions end the transaction's lease. No effect if it has none.
 
-  // Returns the outcome that the report stands for; none: there was no lease.
+  // Returns the outcome that the report implies; nullopt if there was no lease.
   std::optional<AttemptOutcome> onReport(TxnId txn, const endpoint_leases::ProxyReport& report);
-  // Nobody is left who could report.
+  // The requester that could report is gone.
   void onReporterLost(TxnId txn);
 
-  // Discovery sent something, be it nothing new.
+  // Discovery sent a message, even if it changes nothing.
   void onDiscoveryActivity() { listAge_.lastActivityAt = transactions_.now(); }
-  // Ends the leases whose time to report is over.
+  // Ends the leases whose report deadline has expired.
   void endTurn();
-  // When endTurn() has something to do; never: nothing is due.
+  // Returns when endTurn() has to be called next; never: no timer is pending.
   Instant nextDue() const { return deadlines_.empty() ? Instant() : deadlines_.begin()->reportBy; }
 
   std::size_t outstandingLeaseCount() const { return leases_.size(); }
@@ -78,7 +78,7 @@
   LeaseHandler& leaseHandler_;
   endpoint_leases::EndpointListAge listAge_;
   std::map<TxnId, OutstandingLease> leases_;
-  std::set<ReportDeadline> deadlines_;  // of leases_
+  std::set<ReportDeadline> deadlines_;  // deadlines of leases_
 };
 
 }  // namespace gulltrestle::upstream::delegated
--- a/src/upstream/http/health_checker.cpp
+++ b/src/upstream/http/health_checker.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr int kOk = 200;  // status of HTTP
+constexpr int kOk = 200;  // HTTP status code
 
 }  // namespace
 
-// Guards the descriptors: beyond the bound a health check counts as not sent, and the router requests it
-// again later.
+// Beyond the bound a health check counts as not sent, and the router requests it again later. Prevents
+// running out of descriptors.
 void HealthChecker::startAttempt(transactions::AttemptId attemptId, const NodeId& node) {
   const auto* endpoint = transactions_.endpoints().find(node);
   if (!attemptId.isHealthCheck() || !endpoint || inFlight_.size() >= maxInFlight_)
@@ -47,7 +47,7 @@
   }
 }
 
-// `isAffected`: called with the node of each health check in flight.
+// Cancels the health checks in flight for whose node `isAffected` returns true.
 template <typename Predicate>
 void HealthChecker::cancelIf(Predicate isAffected) {
   std::vector<HealthCheckId> affected;
@@ -59,7 +59,7 @@
   }
 }
 
-// Another node may answer at the old address of one that has moved.
+// Another node may answer at the old address of a node that has moved.
 void HealthChecker::onEndpointList(const std::vector<NodeId>& moved) {
   cancelIf([&](const NodeId& node) { return std::find(moved.begin(), moved.end(), node) != moved.end(); });
 }
--- a/src/upstream/http/health_checker.h
+++ b/src/upstream/http/health_checker.h
@@ -1,5 +1,5 @@
-// Requests nodes' load reports over HTTP: a GET of one path, answered by headers. An upstream transport for
-// health checks only. It reads no socket and no clock.
+// Requests the load reports of nodes over HTTP: a GET of one path, answered by headers. Upstream transport
+// for health checks only. Reads no socket and no clock.
 #pragma once
 
 #include <compare>
@@ -12,25 +12,25 @@
 
 namespace gulltrestle::upstream::http {
 
-// Identifies a health check in flight; never used again for another.
+// Identifies a health check. Ids are never reused.
 using HealthCheckId = std::uint64_t;
 
-// What the health checker requests of whoever has the sockets.
+// Actions that the health checker requests from the owner of the sockets.
 class Effects {
  public:
   virtual ~Effects() = default;
-  // Sends the request to the node at `address` (address:port); onAnswered() or onFailed() reports the result,
+  // Sends the request to the node at `address` (address:port). onAnswered() or onFailed() reports the result,
   // not from within this call.
   virtual void requestLoadReport(HealthCheckId id, const std::string& address) = 0;
-  // The answer is no longer awaited.
+  // Aborts the request; its result is ignored.
   virtual void cancelHealthCheck(HealthCheckId id) = 0;
 };
 
-// Each health check ends by an answer, a failure or its timeout. One per process at most, added to the table
-// of transactions as its transport for health checks.
+// Each health check ends by an answer, a failure or its timeout. At most one instance per process, added to
+// the transaction table as its transport for health checks.
 class HealthChecker final : public transactions::UpstreamTransport {
  public:
-  // `timeout`: how long an answer is awaited. The references must outlive this.
+  // `timeout`: time limit for an answer. The references must outlive this.
   HealthChecker(transactions::TransactionTable& transactions, Duration timeout, std::size_t maxInFlight,
                 Effects& effects)
       : transactions_(transactions), timeout_(timeout), maxInFlight_(maxInFlight), effects_(effects) {}
@@ -40,15 +40,16 @@
   void onEndpointList(const std::vector<NodeId>& moved) override;
   void forgetNode(const NodeId& node) override;
 
-  // --- Events, after TransactionTable::advanceTo() for their time. Ignored for one that has ended.
+  // --- Events. TransactionTable::advanceTo() must be called with the time of the event first. Ignored if the
+  // health check has ended.
 
-  // `status`: of HTTP; `report`: what the answer's headers say.
+  // `status`: HTTP status code. `report`: parsed from the headers of the answer.
   void onAnswered(HealthCheckId id, int status, const LoadReport& report);
   void onFailed(HealthCheckId id);
 
-  // Ends the health checks whose time is over.
+  // Ends the health checks whose deadline has expired.
   void endTurn();
-  // When endTurn() has something to do; never: nothing is due.
+  // Returns when endTurn() has to be called next; never: no timer is pending.
   Instant nextDue() const { return deadlines_.empty() ? Instant() : deadlines_.begin()->at; }
 
  private:
@@ -70,7 +71,7 @@
   std::size_t maxInFlight_;
   Effects& effects_;
   std::map<HealthCheckId, HealthCheck> inFlight_;
-  std::set<Deadline> deadlines_;  // of inFlight_
+  std::set<Deadline> deadlines_;  // deadlines of inFlight_
   HealthCheckId lastId_ = 0;
 };
 
--- a/src/upstream/postgres/connection_pool.cpp
+++ b/src/upstream/postgres/connection_pool.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-// A connection to a node is closed after it was idle for this fraction of the limit: the node counts from
-// another moment than this router, and an attempt on one that the node closes at that moment may or may not
-// run.
+// A connection to a node is closed after it was idle for this fraction of the node's idle timeout. The node
+// starts to count at another moment than this router, and an attempt on a connection that the node closes at
+// that moment may or may not be executed.
 constexpr double kIdleFraction = 0.5;
 
 }  // namespace
@@ -30,15 +30,15 @@
   }
   const NodeConnectionId id = state.idle.back();
   state.idle.pop_back();
-  carry(id, connections_.at(id), attemptId);
+  assignAttempt(id, connections_.at(id), attemptId);
 }
 
-// Opens a connection for each attempt that waits for one, and for which none is about to be clear. An attempt
-// that can't get one ends as not sent, so that the router decides anew. Guards against running out of
-// descriptors; may hurt where all connections are busy.
+// Opens a connection for each waiting attempt that no connection being opened or resynchronized will serve.
+// An attempt that can't get a connection ends as not sent, so that the router decides again. Prevents running
+// out of descriptors. Trade-off: attempts are not sent while all connections are busy.
 void ConnectionPool::openConnections(const NodeId& node, NodeState& state) {
-  while (state.opening + state.clearing < state.waiting.size()) {
-    if (connections_.size() >= bounds_.maxConnections) {
+  while (state.opening + state.resyncing < state.waiting.size()) {
+    if (connections_.size() >= limits_.maxConnections) {
       if (closeLongestIdle()) continue;
       const AttemptId attemptId = state.waiting.back();
       state.waiting.pop_back();
@@ -49,12 +49,13 @@
     ++state.opening;
     NodeConnection& connection = connections_[id];
     connection.node = node;
-    setDeadline(id, connection, transactions_.now() + bounds_.connectLimit);
+    setDeadline(id, connection, transactions_.now() + limits_.connectLimit);
     effects_.connect(id, endpoints_.find(node)->address);
   }
 }
 
-// False if none is idle. The one that was used longest ago is due first.
+// Closes the connection that has been idle longest: it has the earliest deadline of the idle ones. Returns
+// false if none is idle.
 bool ConnectionPool::closeLongestIdle() {
   const auto idle = std::find_if(deadlines_.begin(), deadlines_.end(), [&](const Deadline& deadline) {
     return connections_.at(deadline.id).stage == Stage::idle;
@@ -79,9 +80,9 @@
 
 // --- Writing
 
-void ConnectionPool::carry(NodeConnectionId id, NodeConnection& connection, AttemptId attemptId) {
+void ConnectionPool::assignAttempt(NodeConnectionId id, NodeConnection& connection, AttemptId attemptId) {
   const bool isHealthCheck = attemptId.isHealthCheck();
-  // The node's time limit is how long this router will wait, in whole milliseconds.
+  // The node's timeout is the time that this router waits for the answer, in whole milliseconds.
   const auto* attempt = transactions_.attempt(attemptId);
   const Duration remaining = attempt ? attempt->abandonAt - transactions_.now() : Duration();
   const std::int64_t timeoutMillis = attempt ? std::max<std::int64_t>(1, remaining.inMicros() / 1000) : 0;
@@ -97,7 +98,7 @@
 }
 
 void ConnectionPool::writeHealthCheck(NodeConnectionId id, NodeConnection& connection) {
-  setDeadline(id, connection, transactions_.now() + bounds_.connectLimit);
+  setDeadline(id, connection, transactions_.now() + limits_.connectLimit);
   connection.isFullyWritten =
       effects_.writeNode(id, {wire::queryHead(wire::kShowReport.size()), wire::kShowReport, {"\0", 1}});
 }
@@ -107,7 +108,7 @@
   const transactions::RequestMessage& message = transactions_.message(connection.attemptId.txn);
   const auto* attempt = transactions_.attempt(connection.attemptId);
   const Instant sendBy = attempt->sendBy, abandonAt = attempt->abandonAt;
-  carryingConnections_[connection.attemptId] = id;
+  connectionsByAttempt_[connection.attemptId] = id;
   const std::string timeout = std::to_string(timeoutMillis);
   const std::string_view statement = message.bytes;
   connection.isFullyWritten =
@@ -116,8 +117,9 @@
                               timeout,
                               statement.substr(message.timeoutOffset + message.timeoutSize),
                               {"\0", 1}});
-  // Guards against a statement of which the node takes a part at a time: the rest would complete it there
-  // when it may not be sent any more. Harmless: it has not run, and ends as not sent.
+  // Prevents the node from receiving the rest of a statement, which it reads in parts, after the time until
+  // which the statement may be sent. No trade-off: the statement was not executed, and the attempt ends as
+  // not sent.
   setDeadline(id, connection, connection.isFullyWritten ? abandonAt : std::min(sendBy, abandonAt));
 }
 
@@ -126,12 +128,12 @@
   if (found == connections_.end()) return;
   NodeConnection& connection = found->second;
   connection.isFullyWritten = true;
-  // One that answers already has less time than that.
+  // A connection whose answer has started has an earlier deadline already.
   if (connection.stage == Stage::busy && !connection.attemptId.isHealthCheck() && !connection.isAnswerPartial)
     setDeadline(id, connection, transactions_.attempt(connection.attemptId)->abandonAt);
 }
 
-// The connection carries nothing: it takes the next waiting attempt, or is idle.
+// The connection has no attempt: assigns the next waiting one, or makes the connection idle.
 void ConnectionPool::release(NodeConnectionId id, NodeConnection& connection) {
   NodeState& state = nodeStates_.at(connection.node);
   connection.stage = Stage::idle;
@@ -141,11 +143,11 @@
     const auto* attempt = transactions_.attempt(attemptId);
     const bool isHealthCheck = attemptId.isHealthCheck();
     if (isHealthCheck || (attempt && attempt->sendBy > transactions_.now()))
-      return carry(id, connection, attemptId);
+      return assignAttempt(id, connection, attemptId);
     transactions_.onAttemptEnded(attemptId, connection.node, AttemptOutcome::notSent);
   }
   state.idle.push_back(id);
-  setDeadline(id, connection, transactions_.now() + bounds_.idleLimit * kIdleFraction);
+  setDeadline(id, connection, transactions_.now() + limits_.idleLimit * kIdleFraction);
   if (endpoints_.isDraining(connection.node)) close(id, ConnectionCloseReason::nodeDrained);
 }
 
@@ -153,7 +155,8 @@
 
 void ConnectionPool::onClosed(NodeConnectionId id, ConnectionCloseReason reason) { close(id, reason); }
 
-// A node that goes down ends all its connections; a failure of the network, one.
+// Returns whether the node itself is down: it then loses all its connections, whereas a network failure ends
+// one.
 bool ConnectionPool::isNodeDown(const NodeConnection& closed, ConnectionCloseReason reason) const {
   if (reason == ConnectionCloseReason::refused) return true;
   const auto isEstablished = [](const NodeConnection& connection) {
@@ -165,13 +168,13 @@
          });
 }
 
-// Without effect for one that is closed already.
+// No effect if the connection is closed already.
 void ConnectionPool::close(NodeConnectionId id, ConnectionCloseReason reason) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
   const NodeConnection closed = found->second;
   transactions_.trace().write([&] {
-    return "event=link.closed link=" + std::to_string(id) + " node=" + closed.node + " why=\"" +
+    return "event=link.closed link=" + std::to_string(id) + " node=" + closed.node + " reason=\"" +
            std::string(nameOf(reason)) + "\"";
   });
   deadlines_.erase({closed.deadline, id});
@@ -184,11 +187,11 @@
       std::erase(state.idle, id);
       break;
     case Stage::busy:
-      carryingConnections_.erase(closed.attemptId);
+      connectionsByAttempt_.erase(closed.attemptId);
       transactions_.onAttemptEnded(closed.attemptId, closed.node, outcomeOf(reason, closed.isFullyWritten));
       break;
-    case Stage::clearing:
-      --state.clearing;
+    case Stage::resyncing:
+      --state.resyncing;
       openConnections(closed.node, state);
       break;
     case Stage::connecting:
@@ -201,9 +204,9 @@
 void ConnectionPool::onOpeningFailed(const NodeConnection& closed, NodeState& state,
                                      ConnectionCloseReason reason) {
   if (reason != ConnectionCloseReason::nodeDrained && std::exchange(state.isReachable, false))
-    effects_.log("node " + closed.node + " is not reached: " + std::string(nameOf(reason)));
+    effects_.log("node " + closed.node + " is unreachable: " + std::string(nameOf(reason)));
   --state.opening;
-  if (state.opening + state.clearing >= state.waiting.size()) return;
+  if (state.opening + state.resyncing >= state.waiting.size()) return;
   const AttemptId attemptId = state.waiting.front();
   state.waiting.pop_front();
   transactions_.onAttemptEnded(attemptId, closed.node, outcomeOfUnwritten(reason));
@@ -229,15 +232,15 @@
 }
 
 void ConnectionPool::cancelAttempt(AttemptId attemptId, const NodeId& node) {
-  if (const auto carrying = carryingConnections_.find(attemptId); carrying != carryingConnections_.end())
-    return close(NodeConnectionId(carrying->second), ConnectionCloseReason::cancelled);
+  if (const auto busy = connectionsByAttempt_.find(attemptId); busy != connectionsByAttempt_.end())
+    return close(NodeConnectionId(busy->second), ConnectionCloseReason::cancelled);
   std::erase(nodeStates_.at(node).waiting, attemptId);
   transactions_.onAttemptEnded(attemptId, node, outcomeOfUnwritten(ConnectionCloseReason::cancelled));
 }
 
 void ConnectionPool::withdrawAttempt(AttemptId attemptId, const NodeId& node) {
-  if (const auto carrying = carryingConnections_.find(attemptId); carrying != carryingConnections_.end()) {
-    const NodeConnectionId id = carrying->second;
+  if (const auto busy = connectionsByAttempt_.find(attemptId); busy != connectionsByAttempt_.end()) {
+    const NodeConnectionId id = busy->second;
     if (!connections_.at(id).isFullyWritten) close(id, ConnectionCloseReason::cancelled);
     return;
   }
@@ -266,7 +269,7 @@
     const NodeConnectionId id = deadlines_.begin()->id;
     const NodeConnection& connection = connections_.at(id);
     const ConnectionCloseReason reason = overdueReason(connection);
-    if (reason == ConnectionCloseReason::malformed) logMalformed(connection.node, "an answer without an end");
+    if (reason == ConnectionCloseReason::malformed) logMalformed(connection.node, "incomplete answer");
     close(id, reason);
   }
 }
@@ -278,7 +281,7 @@
       return ConnectionCloseReason::connectTimeout;
     case Stage::idle:
       return ConnectionCloseReason::retired;
-    case Stage::clearing:
+    case Stage::resyncing:
       return ConnectionCloseReason::malformed;
     case Stage::busy:
       break;
--- a/src/upstream/postgres/connection_pool.h
+++ b/src/upstream/postgres/connection_pool.h
@@ -1,14 +1,15 @@
 // Carries attempts and health checks to nodes over the PostgreSQL protocol: owns the connections to nodes,
-// the attempts that wait for one, and what each connection carries. It reads no socket and no clock.
+// the queue of attempts that wait for a connection, and the attempt of each connection. Reads no socket and
+// no clock.
 //
 //   stage       meaning                                        next stage
-//   connecting  the connection is being established            starting: it is
-//   starting    the node's greeting is awaited                 idle or busy: the node is ready
-//   idle        it carries nothing                             busy: it gets an attempt
-//   busy        it carries an attempt                          clearing: its answer is complete
-//   clearing    more than the answer may still come            idle or busy: an empty query was answered
+//   connecting  the connection is being established            starting: it is established
+//   starting    the node's startup answer is awaited           idle or busy: the node is ready
+//   idle        the connection has no attempt                  busy: an attempt was assigned
+//   busy        an attempt or health check is in flight        resyncing: its answer is complete
+//   resyncing   more bytes than the answer may still arrive    idle or busy: an empty query was answered
 //
-// In every stage it may be closed.
+// A connection may be closed in every stage.
 #pragma once
 
 #include <compare>
@@ -25,36 +26,38 @@
 
 namespace gulltrestle::upstream::postgres {
 
-// Identifies a connection to a node; never used again for another.
+// Identifies a connection to a node. Ids are never reused.
 using NodeConnectionId = std::uint64_t;
 
-// What the pool requests of whoever has the sockets.
+// Actions that the pool requests from the owner of the sockets.
 class Effects {
  public:
   virtual ~Effects() = default;
   // Opens a connection to a node; onConnected() or onClosed() reports the result.
   virtual void connect(NodeConnectionId connection, const std::string& address) = 0;
-  // The slices are valid during the call only. True: the last byte is written; else onWritten() reports it.
+  // The slices are valid only during the call. Returns true if the last byte was written; otherwise
+  // onWritten() reports it later.
   virtual bool writeNode(NodeConnectionId connection, transactions::ByteSlices slices) = 0;
   virtual void closeNode(NodeConnectionId connection) = 0;
   virtual void log(std::string line) = 0;
 };
 
-// What the settings and the process's limits leave for connections to nodes.
-struct Bounds {
+// Limits for connections to nodes, derived from the settings and the process's resource limits.
+struct NodeConnectionLimits {
   Duration idleLimit;              // nodes close connections that were idle for this long
-  Duration connectLimit;           // for a connection to be established; also for a health check
-  std::size_t maxConnections = 0;  // that may be open at a time
+  Duration connectLimit;           // time limit for establishing a connection, and for a health check
+  std::size_t maxConnections = 0;  // open at the same time
 };
 
-// One per gateway. Added to the table of transactions as an upstream transport.
+// Pool of connections to all nodes. One instance per gateway, added to the transaction table as an upstream
+// transport.
 class ConnectionPool final : public transactions::UpstreamTransport {
  public:
   // The references must outlive this.
-  ConnectionPool(transactions::TransactionTable& transactions, Bounds bounds, Effects& effects)
+  ConnectionPool(transactions::TransactionTable& transactions, NodeConnectionLimits limits, Effects& effects)
       : transactions_(transactions),
         endpoints_(transactions.endpoints()),
-        bounds_(bounds),
+        limits_(limits),
         effects_(effects) {}
 
   void startAttempt(transactions::AttemptId attemptId, const NodeId& node) override;
@@ -63,38 +66,38 @@
   void onEndpointList(const std::vector<NodeId>& moved) override;
   void forgetNode(const NodeId& node) override;
 
-  // --- Events, after TransactionTable::advanceTo() for their time.
+  // --- Events. TransactionTable::advanceTo() must be called with the time of the event first.
 
   void onConnected(NodeConnectionId id);
   void onWritten(NodeConnectionId id);
-  // Returns how many bytes were consumed; the rest is offered again, with more behind it.
+  // Returns the number of consumed bytes. The rest is passed again, followed by newer bytes.
   std::size_t onReceived(NodeConnectionId id, std::string_view bytes);
   void onClosed(NodeConnectionId id, transactions::ConnectionCloseReason reason);
 
-  // Closes the connections whose time is over.
+  // Closes the connections whose deadline has expired.
   void endTurn();
-  // When endTurn() has something to do; never: nothing is due.
+  // Returns when endTurn() has to be called next; never: no timer is pending.
   Instant nextDue() const { return deadlines_.empty() ? Instant() : deadlines_.begin()->at; }
 
  private:
   using AttemptId = transactions::AttemptId;
-  enum class Stage { connecting, starting, idle, busy, clearing };
+  enum class Stage { connecting, starting, idle, busy, resyncing };
   struct NodeConnection {
     NodeId node;
     Stage stage = Stage::connecting;
-    AttemptId attemptId;           // while busy
-    bool isFullyWritten = false;   // the attempt's last byte
-    bool isAnswerPartial = false;  // a part of the answer has come
-    Instant deadline;              // of its connecting, its attempt, its clearing or its idle time
+    AttemptId attemptId;           // valid in stage busy
+    bool isFullyWritten = false;   // the last byte of the attempt was written
+    bool isAnswerPartial = false;  // a part of the answer was received
+    Instant deadline;              // of the current stage
   };
   struct NodeState {
-    std::vector<NodeConnectionId> idle;  // the last used is taken first
-    std::deque<AttemptId> waiting;       // for a connection
-    std::size_t opening = 0;             // connections that are connecting or starting
-    std::size_t clearing = 0;            // connections in that stage
-    bool isReachable = true;             // the last connection that was opened was established
-    Instant malformedLoggedAt;           // when it was last logged that it sent malformed bytes
-    std::size_t malformedCount = 0;      // how often it has done so since
+    std::vector<NodeConnectionId> idle;  // most recently used last, and reused first
+    std::deque<AttemptId> waiting;       // attempts that wait for a connection
+    std::size_t opening = 0;             // connections in stage connecting or starting
+    std::size_t resyncing = 0;           // connections in stage resyncing
+    bool isReachable = true;             // the latest connection was established
+    Instant malformedLoggedAt;           // when malformed bytes of the node were last logged
+    std::size_t malformedCount = 0;      // number of occurrences since then
   };
   struct Deadline {
     Instant at;
@@ -110,19 +113,19 @@
   // Opening, writing
   void openConnections(const NodeId& node, NodeState& state);
   bool closeLongestIdle();
-  void carry(NodeConnectionId id, NodeConnection& connection, AttemptId attemptId);
+  void assignAttempt(NodeConnectionId id, NodeConnection& connection, AttemptId attemptId);
   void writeHealthCheck(NodeConnectionId id, NodeConnection& connection);
   void writeAttempt(NodeConnectionId id, NodeConnection& connection, std::int64_t timeoutMillis);
   void setDeadline(NodeConnectionId id, NodeConnection& connection, Instant deadline);
 
-  // Reading. Each returns whether more of the bytes may be consumed.
+  // Reading. A bool result tells whether more of the bytes may be consumed.
   bool consume(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
-  bool consumeGreeting(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
+  bool consumeStartupResult(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
   bool consumeAnswer(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
-  bool consumeClearingAnswer(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
-  void endCarried(NodeConnectionId id, NodeConnection& connection,
-                  const gulltrestle::postgres::Answer& answer, bool hasMoreBytes);
-  void startClearing(NodeConnectionId id, NodeConnection& connection, bool hasMoreBytes);
+  bool consumeResyncAnswer(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes);
+  void onCompleteAnswer(NodeConnectionId id, NodeConnection& connection,
+                        const gulltrestle::postgres::Answer& answer, bool hasMoreBytes);
+  void startResync(NodeConnectionId id, NodeConnection& connection, bool hasMoreBytes);
   void release(NodeConnectionId id, NodeConnection& connection);
   void logMalformed(const NodeId& node, std::string_view fault);
 
@@ -137,13 +140,13 @@
 
   transactions::TransactionTable& transactions_;
   const transactions::EndpointRegistry& endpoints_;
-  Bounds bounds_;
+  NodeConnectionLimits limits_;
   Effects& effects_;
   std::map<NodeConnectionId, NodeConnection> connections_;
   std::map<NodeId, NodeState> nodeStates_;
   std::map<AttemptId, NodeConnectionId, AttemptOrder>
-      carryingConnections_;       // by the attempt that each carries
-  std::set<Deadline> deadlines_;  // of connections_
+      connectionsByAttempt_;      // connection of each attempt in flight
+  std::set<Deadline> deadlines_;  // deadlines of connections_
   NodeConnectionId lastConnection_ = 0;
 };
 
--- a/src/upstream/postgres/node_answers.cpp
+++ b/src/upstream/postgres/node_answers.cpp
@@ -1,4 +1,4 @@
-// The part of the connection pool that reads what nodes send.
+// The part of ConnectionPool that reads answers of nodes.
 #include <algorithm>
 #include <utility>
 
@@ -11,8 +11,8 @@
 
 namespace {
 
-// At most one line per node and this time reports malformed bytes: a few lines a minute are read, more are
-// not.
+// Malformed bytes of a node are logged at most once in this interval: operators read a few lines a minute,
+// not more.
 constexpr Duration kMalformedLogInterval = Duration::millis(10'000);
 
 LoadReport loadReportOf(const wire::Answer& answer) {
@@ -23,11 +23,12 @@
   return report;
 }
 
-LoadReport loadReportOf(const wire::Report& gauges) {
+LoadReport loadReportOf(const wire::Report& nodeReport) {
   LoadReport report;
-  if (gauges.primary) report.role = *gauges.primary ? Role::primary : Role::replica;
-  if (gauges.positionSeconds) report.position = Instant() + Duration::seconds(*gauges.positionSeconds);
-  report.inFlight = gauges.inFlight;
+  if (nodeReport.primary) report.role = *nodeReport.primary ? Role::primary : Role::replica;
+  if (nodeReport.positionSeconds)
+    report.position = Instant() + Duration::seconds(*nodeReport.positionSeconds);
+  report.inFlight = nodeReport.inFlight;
   return report;
 }
 
@@ -64,32 +65,33 @@
 bool ConnectionPool::consume(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes) {
   switch (connection.stage) {
     case Stage::starting:
-      return consumeGreeting(id, connection, bytes);
+      return consumeStartupResult(id, connection, bytes);
     case Stage::busy:
       return consumeAnswer(id, connection, bytes);
-    case Stage::clearing:
-      return consumeClearingAnswer(id, connection, bytes);
+    case Stage::resyncing:
+      return consumeResyncAnswer(id, connection, bytes);
     case Stage::connecting:
     case Stage::idle:
       break;
   }
   if (bytes.empty()) return false;
-  // They must not be taken for the next attempt's answer.
-  throw wire::Malformed("bytes that nobody asked for");
+  // Must not be mistaken for the answer to the next attempt.
+  throw wire::Malformed("unexpected bytes without a request in flight");
 }
 
-bool ConnectionPool::consumeGreeting(NodeConnectionId id, NodeConnection& connection,
-                                     std::string_view& bytes) {
-  const auto greeting = wire::takeGreeting(bytes);
-  if (!greeting) return false;
-  if (*greeting != wire::Greeting::welcome) {
-    close(id, *greeting == wire::Greeting::rejected ? ConnectionCloseReason::rejected
-                                                    : ConnectionCloseReason::broken);
+bool ConnectionPool::consumeStartupResult(NodeConnectionId id, NodeConnection& connection,
+                                          std::string_view& bytes) {
+  const auto startupResult = wire::takeGreeting(bytes);
+  if (!startupResult) return false;
+  if (*startupResult != wire::Greeting::welcome) {
+    close(id, *startupResult == wire::Greeting::rejected ? ConnectionCloseReason::rejected
+                                                         : ConnectionCloseReason::broken);
     return true;
   }
   NodeState& state = nodeStates_.at(connection.node);
   --state.opening;
-  if (!std::exchange(state.isReachable, true)) effects_.log("node " + connection.node + " is reached again");
+  if (!std::exchange(state.isReachable, true))
+    effects_.log("node " + connection.node + " is reachable again");
   release(id, connection);
   return true;
 }
@@ -97,34 +99,36 @@
 bool ConnectionPool::consumeAnswer(NodeConnectionId id, NodeConnection& connection, std::string_view& bytes) {
   const auto answer = wire::takeAnswer(bytes);
   if (answer) {
-    endCarried(id, connection, *answer, !bytes.empty());
+    onCompleteAnswer(id, connection, *answer, !bytes.empty());
     return true;
   }
-  // Guards against answers that start and don't end, which would take all of the transaction's time: what has
-  // started is complete soon. May hurt where the network takes longer for one than for a connection.
+  // An answer that has started must be complete within the connect timeout. Prevents an answer that never
+  // ends from using up all of the transaction's time. Trade-off: fails if the network takes longer for an
+  // answer than for establishing a connection.
   if (!bytes.empty() && !std::exchange(connection.isAnswerPartial, true))
-    setDeadline(id, connection, std::min(connection.deadline, transactions_.now() + bounds_.connectLimit));
+    setDeadline(id, connection, std::min(connection.deadline, transactions_.now() + limits_.connectLimit));
   return false;
 }
 
-bool ConnectionPool::consumeClearingAnswer(NodeConnectionId id, NodeConnection& connection,
-                                           std::string_view& bytes) {
+bool ConnectionPool::consumeResyncAnswer(NodeConnectionId id, NodeConnection& connection,
+                                         std::string_view& bytes) {
   if (!wire::takeAllClear(bytes)) return false;
-  if (!bytes.empty()) throw wire::Malformed("more than an answer");
-  --nodeStates_.at(connection.node).clearing;
+  if (!bytes.empty()) throw wire::Malformed("unexpected bytes after the answer");
+  --nodeStates_.at(connection.node).resyncing;
   release(id, connection);
   return true;
 }
 
-// The attempt or health check has its complete answer.
-void ConnectionPool::endCarried(NodeConnectionId id, NodeConnection& connection, const wire::Answer& answer,
-                                bool hasMoreBytes) {
+// Handles the complete answer to the attempt or health check of the connection.
+void ConnectionPool::onCompleteAnswer(NodeConnectionId id, NodeConnection& connection,
+                                      const wire::Answer& answer, bool hasMoreBytes) {
   const AttemptId attemptId = connection.attemptId;
   const bool isHealthCheck = attemptId.isHealthCheck();
   const NodeId node = connection.node;
   const AttemptOutcome outcome = attemptOutcomeOf(answer.kind);
-  // Ahead of the commit, which withdraws the attempts that are carried: the transaction's others.
-  carryingConnections_.erase(attemptId);
+  // Precedes the commit, which withdraws the attempts that are still in the map: the transaction's other
+  // ones.
+  connectionsByAttempt_.erase(attemptId);
   if (outcome == AttemptOutcome::committed && !isHealthCheck)
     transactions_.commit(attemptId.txn, {answer.description, answer.row, answer.complete});
   LoadReport report = loadReportOf(answer.report);
@@ -134,19 +138,19 @@
   if (answer.fatal) {
     close(id, ConnectionCloseReason::broken);
   } else {
-    startClearing(id, connection, hasMoreBytes);
+    startResync(id, connection, hasMoreBytes);
   }
 }
 
-// Guards against more than the answer, the same again or noise, which must not be taken for the next
-// attempt's answer, however late it comes: an empty query is sent, and once its answer has come nothing older
-// is in transit. Costs a message each way; may hurt at nodes that answer empty queries late.
-void ConnectionPool::startClearing(NodeConnectionId id, NodeConnection& connection, bool hasMoreBytes) {
-  connection.stage = Stage::clearing;
+// Prevents bytes after the answer, such as a duplicate or garbage, from being mistaken for the next attempt's
+// answer, however late they arrive: an empty query is sent, and once it is answered no older bytes are in
+// transit. Costs one message each way. Trade-off: loses connections to nodes that answer empty queries late.
+void ConnectionPool::startResync(NodeConnectionId id, NodeConnection& connection, bool hasMoreBytes) {
+  connection.stage = Stage::resyncing;
   connection.attemptId = {};
-  ++nodeStates_.at(connection.node).clearing;
-  setDeadline(id, connection, transactions_.now() + bounds_.connectLimit);
-  if (hasMoreBytes) throw wire::Malformed("more than an answer");
+  ++nodeStates_.at(connection.node).resyncing;
+  setDeadline(id, connection, transactions_.now() + limits_.connectLimit);
+  if (hasMoreBytes) throw wire::Malformed("unexpected bytes after the answer");
   if (endpoints_.isDraining(connection.node)) return close(id, ConnectionCloseReason::nodeDrained);
   effects_.writeNode(id, {wire::queryHead(0), {"\0", 1}});
 }
@@ -157,7 +161,7 @@
   const Instant now = transactions_.now();
   if (state.malformedLoggedAt != Instant() && now - state.malformedLoggedAt < kMalformedLogInterval) return;
   state.malformedLoggedAt = now;
-  std::string line = "node " + node + " sent what can't be read: " + std::string(fault);
+  std::string line = "node " + node + " sent invalid data: " + std::string(fault);
   if (state.malformedCount > 1)
     line += ", " + std::to_string(state.malformedCount) + " times since the last such line";
   effects_.log(std::move(line));
--- a/tests/ext_proc.cpp
+++ b/tests/ext_proc.cpp
@@ -1,5 +1,5 @@
-// The request streams of the external processor without a socket: messages of a proxy in, answers out. Run as
-// `ext_proc CASE`: prints the case's trace.
+// Tests the request streams of the external processor without a socket: messages of a proxy in, answers out.
+// Run as `ext_proc CASE`: prints the trace of the case.
 #include <map>
 #include <string>
 
@@ -8,7 +8,7 @@
 int main(int argc, char** argv) {
   using namespace gulltrestle::ext_proc_test;
   const std::map<std::string, void (*)()> cases{{"serves-requests", servesRequests},
-                                                {"held-requests", heldRequests},
+                                                {"queued-requests", queuedRequests},
                                                 {"resets-crossing-decisions", resetsCrossingDecisions},
                                                 {"retries-of-transactions", retriesOfTransactions},
                                                 {"retries-after-restart", retriesAfterRestart},
--- a/tests/ext_proc/bench.cpp
+++ b/tests/ext_proc/bench.cpp
@@ -41,7 +41,7 @@
   return headers;
 }
 
-ExtProcBench::ExtProcBench(ExtProcSetup setup)
+ExtProcHarness::ExtProcHarness(ExtProcSetup setup)
     : transactions_(routingConfig(), 7, 1 << 20, [] {}),
       streams_(transactions_, downstream::ext_proc::HeaderMapping({}, routingConfig(), classNames()),
                endpoint_leases::LeaseRegistry(routingConfig().transactionClasses, setup.placement,
@@ -59,13 +59,13 @@
 
 // --- Events of proxies
 
-void ExtProcBench::openStream(StreamKey stream) {
+void ExtProcHarness::openStream(StreamKey stream) {
   streams_.onOpened(stream);
   settle();
 }
 
-void ExtProcBench::request(StreamKey stream, const std::string& id, const std::string& transactionClass,
-                           wire::Headers more, ValueForm form) {
+void ExtProcHarness::request(StreamKey stream, const std::string& id, const std::string& transactionClass,
+                             wire::Headers more, ValueForm form) {
   wire::Headers headers{{":path", "/"},
                         {"x-txn-id", id},
                         {"x-txn-type", transactionClass},
@@ -73,48 +73,48 @@
                         {"x-txn-patience-ms", "1000"},
                         {"x-txn-session", "s1"}};
   for (const auto& header : more) {
-    std::erase_if(headers, [&](const auto& usual) { return usual.name == header.name; });
+    std::erase_if(headers, [&](const auto& defaultHeader) { return defaultHeader.name == header.name; });
     if (!header.value.empty()) headers.push_back(header);
   }
   openStream(stream);
   sendMessage(stream, {Phase::requestHeaders, headers, false}, form);
 }
 
-void ExtProcBench::sendMessage(StreamKey stream, const wire::Request& request, ValueForm form) {
+void ExtProcHarness::sendMessage(StreamKey stream, const wire::Request& request, ValueForm form) {
   sendBytes(stream, wire::request(request, form == ValueForm::raw));
 }
 
-void ExtProcBench::sendBytes(StreamKey stream, const std::string& bytes) {
+void ExtProcHarness::sendBytes(StreamKey stream, const std::string& bytes) {
   streams_.onMessage(stream, bytes);
   settle();
 }
 
-void ExtProcBench::sendPhase(StreamKey stream, Phase phase) { sendMessage(stream, {phase, {}, false}); }
+void ExtProcHarness::sendPhase(StreamKey stream, Phase phase) { sendMessage(stream, {phase, {}, false}); }
 
-void ExtProcBench::report(StreamKey stream, const std::string& nodeOutcome, wire::Headers more,
-                          const std::string& status) {
+void ExtProcHarness::report(StreamKey stream, const std::string& nodeOutcome, wire::Headers more,
+                            const std::string& status) {
   more.push_back({":status", status});
   if (!nodeOutcome.empty()) more.push_back({"x-node-outcome", nodeOutcome});
   sendMessage(stream, {Phase::responseHeaders, more, false});
 }
 
-wire::Headers ExtProcBench::loadReport(const std::string& role, std::int64_t behindMillis) const {
+wire::Headers ExtProcHarness::loadReport(const std::string& role, std::int64_t behindMillis) const {
   const Instant position = now_ - ms(behindMillis);
   return {{"x-node-role", role}, {"x-node-position", std::to_string(position.inMicros() / 1000)}};
 }
 
-void ExtProcBench::halfClose(StreamKey stream) {
+void ExtProcHarness::halfClose(StreamKey stream) {
   streams_.onHalfClosed(stream);
   settle();
 }
 
-void ExtProcBench::resetStream(StreamKey stream) {
+void ExtProcHarness::resetStream(StreamKey stream) {
   streams_.onEnded(stream);
   settle();
 }
 
-void ExtProcBench::requestAndReset(StreamKey stream, const std::string& id,
-                                   const std::string& transactionClass) {
+void ExtProcHarness::requestAndReset(StreamKey stream, const std::string& id,
+                                     const std::string& transactionClass) {
   const wire::Headers headers{{"x-txn-id", id},
                               {"x-txn-type", transactionClass},
                               {"x-txn-group", "1"},
@@ -127,12 +127,12 @@
 
 // --- Other events
 
-void ExtProcBench::updateEndpoints(const std::vector<std::string>& nodes, Health health) {
+void ExtProcHarness::updateEndpoints(const std::vector<std::string>& nodes, Health health) {
   transactions_.onEndpointList(EndpointUpdateKind::delta, endpointList(nodes, health));
   settle();
 }
 
-void ExtProcBench::advance(std::int64_t millis) {
+void ExtProcHarness::advance(std::int64_t millis) {
   const Instant until = now_ + ms(millis);
   while (next_ != Instant() && next_ <= until) {
     now_ = std::max(next_, now_ + Duration::micros(1));
@@ -142,7 +142,7 @@
   settle();
 }
 
-void ExtProcBench::turn() {
+void ExtProcHarness::turn() {
   transactions_.advanceTo(now_);
   streams_.endTurn();
   next_ = transactions_.endTurn();
@@ -150,33 +150,33 @@
   if (due != Instant() && (next_ == Instant() || due < next_)) next_ = due;
 }
 
-void ExtProcBench::settle() {
+void ExtProcHarness::settle() {
   turn();
   for (int i = 0; i < 100 && next_ != Instant() && next_ <= now_; ++i) turn();
 }
 
-void ExtProcBench::printCounts() {
+void ExtProcHarness::printCounts() {
   const auto& counts = streams_.counts();
-  std::cout << "asked " << counts.requested << " granted " << counts.granted << " committed "
-            << counts.committed << " refused " << counts.rejected << " rolled back " << counts.rolledBack
-            << " unreported " << counts.unreported << " misused " << counts.misused << "; grants out "
-            << streams_.outstandingLeaseCount() << ", open txns " << transactions_.openCount()
+  std::cout << "requested " << counts.requested << " granted " << counts.granted << " committed "
+            << counts.committed << " rejected " << counts.rejected << " rolled back " << counts.rolledBack
+            << " unreported " << counts.unreported << " misused " << counts.misused << "; outstanding leases "
+            << streams_.outstandingLeaseCount() << ", open transactions " << transactions_.openCount()
             << ", remembered " << streams_.rememberedTransactionCount() << "\n";
 }
 
 // --- Effects
 
-std::ostream& ExtProcBench::line(StreamKey stream) {
+std::ostream& ExtProcHarness::line(StreamKey stream) {
   static std::ostream none(nullptr);
   if (isQuiet) return none;
   return std::cout << (now_ - kStart).inMicros() / 1000 << " ms: s" << stream << " ";
 }
 
-void ExtProcBench::send(StreamKey stream, std::string_view message) {
+void ExtProcHarness::send(StreamKey stream, std::string_view message) {
   const wire::Response response = wire::readResponse(message);
   std::ostream& out = line(stream);
   if (response.wait > Duration()) {
-    out << "wait " << response.wait.inMicros() / 1000 << " ms more\n";
+    out << "timeout extended by " << response.wait.inMicros() / 1000 << " ms\n";
   } else if (response.isImmediate) {
     out << response.immediate.status;
     for (const auto& [name, value] : response.immediate.headers) out << " " << name << "=" << value;
@@ -184,32 +184,32 @@
   } else if (response.phase == Phase::requestHeaders) {
     printLease(out, stream, response.set);
   } else {
-    out << "go on (" << static_cast<int>(response.phase) << ")";
+    out << "continue (" << static_cast<int>(response.phase) << ")";
     for (const auto& [name, value] : response.set) out << " " << name << "=" << value;
     out << "\n";
   }
 }
 
-void ExtProcBench::printLease(std::ostream& out, StreamKey stream, const wire::Headers& headers) {
+void ExtProcHarness::printLease(std::ostream& out, StreamKey stream, const wire::Headers& headers) {
   for (const auto& [name, value] : headers) {
     if (name == "x-txn-submission") {
       tokens_[stream] = value;
-      out << "as " << value << " ";
+      out << "token " << value << ", ";
       continue;
     }
     for (const std::string node : {"p", "a", "b"})
-      if (value == addressOf(node)) out << "to " << node << " ";
-    if (name == "x-txn-send-within-ms") out << "within " << value << " ms";
+      if (value == addressOf(node)) out << "leases node " << node << ", ";
+    if (name == "x-txn-send-within-ms") out << "for " << value << " ms";
   }
   out << "\n";
 }
 
-void ExtProcBench::close(StreamKey stream, StreamCloseReason reason, std::string_view message) {
+void ExtProcHarness::close(StreamKey stream, StreamCloseReason reason, std::string_view message) {
   if (reason != StreamCloseReason::finished)
     line(stream) << "closed (" << static_cast<int>(reason) << "): " << message << "\n";
 }
 
-void ExtProcBench::log(std::string_view event, const std::string& fields) {
+void ExtProcHarness::log(std::string_view event, const std::string& fields) {
   if (!isQuiet) std::cout << "log " << event << " " << fields << "\n";
 }
 
--- a/tests/ext_proc/bench.h
+++ b/tests/ext_proc/bench.h
@@ -1,6 +1,5 @@
-// The request streams of the external processor on a clock of their own, with a table of transactions,
-// between proxies and nodes that a test plays. Each answer is printed with its time, in milliseconds from the
-// start.
+// Harness for the request streams of the external processor: simulated clock, transaction table, proxies and
+// nodes. Prints each answer with its time, in milliseconds from the start.
 #pragma once
 
 #include <cstdint>
@@ -21,20 +20,22 @@
 namespace wire = gulltrestle::ext_proc;
 using wire::Phase;
 
-// Transaction classes: any, bounded and session are reads, charge is a write that executes at most once.
+// Configuration with the transaction classes any, bounded and session, which are reads, and charge, a write
+// that executes at most once.
 RoutingConfig routingConfig();
 const std::vector<std::string>& classNames();
 std::string addressOf(const std::string& node);
-// The list of nodes p, the primary, a and b, its replicas, or of some of them.
+// Endpoint list with some of the nodes p (the primary), a and b (its replicas).
 std::vector<transactions::ResolvedEndpoint> endpointList(const std::vector<std::string>& nodes,
                                                          Health health = Health::live);
 
-// Headers of a retry.
+// Headers of attempt number `count`, which is a retry.
 wire::Headers attemptHeaders(int count, const std::string& written = "", const std::string& token = "");
 
-// How a header's value is sent: as raw bytes, or as text as older proxies do.
+// Encoding of a header value: as raw bytes, or as text like older proxies send it.
 enum class ValueForm { raw, text };
 
+// Parameters of an ExtProcHarness.
 struct ExtProcSetup {
   endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::perAttempt;
   endpoint_leases::MessageTimeout messageTimeout{.timeout = ms(200), .maxExtension = ms(0)};
@@ -43,53 +44,54 @@
   Duration notifiedWithin;
 };
 
-class ExtProcBench final : private downstream::ext_proc::Effects {
+// Request streams and their transaction table on a simulated clock. Prints the trace to standard output.
+class ExtProcHarness final : private downstream::ext_proc::Effects {
  public:
-  explicit ExtProcBench(ExtProcSetup setup = {});
+  explicit ExtProcHarness(ExtProcSetup setup = {});
 
-  void say(const std::string& text) { std::cout << "-- " << text << "\n"; }
-  bool isQuiet = false;  // nothing is printed
+  void describe(const std::string& text) { std::cout << "-- " << text << "\n"; }
+  bool isQuiet = false;  // suppresses the output
 
   // --- Events of proxies
 
   void openStream(StreamKey stream);
-  // Opens a stream that requests a lease; `more` adds headers, or replaces the usual ones of their name (an
-  // empty value: without that header).
+  // Opens a stream and requests a lease. `more` adds headers or replaces the default ones of the same name;
+  // an empty value removes the header.
   void request(StreamKey stream, const std::string& id, const std::string& transactionClass,
                wire::Headers more = {}, ValueForm form = ValueForm::raw);
   void sendMessage(StreamKey stream, const wire::Request& request, ValueForm form = ValueForm::raw);
   void sendBytes(StreamKey stream, const std::string& bytes);
   void sendPhase(StreamKey stream, Phase phase);
-  // The headers of the node's answer. `nodeOutcome` empty: the node reports none.
+  // Sends the headers of the node's answer. An empty `nodeOutcome` leaves out that header.
   void report(StreamKey stream, const std::string& nodeOutcome, wire::Headers more = {},
               const std::string& status = "200");
-  // Headers of a node's load report; `behindMillis`: how long ago its position was current.
+  // Returns headers of a node's load report. `behindMillis`: age of its applied position.
   wire::Headers loadReport(const std::string& role, std::int64_t behindMillis) const;
   void halfClose(StreamKey stream);
   void resetStream(StreamKey stream);
-  // A reset that comes in the same turn as the request.
+  // Sends a request and resets its stream in the same turn.
   void requestAndReset(StreamKey stream, const std::string& id, const std::string& transactionClass);
 
   // --- Other events
 
   void updateEndpoints(const std::vector<std::string>& nodes, Health health = Health::live);
   void onDiscoveryActivity() { streams_.onDiscoveryActivity(); }
-  // Advances the clock, with each turn that was requested on the way.
+  // Advances the clock and runs each turn that becomes due.
   void advance(std::int64_t millis);
   void stop() { streams_.stop(); }
 
   void printCounts();
-  // Of the last lease that the stream was granted.
+  // Returns the token of the last lease that the stream was granted.
   const std::string& token(StreamKey stream) { return tokens_[stream]; }
 
  private:
   void turn();
-  // Ends the turn, and plays those that are due at once.
+  // Runs a turn, and the further ones that are due immediately.
   void settle();
   std::ostream& line(StreamKey stream);
   void printLease(std::ostream& out, StreamKey stream, const wire::Headers& headers);
 
-  // Effects.
+  // Effects
   void send(StreamKey stream, std::string_view message) override;
   void close(StreamKey stream, StreamCloseReason reason, std::string_view message) override;
   void log(std::string_view event, const std::string& fields) override;
--- a/tests/ext_proc/cases.h
+++ b/tests/ext_proc/cases.h
@@ -1,11 +1,11 @@
-// The cases of the test program, a function each; each prints its trace.
+// Test cases of the program, one function each. Each prints its trace.
 #pragma once
 
 namespace gulltrestle::ext_proc_test {
 
 // requests.cpp
 void servesRequests();
-void heldRequests();
+void queuedRequests();
 void resetsCrossingDecisions();
 void retriesOfTransactions();
 void retriesAfterRestart();
--- a/tests/ext_proc/limits.cpp
+++ b/tests/ext_proc/limits.cpp
@@ -1,4 +1,4 @@
-// Proxies that send what is malformed or too much, or report nothing; drains; the configuration file.
+// Malformed messages, unreported outcomes, limits on streams and memory, drains, and the configuration file.
 #include "ext_proc/bench.h"
 #include "ext_proc/cases.h"
 #include "runtime/ext_proc_server/ext_proc_config.h"
@@ -6,156 +6,161 @@
 namespace gulltrestle::ext_proc_test {
 
 void rejectsMalformedMessages() {
-  ExtProcBench bench;
-  bench.say("headers");
+  ExtProcHarness harness;
+  harness.describe("headers");
   StreamKey stream = 0;
-  for (const wire::Headers& bad : std::vector<wire::Headers>{{{"x-txn-id", ""}},
-                                                             {{"x-txn-id", std::string(200, 'x')}},
-                                                             {{"x-txn-type", ""}},
-                                                             {{"x-txn-type", "rare\n\"type\""}},
-                                                             {{"x-txn-group", "one"}},
-                                                             {{"x-txn-group", "-1"}},
-                                                             {{"x-txn-group", "99999999999999999999"}},
-                                                             {{"x-txn-patience-ms", ""}},
-                                                             {{"x-txn-patience-ms", "1e3"}},
-                                                             {{"x-envoy-attempt-count", "two"}}})
-    bench.request(++stream, "r1", "any", bad);
-  bench.request(++stream, "r1", "session", {{"x-txn-session", ""}});
-  bench.request(++stream, "r1", "session", {{"x-txn-write-age-ms", "soon"}});
-  bench.openStream(++stream);
-  bench.sendMessage(stream, {Phase::requestHeaders, {{"x-txn-id", "a"}, {"x-txn-id", "b"}}, false});
-  bench.say("messages and phases out of order");
+  for (const wire::Headers& invalidHeaders :
+       std::vector<wire::Headers>{{{"x-txn-id", ""}},
+                                  {{"x-txn-id", std::string(200, 'x')}},
+                                  {{"x-txn-type", ""}},
+                                  {{"x-txn-type", "rare\n\"type\""}},
+                                  {{"x-txn-group", "one"}},
+                                  {{"x-txn-group", "-1"}},
+                                  {{"x-txn-group", "99999999999999999999"}},
+                                  {{"x-txn-patience-ms", ""}},
+                                  {{"x-txn-patience-ms", "1e3"}},
+                                  {{"x-envoy-attempt-count", "two"}}})
+    harness.request(++stream, "r1", "any", invalidHeaders);
+  harness.request(++stream, "r1", "session", {{"x-txn-session", ""}});
+  harness.request(++stream, "r1", "session", {{"x-txn-write-age-ms", "soon"}});
+  harness.openStream(++stream);
+  harness.sendMessage(stream, {Phase::requestHeaders, {{"x-txn-id", "a"}, {"x-txn-id", "b"}}, false});
+  harness.describe("malformed messages, and phases out of order");
   for (const std::string& text : {std::string("\xff\xff\xff"), std::string("\x12\x7f"), std::string()}) {
-    bench.openStream(++stream);
-    bench.sendBytes(stream, text);
+    harness.openStream(++stream);
+    harness.sendBytes(stream, text);
   }
   for (const Phase phase : {Phase::responseHeaders, Phase::requestBody, Phase::responseTrailers}) {
-    bench.openStream(++stream);
-    bench.sendPhase(stream, phase);
+    harness.openStream(++stream);
+    harness.sendPhase(stream, phase);
   }
-  bench.request(++stream, "r2", "any");
-  bench.sendMessage(stream, {Phase::requestHeaders, {{"x-txn-id", "r3"}}, false});
-  bench.request(++stream, "r4", "any");
-  bench.report(stream, "committed", bench.loadReport("replica", 0));
-  bench.report(stream, "committed", bench.loadReport("replica", 0));
-  bench.say("unknown fields are skipped");
-  bench.openStream(++stream);
-  bench.sendBytes(stream, std::string("\xa2\x06\x03xyz", 6) + wire::request({Phase::requestHeaders,
-                                                                             {{"x-txn-id", "r5"},
-                                                                              {"x-txn-type", "any"},
-                                                                              {"x-txn-group", "1"},
-                                                                              {"x-txn-patience-ms", "1000"}},
-                                                                             false}));
-  bench.say("nothing at all");
-  bench.openStream(++stream);
-  bench.advance(2000);
-  bench.printCounts();
+  harness.request(++stream, "r2", "any");
+  harness.sendMessage(stream, {Phase::requestHeaders, {{"x-txn-id", "r3"}}, false});
+  harness.request(++stream, "r4", "any");
+  harness.report(stream, "committed", harness.loadReport("replica", 0));
+  harness.report(stream, "committed", harness.loadReport("replica", 0));
+  harness.describe("unknown fields are skipped");
+  harness.openStream(++stream);
+  harness.sendBytes(stream,
+                    std::string("\xa2\x06\x03xyz", 6) + wire::request({Phase::requestHeaders,
+                                                                       {{"x-txn-id", "r5"},
+                                                                        {"x-txn-type", "any"},
+                                                                        {"x-txn-group", "1"},
+                                                                        {"x-txn-patience-ms", "1000"}},
+                                                                       false}));
+  harness.describe("a stream without a message");
+  harness.openStream(++stream);
+  harness.advance(2000);
+  harness.printCounts();
 }
 
 void unreportedOutcomes() {
-  ExtProcBench bench;
-  bench.say("a proxy that never tells an end: the place is free when the txn's time is up, the stream later");
-  bench.request(1, "r1", "any", {{"x-txn-patience-ms", "400"}});
-  bench.advance(395);
-  bench.printCounts();
-  bench.advance(10);
-  bench.printCounts();
-  bench.advance(5000);
-  bench.say("its answer comes after the module gave it up: nothing else was told, so it stands");
-  bench.request(2, "w1", "charge", {{"x-txn-patience-ms", "300"}});
-  bench.advance(320);
-  bench.report(2, "committed", bench.loadReport("primary", 0));
-  bench.say("a failure as late is rolled back");
-  bench.request(3, "w2", "charge", {{"x-txn-patience-ms", "300"}});
-  bench.advance(320);
-  bench.report(3, "error", bench.loadReport("primary", 0), "500");
-  bench.say("a stream that ends in order without a word");
-  bench.request(4, "r2", "any");
-  bench.halfClose(4);
-  bench.say("one that sends no more while it is held still gets its answer");
-  bench.updateEndpoints({"a", "b"}, Health::draining);
-  bench.request(5, "r3", "any");
-  bench.halfClose(5);
-  bench.updateEndpoints({"a"});
-  bench.advance(50);
-  bench.updateEndpoints({"a"}, Health::draining);
-  bench.say(
-      "sent to another node than told: what it answers is nobody's, and nothing is learnt of the one told");
-  bench.updateEndpoints({"b"});
-  auto elsewhere = bench.loadReport("replica", 0);
+  ExtProcHarness harness;
+  harness.describe("no report: the lease ends at the transaction's deadline, the stream is closed later");
+  harness.request(1, "r1", "any", {{"x-txn-patience-ms", "400"}});
+  harness.advance(395);
+  harness.printCounts();
+  harness.advance(10);
+  harness.printCounts();
+  harness.advance(5000);
+  harness.describe("a commit that is reported after the deadline: no other answer was sent, so it counts");
+  harness.request(2, "w1", "charge", {{"x-txn-patience-ms", "300"}});
+  harness.advance(320);
+  harness.report(2, "committed", harness.loadReport("primary", 0));
+  harness.describe("a failure that is reported as late is rolled back");
+  harness.request(3, "w2", "charge", {{"x-txn-patience-ms", "300"}});
+  harness.advance(320);
+  harness.report(3, "error", harness.loadReport("primary", 0), "500");
+  harness.describe("a stream that is half-closed without a report");
+  harness.request(4, "r2", "any");
+  harness.halfClose(4);
+  harness.describe("a stream that is half-closed while it is queued still gets its answer");
+  harness.updateEndpoints({"a", "b"}, Health::draining);
+  harness.request(5, "r3", "any");
+  harness.halfClose(5);
+  harness.updateEndpoints({"a"});
+  harness.advance(50);
+  harness.updateEndpoints({"a"}, Health::draining);
+  harness.describe("sent to another node than granted: neither the outcome nor the load report counts");
+  harness.updateEndpoints({"b"});
+  auto elsewhere = harness.loadReport("replica", 0);
   elsewhere.push_back({"x-txn-sent-to", "10.0.0.99:1"});
-  bench.request(6, "r4", "any");
-  bench.report(6, "committed", elsewhere);
-  bench.request(7, "w3", "charge");
-  bench.report(7, "committed", elsewhere);
-  bench.request(8, "r5", "session", {{"x-txn-write-age-ms", "1"}});
-  bench.advance(100);
-  bench.printCounts();
+  harness.request(6, "r4", "any");
+  harness.report(6, "committed", elsewhere);
+  harness.request(7, "w3", "charge");
+  harness.report(7, "committed", elsewhere);
+  harness.request(8, "r5", "session", {{"x-txn-write-age-ms", "1"}});
+  harness.advance(100);
+  harness.printCounts();
 }
 
 void drainsLimitLeases() {
   ExtProcSetup setup;
   setup.notifiedWithin = ms(6000);
-  ExtProcBench bench(setup);
-  bench.say("a grant may be used for half of the grace at most, and not beyond what its client waits");
-  bench.request(1, "r1", "any");
-  bench.request(2, "r2", "any", {{"x-txn-patience-ms", "120"}});
-  bench.say("nothing is granted to a node that drains, and what is held goes elsewhere");
-  bench.updateEndpoints({"a", "p"}, Health::draining);
-  bench.request(3, "r3", "any");
-  bench.updateEndpoints({"b"}, Health::draining);
-  bench.request(4, "r4", "any");
-  bench.updateEndpoints({"a"});
+  ExtProcHarness harness(setup);
+  harness.describe(
+      "a lease is valid for half of the grace period at most, and not beyond the client's deadline");
+  harness.request(1, "r1", "any");
+  harness.request(2, "r2", "any", {{"x-txn-patience-ms", "120"}});
+  harness.describe("a draining node is granted no lease, and queued requests are sent to another node");
+  harness.updateEndpoints({"a", "p"}, Health::draining);
+  harness.request(3, "r3", "any");
+  harness.updateEndpoints({"b"}, Health::draining);
+  harness.request(4, "r4", "any");
+  harness.updateEndpoints({"a"});
   for (StreamKey stream = 1; stream <= 4; ++stream)
-    bench.report(stream, "committed", bench.loadReport("replica", 0));
-  bench.say("the list falls silent: late news of a drain counts as told in the end, so grants get shorter");
-  for (const std::int64_t silentMillis : {1900, 4000, 500, 60, 40, 20}) {
-    bench.advance(silentMillis);
-    const auto stream = 100 + static_cast<StreamKey>(silentMillis);
-    bench.request(stream, "x" + std::to_string(silentMillis), "any");
-    if (silentMillis >= 60) bench.report(stream, "committed", bench.loadReport("replica", 0));
+    harness.report(stream, "committed", harness.loadReport("replica", 0));
+  harness.describe(
+      "discovery is silent: a late drain counts as notified after the bound, so leases get shorter");
+  for (const std::int64_t silenceMillis : {1900, 4000, 500, 60, 40, 20}) {
+    harness.advance(silenceMillis);
+    const auto stream = 100 + static_cast<StreamKey>(silenceMillis);
+    harness.request(stream, "x" + std::to_string(silenceMillis), "any");
+    if (silenceMillis >= 60) harness.report(stream, "committed", harness.loadReport("replica", 0));
   }
-  bench.say("it is heard again");
-  bench.onDiscoveryActivity();
-  bench.request(5, "r5", "any");
+  harness.describe("discovery is active again");
+  harness.onDiscoveryActivity();
+  harness.request(5, "r5", "any");
 }
 
 void streamAndMemoryLimits() {
   ExtProcSetup setup;
   setup.maxStreams = 4;
   setup.maxTransactionsPerKind = 100;
-  ExtProcBench bench(setup);
-  bench.say("streams: the fifth is closed at once, and there is room when one has ended");
-  for (StreamKey stream = 1; stream <= 5; ++stream) bench.openStream(stream);
-  bench.resetStream(5);
-  bench.resetStream(4);
-  bench.request(6, "r1", "any");
-  bench.resetStream(6);
-  for (StreamKey stream = 1; stream <= 3; ++stream) bench.resetStream(stream);
-  bench.say("what may not run twice is remembered to a bound; then no more of it is taken, other txns are");
-  bench.isQuiet = true;
+  ExtProcHarness harness(setup);
+  harness.describe(
+      "stream limit: the fifth stream is closed at once, and the next one opens once one has ended");
+  for (StreamKey stream = 1; stream <= 5; ++stream) harness.openStream(stream);
+  harness.resetStream(5);
+  harness.resetStream(4);
+  harness.request(6, "r1", "any");
+  harness.resetStream(6);
+  for (StreamKey stream = 1; stream <= 3; ++stream) harness.resetStream(stream);
+  harness.describe(
+      "at-most-once ids are remembered up to a bound; beyond it they are rejected, others are not");
+  harness.isQuiet = true;
   for (StreamKey stream = 10; stream < 110; ++stream) {
-    bench.request(stream, "w" + std::to_string(stream), "charge");
-    bench.report(stream, "committed", bench.loadReport("primary", 0));
-    bench.resetStream(stream);
+    harness.request(stream, "w" + std::to_string(stream), "charge");
+    harness.report(stream, "committed", harness.loadReport("primary", 0));
+    harness.resetStream(stream);
   }
-  bench.isQuiet = false;
-  bench.request(200, "w200", "charge");
-  bench.request(201, "r201", "any");
-  bench.say("what may is forgotten, oldest first");
-  bench.isQuiet = true;
+  harness.isQuiet = false;
+  harness.request(200, "w200", "charge");
+  harness.request(201, "r201", "any");
+  harness.describe("idempotent ids are forgotten, oldest first");
+  harness.isQuiet = true;
   for (StreamKey stream = 300; stream < 1300; ++stream) {
-    bench.request(stream, "r" + std::to_string(stream), "any");
-    bench.report(stream, "committed", bench.loadReport("replica", 0));
-    bench.resetStream(stream);
+    harness.request(stream, "r" + std::to_string(stream), "any");
+    harness.report(stream, "committed", harness.loadReport("replica", 0));
+    harness.resetStream(stream);
   }
-  bench.isQuiet = false;
-  bench.printCounts();
-  bench.say("and there is room again when the expiry is over");
-  bench.advance(2100);
-  bench.onDiscoveryActivity();
-  bench.request(1400, "w1400", "charge");
-  bench.printCounts();
+  harness.isQuiet = false;
+  harness.printCounts();
+  harness.describe("after the expiry at-most-once transactions are accepted again");
+  harness.advance(2100);
+  harness.onDiscoveryActivity();
+  harness.request(1400, "w1400", "charge");
+  harness.printCounts();
 }
 
 void configFile() {
--- a/tests/ext_proc/requests.cpp
+++ b/tests/ext_proc/requests.cpp
@@ -1,210 +1,217 @@
-// Requests of proxies: how they are served, held and retried.
+// How requests of proxies are served, queued and retried.
 #include "ext_proc/bench.h"
 #include "ext_proc/cases.h"
 
 namespace gulltrestle::ext_proc_test {
 
 void servesRequests() {
-  ExtProcBench bench;
-  bench.say("a read goes to a replica, its answer passes; bodies and trailers go on");
-  bench.request(1, "r1", "any");
-  bench.sendPhase(1, Phase::requestBody);
-  bench.sendPhase(1, Phase::requestTrailers);
-  bench.advance(5);
-  bench.report(1, "committed", bench.loadReport("replica", 3));
-  bench.sendPhase(1, Phase::responseBody);
-  bench.sendPhase(1, Phase::responseTrailers);
-  bench.say("a write goes to the primary; the session's read is held until a replica is known to have it");
-  bench.request(2, "w1", "charge");
-  bench.advance(5);
-  bench.report(2, "committed", bench.loadReport("primary", 0));
-  bench.request(3, "r2", "session", {{"x-txn-write-age-ms", "1"}});
-  bench.advance(30);
-  bench.say("another read brings the news that one has it");
+  ExtProcHarness harness;
+  harness.describe("a read is sent to a replica and its answer passes through; bodies and trailers continue");
+  harness.request(1, "r1", "any");
+  harness.sendPhase(1, Phase::requestBody);
+  harness.sendPhase(1, Phase::requestTrailers);
+  harness.advance(5);
+  harness.report(1, "committed", harness.loadReport("replica", 3));
+  harness.sendPhase(1, Phase::responseBody);
+  harness.sendPhase(1, Phase::responseTrailers);
+  harness.describe(
+      "a write is sent to the primary; the session's read is queued until a replica has applied it");
+  harness.request(2, "w1", "charge");
+  harness.advance(5);
+  harness.report(2, "committed", harness.loadReport("primary", 0));
+  harness.request(3, "r2", "session", {{"x-txn-write-age-ms", "1"}});
+  harness.advance(30);
+  harness.describe("the load report of another read shows that a replica has applied it");
   for (StreamKey stream = 10; stream < 13; ++stream) {
-    bench.request(stream, "x" + std::to_string(stream), "any");
-    bench.report(stream, "committed", bench.loadReport("replica", 0));
+    harness.request(stream, "x" + std::to_string(stream), "any");
+    harness.report(stream, "committed", harness.loadReport("replica", 0));
   }
-  bench.report(3, "committed", bench.loadReport("replica", 0));
-  bench.say("values in the old form; a header's name in any case; a proxy that only shows what passes");
-  bench.request(4, "r3", "any", {{"X-Txn-Group", "1"}}, ValueForm::text);
-  bench.openStream(5);
-  bench.sendMessage(5, {Phase::requestHeaders, {{"x-txn-id", "r4"}}, true});
-  bench.printCounts();
+  harness.report(3, "committed", harness.loadReport("replica", 0));
+  harness.describe("header values as text; header names in mixed case; a proxy in observability mode");
+  harness.request(4, "r3", "any", {{"X-Txn-Group", "1"}}, ValueForm::text);
+  harness.openStream(5);
+  harness.sendMessage(5, {Phase::requestHeaders, {{"x-txn-id", "r4"}}, true});
+  harness.printCounts();
 }
 
-void heldRequests() {
-  ExtProcSetup longer;
-  longer.messageTimeout.maxExtension = ms(600);
-  ExtProcBench bench(longer);
-  bench.updateEndpoints({"p", "a", "b"}, Health::draining);
-  bench.say("held: more time is asked for once, at half of the message timeout; then a node is there");
-  bench.request(1, "r1", "any");
-  bench.advance(150);
-  bench.updateEndpoints({"a"});
-  bench.report(1, "committed", bench.loadReport("replica", 0));
-  bench.updateEndpoints({"a"}, Health::draining);
-  bench.say("none comes: the answer is there before the proxy stops waiting");
-  bench.request(2, "r2", "any");
-  bench.advance(1000);
-  bench.say("no more is asked for than its client waits, and nothing where that gains nothing");
-  bench.request(3, "r3", "any", {{"x-txn-patience-ms", "300"}});
-  bench.advance(300);
-  bench.request(4, "r4", "any", {{"x-txn-patience-ms", "100"}});
-  bench.advance(200);
-  ExtProcBench other;
-  other.updateEndpoints({"p", "a", "b"}, Health::draining);
-  other.say("where it may not be asked for more");
-  other.request(1, "r1", "charge");
-  other.advance(250);
-  other.say("the proxy's time is up while it is held: nothing is granted after the reset");
-  other.request(2, "r2", "charge");
-  other.advance(20);
-  other.resetStream(2);
-  other.updateEndpoints({"p", "a", "b"});
-  other.advance(300);
-  other.say("a reset that is read together with the question: nothing is granted at all");
-  other.requestAndReset(3, "r3", "any");
-  other.advance(300);
-  other.printCounts();
+void queuedRequests() {
+  ExtProcSetup extensible;
+  extensible.messageTimeout.maxExtension = ms(600);
+  ExtProcHarness harness(extensible);
+  harness.updateEndpoints({"p", "a", "b"}, Health::draining);
+  harness.describe(
+      "queued: one extension is requested, at half of the message timeout; then a node is available");
+  harness.request(1, "r1", "any");
+  harness.advance(150);
+  harness.updateEndpoints({"a"});
+  harness.report(1, "committed", harness.loadReport("replica", 0));
+  harness.updateEndpoints({"a"}, Health::draining);
+  harness.describe("no node becomes available: the answer is sent before the proxy stops waiting");
+  harness.request(2, "r2", "any");
+  harness.advance(1000);
+  harness.describe("no extension beyond the client's deadline, and none if it gains no time");
+  harness.request(3, "r3", "any", {{"x-txn-patience-ms", "300"}});
+  harness.advance(300);
+  harness.request(4, "r4", "any", {{"x-txn-patience-ms", "100"}});
+  harness.advance(200);
+  ExtProcHarness withoutExtension;
+  withoutExtension.updateEndpoints({"p", "a", "b"}, Health::draining);
+  withoutExtension.describe("a proxy that allows no extension");
+  withoutExtension.request(1, "r1", "charge");
+  withoutExtension.advance(250);
+  withoutExtension.describe(
+      "the proxy times out while the request is queued: no lease is granted after the reset");
+  withoutExtension.request(2, "r2", "charge");
+  withoutExtension.advance(20);
+  withoutExtension.resetStream(2);
+  withoutExtension.updateEndpoints({"p", "a", "b"});
+  withoutExtension.advance(300);
+  withoutExtension.describe("a reset that is read together with the request: no lease is granted");
+  withoutExtension.requestAndReset(3, "r3", "any");
+  withoutExtension.advance(300);
+  withoutExtension.printCounts();
 }
 
 void resetsCrossingDecisions() {
-  ExtProcBench bench;
-  bench.say(
-      "the reset crosses the decision: granted, may have run; a later try of a once-only txn is rolled back");
-  bench.request(1, "w1", "charge");
-  bench.resetStream(1);
-  bench.request(2, "w1", "charge", attemptHeaders(2));
-  bench.say("a repeatable one goes on");
-  bench.request(3, "r1", "any");
-  bench.resetStream(3);
-  bench.request(4, "r1", "any", attemptHeaders(2));
-  bench.report(4, "committed", bench.loadReport("replica", 0));
-  bench.say("the later try comes before the earlier one's reset: it waits for that");
-  bench.request(5, "w2", "charge");
-  bench.request(6, "w2", "charge", attemptHeaders(2));
-  bench.advance(10);
-  bench.resetStream(5);
-  bench.advance(1);
-  bench.say("or for its end, and then goes on as nothing ran");
-  bench.request(7, "w3", "charge");
-  bench.request(8, "w3", "charge", attemptHeaders(2));
-  bench.advance(10);
-  bench.report(7, "", {{"x-txn-written", "none"}}, "503");
-  bench.advance(30);
-  bench.report(8, "committed", bench.loadReport("primary", 0));
-  bench.say(
-      "neither comes: after a moment the earlier one may have run, and its late answer changes nothing");
-  bench.request(9, "w4", "charge");
-  bench.request(10, "w4", "charge", attemptHeaders(2));
-  bench.advance(60);
-  bench.report(9, "committed", bench.loadReport("primary", 0));
-  bench.say("a try that waits, and a later one that takes its place");
-  bench.advance(300);
-  bench.updateEndpoints({"p"}, Health::draining);
-  bench.request(11, "w5", "charge");
-  bench.request(12, "w5", "charge", attemptHeaders(2, "none"));
-  bench.updateEndpoints({"p"});
-  bench.advance(10);
-  bench.report(12, "committed", bench.loadReport("primary", 0));
-  bench.printCounts();
+  ExtProcHarness harness;
+  harness.describe(
+      "the reset crosses the granted lease, which may have run: an at-most-once retry is rolled back");
+  harness.request(1, "w1", "charge");
+  harness.resetStream(1);
+  harness.request(2, "w1", "charge", attemptHeaders(2));
+  harness.describe("a retry of an idempotent transaction continues");
+  harness.request(3, "r1", "any");
+  harness.resetStream(3);
+  harness.request(4, "r1", "any", attemptHeaders(2));
+  harness.report(4, "committed", harness.loadReport("replica", 0));
+  harness.describe("the retry arrives before the reset of the earlier attempt, and waits for it");
+  harness.request(5, "w2", "charge");
+  harness.request(6, "w2", "charge", attemptHeaders(2));
+  harness.advance(10);
+  harness.resetStream(5);
+  harness.advance(1);
+  harness.describe("or it waits for the end of the earlier attempt, and continues as nothing has run");
+  harness.request(7, "w3", "charge");
+  harness.request(8, "w3", "charge", attemptHeaders(2));
+  harness.advance(10);
+  harness.report(7, "", {{"x-txn-written", "none"}}, "503");
+  harness.advance(30);
+  harness.report(8, "committed", harness.loadReport("primary", 0));
+  harness.describe(
+      "neither arrives in time: the earlier attempt may have run, and its late answer has no effect");
+  harness.request(9, "w4", "charge");
+  harness.request(10, "w4", "charge", attemptHeaders(2));
+  harness.advance(60);
+  harness.report(9, "committed", harness.loadReport("primary", 0));
+  harness.describe("a waiting attempt that is superseded by a later one");
+  harness.advance(300);
+  harness.updateEndpoints({"p"}, Health::draining);
+  harness.request(11, "w5", "charge");
+  harness.request(12, "w5", "charge", attemptHeaders(2, "none"));
+  harness.updateEndpoints({"p"});
+  harness.advance(10);
+  harness.report(12, "committed", harness.loadReport("primary", 0));
+  harness.printCounts();
 }
 
 namespace {
 
-void retryOfRejectedAttempts(ExtProcBench& bench) {
-  bench.say("rejected: refused, and the next try goes to another node");
-  bench.request(1, "r1", "any");
-  bench.report(1, "turned-away", bench.loadReport("replica", 0), "503");
-  bench.request(2, "r1", "any", attemptHeaders(2, "none"));
-  bench.report(2, "", {{"x-txn-written", "none"}}, "503");
-  bench.request(3, "r1", "any", attemptHeaders(3, "none"));
-  bench.report(3, "committed", bench.loadReport("replica", 0));
-  bench.say("a once-only one that was never written goes on, one that was is rolled back, and stays it");
-  bench.request(4, "w1", "charge");
-  bench.report(4, "", {{"x-txn-written", "none"}}, "503");
-  bench.advance(300);
-  bench.request(5, "w1", "charge", attemptHeaders(2, "none"));
-  bench.report(5, "", {{"x-txn-written", "whole"}}, "503");
-  bench.request(6, "w1", "charge", attemptHeaders(3, "whole"));
+void retryOfRejectedAttempts(ExtProcHarness& harness) {
+  harness.describe(
+      "rejected by the node: the transaction is rejected, and its retry is sent to another node");
+  harness.request(1, "r1", "any");
+  harness.report(1, "turned-away", harness.loadReport("replica", 0), "503");
+  harness.request(2, "r1", "any", attemptHeaders(2, "none"));
+  harness.report(2, "", {{"x-txn-written", "none"}}, "503");
+  harness.request(3, "r1", "any", attemptHeaders(3, "none"));
+  harness.report(3, "committed", harness.loadReport("replica", 0));
+  harness.describe(
+      "at most once: the retry continues if nothing was written, otherwise every retry is rolled back");
+  harness.request(4, "w1", "charge");
+  harness.report(4, "", {{"x-txn-written", "none"}}, "503");
+  harness.advance(300);
+  harness.request(5, "w1", "charge", attemptHeaders(2, "none"));
+  harness.report(5, "", {{"x-txn-written", "whole"}}, "503");
+  harness.request(6, "w1", "charge", attemptHeaders(3, "whole"));
 }
 
 void statusesWithoutNodeOutcome() {
-  ExtProcBench bench;
-  bench.say("a bare 503 of a node may have run; a 421 of a node never did");
-  bench.request(7, "w2", "charge");
-  bench.report(7, "", bench.loadReport("primary", 0), "503");
-  bench.request(8, "w3", "charge");
-  bench.report(8, "", bench.loadReport("replica", 0), "421");
+  ExtProcHarness harness;
+  harness.describe(
+      "after a node's 503 without an outcome the attempt may have run; after a node's 421 it has not");
+  harness.request(7, "w2", "charge");
+  harness.report(7, "", harness.loadReport("primary", 0), "503");
+  harness.request(8, "w3", "charge");
+  harness.report(8, "", harness.loadReport("replica", 0), "421");
 }
 
-void reusedIds(ExtProcBench& bench) {
-  bench.say("ids: one that is open, one that is used again after its end");
-  bench.request(9, "r2", "any");
-  bench.request(10, "r2", "any");
-  bench.request(11, "r2", "charge");
-  bench.report(9, "committed", bench.loadReport("replica", 0));
-  bench.request(12, "r2", "any");
-  bench.report(12, "committed", bench.loadReport("replica", 0));
+void reusedIds(ExtProcHarness& harness) {
+  harness.describe("reused ids: of an open transaction, and of a finished one");
+  harness.request(9, "r2", "any");
+  harness.request(10, "r2", "any");
+  harness.request(11, "r2", "charge");
+  harness.report(9, "committed", harness.loadReport("replica", 0));
+  harness.request(12, "r2", "any");
+  harness.report(12, "committed", harness.loadReport("replica", 0));
 }
 
 void expiredIds() {
-  ExtProcBench bench;
-  bench.request(13, "w4", "charge");
-  bench.request(14, "w4", "charge");
-  bench.report(13, "committed", bench.loadReport("primary", 0));
-  bench.request(15, "w4", "charge");
-  bench.say("after the expiry it is forgotten");
-  bench.advance(2100);
-  bench.onDiscoveryActivity();
-  bench.request(16, "w4", "charge");
-  bench.printCounts();
+  ExtProcHarness harness;
+  harness.request(13, "w4", "charge");
+  harness.request(14, "w4", "charge");
+  harness.report(13, "committed", harness.loadReport("primary", 0));
+  harness.request(15, "w4", "charge");
+  harness.describe("after the expiry the id is forgotten");
+  harness.advance(2100);
+  harness.onDiscoveryActivity();
+  harness.request(16, "w4", "charge");
+  harness.printCounts();
 }
 
 void proxyThatRequestsOnce() {
-  ExtProcSetup once;
-  once.placement = endpoint_leases::ProxyPlacement::perRequest;
-  ExtProcBench bench(once);
-  bench.say("asked once a request: what is refused after a grant is over");
-  bench.request(1, "r1", "any");
-  bench.report(1, "turned-away", bench.loadReport("replica", 0), "503");
-  bench.request(2, "r1", "any", attemptHeaders(2, "none"));
-  bench.printCounts();
+  ExtProcSetup setup;
+  setup.placement = endpoint_leases::ProxyPlacement::perRequest;
+  ExtProcHarness harness(setup);
+  harness.describe("a proxy that requests one lease per request: a rejection after the lease is final");
+  harness.request(1, "r1", "any");
+  harness.report(1, "turned-away", harness.loadReport("replica", 0), "503");
+  harness.request(2, "r1", "any", attemptHeaders(2, "none"));
+  harness.printCounts();
 }
 
 }  // namespace
 
 void retriesOfTransactions() {
-  ExtProcBench bench;
-  retryOfRejectedAttempts(bench);
+  ExtProcHarness harness;
+  retryOfRejectedAttempts(harness);
   statusesWithoutNodeOutcome();
-  reusedIds(bench);
+  reusedIds(harness);
   expiredIds();
   proxyThatRequestsOnce();
 }
 
 void retriesAfterRestart() {
-  ExtProcBench before;
-  before.say("before the restart");
-  before.request(1, "w1", "charge");
+  ExtProcHarness beforeRestart;
+  beforeRestart.describe("before the restart");
+  beforeRestart.request(1, "w1", "charge");
   ExtProcSetup setup;
   setup.incarnation = "two";
-  ExtProcBench bench(setup);
-  bench.say("after it: the count or another start's grant tells that it may have run");
-  bench.request(1, "w1", "charge", attemptHeaders(2, "", before.token(1)));
-  bench.request(2, "w2", "charge", attemptHeaders(1, "", before.token(1)));
-  bench.request(3, "w3", "charge", attemptHeaders(2, "whole"));
-  bench.say("unless the proxy says that nothing was written");
-  bench.request(4, "w4", "charge", attemptHeaders(2, "none", before.token(1)));
-  bench.report(4, "committed", bench.loadReport("primary", 0));
-  bench.say("what may run again goes on");
-  bench.request(5, "r1", "any", attemptHeaders(2, "whole", before.token(1)));
-  bench.say("told to end: what comes is not taken, what was taken is answered");
-  bench.stop();
-  bench.request(6, "r2", "any");
-  bench.report(5, "committed", bench.loadReport("replica", 0));
-  bench.printCounts();
+  ExtProcHarness harness(setup);
+  harness.describe(
+      "after it: the attempt count or a token of another incarnation shows that it may have run");
+  harness.request(1, "w1", "charge", attemptHeaders(2, "", beforeRestart.token(1)));
+  harness.request(2, "w2", "charge", attemptHeaders(1, "", beforeRestart.token(1)));
+  harness.request(3, "w3", "charge", attemptHeaders(2, "whole"));
+  harness.describe("unless the proxy reports that nothing was written");
+  harness.request(4, "w4", "charge", attemptHeaders(2, "none", beforeRestart.token(1)));
+  harness.report(4, "committed", harness.loadReport("primary", 0));
+  harness.describe("an idempotent transaction continues");
+  harness.request(5, "r1", "any", attemptHeaders(2, "whole", beforeRestart.token(1)));
+  harness.describe("graceful shutdown: new requests are rejected, accepted ones are answered");
+  harness.stop();
+  harness.request(6, "r2", "any");
+  harness.report(5, "committed", harness.loadReport("replica", 0));
+  harness.printCounts();
 }
 
 }  // namespace gulltrestle::ext_proc_test
--- a/tests/ext_proc/same_decisions.cpp
+++ b/tests/ext_proc/same_decisions.cpp
@@ -1,5 +1,5 @@
-// The same arrivals through the PostgreSQL client sessions and through the external processor: the router
-// must decide the same.
+// Plays the same requests through the PostgreSQL client sessions and through the external processor. The
+// router must make the same decisions.
 #include <algorithm>
 #include <iostream>
 #include <random>
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr std::size_t kSessionClass = 2, kChargeClass = 3;
-constexpr int kSteps = 400, kStepsShown = 40;
+constexpr int kSteps = 400, kPrintedLines = 40;
 
-// The nodes of the PostgreSQL path: records the attempts, which the test answers.
+// Transport of the PostgreSQL path. Records the attempts, which the test answers.
 class RecordingTransport final : public transactions::UpstreamTransport {
  public:
   struct Attempt {
@@ -45,7 +45,7 @@
   std::vector<Attempt> attempts_;
 };
 
-// Both kinds of clients; streams and clients are numbered like their transactions.
+// Records the decisions for both kinds of clients. Streams and clients have the ids of their transactions.
 class RecordingClients final : public downstream::ext_proc::Effects, public downstream::postgres::Effects {
  public:
   explicit RecordingClients(std::string& trace) : trace_(trace) {}
@@ -86,7 +86,8 @@
 
 enum class ClientKind { postgres, proxy };
 
-// Plays the arrivals, and records where each transaction goes: a line per turn with decisions.
+// Plays the requests and records the decisions of the router, one line per turn with decisions: `ID>NODE` is
+// sent, `ID-` rejected, `ID!` rolled back.
 class Run {
  public:
   explicit Run(ClientKind kind)
@@ -120,14 +121,14 @@
       now_ = now_ + ms(5);
       transactions_.advanceTo(now_);
       answerDue();
-      for (int count = static_cast<int>(random_() % 3); count > 0; --count) arrive();
+      for (int count = static_cast<int>(random_() % 3); count > 0; --count) startRequest();
       endTurn();
     }
     return trace_;
   }
 
  private:
-  // A proxy's stream can carry one attempt, and no health check.
+  // A proxy's stream can carry one attempt and no health check, so hedges, retries and health checks are off.
   static RoutingConfig configOfRun() {
     RoutingConfig config = routingConfig();
     config.hedgingAllowed = false;
@@ -150,7 +151,7 @@
     }
   }
 
-  // One in twenty is rejected by its node.
+  // One in twenty transactions is rejected by its node.
   void answer(TxnId txn) {
     const bool isRejected = random_() % 20 == 0;
     const Role role = classes_[txn] == kChargeClass ? Role::primary : Role::replica;
@@ -170,7 +171,7 @@
     }
   }
 
-  void arrive() {
+  void startRequest() {
     const TxnId txn = ++lastTxn_;
     const std::size_t transactionClass = classes_[txn] = random_() % 4;
     const std::int64_t writeAgeMillis = 1 + static_cast<std::int64_t>(random_() % 40);
@@ -229,8 +230,8 @@
   downstream::postgres::ClientSessions clients_;
   Instant now_ = Instant::atMicros(1'700'000'000'000'000);
   std::knuth_b random_{5};
-  std::map<TxnId, Instant> answersDue_;   // when each open transaction's node answers
-  std::map<TxnId, std::size_t> classes_;  // by transaction
+  std::map<TxnId, Instant> answersDue_;   // when the node of each open transaction answers
+  std::map<TxnId, std::size_t> classes_;  // class of each transaction
   TxnId lastTxn_ = 0;
 };
 
@@ -241,16 +242,16 @@
   const std::string proxyTrace = Run(ClientKind::proxy).play();
 
   const auto turns = std::count(proxyTrace.begin(), proxyTrace.end(), '\n');
-  std::cout << "through PostgreSQL and through the external processor the same: "
+  std::cout << "same decisions through PostgreSQL and the external processor: "
             << (postgresTrace == proxyTrace ? "yes" : "NO") << ", " << turns
-            << " turns with decisions; the first " << kStepsShown << ":\n";
+            << " turns with decisions; first " << kPrintedLines << ":\n";
   std::size_t end = 0;
-  for (int line = 0; line < kStepsShown; ++line) end = proxyTrace.find('\n', end) + 1;
+  for (int line = 0; line < kPrintedLines; ++line) end = proxyTrace.find('\n', end) + 1;
   std::cout << proxyTrace.substr(0, end);
   const auto difference =
       std::mismatch(postgresTrace.begin(), postgresTrace.end(), proxyTrace.begin(), proxyTrace.end());
   if (postgresTrace != proxyTrace)
-    std::cout << "they differ from here: "
+    std::cout << "first difference, in the PostgreSQL trace: "
               << std::string(difference.first, postgresTrace.end()).substr(0, 200) << "\n";
 }
 
