--- a/tests/soak/books.cpp
+++ b/tests/soak/books.cpp
@@ -6,93 +6,106 @@
 
 namespace {
 
-// The protocol's slack on every time limit.
-constexpr Duration kSlack = Duration::millis(50);
-// An answer after its time only earns nothing, up to this.
-constexpr Duration kLateAnswer = Duration::millis(500);
-// An attempt this long after its client closed is a lost request.
-constexpr Duration kAfterClose = Duration::millis(100);
-// The time a node is told may be this much over what is left.
-constexpr Duration kDeadlineSlack = Duration::millis(150);
-// A delay of this process counts for so long.
-constexpr Duration kLateFor = Duration::seconds(1);
+// Tolerance of the protocol on every time limit.
+constexpr Duration kTimeLimitTolerance = Duration::millis(50);
+// An answer up to this long after its deadline is worth nothing, but doesn't violate a rule.
+constexpr Duration kLateAnswerGrace = Duration::millis(500);
+// An attempt that arrives this long after its client closed the connection counts as a lost request.
+constexpr Duration kArrivalAfterCloseGrace = Duration::millis(100);
+// The time limit sent to a node may exceed the remaining time by this much.
+constexpr Duration kRemainingTimeTolerance = Duration::millis(150);
+// How long a delay of this process is allowed for.
+constexpr Duration kDelayValidity = Duration::seconds(1);
 
 }  // namespace
 
-void Books::turnEnded(Instant now) {
-  const Duration turn = turnEndedAt_ == Instant() ? Duration() : now - turnEndedAt_;
-  turnEndedAt_ = now;
-  if (turn < lateBy_ && now - lateAt_ < kLateFor) return;
-  lateBy_ = turn;
-  lateAt_ = now;
+void RequestHistory::onLoopIteration(Instant now) {
+  const Duration iterationTime = lastIterationAt_ == Instant() ? Duration() : now - lastIterationAt_;
+  lastIterationAt_ = now;
+  if (iterationTime < longestDelay_ && now - longestDelayAt_ < kDelayValidity) return;
+  longestDelay_ = iterationTime;
+  longestDelayAt_ = now;
 }
 
-Duration Books::slack(Instant now) const { return std::max(lateBy_, now - turnEndedAt_); }
+Duration RequestHistory::processDelay(Instant now) const {
+  return std::max(longestDelay_, now - lastIterationAt_);
+}
 
-void Books::broken(Instant now, const std::string& rule, const std::string& what) {
-  verdicts_.push_back({rule, what, now});
+void RequestHistory::recordViolation(Instant now, const std::string& rule, const std::string& description) {
+  violations_.push_back({rule, description, now});
 }
 
-void Books::answered(Instant now, const std::string& id) {
-  Request& request = of(id);
+void RequestHistory::recordAnswer(Instant now, const std::string& id) {
+  Request& request = requestFor(id);
   ++answers_;
   request.answeredAt = now;
-  if (now > request.deadline + kLateAnswer + heldUp_ + kSlack + slack(now))
-    broken(now, "late",
-           id + " answered " + std::to_string((now - request.deadline).inMicros() / 1000) +
-               " ms after its time");
+  if (now > request.deadline + kLateAnswerGrace + machineDelay_ + kTimeLimitTolerance + processDelay(now))
+    recordViolation(now, "late",
+                    id + " answered " + std::to_string((now - request.deadline).inMicros() / 1000) +
+                        " ms after its deadline");
 }
 
-void Books::clientGone(Instant now, const std::string& id) { of(id).goneAt = now; }
+void RequestHistory::recordClientClose(Instant now, const std::string& id) {
+  requestFor(id).clientClosedAt = now;
+}
 
-void Books::closedOn(Instant now, const std::string& id, bool killed) {
-  Request& request = of(id);
-  if (request.answeredAt != Instant() || request.goneAt != Instant()) return;
-  request.excused = true;
-  // A request that crosses the end of a resting connection is sent anew by its client; one that went on was
-  // read.
-  if (killed || request.firstSeenAt == Instant())
-    ++crossed;
+void RequestHistory::recordConnectionLoss(Instant now, const std::string& id, bool byFault) {
+  Request& request = requestFor(id);
+  if (request.answeredAt != Instant() || request.clientClosedAt != Instant()) return;
+  request.connectionLost = true;
+  // If the router closes an idle connection while a request is on its way, the client sends the request
+  // again. A request that reached a node was read by the router, which then owes an answer.
+  if (byFault || request.firstSeenAt == Instant())
+    ++excused;
   else
-    broken(now, "lost", id + " was sent on, and its connection closed with no answer");
+    recordViolation(now, "lost",
+                    id + " was forwarded to a node, but its connection closed without an answer");
 }
 
-void Books::seen(Instant now, const Seen& seen) {
-  const auto at = requests_.find(seen.id);
-  if (at == requests_.end()) return broken(now, "garbled", "no client asked for " + seen.id);
-  Request& request = at->second;
-  const TransactionClass& type = types_.at(request.type);
-  const std::string where = seen.id + " at " + seen.node;
-  if (request.goneAt != Instant() && now > request.goneAt + kAfterClose + heldUp_ + slack(now))
-    broken(now, "lost",
-           where + " came " + std::to_string((now - request.goneAt).inMicros() / 1000) +
-               " ms after its client closed");
-  if (now + seen.told > request.deadline + kDeadlineSlack + heldUp_ + slack(now))
-    broken(now, "deadline",
-           where + " was told " + std::to_string(seen.told.inMicros() / 1000) + " ms with " +
-               std::to_string((request.deadline - now).inMicros() / 1000) + " left");
-  if (seen.drainedSince != Instant() && now > seen.drainedSince + drainGrace_ + kSlack + heldUp_ + slack(now))
-    broken(now, "drain",
-           where + " came " + std::to_string((now - seen.drainedSince).inMicros() / 1000) +
-               " ms after it drained");
+void RequestHistory::recordArrival(Instant now, const StatementArrival& arrival) {
+  const auto found = requests_.find(arrival.id);
+  if (found == requests_.end()) return recordViolation(now, "garbled", "no client sent " + arrival.id);
+  Request& request = found->second;
+  const TransactionClass& transactionClass = classes_.at(request.classIndex);
+  const std::string where = arrival.id + " at " + arrival.node;
+  if (request.clientClosedAt != Instant() &&
+      now > request.clientClosedAt + kArrivalAfterCloseGrace + machineDelay_ + processDelay(now))
+    recordViolation(now, "lost",
+                    where + " arrived " + std::to_string((now - request.clientClosedAt).inMicros() / 1000) +
+                        " ms after its client closed the connection");
+  if (now + arrival.timeLimit >
+      request.deadline + kRemainingTimeTolerance + machineDelay_ + processDelay(now))
+    recordViolation(now, "deadline",
+                    where + " was sent with a time limit of " +
+                        std::to_string(arrival.timeLimit.inMicros() / 1000) + " ms with " +
+                        std::to_string((request.deadline - now).inMicros() / 1000) + " ms remaining");
+  if (arrival.drainNotifiedAt != Instant() &&
+      now > arrival.drainNotifiedAt + drainGrace_ + kTimeLimitTolerance + machineDelay_ + processDelay(now))
+    recordViolation(now, "drain",
+                    where + " arrived " + std::to_string((now - arrival.drainNotifiedAt).inMicros() / 1000) +
+                        " ms after the router was notified of the drain");
   if (request.firstSeenAt == Instant()) request.firstSeenAt = now;
-  if (!seen.runs) return;
-  ++request.runs;
-  if (request.runs == 1 || type.effect == Effect::idempotent) return;
-  const bool inWindow = now <= request.firstSeenAt + type.deduplicationWindow + kSlack + heldUp_ + slack(now);
-  if (type.effect == Effect::atMostOnce || !inWindow)
-    broken(now, "duplicate", where + " ran " + std::to_string(request.runs) + " times");
+  if (!arrival.executes) return;
+  ++request.executions;
+  if (request.executions == 1 || transactionClass.effect == Effect::idempotent) return;
+  const bool inWindow = now <= request.firstSeenAt + transactionClass.deduplicationWindow +
+                                   kTimeLimitTolerance + machineDelay_ + processDelay(now);
+  if (transactionClass.effect == Effect::atMostOnce || !inWindow)
+    recordViolation(now, "duplicate",
+                    where + " was executed " + std::to_string(request.executions) + " times");
 }
 
-void Books::stale(Instant now, const std::string& id, const std::string& node) {
-  broken(now, "stale", id + " answered by " + node + ", which is behind what it must see");
+void RequestHistory::recordStaleRead(Instant now, const std::string& id, const std::string& node) {
+  recordViolation(now, "stale",
+                  id + " was answered by " + node + ", which is staler than the read level allows");
 }
 
-void Books::close(Instant now) {
+void RequestHistory::reportUnanswered(Instant now) {
   for (const auto& [id, request] : requests_) {
-    if (request.answeredAt != Instant() || request.excused || request.goneAt != Instant()) continue;
-    if (now > request.deadline + kLateAnswer + heldUp_ + kSlack + slack(now))
-      broken(now, "lost", id + " has no answer");
+    if (request.answeredAt != Instant() || request.connectionLost || request.clientClosedAt != Instant())
+      continue;
+    if (now > request.deadline + kLateAnswerGrace + machineDelay_ + kTimeLimitTolerance + processDelay(now))
+      recordViolation(now, "lost", id + " was never answered");
   }
 }
 
--- a/tests/soak/books.h
+++ b/tests/soak/books.h
@@ -1,5 +1,5 @@
-// What clients asked for and what nodes saw of it: the record that a soak's verdicts are drawn from. It knows
-// nothing of the routers' own state.
+// The history of a soak: the statements that clients sent and what nodes saw of them. All violations are
+// derived from it; it doesn't use the routers' own state.
 #pragma once
 
 #include <map>
@@ -11,69 +11,75 @@
 
 namespace gulltrestle::soak {
 
-// A rule that was broken, once for each txn or process that shows it.
-struct Verdict {
-  std::string rule, what;
+// A violated rule, reported once for each txn or process that shows it.
+struct Violation {
+  std::string rule, description;
   Instant at;
 };
 
+// A transaction as its client sees it. An Instant that is not set means that the event has not happened.
 struct Request {
-  std::size_t router = 0, type = 0;
-  Instant sentAt;        // its last byte, as the client wrote it
-  Instant deadline;      // when its client stops waiting
-  Instant goneAt;        // its client closed the connection; never: it has not
-  Instant answeredAt;    // never: it has not been
-  bool excused = false;  // its router was killed, or its connection reset by a fault
-  Instant firstSeenAt;   // by any node
-  int runs = 0;          // with an effect
+  std::size_t router = 0, classIndex = 0;
+  Instant sentAt;          // when the client wrote its last byte
+  Instant deadline;        // when its client stops waiting
+  Instant clientClosedAt;  // when its client closed the connection
+  Instant answeredAt;      // when the client received the answer
+  // The connection ended without an answer: its router was killed or closed it, or a fault reset it.
+  bool connectionLost = false;
+  Instant firstSeenAt;  // when it first reached any node
+  int executions = 0;   // with an effect
 };
 
-// Of a statement that came to a node.
-struct Seen {
+// A statement that a node received.
+struct StatementArrival {
   std::string id, node;
   std::size_t router = 0;
-  Duration told;  // how long the node may take
-  bool runs = false;
-  Instant drainedSince;  // as this router was told; never: the node does not drain
+  Duration timeLimit;  // how long the node may take
+  bool executes = false;
+  // When this router was notified of the node's drain. Instant(): the node does not drain.
+  Instant drainNotifiedAt;
 };
 
-class Books {
+// Records requests, answers and arrivals at nodes, and checks each event against the rules of the protocol.
+class RequestHistory {
  public:
-  // `heldUp`: how long the machine may hold up a router between its clock and a write.
-  Books(std::vector<TransactionClass> types, Duration drainGrace, Duration heldUp)
-      : types_(std::move(types)), drainGrace_(drainGrace), heldUp_(heldUp) {}
+  // `machineDelay`: how long a busy machine may delay a router between its reading of the clock and a write.
+  RequestHistory(std::vector<TransactionClass> classes, Duration drainGrace, Duration machineDelay)
+      : classes_(std::move(classes)), drainGrace_(drainGrace), machineDelay_(machineDelay) {}
 
-  // A turn of this process's loop is over; there is one every few milliseconds. What came while the process
-  // itself stood still is seen late, and is no router's fault.
-  void turnEnded(Instant now);
+  // To be called after each iteration of this process's event loop, every few milliseconds. Events that
+  // arrive while the process itself is delayed are recorded late, which is not the router's fault: the rules
+  // allow for it.
+  void onLoopIteration(Instant now);
 
-  void asked(const std::string& id, const Request& request) { requests_[id] = request; }
-  Request& of(const std::string& id) { return requests_.at(id); }
-  void answered(Instant now, const std::string& id);
-  void clientGone(Instant now, const std::string& id);
-  // The connection ended without an answer, and not by the client.
-  void closedOn(Instant now, const std::string& id, bool killed);
-  void seen(Instant now, const Seen& seen);
-  void stale(Instant now, const std::string& id, const std::string& node);
-  void broken(Instant now, const std::string& rule, const std::string& what);
-  // Requests whose time is long over and that are neither answered nor excused.
-  void close(Instant now);
+  void addRequest(const std::string& id, const Request& request) { requests_[id] = request; }
+  Request& requestFor(const std::string& id) { return requests_.at(id); }
+  void recordAnswer(Instant now, const std::string& id);
+  void recordClientClose(Instant now, const std::string& id);
+  // The connection ended without an answer, and the client did not close it. `byFault`: a fault explains it.
+  void recordConnectionLoss(Instant now, const std::string& id, bool byFault);
+  void recordArrival(Instant now, const StatementArrival& arrival);
+  void recordStaleRead(Instant now, const std::string& id, const std::string& node);
+  void recordViolation(Instant now, const std::string& rule, const std::string& description);
+  // Reports requests whose deadline is long past and that are unanswered although their connection was not
+  // closed.
+  void reportUnanswered(Instant now);
 
-  const std::vector<Verdict>& verdicts() const { return verdicts_; }
+  const std::vector<Violation>& violations() const { return violations_; }
   std::size_t requests() const { return requests_.size(); }
   std::size_t answers() const { return answers_; }
-  std::size_t committed = 0, refused = 0, failed = 0, crossed = 0;
+  std::size_t committed = 0, rejected = 0, failed = 0, excused = 0;
 
  private:
-  Duration slack(Instant now) const;
+  Duration processDelay(Instant now) const;
 
-  std::vector<TransactionClass> types_;
-  Duration drainGrace_, heldUp_;
+  std::vector<TransactionClass> classes_;
+  Duration drainGrace_, machineDelay_;
   std::map<std::string, Request> requests_;
-  std::vector<Verdict> verdicts_;
+  std::vector<Violation> violations_;
   std::size_t answers_ = 0;
-  Duration lateBy_;  // the longest turn of late
-  Instant lateAt_, turnEndedAt_;
+  Duration longestDelay_;  // the longest recent loop iteration
+  Instant longestDelayAt_, lastIterationAt_;
 };
 
 }  // namespace gulltrestle::soak
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-constexpr std::size_t kLongest = 1 << 20;
-// An answer that has not come this long after its txn's time won't.
-constexpr Duration kGivesUpAfter = Duration::millis(1500);
-constexpr Duration kLongestRest = Duration::millis(250);
-// What a slow writer sends at a time, and how often.
-constexpr std::size_t kSlowPiece = 40;
-constexpr Duration kSlowPause = Duration::millis(4);
-constexpr Duration kLooksAgain = Duration::millis(20), kComesUpWithin = Duration::seconds(1);
-// What clients do, by chance: statements a connection, statements sent ahead, and one in so many that sends
-// ahead, writes slowly, leaves before its answer.
-constexpr std::uint64_t kMostAsks = 12, kMostAhead = 3, kAheadOneIn = 5, kSlowOneIn = 8, kLeavesOneIn = 6;
+constexpr std::size_t kMaxMessageBytes = 1 << 20;
+// An answer that is missing this long after the deadline of its txn is not expected any more.
+constexpr Duration kOverdueAfterDeadline = Duration::millis(1500);
+constexpr Duration kMaxPause = Duration::millis(250);
+// How many bytes a slow client writes at a time, and how often.
+constexpr std::size_t kSlowWriteBytes = 40;
+constexpr Duration kSlowWriteInterval = Duration::millis(4);
+constexpr Duration kPollInterval = Duration::millis(20), kConnectTimeout = Duration::seconds(1);
+// Random behaviour of clients: the maximum number of statements per connection and of pipelined statements,
+// and the probability (1 in N) that a client pipelines, writes slowly, or closes before its last answer.
+constexpr std::uint64_t kMaxStatements = 12, kMaxPipelined = 3, kPipelinesOneIn = 5, kWritesSlowlyOneIn = 8,
+                        kClosesEarlyOneIn = 6;
 
 }  // namespace
 
@@ -27,42 +28,42 @@
   Connection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
       : stream(loop, std::move(descriptor)) {}
   event_loop::Stream stream;
-  std::string kept, unsent;
-  struct Asked {
+  std::string received, unsent;
+  struct PendingStatement {
     std::string id;
-    Duration patience;
-    std::size_t type;
-    bool isSent = false;  // whole: it is in the books
+    Duration timeLimit;
+    std::size_t classIndex;
+    bool isSent = false;  // completely: its deadline is set in the history
   };
-  std::deque<Asked> asked;  // in the order of their answers; without an id: an empty query
-  unsigned starts = 0;      // of its router, when it began
-  std::uint64_t asks = 0;   // that it has still to make
-  bool leaves = false;      // before its last answer
-  Instant restsUntil;       // never: it has not begun to rest
-  bool welcomed = false, slow = false;
+  std::deque<PendingStatement> pending;   // in the order of their answers; an empty id: an empty query
+  unsigned routerStarts = 0;              // the router's number of starts when the connection was opened
+  std::uint64_t remainingStatements = 0;  // that the client will still send
+  bool closesEarly = false;               // before its last answer
+  Instant pausesUntil;                    // not set: the pause has not begun
+  bool sessionStarted = false, slow = false;
 };
 
-Clients::Clients(World& world, RouterProcess& router, std::size_t number)
-    : world_(world), router_(router), number_(number) {}
+Clients::Clients(Harness& harness, RouterProcess& router, std::size_t routerIndex)
+    : harness_(harness), router_(router), routerIndex_(routerIndex) {}
 
-std::size_t Clients::types() const { return world_.types(); }
+std::size_t Clients::classCount() const { return harness_.classCount(); }
 
-void Clients::begin(std::size_t clients) {
-  for (std::size_t i = 0; i < clients; ++i) world_.loop().spawn(one());
+void Clients::start(std::size_t clients) {
+  for (std::size_t i = 0; i < clients; ++i) harness_.loop().spawn(runClient());
 }
 
-std::string Clients::statement(std::size_t type, std::string& id) {
+std::string Clients::makeStatement(std::size_t classIndex, std::string& id) {
   static std::uint64_t last = 0;
   id = std::to_string(++last);
-  const TransactionClass& of = world_.type(type);
-  const std::string wait = std::to_string(of.deadline.inMicros() / 1000);
+  const TransactionClass& transactionClass = harness_.transactionClass(classIndex);
+  const std::string timeLimitMillis = std::to_string(transactionClass.deadline.inMicros() / 1000);
   std::string after;
-  if (of.level == ReadLevel::session && lastCommit_ != Instant())
+  if (transactionClass.level == ReadLevel::session && lastCommit_ != Instant())
     after = ",after=" + std::to_string(lastCommit_.inMicros() / 1000);
-  const std::string comment =
-      " /* id=" + id + ",c=type-" + std::to_string(type) + ",t=t,d=" + wait + ",cluster=1" + after + " */";
-  const std::string key = "k" + std::to_string(number_);
-  const bool writes = of.level == ReadLevel::write;
+  const std::string comment = " /* id=" + id + ",c=type-" + std::to_string(classIndex) +
+                              ",t=t,d=" + timeLimitMillis + ",cluster=1" + after + " */";
+  const std::string key = "k" + std::to_string(routerIndex_);
+  const bool writes = transactionClass.level == ReadLevel::write;
   const std::string text =
       (writes ? "INSERT INTO objects (oid, body) VALUES ('" + key + "', '\\x77') RETURNING body"
               : "SELECT body FROM objects WHERE oid = '" + key + "'") +
@@ -70,194 +71,206 @@
   return postgres::message('Q', text + '\0');
 }
 
-void Clients::ask(Connection& connection, std::size_t type, bool slowly) {
-  Connection::Asked asked;
-  connection.unsent += statement(type, asked.id);
-  asked.patience = world_.type(type).deadline;
-  asked.type = type;
+void Clients::queueStatement(Connection& connection, std::size_t classIndex, bool slowly) {
+  Connection::PendingStatement statement;
+  connection.unsent += makeStatement(classIndex, statement.id);
+  statement.timeLimit = harness_.transactionClass(classIndex).deadline;
+  statement.classIndex = classIndex;
   connection.slow = slowly;
-  // The books know it ahead of any node; its time runs from its last byte.
+  // The request is recorded before any node can receive it; its deadline counts from its last byte.
   Request request;
-  request.router = number_;
-  request.type = type;
-  request.sentAt = world_.loop().now();
+  request.router = routerIndex_;
+  request.classIndex = classIndex;
+  request.sentAt = harness_.loop().now();
   request.deadline = request.sentAt + Duration::seconds(3600);
-  world_.books().asked(asked.id, request);
-  connection.asked.push_back(std::move(asked));
+  harness_.history().addRequest(statement.id, request);
+  connection.pending.push_back(std::move(statement));
 }
 
-// Takes the answers that are there; false where the connection is of no more use.
-bool Clients::taken(Connection& connection) {
-  std::string_view bytes = connection.kept;
-  const Instant now = world_.loop().now();
-  while (const auto message = postgres::takeMessage(bytes, kLongest)) {
-    auto& asked = connection.asked;
-    const std::string id = asked.empty() ? "" : asked.front().id;
+// Processes the answers received so far. Returns false if the connection can't be used any more.
+bool Clients::processAnswers(Connection& connection) {
+  std::string_view bytes = connection.received;
+  const Instant now = harness_.loop().now();
+  while (const auto message = postgres::takeMessage(bytes, kMaxMessageBytes)) {
+    auto& pending = connection.pending;
+    const std::string id = pending.empty() ? "" : pending.front().id;
     if (message->type == 'E') {
       const auto fields = postgres::readError(message->body);
       if (!id.empty()) {
-        ++(fields.code == "53300" || fields.code == "57P03" ? world_.books().refused : world_.books().failed);
-        world_.books().answered(now, id);
-        asked.front().id.clear();
+        ++(fields.code == "53300" || fields.code == "57P03" ? harness_.history().rejected
+                                                            : harness_.history().failed);
+        harness_.history().recordAnswer(now, id);
+        pending.front().id.clear();
       }
       if (fields.severity == "FATAL") return false;
     }
     if (message->type == 'D' && !id.empty()) {
       if (message->body.find("value-of-" + id) == std::string_view::npos)
-        world_.books().broken(now, "garbled", id + " got another txn's value");
-      ++world_.books().committed;
-      if (world_.type(asked.front().type).level == ReadLevel::write) lastCommit_ = now;
-      world_.books().answered(now, id);
-      asked.front().id.clear();
+        harness_.history().recordViolation(now, "garbled", id + " received the value of another txn");
+      ++harness_.history().committed;
+      if (harness_.transactionClass(pending.front().classIndex).level == ReadLevel::write) lastCommit_ = now;
+      harness_.history().recordAnswer(now, id);
+      pending.front().id.clear();
     }
     if (message->type == 'I' && router_.readyAt == Instant()) router_.readyAt = now;
     if (message->type != 'Z') continue;
-    if (!std::exchange(connection.welcomed, true)) continue;
-    if (asked.empty()) return false;
-    asked.pop_front();
-    // The next one's time does not count what it waited behind this one.
-    if (!asked.empty() && asked.front().isSent && !asked.front().id.empty()) {
-      Request& next = world_.books().of(asked.front().id);
-      next.deadline = std::max(next.deadline, now + asked.front().patience);
+    if (!std::exchange(connection.sessionStarted, true)) continue;
+    if (pending.empty()) return false;
+    pending.pop_front();
+    // The time that the next statement waited behind this one doesn't count towards its deadline.
+    if (!pending.empty() && pending.front().isSent && !pending.front().id.empty()) {
+      Request& next = harness_.history().requestFor(pending.front().id);
+      next.deadline = std::max(next.deadline, now + pending.front().timeLimit);
     }
   }
-  connection.kept.erase(0, connection.kept.size() - bytes.size());
+  connection.received.erase(0, connection.received.size() - bytes.size());
   return true;
 }
 
-// All that was asked for and not answered has lost its connection.
-void Clients::ended(Connection& connection) {
-  const Instant now = world_.loop().now();
-  const bool otherStart = connection.starts != router_.starts || router_.killed || !router_.running;
-  const bool byFault = now < router_.brokenBy;
-  for (const auto& asked : connection.asked) {
-    if (asked.id.empty()) continue;
-    if (!asked.isSent)
-      world_.books().clientGone(now, asked.id);
+// Records the loss of the connection for each statement that has no answer.
+void Clients::recordConnectionEnd(Connection& connection) {
+  const Instant now = harness_.loop().now();
+  const bool restarted = connection.routerStarts != router_.starts || router_.killed || !router_.running;
+  const bool byFault = now < router_.resetsExpectedUntil;
+  for (const auto& statement : connection.pending) {
+    if (statement.id.empty()) continue;
+    if (!statement.isSent)
+      harness_.history().recordClientClose(now, statement.id);
     else
-      world_.books().closedOn(now, asked.id, byFault || (otherStart && router_.killed));
+      harness_.history().recordConnectionLoss(now, statement.id, byFault || (restarted && router_.killed));
   }
 }
 
-// What it does on a connection that has come up, ahead of any answer.
-void Clients::greet(Connection& connection) {
+// Starts the session on a new connection, before any answer. Until the router is known to be ready, an empty
+// query checks whether it is.
+void Clients::startSession(Connection& connection) {
   connection.unsent = postgres::startup("worker", "catalog");
-  connection.asks = 1 + world_.below(kMostAsks);
-  connection.leaves = world_.below(kLeavesOneIn) == 0;
+  connection.remainingStatements = 1 + harness_.randomBelow(kMaxStatements);
+  connection.closesEarly = harness_.randomBelow(kClosesEarlyOneIn) == 0;
   if (router_.readyAt != Instant()) return;
   connection.unsent += postgres::message('Q', std::string(1, '\0'));
-  connection.asked.push_back({"", Duration(), 0, true});
+  connection.pending.push_back({"", Duration(), 0, true});
 }
 
-// Once all is answered and it has rested: one statement, or some ahead. False: it has asked for all it
-// wanted.
-bool Clients::askMore(Connection& connection, Instant now) {
-  if (!connection.asked.empty() || !connection.welcomed) return true;
-  if (connection.restsUntil == Instant())
-    connection.restsUntil = now + kLongestRest * (static_cast<double>(world_.below(100)) / 100);
-  if (now < connection.restsUntil) return true;
-  if (connection.asks == 0 || stopped_) return false;
-  connection.restsUntil = Instant();
-  const auto ahead = world_.below(kAheadOneIn) == 0 ? 1 + world_.below(kMostAhead) : 1;
-  for (auto left = std::min(ahead, connection.asks); left > 0; --left, --connection.asks)
-    ask(connection, world_.below(types()), world_.below(kSlowOneIn) == 0);
+// Once all statements are answered and the pause is over, queues one statement or several pipelined ones.
+// Returns false when the client has sent all its statements.
+bool Clients::queueStatements(Connection& connection, Instant now) {
+  if (!connection.pending.empty() || !connection.sessionStarted) return true;
+  if (connection.pausesUntil == Instant())
+    connection.pausesUntil = now + kMaxPause * (static_cast<double>(harness_.randomBelow(100)) / 100);
+  if (now < connection.pausesUntil) return true;
+  if (connection.remainingStatements == 0 || stopped_) return false;
+  connection.pausesUntil = Instant();
+  const auto pipelined =
+      harness_.randomBelow(kPipelinesOneIn) == 0 ? 1 + harness_.randomBelow(kMaxPipelined) : 1;
+  for (auto remaining = std::min(pipelined, connection.remainingStatements); remaining > 0;
+       --remaining, --connection.remainingStatements)
+    queueStatement(connection, harness_.randomBelow(classCount()),
+                   harness_.randomBelow(kWritesSlowlyOneIn) == 0);
   return true;
 }
 
-// In pieces, or all that goes; what is whole begins its time. False: it can't be written any more.
+// Writes in pieces or as much as the socket takes. The deadline of a statement counts from its complete
+// write. Returns false if the connection can't be written any more.
 bool Clients::writeSome(Connection& connection, Instant now) {
-  std::string part = connection.unsent.substr(0, connection.slow ? kSlowPiece : connection.unsent.size());
+  std::string part =
+      connection.unsent.substr(0, connection.slow ? kSlowWriteBytes : connection.unsent.size());
   const auto before = part.size();
   if (!write(connection.stream, part)) return false;
   connection.unsent.erase(0, before - part.size());
   if (!connection.unsent.empty()) return true;
-  for (auto& one : connection.asked) {
-    if (one.isSent || one.id.empty()) continue;
-    one.isSent = true;
-    Request& request = world_.books().of(one.id);
+  for (auto& statement : connection.pending) {
+    if (statement.isSent || statement.id.empty()) continue;
+    statement.isSent = true;
+    Request& request = harness_.history().requestFor(statement.id);
     request.sentAt = now;
-    request.deadline = now + one.patience;
+    request.deadline = now + statement.timeLimit;
   }
   return true;
 }
 
-// Some leave while they are owed an answer, some in the middle of a statement.
-bool Clients::leavesNow(Connection& connection, Instant now) {
-  if (!connection.leaves || connection.asked.empty() || connection.asks > 0 || world_.below(3) != 0)
+// Some clients close the connection while an answer is outstanding, some in the middle of a statement.
+bool Clients::closesNow(Connection& connection, Instant now) {
+  if (!connection.closesEarly || connection.pending.empty() || connection.remainingStatements > 0 ||
+      harness_.randomBelow(3) != 0)
     return false;
-  for (const auto& one : connection.asked)
-    if (!one.id.empty()) world_.books().clientGone(now, one.id);
-  connection.asked.clear();
+  for (const auto& statement : connection.pending)
+    if (!statement.id.empty()) harness_.history().recordClientClose(now, statement.id);
+  connection.pending.clear();
   return true;
 }
 
 bool Clients::isOverdue(const Connection& connection, Instant now) {
-  if (connection.asked.empty()) return false;
-  const auto& first = connection.asked.front();
-  return first.isSent && !first.id.empty() && now > world_.books().of(first.id).deadline + kGivesUpAfter;
+  if (connection.pending.empty()) return false;
+  const auto& first = connection.pending.front();
+  return first.isSent && !first.id.empty() &&
+         now > harness_.history().requestFor(first.id).deadline + kOverdueAfterDeadline;
 }
 
-event_loop::Task Clients::one() {
+event_loop::Task Clients::runClient() {
   ++running_;
   while (!stopped_) {
     if (event_loop::Descriptor descriptor = event_loop::startConnecting("127.0.0.1", router_.port())) {
-      Connection connection(world_.loop(), std::move(descriptor));
-      connection.starts = router_.starts;
-      const Instant by = world_.loop().now() + kComesUpWithin;
-      connection.stream.wakeAt(by);
-      while (!connection.stream.canWrite() && world_.loop().now() < by) co_await connection.stream.changed();
-      bool on = connection.stream.canWrite() && event_loop::isConnected(connection.stream.descriptor());
-      if (on) greet(connection);
-      while (on) {
-        const Instant now = world_.loop().now();
-        if (!askMore(connection, now) || !writeSome(connection, now)) break;
-        on = readAll(connection.stream, connection.kept);
-        if (!taken(connection) || leavesNow(connection, now) || isOverdue(connection, now)) break;
-        connection.stream.wakeAt(now + (connection.slow ? kSlowPause : kLooksAgain));
-        if (on) co_await connection.stream.changed();
+      Connection connection(harness_.loop(), std::move(descriptor));
+      connection.routerStarts = router_.starts;
+      const Instant connectDeadline = harness_.loop().now() + kConnectTimeout;
+      connection.stream.wakeAt(connectDeadline);
+      while (!connection.stream.canWrite() && harness_.loop().now() < connectDeadline)
+        co_await connection.stream.changed();
+      bool open = connection.stream.canWrite() && event_loop::isConnected(connection.stream.descriptor());
+      if (open) startSession(connection);
+      while (open) {
+        const Instant now = harness_.loop().now();
+        if (!queueStatements(connection, now) || !writeSome(connection, now)) break;
+        open = readAll(connection.stream, connection.received);
+        if (!processAnswers(connection) || closesNow(connection, now) || isOverdue(connection, now)) break;
+        connection.stream.wakeAt(now + (connection.slow ? kSlowWriteInterval : kPollInterval));
+        if (open) co_await connection.stream.changed();
       }
-      // One that has waited for too long stays unanswered: the books say so at the end.
-      if (!isOverdue(connection, world_.loop().now())) ended(connection);
+      // An overdue statement stays unanswered in the history, which reports it at the end.
+      if (!isOverdue(connection, harness_.loop().now())) recordConnectionEnd(connection);
     }
-    co_await world_.loop().sleepUntil(world_.loop().now() +
-                                      Duration::millis(5 + static_cast<std::int64_t>(world_.below(40))));
+    co_await harness_.loop().sleepUntil(
+        harness_.loop().now() + Duration::millis(5 + static_cast<std::int64_t>(harness_.randomBelow(40))));
   }
   --running_;
 }
 
 event_loop::Task Clients::expectService(Instant until) {
-  ++expecting;
-  // A committed txn of some type whose time allows for it, on a connection of its own.
-  std::size_t type = 0;
-  for (std::size_t row = 0; row < types(); ++row)
-    if (world_.type(row).deadline > world_.type(type).deadline) type = row;
+  ++pendingServiceChecks;
+  // Sends a txn of the class with the longest deadline on a separate connection, until one is committed.
+  std::size_t classIndex = 0;
+  for (std::size_t row = 0; row < classCount(); ++row)
+    if (harness_.transactionClass(row).deadline > harness_.transactionClass(classIndex).deadline)
+      classIndex = row;
   bool served = false;
-  while (!served && world_.loop().now() < until) {
+  while (!served && harness_.loop().now() < until) {
     if (event_loop::Descriptor descriptor = event_loop::startConnecting("127.0.0.1", router_.port())) {
-      Connection connection(world_.loop(), std::move(descriptor));
-      connection.starts = router_.starts;
-      const auto before = world_.books().committed;
+      Connection connection(harness_.loop(), std::move(descriptor));
+      connection.routerStarts = router_.starts;
+      const auto before = harness_.history().committed;
       connection.unsent = postgres::startup("worker", "catalog");
-      ask(connection, type, false);
-      connection.asked.front().isSent = true;
-      const std::string id = connection.asked.front().id;
-      Request& request = world_.books().of(id);
-      request.deadline = request.sentAt + connection.asked.front().patience;
-      while (world_.loop().now() < request.deadline + Duration::seconds(1) && !connection.asked.empty()) {
+      queueStatement(connection, classIndex, false);
+      connection.pending.front().isSent = true;
+      const std::string id = connection.pending.front().id;
+      Request& request = harness_.history().requestFor(id);
+      request.deadline = request.sentAt + connection.pending.front().timeLimit;
+      while (harness_.loop().now() < request.deadline + Duration::seconds(1) && !connection.pending.empty()) {
         if (connection.stream.canWrite() && !write(connection.stream, connection.unsent)) break;
-        if (!readAll(connection.stream, connection.kept) || !taken(connection)) break;
-        connection.stream.wakeAt(world_.loop().now() + Duration::millis(20));
+        if (!readAll(connection.stream, connection.received) || !processAnswers(connection)) break;
+        connection.stream.wakeAt(harness_.loop().now() + Duration::millis(20));
         co_await connection.stream.changed();
       }
-      served = connection.asked.empty() && world_.books().committed > before;
-      if (!connection.asked.empty()) ended(connection);
+      served = connection.pending.empty() && harness_.history().committed > before;
+      if (!connection.pending.empty()) recordConnectionEnd(connection);
     }
-    co_await world_.loop().sleepUntil(world_.loop().now() + Duration::millis(100));
+    co_await harness_.loop().sleepUntil(harness_.loop().now() + Duration::millis(100));
   }
   if (!served)
-    world_.books().broken(world_.loop().now(), "stuck",
-                          "router " + std::to_string(number_) + " serves nothing after the faults' end");
-  --expecting;
+    harness_.history().recordViolation(
+        harness_.loop().now(), "stuck",
+        "router " + std::to_string(routerIndex_) + " commits no transaction after the end of the faults");
+  --pendingServiceChecks;
 }
 
 }  // namespace gulltrestle::soak
--- a/tests/soak/clients.h
+++ b/tests/soak/clients.h
@@ -1,5 +1,5 @@
-// Clients of one router in a soak: they ask, rest, leave in the middle, send ahead, write slowly, and note in
-// the books what they asked for and got.
+// Clients of one router in a soak: they send statements, pause, close connections while statements are
+// outstanding, pipeline and write slowly, and record in the history what they sent and received.
 #pragma once
 
 #include <optional>
@@ -9,34 +9,36 @@
 
 namespace gulltrestle::soak {
 
+// The clients of one router, and the check at the end that the router serves again.
 class Clients {
  public:
-  Clients(World& world, RouterProcess& router, std::size_t number);
-  // So many at a time, each until stop().
-  void begin(std::size_t clients);
+  Clients(Harness& harness, RouterProcess& router, std::size_t routerIndex);
+  // Starts this many concurrent clients, each of which runs until stop().
+  void start(std::size_t clients);
   void stop() { stopped_ = true; }
   bool idle() const { return running_ == 0; }
-  // After all faults: every type gets its answer within the time, asked anew as clients do.
+  // After all faults: sends transactions, with retries as clients do, until one is committed; reports a
+  // violation if none is by `until`.
   event_loop::Task expectService(Instant until);
-  std::size_t expecting = 0;
+  std::size_t pendingServiceChecks = 0;
 
  private:
   struct Connection;
-  event_loop::Task one();
-  std::string statement(std::size_t type, std::string& id);
-  void ask(Connection& connection, std::size_t type, bool slowly);
-  void greet(Connection& connection);
-  bool askMore(Connection& connection, Instant now);
+  event_loop::Task runClient();
+  std::string makeStatement(std::size_t classIndex, std::string& id);
+  void queueStatement(Connection& connection, std::size_t classIndex, bool slowly);
+  void startSession(Connection& connection);
+  bool queueStatements(Connection& connection, Instant now);
   bool writeSome(Connection& connection, Instant now);
-  bool leavesNow(Connection& connection, Instant now);
+  bool closesNow(Connection& connection, Instant now);
   bool isOverdue(const Connection& connection, Instant now);
-  bool taken(Connection& connection);
-  void ended(Connection& connection);
-  std::size_t types() const;
+  bool processAnswers(Connection& connection);
+  void recordConnectionEnd(Connection& connection);
+  std::size_t classCount() const;
 
-  World& world_;
+  Harness& harness_;
   RouterProcess& router_;
-  std::size_t number_;
+  std::size_t routerIndex_;
   bool stopped_ = false;
   std::size_t running_ = 0;
   Instant lastCommit_;
--- a/tests/soak/routers.cpp
+++ b/tests/soak/routers.cpp
@@ -12,10 +12,10 @@
 
 namespace gulltrestle::soak {
 
-RouterProcess::RouterProcess(std::string program, std::string folder, std::size_t number, std::uint64_t seed)
+RouterProcess::RouterProcess(std::string program, std::string folder, std::size_t index, std::uint64_t seed)
     : program_(std::move(program)),
       folder_(std::move(folder)),
-      number_(number),
+      index_(index),
       machine_(std::make_unique<faults::Machine>(path("machine"), seed)) {}
 
 RouterProcess::~RouterProcess() {
@@ -24,19 +24,19 @@
   waitpid(child_, nullptr, 0);
 }
 
-std::string RouterProcess::path(const char* what) const {
-  return folder_ + "/router-" + std::to_string(number_) + "." + what;
+std::string RouterProcess::path(const char* extension) const {
+  return folder_ + "/router-" + std::to_string(index_) + "." + extension;
 }
 
 void RouterProcess::configure(std::uint64_t settingsSeed, unsigned short discovery,
-                              const std::string& known) {
-  settings::RouterAddresses place;
-  place.name = "n" + std::to_string(number_);
-  place.listen = "127.0.0.1:" + std::to_string(port());
-  place.discovery = "127.0.0.1:" + std::to_string(discovery);
-  place.known = known;
-  std::ofstream(path("json")) << settings::randomConfiguration(settingsSeed, place);
-  // With a status document, so that a bad disk is met.
+                              const std::string& initialEndpointList) {
+  settings::RouterAddresses addresses;
+  addresses.name = "n" + std::to_string(index_);
+  addresses.listen = "127.0.0.1:" + std::to_string(port());
+  addresses.discovery = "127.0.0.1:" + std::to_string(discovery);
+  addresses.known = initialEndpointList;
+  std::ofstream(path("json")) << settings::randomConfiguration(settingsSeed, addresses);
+  // With a status document, so that injected disk faults affect the router.
   std::ofstream(path("levels")) << R"({"status_every_ms":100,"status_file":")" << path("status") << "\"}";
 }
 
@@ -51,16 +51,16 @@
                                   "ASAN_OPTIONS=verify_asan_link_order=0", machine_->variable()},
                                  log.number(), true);
   running = true;
-  toldToEnd = killed = false;
+  terminating = killed = false;
   startedAt = now;
   readyAt = Instant();
   ++starts;
 }
 
-void RouterProcess::signal(int number) {
+void RouterProcess::signal(int signalNumber) {
   if (!running) return;
-  if (number == SIGKILL) killed = true;
-  ::kill(child_, number);
+  if (signalNumber == SIGKILL) killed = true;
+  ::kill(child_, signalNumber);
 }
 
 bool RouterProcess::handlesSignals() {
@@ -79,7 +79,7 @@
   return true;
 }
 
-std::string RouterProcess::logTail() const {
+std::string RouterProcess::lastLogLine() const {
   std::ifstream log(path("log"));
   std::string line, last;
   while (std::getline(log, line)) last = line;
--- a/tests/soak/routers.h
+++ b/tests/soak/routers.h
@@ -1,4 +1,5 @@
-// The routers of a soak: processes of the program with settings that were drawn, on a bad machine each.
+// The routers of a soak: processes of the program with random settings, each with its own injected faults of
+// the machine.
 #pragma once
 
 #include <sys/types.h>
@@ -13,40 +14,44 @@
 
 namespace gulltrestle::soak {
 
+// One router and its restarts.
 class RouterProcess {
  public:
-  // `folder`: for its configuration, log and machine; they stay where it is to be looked at.
-  RouterProcess(std::string program, std::string folder, std::size_t number, std::uint64_t seed);
+  // `folder`: holds the configuration, the log and the fault injection page. RouterProcess leaves the
+  // configuration and the log there for inspection.
+  RouterProcess(std::string program, std::string folder, std::size_t index, std::uint64_t seed);
   RouterProcess(const RouterProcess&) = delete;
   ~RouterProcess();
 
-  void configure(std::uint64_t settingsSeed, unsigned short discovery, const std::string& known);
+  void configure(std::uint64_t settingsSeed, unsigned short discovery,
+                 const std::string& initialEndpointList);
   void start(Instant now);
-  void signal(int number);
-  // Whether this start has logged `event=start`, which follows the blocking of its signals. A signal that
-  // comes before the program's first instruction ends any process, so only then are SIGTERM and SIGHUP the
-  // router's.
+  void signal(int signalNumber);
+  // Whether this start has logged `event=start`, which the router does after it has blocked its signals. A
+  // signal that arrives before the program's first instruction ends any process, so only from then on does
+  // the router handle SIGTERM and SIGHUP.
   bool handlesSignals();
-  // Whether it has ended since; by itself, unless it was told to or killed.
+  // Whether the process has exited since the last call. The exit is unexpected unless `terminating` or
+  // `killed` is set.
   bool reap();
 
   unsigned short port() const { return port_.number(); }
-  std::string logTail() const;
+  std::string lastLogLine() const;
   faults::Machine& machine() { return *machine_; }
 
   bool running = false;
-  bool toldToEnd = false;  // SIGTERM was sent
-  bool killed = false;     // SIGKILL was sent
-  int status = 0;          // of the last end, as waitpid tells it
-  Instant startedAt, toldAt;
-  Instant readyAt;   // never: it is not
-  Instant brokenBy;  // connections that end until then may have been reset by the machine
+  bool terminating = false;  // SIGTERM was sent
+  bool killed = false;       // SIGKILL was sent
+  int status = 0;            // of the last exit, as returned by waitpid
+  Instant startedAt, terminatedAt;
+  Instant readyAt;              // Instant(): not ready
+  Instant resetsExpectedUntil;  // connections that end before may have been reset by an injected fault
   unsigned starts = 0;
 
  private:
-  std::string path(const char* what) const;
+  std::string path(const char* extension) const;
   std::string program_, folder_;
-  std::size_t number_;
+  std::size_t index_;
   testing::Port port_;
   std::unique_ptr<faults::Machine> machine_;
   pid_t child_ = 0;
--- a/tests/soak/schedule.cpp
+++ b/tests/soak/schedule.cpp
@@ -6,81 +6,82 @@
 
 namespace {
 
-constexpr std::int64_t kHour = 3600;
+constexpr std::int64_t kSecondsPerHour = 3600;
 
 }  // namespace
 
-Schedule::Schedule(World& world, std::vector<std::unique_ptr<RouterProcess>>& routers, std::uint64_t seed,
+Schedule::Schedule(Harness& harness, std::vector<std::unique_ptr<RouterProcess>>& routers, std::uint64_t seed,
                    Duration killAfter)
-    : world_(world), routers_(routers), chance_(seed), killAfter_(killAfter) {
-  for (bool& one : played_) one = chance_() % 3 != 0;
+    : harness_(harness), routers_(routers), random_(seed), killAfter_(killAfter) {
+  for (bool& enabled : enabled_) enabled = random_() % 3 != 0;
 }
 
-Duration Schedule::between(std::int64_t from, std::int64_t to) {
+Duration Schedule::randomDuration(std::int64_t from, std::int64_t to) {
   return Duration::millis(from +
-                          static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(to - from)));
+                          static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(to - from)));
 }
 
-RouterProcess& Schedule::any() { return *routers_[chance_() % routers_.size()]; }
-Node& Schedule::anyReplica() { return *world_.nodes()[1 + chance_() % (world_.nodes().size() - 1)]; }
+RouterProcess& Schedule::randomRouter() { return *routers_[random_() % routers_.size()]; }
+Node& Schedule::randomReplica() { return *harness_.nodes()[1 + random_() % (harness_.nodes().size() - 1)]; }
 
 std::map<std::string, std::uint64_t> Schedule::counts() const {
-  std::map<std::string, std::uint64_t> out;
-  for (std::size_t i = 0; i < kFaults; ++i) out[kFaultNames[i]] = counts_[i];
-  return out;
+  std::map<std::string, std::uint64_t> countsByName;
+  for (std::size_t i = 0; i < kFaults; ++i) countsByName[kFaultNames[i]] = counts_[i];
+  return countsByName;
 }
 
-event_loop::Task Schedule::play(Instant until) {
-  while (world_.loop().now() < until) {
-    const auto fault = static_cast<std::size_t>(chance_() % kFaults);
-    if (played_[fault]) {
+event_loop::Task Schedule::run(Instant until) {
+  while (harness_.loop().now() < until) {
+    const auto fault = static_cast<std::size_t>(random_() % kFaults);
+    if (enabled_[fault]) {
       ++counts_[fault];
-      world_.loop().spawn(begin(static_cast<Fault>(fault)));
+      harness_.loop().spawn(startFault(static_cast<Fault>(fault)));
     }
-    co_await sleep(between(20, 300));
+    co_await sleep(randomDuration(20, 300));
   }
-  over_ = true;
+  stopped_ = true;
 }
 
-event_loop::Task Schedule::begin(Fault fault) {
-  const Instant now = world_.loop().now();
-  Node& node = *world_.nodes()[chance_() % world_.nodes().size()];
+event_loop::Task Schedule::startFault(Fault fault) {
+  const Instant now = harness_.loop().now();
+  Node& node = *harness_.nodes()[random_() % harness_.nodes().size()];
   switch (fault) {
     case Fault::machine:
-      world_.loop().spawn(machine(any()));
+      harness_.loop().spawn(failSystemCalls(randomRouter()));
       break;
     case Fault::wallClock:
-      world_.loop().spawn(wallClock(any()));
+      harness_.loop().spawn(stepWallClock(randomRouter()));
       break;
     case Fault::terminate:
-      world_.loop().spawn(terminate(any()));
+      harness_.loop().spawn(terminate(randomRouter()));
       break;
     case Fault::kill:
-      world_.loop().spawn(kill(any()));
+      harness_.loop().spawn(kill(randomRouter()));
       break;
     case Fault::reload:
-      world_.loop().spawn(reload(any()));
+      harness_.loop().spawn(reload(randomRouter()));
       break;
     case Fault::stop:
-      world_.loop().spawn(stop(any()));
+      harness_.loop().spawn(suspend(randomRouter()));
       break;
     case Fault::nodeHangs:
-      node.hang(now + between(100, 1500));
+      node.hang(now + randomDuration(100, 1500));
       break;
     case Fault::nodeCrashes:
-      world_.loop().spawn(crash(anyReplica()));
+      harness_.loop().spawn(crash(randomReplica()));
       break;
     case Fault::nodeDrains:
-      world_.loop().spawn(drain(anyReplica()));
+      harness_.loop().spawn(drain(randomReplica()));
       break;
     case Fault::nodeErrs:
-      node.fail(now + between(200, 1500));
+      node.fail(now + randomDuration(200, 1500));
       break;
     case Fault::nodeLags:
-      anyReplica().lag(now + between(200, 3000));
+      randomReplica().lag(now + randomDuration(200, 3000));
       break;
     case Fault::discoveryDown:
-      world_.agents()[chance_() % world_.agents().size()]->down(now + between(200, 4000));
+      harness_.discoveryAgents()[random_() % harness_.discoveryAgents().size()]->down(
+          now + randomDuration(200, 4000));
       break;
     case Fault::count:
       break;
@@ -88,100 +89,103 @@
   co_return;
 }
 
-event_loop::Task Schedule::machine(RouterProcess& router) {
-  ++open_;
-  const auto kind = static_cast<faults::Kind>(chance_() % faults::kKinds);
+event_loop::Task Schedule::failSystemCalls(RouterProcess& router) {
+  ++active_;
+  const auto kind = static_cast<faults::Kind>(random_() % faults::kKinds);
   const bool resets = kind == faults::Kind::lost;
   const bool slows = kind == faults::Kind::heldUp || kind == faults::Kind::memory;
   router.machine().fail(
-      kind, static_cast<std::uint32_t>(resets || slows ? 2 + chance_() % 10 : 20 + chance_() % 300));
-  const Instant until = world_.loop().now() + between(300, 2500);
-  // A reset that the machine made shows a little later.
-  if (resets) router.brokenBy = std::max(router.brokenBy, until + Duration::millis(500));
-  co_await world_.loop().sleepUntil(until);
+      kind, static_cast<std::uint32_t>(resets || slows ? 2 + random_() % 10 : 20 + random_() % 300));
+  const Instant until = harness_.loop().now() + randomDuration(300, 2500);
+  // A reset that was injected is noticed a little later.
+  if (resets)
+    router.resetsExpectedUntil = std::max(router.resetsExpectedUntil, until + Duration::millis(500));
+  co_await harness_.loop().sleepUntil(until);
   router.machine().fail(kind, 0);
-  --open_;
+  --active_;
 }
 
-event_loop::Task Schedule::wallClock(RouterProcess& router) {
-  ++open_;
-  router.machine().offsetWallClock(static_cast<std::int64_t>(chance_() % (2 * kHour)) - kHour);
-  co_await sleep(between(200, 4000));
+event_loop::Task Schedule::stepWallClock(RouterProcess& router) {
+  ++active_;
+  router.machine().offsetWallClock(static_cast<std::int64_t>(random_() % (2 * kSecondsPerHour)) -
+                                   kSecondsPerHour);
+  co_await sleep(randomDuration(200, 4000));
   router.machine().offsetWallClock(0);
-  --open_;
+  --active_;
 }
 
 event_loop::Task Schedule::terminate(RouterProcess& router) {
-  if (!router.running || router.toldToEnd) co_return;
-  ++open_;
+  if (!router.running || router.terminating) co_return;
+  ++active_;
   const unsigned start = router.starts;
   while (router.running && router.starts == start && !router.handlesSignals())
     co_await sleep(Duration::millis(1));
-  if (!router.running || router.starts != start || router.toldToEnd) {
-    --open_;
+  if (!router.running || router.starts != start || router.terminating) {
+    --active_;
     co_return;
   }
-  router.toldToEnd = true;
-  router.toldAt = world_.loop().now();
+  router.terminating = true;
+  router.terminatedAt = harness_.loop().now();
   router.signal(SIGTERM);
-  const Instant until = world_.loop().now() + killAfter_;
-  while (router.running && router.starts == start && world_.loop().now() < until)
+  const Instant until = harness_.loop().now() + killAfter_;
+  while (router.running && router.starts == start && harness_.loop().now() < until)
     co_await sleep(Duration::millis(5));
   if (router.running && router.starts == start) {
-    world_.books().broken(world_.loop().now(), "end", "router has not ended by the time it is killed");
+    harness_.history().recordViolation(harness_.loop().now(), "end",
+                                       "the router did not exit within the shutdown limit and is killed");
     router.signal(SIGKILL);
     while (router.running) co_await sleep(Duration::millis(2));
   }
-  co_await sleep(between(0, 300));
-  if (!router.running && router.starts == start) router.start(world_.loop().now());
-  --open_;
+  co_await sleep(randomDuration(0, 300));
+  if (!router.running && router.starts == start) router.start(harness_.loop().now());
+  --active_;
 }
 
 event_loop::Task Schedule::kill(RouterProcess& router) {
-  if (!router.running || router.toldToEnd) co_return;
-  ++open_;
+  if (!router.running || router.terminating) co_return;
+  ++active_;
   const unsigned start = router.starts;
   router.signal(SIGKILL);
   while (router.running) co_await sleep(Duration::millis(2));
-  co_await sleep(between(0, 500));
-  if (!router.running && router.starts == start) router.start(world_.loop().now());
-  --open_;
+  co_await sleep(randomDuration(0, 500));
+  if (!router.running && router.starts == start) router.start(harness_.loop().now());
+  --active_;
 }
 
 event_loop::Task Schedule::reload(RouterProcess& router) {
-  for (auto left = 1 + chance_() % 3; left > 0; --left) {
+  for (auto remaining = 1 + random_() % 3; remaining > 0; --remaining) {
     if (router.handlesSignals()) router.signal(SIGHUP);
-    co_await sleep(between(0, 20));
+    co_await sleep(randomDuration(0, 20));
   }
 }
 
-event_loop::Task Schedule::stop(RouterProcess& router) {
-  ++open_;
+event_loop::Task Schedule::suspend(RouterProcess& router) {
+  ++active_;
   router.signal(SIGSTOP);
-  co_await sleep(between(10, 150));
+  co_await sleep(randomDuration(10, 150));
   router.signal(SIGCONT);
-  --open_;
+  --active_;
 }
 
 event_loop::Task Schedule::drain(Node& node) {
   if (node.state != NodeState::up) co_return;
-  ++open_;
+  ++active_;
   node.state = NodeState::draining;
-  world_.changed();
-  co_await sleep(between(500, 9000));
+  harness_.endpointListChanged();
+  co_await sleep(randomDuration(500, 9000));
   node.state = NodeState::up;
-  node.startedAt = world_.loop().now();
-  world_.changed();
-  --open_;
+  node.startedAt = harness_.loop().now();
+  harness_.endpointListChanged();
+  --active_;
 }
 
 event_loop::Task Schedule::crash(Node& node) {
-  ++open_;
-  const Instant until = world_.loop().now() + between(100, 2000);
+  ++active_;
+  const Instant until = harness_.loop().now() + randomDuration(100, 2000);
   node.crash(until);
-  co_await world_.loop().sleepUntil(until);
-  world_.changed();
-  --open_;
+  co_await harness_.loop().sleepUntil(until);
+  harness_.endpointListChanged();
+  --active_;
 }
 
 }  // namespace gulltrestle::soak
--- a/tests/soak/schedule.h
+++ b/tests/soak/schedule.h
@@ -1,5 +1,5 @@
-// The faults of a soak: drawn from a seed, overlapping, each with a beginning and an end. Every seed leaves
-// out some kinds, so that rare combinations come up.
+// The faults of a soak: random by seed, overlapping, each with a start and an end. Every seed disables some
+// kinds, so that rare combinations occur.
 #pragma once
 
 #include <array>
@@ -11,16 +11,17 @@
 
 namespace gulltrestle::soak {
 
+// A kind of fault.
 enum class Fault {
-  machine,    // system calls of one router
-  wallClock,  // of one router: steps by up to an hour
-  terminate,  // SIGTERM, SIGKILL at the earliest, another start
-  kill,       // SIGKILL, another start
+  machine,    // system calls of one router fail
+  wallClock,  // the wall clock of one router steps by up to an hour
+  terminate,  // SIGTERM, SIGKILL if the router doesn't exit in time, then a restart
+  kill,       // SIGKILL, then a restart
   reload,     // SIGHUP, several in a row
   stop,       // SIGSTOP for up to 0.15 s
   nodeHangs,
-  nodeCrashes,  // comes back cold
-  nodeDrains,   // and comes back
+  nodeCrashes,  // and restarts in slow start
+  nodeDrains,   // and is up again afterwards
   nodeErrs,
   nodeLags,
   discoveryDown,
@@ -31,39 +32,43 @@
     "machine",    "wall-clock",   "terminate",   "kill",      "reload",    "stop",
     "node-hangs", "node-crashes", "node-drains", "node-errs", "node-lags", "discovery-down"};
 
+// Injects random faults into routers, nodes and discovery.
 class Schedule {
  public:
-  // `killAfter`: SIGKILL comes so long after SIGTERM.
-  Schedule(World& world, std::vector<std::unique_ptr<RouterProcess>>& routers, std::uint64_t seed,
+  // `killAfter`: time between SIGTERM and SIGKILL.
+  Schedule(Harness& harness, std::vector<std::unique_ptr<RouterProcess>>& routers, std::uint64_t seed,
            Duration killAfter);
 
-  event_loop::Task play(Instant until);
-  bool over() const { return over_ && open_ == 0; }
+  // Starts faults until the given time.
+  event_loop::Task run(Instant until);
+  // Whether no fault will start any more and all have ended.
+  bool finished() const { return stopped_ && active_ == 0; }
+  // Number of started faults by kind.
   std::map<std::string, std::uint64_t> counts() const;
 
  private:
-  event_loop::Task begin(Fault fault);
-  event_loop::Task machine(RouterProcess& router);
-  event_loop::Task wallClock(RouterProcess& router);
+  event_loop::Task startFault(Fault fault);
+  event_loop::Task failSystemCalls(RouterProcess& router);
+  event_loop::Task stepWallClock(RouterProcess& router);
   event_loop::Task terminate(RouterProcess& router);
   event_loop::Task kill(RouterProcess& router);
   event_loop::Task reload(RouterProcess& router);
-  event_loop::Task stop(RouterProcess& router);
+  event_loop::Task suspend(RouterProcess& router);
   event_loop::Task drain(Node& node);
   event_loop::Task crash(Node& node);
-  Duration between(std::int64_t fromMillis, std::int64_t toMillis);
-  RouterProcess& any();
-  Node& anyReplica();
-  auto sleep(Duration span) { return world_.loop().sleepUntil(world_.loop().now() + span); }
+  Duration randomDuration(std::int64_t fromMillis, std::int64_t toMillis);
+  RouterProcess& randomRouter();
+  Node& randomReplica();
+  auto sleep(Duration duration) { return harness_.loop().sleepUntil(harness_.loop().now() + duration); }
 
-  World& world_;
+  Harness& harness_;
   std::vector<std::unique_ptr<RouterProcess>>& routers_;
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   Duration killAfter_;
-  std::array<bool, kFaults> played_{};
+  std::array<bool, kFaults> enabled_{};
   std::array<std::uint64_t, kFaults> counts_{};
-  std::size_t open_ = 0;
-  bool over_ = false;
+  std::size_t active_ = 0;
+  bool stopped_ = false;
 };
 
 }  // namespace gulltrestle::soak
--- a/tests/verdicts.cpp
+++ b/tests/verdicts.cpp
@@ -1,5 +1,5 @@
-// The soak's books (tests/soak/books.h): each kind of verdict is found where its rule is broken, and nowhere
-// else. Run as `verdicts CASE`.
+// The request history of the soak (tests/soak/books.h): each kind of violation is reported where its rule is
+// violated, and nowhere else. Run as `verdicts CASE`.
 #include <iostream>
 
 #include "soak/books.h"
@@ -11,115 +11,119 @@
 
 Instant at(std::int64_t millis) { return Instant() + Duration::millis(1'000'000 + millis); }
 
-// One type each: repeatable, referenced with a window of 400 ms, once only.
-std::vector<TransactionClass> types() {
-  std::vector<TransactionClass> made(3);
-  made[1].effect = Effect::deduplicated;
-  made[1].deduplicationWindow = Duration::millis(400);
-  made[2].effect = Effect::atMostOnce;
-  return made;
+// One class per effect: idempotent, deduplicated with a window of 400 ms, at-most-once.
+std::vector<TransactionClass> transactionClasses() {
+  std::vector<TransactionClass> classes(3);
+  classes[1].effect = Effect::deduplicated;
+  classes[1].deduplicationWindow = Duration::millis(400);
+  classes[2].effect = Effect::atMostOnce;
+  return classes;
 }
 
-// Books with one request of a type, of 1 s, asked for at 0.
-class Kept {
+// A history with one request of a transaction class, sent at 0 with a deadline of 1 s. The destructor prints
+// the violations.
+class RecordedRequest {
  public:
-  explicit Kept(std::string title, std::size_t type = 0)
-      : title_(std::move(title)), books_(types(), Duration::millis(500), Duration::millis(150)) {
-    books_.turnEnded(at(0));
+  explicit RecordedRequest(std::string title, std::size_t classIndex = 0)
+      : title_(std::move(title)),
+        history_(transactionClasses(), Duration::millis(500), Duration::millis(150)) {
+    history_.onLoopIteration(at(0));
     Request request;
-    request.type = type;
+    request.classIndex = classIndex;
     request.sentAt = at(0);
     request.deadline = at(1000);
-    books_.asked("a", request);
+    history_.addRequest("a", request);
   }
-  ~Kept() {
-    at_(5'000).close(at(5'000));
+  ~RecordedRequest() {
+    historyAt(5'000).reportUnanswered(at(5'000));
     std::cout << title_ << ":";
-    if (books_.verdicts().empty()) std::cout << " in order";
-    for (const auto& verdict : books_.verdicts())
-      std::cout << " " << verdict.rule << " (" << verdict.what << ")";
+    if (history_.violations().empty()) std::cout << " no violation";
+    for (const auto& violation : history_.violations())
+      std::cout << " " << violation.rule << " (" << violation.description << ")";
     std::cout << "\n";
   }
-  Books& at_(std::int64_t millis) {
-    // A turn each millisecond: this process was never late.
-    for (; turn_ <= millis; ++turn_) books_.turnEnded(at(turn_));
-    return books_;
+  RequestHistory& historyAt(std::int64_t millis) {
+    // One loop iteration per millisecond: this process was never delayed.
+    for (; nextIterationMillis_ <= millis; ++nextIterationMillis_)
+      history_.onLoopIteration(at(nextIterationMillis_));
+    return history_;
   }
-  void ran(std::int64_t millis, std::int64_t told = 500, Instant drained = {}) {
-    at_(millis).seen(at(millis), {"a", "s-1", 0, Duration::millis(told), true, drained});
+  void execute(std::int64_t millis, std::int64_t timeLimitMillis = 500, Instant drainNotifiedAt = {}) {
+    historyAt(millis).recordArrival(
+        at(millis), {"a", "s-1", 0, Duration::millis(timeLimitMillis), true, drainNotifiedAt});
   }
-  void answered(std::int64_t millis) { at_(millis).answered(at(millis), "a"); }
+  void answer(std::int64_t millis) { historyAt(millis).recordAnswer(at(millis), "a"); }
 
  private:
   std::string title_;
-  Books books_;
-  std::int64_t turn_ = 0;
+  RequestHistory history_;
+  std::int64_t nextIterationMillis_ = 0;
 };
 
-void all() {
-  { Kept kept("never answered"); }
+void checkAllRules() {
+  { RecordedRequest request("never answered"); }
   {
-    Kept kept("answered in time");
-    kept.ran(100);
-    kept.answered(200);
+    RecordedRequest request("answered in time");
+    request.execute(100);
+    request.answer(200);
   }
   {
-    Kept kept("answered 0.8 s after its time");
-    kept.answered(1800);
+    RecordedRequest request("answered 0.8 s after its deadline");
+    request.answer(1800);
   }
   {
-    Kept kept("sent on, then closed");
-    kept.ran(100);
-    kept.at_(200).closedOn(at(200), "a", false);
+    RecordedRequest request("forwarded, then connection closed");
+    request.execute(100);
+    request.historyAt(200).recordConnectionLoss(at(200), "a", false);
   }
   {
-    Kept kept("closed unread");
-    kept.at_(200).closedOn(at(200), "a", false);
+    RecordedRequest request("connection closed before the request was forwarded");
+    request.historyAt(200).recordConnectionLoss(at(200), "a", false);
   }
   {
-    Kept kept("sent on, then its router was killed");
-    kept.ran(100);
-    kept.at_(200).closedOn(at(200), "a", true);
+    RecordedRequest request("forwarded, then its router was killed");
+    request.execute(100);
+    request.historyAt(200).recordConnectionLoss(at(200), "a", true);
   }
   {
-    Kept kept("sent 0.4 s after its client closed");
-    kept.at_(100).clientGone(at(100), "a");
-    kept.ran(500);
+    RecordedRequest request("forwarded 0.4 s after its client closed the connection");
+    request.historyAt(100).recordClientClose(at(100), "a");
+    request.execute(500);
   }
   {
-    Kept kept("told half a second more than is left");
-    kept.ran(100, 1400);
-    kept.answered(200);
+    RecordedRequest request("time limit half a second above the remaining time");
+    request.execute(100, 1400);
+    request.answer(200);
   }
   {
-    Kept kept("sent 1 s after its node was to be left");
-    kept.ran(950, 50, at(-50));
-    kept.answered(960);
+    RecordedRequest request("forwarded 1 s after the drain notification");
+    request.execute(950, 50, at(-50));
+    request.answer(960);
   }
   {
-    Kept kept("repeatable, ran twice");
-    kept.ran(100);
-    kept.ran(900, 100);
-    kept.answered(950);
+    RecordedRequest request("idempotent, executed twice");
+    request.execute(100);
+    request.execute(900, 100);
+    request.answer(950);
   }
   {
-    Kept kept("referenced, ran anew after its window", 1);
-    kept.ran(100);
-    kept.ran(800, 100);
-    kept.answered(950);
+    RecordedRequest request("deduplicated, executed again after its window", 1);
+    request.execute(100);
+    request.execute(800, 100);
+    request.answer(950);
   }
   {
-    Kept kept("once only, ran twice", 2);
-    kept.ran(100);
-    kept.ran(110);
-    kept.answered(950);
+    RecordedRequest request("at-most-once, executed twice", 2);
+    request.execute(100);
+    request.execute(110);
+    request.answer(950);
   }
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  const std::string name = count > 1 ? words[1] : "";
-  if (name == "all") return all(), 0;
+int main(int count, char** arguments) {
+  const std::string name = count > 1 ? arguments[1] : "";
+  if (name == "all") return checkAllRules(), 0;
   return 2;
 }
