--- a/src/testing/fake_servers/fake_node.cpp
+++ b/src/testing/fake_servers/fake_node.cpp
@@ -17,9 +17,10 @@
 // Longer than any test.
 constexpr Duration kHangTime = Duration::millis(3'600'000);
 
-// Of a watch: how often it looks for changes, and after what time without any it sends an empty line.
+// A watch checks for changes at the first interval, and sends an empty line after the second one without a
+// change.
 constexpr Duration kWatchInterval = Duration::millis(5), kKeepaliveInterval = Duration::millis(2000);
-// Stands ahead of the version after which changes are wanted.
+// Precedes the version after which a watch requests changes.
 constexpr std::string_view kWatchParameter = "index=";
 
 std::string addressOf(const event_loop::Stream& listener) {
@@ -29,7 +30,7 @@
   return std::string(kHost) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-// One side of a connection, with what was read on it and not consumed yet.
+// The server's end of a connection, with the bytes that were read but not consumed yet.
 struct Connection {
   Connection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
       : stream(loop, std::move(descriptor)) {}
@@ -45,14 +46,15 @@
       if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) hasEnded = true;
     }
   }
-  // Fake servers send short messages: one that can't be written at once has lost its peer.
+  // Fake servers send only short messages, so a write that doesn't complete immediately means that the peer
+  // is lost.
   void write(std::string_view bytes) {
     const auto done = stream.write({&bytes, 1});
     if (done.status != event_loop::Io::some) hasEnded = true;
   }
 };
 
-// Serves each connection that comes, for as long as the loop runs.
+// Accepts and serves connections for as long as the loop runs.
 event_loop::Task acceptAll(event_loop::Stream& listener, std::function<void(event_loop::Descriptor)> serve) {
   for (;;) {
     event_loop::Descriptor accepted;
@@ -64,7 +66,7 @@
   }
 }
 
-// The value of a header, whose name is in lower case; empty: it is absent.
+// Returns the value of a header, or an empty string if it is absent. `name` is in lower case.
 std::string headerOf(std::string_view head, std::string_view name) {
   const std::string prefix = "\r\n" + std::string(name) + ": ";
   const auto found = head.find(prefix);
@@ -73,7 +75,7 @@
   return std::string(head.substr(begin, head.find("\r\n", begin) - begin));
 }
 
-// Appends an entry of the endpoint list to those before it.
+// Appends an entry of the endpoint list to `entries`, as JSON.
 void appendEntry(std::string& entries, const FakeDiscovery::Entry& entry) {
   if (!entries.empty()) entries += ",";
   entries += R"({"id":")" + entry.id + R"(","addr":")" + entry.address +
@@ -82,7 +84,7 @@
              R"(","started_ms":0})";
 }
 
-// A chunk of a body in chunked transfer coding.
+// Encodes `bytes` as one chunk of the chunked transfer coding.
 std::string chunkOf(const std::string& bytes) {
   char size[20];
   const auto end = std::to_chars(size, size + sizeof size, bytes.size(), 16).ptr;
@@ -161,7 +163,7 @@
 
 void FakeDiscovery::set(const Entry& entry) { entries_[entry.id] = {++version_, entry}; }
 
-// The object stays: the coroutines of its connections refer to it.
+// Keeps the object, because the coroutines of its connections refer to it.
 void FakeDiscovery::restart() {
   entries_.clear();
   version_ = 1;
--- a/src/testing/fake_servers/fake_node.h
+++ b/src/testing/fake_servers/fake_node.h
@@ -13,10 +13,10 @@
 
 namespace gulltrestle::fake_servers {
 
-// What a node does with a request, on command.
+// The fault that a fake node injects into its handling of a request.
 enum class Fault {
   none,
-  rejection,       // answers 503 without executing it, and reports that
+  rejection,       // answers 503 without executing it, and reports that it was not executed
   wrongNode,       // answers that it is the wrong node, without executing it
   error,           // executes it, then answers 500
   closeBeforeRun,  // closes the connection before it executes anything
@@ -24,8 +24,8 @@
   hang,            // executes it, and never answers
 };
 
-// Counts how often it executed each transaction, by the id that its client gave it. Serves one request at a
-// time on a connection. Runs on an event loop, which it must not outlive.
+// A fake database node. Counts how often it executed each transaction, by the id that the client assigned.
+// Serves one request at a time on each connection. Runs on an event loop, which it must not outlive.
 class FakeNode {
  public:
   FakeNode(event_loop::EventLoop& loop, std::string id, bool startsAsPrimary);
@@ -34,14 +34,14 @@
   const std::string& id() const { return id_; }
   std::string address() const;
 
-  // Called with the transaction's id for each request; null: there are no faults.
+  // Called for each request with the transaction's id; null: no faults.
   std::function<Fault(const std::string& txn)> chooseFault;
   Duration executionTime = Duration::millis(1);
   bool isPrimary;
   bool isDown = false;                 // accepts connections and closes them at the first request
   Duration lag = Duration::millis(2);  // of a replica, behind its primary
 
-  // --- What it has seen
+  // --- Counters
 
   std::map<std::string, unsigned> runCounts;  // by the transaction's id
   std::uint64_t requestCount = 0, writesAsReplicaCount = 0, healthCheckCount = 0;
@@ -55,11 +55,11 @@
   std::unique_ptr<event_loop::Stream> listener_;
 };
 
-// Sends the endpoint list over HTTP, whole or as a watch that sends each change. Runs on an event loop, which
-// it must not outlive.
+// A fake discovery service. Serves the endpoint list over HTTP, either in full or as a watch that streams
+// each change. Runs on an event loop, which it must not outlive.
 class FakeDiscovery {
  public:
-  // `port` 0: any that is free.
+  // `port` 0 selects any free port.
   explicit FakeDiscovery(event_loop::EventLoop& loop, unsigned short port = 0);
   ~FakeDiscovery();
   std::string address() const;
@@ -71,14 +71,14 @@
   };
   // Adds or replaces the entry, and sends it to all watches.
   void set(const Entry& entry);
-  // As if it had been started again at its address: it knows no entry, counts versions from 1, and its
-  // watches end.
+  // Simulates a restart at the same address: all entries are removed, versions start from 1 again, and the
+  // open watches end.
   void restart();
-  bool isSilent = false;  // accepts connections, and sends nothing
+  bool isSilent = false;  // accepts connections, but sends nothing
 
  private:
   struct VersionedEntry {
-    std::uint64_t version = 0;  // that last changed it
+    std::uint64_t version = 0;  // of the last change to it
     Entry entry;
   };
   event_loop::Task serve(event_loop::Descriptor descriptor);
--- a/src/testing/fake_servers/fake_proxy.cpp
+++ b/src/testing/fake_servers/fake_proxy.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr Duration kTick = Duration::millis(1);              // how often a step that waits checks again
+constexpr Duration kPollInterval = Duration::millis(1);      // polling interval of the steps that wait
 constexpr Duration kConnectTimeout = Duration::millis(100);  // for the connection to the processor
 
 using ext_proc::Phase;
 
-// Whether a fault is wanted now.
+// Returns whether the fault is injected now.
 bool occurs(const std::function<bool()>& fault) { return fault && fault(); }
 
 }  // namespace
@@ -65,10 +65,10 @@
   connection->session.ended();
 }
 
-// One request of a client, over all its attempts: what is known so far, and the steps between two waits. The
-// coroutine exchange() does the waiting.
+// One client request with all its attempts: the state so far, and the steps between two waits. The coroutine
+// exchange() runs the steps and does the waiting.
 struct FakeProxy::Exchange {
-  // What follows after a step.
+  // What exchange() does after a step.
   enum class Next { proceed, retry, finish };
 
   Exchange(FakeProxy& ofProxy, ClientRequest ofClient, Instant clientDeadline)
@@ -89,7 +89,7 @@
 
   // --- The lease
 
-  // False where the client's time is over.
+  // Returns false if the client's deadline has passed.
   bool requestLease(unsigned attempt) {
     ext_proc::Request message;
     message.phase = Phase::requestHeaders;
@@ -99,7 +99,7 @@
     message.headers.push_back({"x-txn-patience-ms", std::to_string(remainingMillis)});
     if (proxy.config_.requestsPerAttempt)
       message.headers.push_back({"x-envoy-attempt-count", std::to_string(attempt)});
-    if (attempt > 1) message.headers.push_back({"x-txn-written", writtenByAll});
+    if (attempt > 1) message.headers.push_back({"x-txn-written", writtenByAnyAttempt});
     if (!token.empty()) message.headers.push_back({"x-txn-submission", token});
     stream = connection->open(streamId);
     connection->send(streamId, message);
@@ -110,11 +110,11 @@
 
   void leaveBeforeDecision() {
     resetStream();
-    count("gave up before a decision");
+    count("client left before a decision");
     answer.status = 0;
   }
 
-  // Applies an extension of the message timeout, which counts once.
+  // Also applies an extension of the message timeout. Only the first extension of an attempt has an effect.
   bool hasDecision() {
     if (!stream->responses.empty() && stream->responses.front().wait > Duration()) {
       if (!wasExtended && proxy.config_.maxMessageTimeout > Duration())
@@ -126,28 +126,28 @@
   }
   bool awaitsDecision() { return !hasDecision() && !stream->hasEnded && now() < messageDeadline; }
 
-  Next takeDecision() {
-    if (stream->responses.empty()) return withoutDecision();
+  Next handleDecision() {
+    if (stream->responses.empty()) return handleMissingDecision();
     const ext_proc::Response decision = stream->responses.front();
     stream->responses.pop_front();
     if (!decision.isImmediate) {
-      takeLease(decision);
+      applyLease(decision);
       return Next::proceed;
     }
     answer.status = decision.immediate.status;
     for (const auto& header : decision.immediate.headers)
       if (header.name == "x-txn-outcome") answer.outcome = header.value;
-    count("answered " + answer.outcome);
+    count("immediate answer " + answer.outcome);
     return Next::finish;
   }
-  Next withoutDecision() {
-    count(stream->hasEnded ? "stream broke before a decision" : "message timeout");
+  Next handleMissingDecision() {
+    count(stream->hasEnded ? "stream lost before a decision" : "message timeout");
     resetStream();
     answer.status = stream->hasEnded ? 503 : 504;
-    // Nothing was sent by this attempt, so what is known of the earlier ones holds.
+    // This attempt sent nothing, so the result of the earlier attempts is still valid.
     return stream->hasEnded && proxy.config_.retriesAfterStreamLoss ? Next::retry : Next::finish;
   }
-  void takeLease(const ext_proc::Response& decision) {
+  void applyLease(const ext_proc::Response& decision) {
     leasedAt = now();
     endpoint.clear();
     leaseMillis = 0;
@@ -157,7 +157,7 @@
       if (header.name == "x-txn-send-within-ms") leaseMillis = std::stoll(header.value);
     }
     count("granted");
-    // From here on it may run: the answer to an earlier attempt is none to this one.
+    // From here on this attempt may be executed, so the answer to an earlier attempt is no longer valid.
     answer.outcome.clear();
     responseHead.clear();
     written = "none";
@@ -194,7 +194,7 @@
   }
   bool hasHead() const { return responseHead.find("\r\n\r\n") != std::string::npos; }
   bool awaitsHead() const { return !hasEnded && !hasHead() && now() < answerDeadline; }
-  // False where there is nothing to read yet.
+  // Returns false if there is nothing to read yet.
   bool readFromNode() {
     char bytes[1024];
     const auto got = nodeConnection->stream.read(bytes);
@@ -202,7 +202,7 @@
     if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) hasEnded = true;
     return got.status != event_loop::Io::wouldBlock;
   }
-  void takeHead() {
+  void handleHead() {
     if (hasHead()) {
       status = std::stoi(responseHead.substr(9, 3));
       proxy.idle_.emplace(endpoint, std::move(nodeConnection));
@@ -215,7 +215,7 @@
   // --- The report
 
   void resetBeforeReport() {
-    count("never reported");
+    count("reset before report");
     resetStream();
     answer.status = 502;
   }
@@ -242,13 +242,13 @@
     return stream->responses.empty() && !stream->hasEnded && now() < messageDeadline;
   }
 
-  Next takeFinalAnswer() {
+  Next handleFinalAnswer() {
     if (stream->responses.empty()) {
-      count(stream->hasEnded ? "stream broke after a grant" : "message timeout after a grant");
+      count(stream->hasEnded ? "stream lost after a grant" : "message timeout after a grant");
       resetStream();
       answer.status = 500;
       answer.outcome.clear();
-      // The filter failed, so the attempt did: as published, another may follow.
+      // A failed filter fails the attempt: as documented for the proxy, a retry may follow.
       return stream->hasEnded && proxy.config_.retriesAfterStreamLoss ? Next::retry : Next::finish;
     }
     const ext_proc::Response response = stream->responses.front();
@@ -259,17 +259,17 @@
       if (header.name == "x-txn-outcome") answer.outcome = header.value;
     answer.status = response.isImmediate ? response.immediate.status : status;
     answer.nodeAddress = response.isImmediate || responseHead.empty() ? "" : endpoint;
-    count("ended " + answer.outcome);
+    count("final outcome " + answer.outcome);
     return answer.status == 503 && proxy.config_.requestsPerAttempt ? Next::retry : Next::finish;
   }
 
   FakeProxy& proxy;
   ClientRequest request;
-  Instant deadline;  // when the client stops waiting
+  Instant deadline;  // of the client
   Answer answer;
-  std::string token;                  // of the last lease
-  std::string writtenByAll = "none";  // by all attempts so far
-  // --- Of the present attempt
+  std::string token;                         // submission token of the last lease
+  std::string writtenByAnyAttempt = "none";  // over all attempts so far
+  // --- State of the current attempt
   std::shared_ptr<ProcessorConnection> connection;
   std::shared_ptr<ProcessorStream> stream;
   http2::StreamId streamId = 0;
@@ -290,19 +290,20 @@
        ++attempt) {
     if (attempt > 1) co_await loop_.sleepUntil(loop_.now() + config_.retryDelay);
     request.connection = connection();
-    for (const Instant by = loop_.now() + kConnectTimeout; request.awaitsProcessor() && loop_.now() < by;)
-      co_await loop_.sleepUntil(loop_.now() + kTick);
+    for (const Instant connectDeadline = loop_.now() + kConnectTimeout;
+         request.awaitsProcessor() && loop_.now() < connectDeadline;)
+      co_await loop_.sleepUntil(loop_.now() + kPollInterval);
     if (!request.requestLease(attempt)) break;
     if (occurs(faults.clientLeavesBeforeDecision)) {
-      co_await loop_.sleepUntil(loop_.now() + kTick);
+      co_await loop_.sleepUntil(loop_.now() + kPollInterval);
       request.leaveBeforeDecision();
       break;
     }
-    while (request.awaitsDecision()) co_await loop_.sleepUntil(loop_.now() + kTick);
-    next = request.takeDecision();
+    while (request.awaitsDecision()) co_await loop_.sleepUntil(loop_.now() + kPollInterval);
+    next = request.handleDecision();
     if (next != Next::proceed) continue;
     if (occurs(faults.waitsBeyondLease)) {
-      request.count("too late to send");
+      request.count("lease expired before sending");
       co_await loop_.sleepUntil(request.leasedAt + Duration::millis(request.leaseMillis + 1));
     }
     if (request.isLeaseValid()) {
@@ -310,18 +311,18 @@
       while (request.awaitsConnection()) co_await request.nodeConnection->stream.changed();
       request.writeToNode();
       while (request.awaitsHead())
-        if (!request.readFromNode()) co_await loop_.sleepUntil(loop_.now() + kTick);
-      request.takeHead();
+        if (!request.readFromNode()) co_await loop_.sleepUntil(loop_.now() + kPollInterval);
+      request.handleHead();
     }
     request.nodeConnection.reset();
-    if (request.written == "whole") request.writtenByAll = "whole";
+    if (request.written == "whole") request.writtenByAnyAttempt = "whole";
     if (occurs(faults.resetsBeforeReport)) {
       request.resetBeforeReport();
       break;
     }
     request.report();
-    while (request.awaitsFinalAnswer()) co_await loop_.sleepUntil(loop_.now() + kTick);
-    next = request.takeFinalAnswer();
+    while (request.awaitsFinalAnswer()) co_await loop_.sleepUntil(loop_.now() + kPollInterval);
+    next = request.handleFinalAnswer();
   }
   --openRequests_;
   onAnswer(request.answer);
--- a/src/testing/fake_servers/fake_proxy.h
+++ b/src/testing/fake_servers/fake_proxy.h
@@ -1,8 +1,8 @@
-// A fake proxy for tests and examples: it requests an endpoint lease of an external processor for each
-// attempt, sends the attempt to the leased node, and reports its outcome. As published: it waits for each
-// answer as long as its message timeout says, resets the stream after that and fails the request; it retries
-// by count, each attempt with a stream of its own. One HTTP/2 connection to the processor, opened anew when
-// it is lost.
+// A fake proxy for tests and examples. For each attempt it requests an endpoint lease from an external
+// processor, sends the attempt to the leased node, and reports its outcome. It follows the published
+// behaviour of the proxy: it waits for each answer of the processor up to its message timeout, then resets
+// the stream and fails the request; it retries up to a number of attempts, each on a stream of its own. It
+// has one HTTP/2 connection to the processor, which it reopens when the connection is lost.
 #pragma once
 
 #include <cstdint>
@@ -18,23 +18,24 @@
 
 namespace gulltrestle::fake_servers {
 
-// How the proxy behaves.
+// Configuration of the fake proxy.
 struct FakeProxyConfig {
-  std::string processor;           // its address, as address:port
-  bool requestsPerAttempt = true;  // a filter in the upstream chain; else once per request
-  unsigned maxAttempts = 3;        // what is answered 503, and what failed unwritten, is retried
+  std::string processor;  // as address:port
+  // True: requests one lease per attempt, as a filter in the upstream chain does. False: one per request.
+  bool requestsPerAttempt = true;
+  unsigned maxAttempts = 3;  // answers with 503 and attempts that failed before any write are retried
   Duration messageTimeout = Duration::millis(200);
-  Duration maxMessageTimeout;                       // to which the processor may extend it; zero: it may not
-  Duration attemptTimeout = Duration::millis(400);  // for a node's answer
+  Duration maxMessageTimeout;  // bound of an extension by the processor; zero: no extension
+  Duration attemptTimeout = Duration::millis(400);  // for the node's answer
   Duration retryDelay = Duration::millis(10);
-  bool retriesAfterStreamLoss = true;  // an attempt whose stream broke, with nothing sent
+  bool retriesAfterStreamLoss = true;  // after a stream was lost with nothing sent to the node
 };
 
-// What goes wrong on command; each is called once per attempt. Null: it never does.
+// Faults to inject. Each function is called once per attempt and returns whether the fault occurs; null: it
+// never does.
 struct FakeProxyFaults {
   std::function<bool()> clientLeavesBeforeDecision;  // right after the request was sent to the processor
-  std::function<bool()>
-      waitsBeyondLease;  // a lease is used only after it has expired: the attempt is not sent
+  std::function<bool()> waitsBeyondLease;    // waits until the lease has expired, so the attempt is not sent
   std::function<bool()> resetsBeforeReport;  // the stream is reset after the node's answer, without a report
   std::function<bool()> reportsTwice;
 };
@@ -43,32 +44,32 @@
 struct ClientRequest {
   ext_proc::Headers headers;
   bool isWrite = false;
-  Duration remainingTime;  // how long the client waits
+  Duration remainingTime;  // the client's timeout
 };
 
-// What a client of the proxy got.
+// The final answer that a client of the proxy receives.
 struct Answer {
   std::string transactionId;
-  int status = 0;  // of HTTP; 0: the client had left
+  int status = 0;  // of HTTP; 0: the client has left
   std::string outcome;
-  std::string nodeAddress;  // of the node whose answer it is; empty: the proxy's or the processor's own
+  std::string nodeAddress;  // of the node that answered; empty: the proxy or the processor did
 };
 
-// Runs on an event loop, which it must not outlive.
+// The fake proxy. Runs on an event loop, which it must not outlive.
 class FakeProxy {
  public:
   FakeProxy(event_loop::EventLoop& loop, FakeProxyConfig config);
   ~FakeProxy();
 
   FakeProxyFaults faults;
-  std::optional<Duration> attemptTimeout;  // in place of the configured one
-  // A client sends the request; `onAnswer` is called with its one answer.
+  std::optional<Duration> attemptTimeout;  // overrides the configured one
+  // Handles a client's request; `onAnswer` is called exactly once, with its answer.
   void send(ClientRequest request, std::function<void(Answer)> onAnswer);
-  // The connection to the processor is lost.
+  // Simulates the loss of the connection to the processor.
   void dropConnection();
 
   std::size_t openRequestCount() const { return openRequests_; }
-  std::map<std::string, std::uint64_t> eventCounts;  // of what happened, by name
+  std::map<std::string, std::uint64_t> eventCounts;  // by the event's name
 
  private:
   struct ProcessorConnection;
@@ -82,7 +83,7 @@
   event_loop::EventLoop& loop_;
   FakeProxyConfig config_;
   std::shared_ptr<ProcessorConnection> connection_;
-  std::multimap<std::string, std::unique_ptr<NodeConnection>> idle_;  // connections to nodes, by address
+  std::multimap<std::string, std::unique_ptr<NodeConnection>> idle_;  // idle connections to nodes, by address
   std::size_t openRequests_ = 0;
 };
 
--- a/src/testing/fake_servers/fake_proxy_connections.h
+++ b/src/testing/fake_servers/fake_proxy_connections.h
@@ -1,4 +1,4 @@
-// The connections of the fake proxy, to its processor and to nodes; included by fake_proxy.cpp only.
+// The connections of the fake proxy to its processor and to nodes. Included only by fake_proxy.cpp.
 #pragma once
 
 #include <deque>
@@ -14,14 +14,14 @@
 
 namespace gulltrestle::fake_servers {
 
-// A stream to the processor, for one attempt.
+// A stream to the processor; serves one attempt.
 struct FakeProxy::ProcessorStream {
-  std::string received;  // and not consumed yet
+  std::string received;  // bytes that are not consumed yet
   std::deque<ext_proc::Response> responses;
   bool hasEnded = false;
 };
 
-// HTTP/2 to the processor, with all streams that are open on it.
+// An HTTP/2 connection to the processor, with its open streams.
 struct FakeProxy::ProcessorConnection final : http2::Handler {
   ProcessorConnection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
       : stream(loop, std::move(descriptor)), session(http2::Session::Side::client, {}, *this) {}
@@ -46,7 +46,7 @@
     streams.erase(found);
   }
 
-  // The stream has ended already where none can be opened; `id` is 0 then.
+  // Opens a stream. If none can be opened, the returned stream has ended already and `id` is 0.
   std::shared_ptr<ProcessorStream> open(http2::StreamId& id) {
     id = session.request({{":method", "POST"},
                           {":scheme", "http"},
@@ -85,7 +85,7 @@
   bool isConnected = false, hasEnded = false;
 };
 
-// HTTP/1.1 to a node, one request at a time.
+// An HTTP/1.1 connection to a node, used for one request at a time.
 struct FakeProxy::NodeConnection {
   NodeConnection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
       : stream(loop, std::move(descriptor)) {}
--- a/tests/faults.cpp
+++ b/tests/faults.cpp
@@ -1,5 +1,6 @@
-// The program on a bad machine (tests/faults/machine.h): each txn gets its final answer all the same. Run as
-// `faults CASE`. Every case says whether its faults came: one that never fired has tested nothing.
+// Runs the program with injected faults in its system calls (tests/faults/machine.h). Each transaction must
+// still get its final answer. Usage: `faults CASE`. Every case prints whether its faults were injected,
+// because a case without any fault has tested nothing.
 #include "child.h"
 #include "faults/machine.h"
 #include "lists.h"
@@ -12,23 +13,24 @@
 namespace {
 
 constexpr int kTxns = 200;
-// What write() tells as its client's time; what a node may be told beyond it.
+// Timeout that the client of write() sends, and tolerance of the remaining time that a node receives.
 constexpr int kWriteMs = 9000, kSlackMs = 150;
-constexpr auto kLate = std::chrono::milliseconds(1500);
+constexpr auto kReadDelay = std::chrono::milliseconds(1500);
 
-// The program with one node and a discovery, all on loopback.
-class Trial {
+// The program with one fake node and a fake discovery service, all on loopback.
+class RouterUnderTest {
  public:
-  explicit Trial(std::uint64_t seed)
+  explicit RouterUnderTest(std::uint64_t seed)
       : folder_(scratchFolder("faults")), machine(folder_ + "/machine", seed), discovery_(nodes()) {}
-  ~Trial() {
+  ~RouterUnderTest() {
     child_->signal(SIGTERM);
-    child_->waitForLine("no line has this");
+    child_->waitForLine("a text that no line contains");
     const int code = child_->wait();
     std::cout << "exit code " << code << (code == 0 ? "" : ", " + child_->lastLine()) << "\n";
     unlink((folder_ + "/config.json").c_str());
   }
 
+  // Starts the program; returns whether it listens for clients.
   bool start() {
     std::ofstream(folder_ + "/config.json")
         << R"({"name":"n","listen":"127.0.0.1:)" << port_.number() << R"(","discovery":"127.0.0.1:)"
@@ -44,20 +46,20 @@
     return child_->waitForLine("listens on");
   }
 
-  // Asks for so many txns, reads and writes in turn, on connections of ten each; how many were committed and
-  // how many got a final answer of another kind. Ends at the first that gets none.
-  void ask(int txns) {
-    int committed = 0, otherwise = 0, unanswered = 0;
+  // Runs alternating reads and writes, ten per connection, and prints how many were committed and how many
+  // got another final answer. Stops at the first transaction without an answer.
+  void runTransactions(int txns) {
+    int committed = 0, otherAnswers = 0, unanswered = 0;
     std::unique_ptr<Peer> client;
-    for (int at = 0; at < txns && unanswered == 0; ++at) {
-      if (at % 10 == 0) client = nullptr;
+    for (int index = 0; index < txns && unanswered == 0; ++index) {
+      if (index % 10 == 0) client = nullptr;
       if (!client) client = std::make_unique<Peer>(connected());
-      const std::string statement = at % 2 == 0 ? read("k") : write(100);
+      const std::string statement = index % 2 == 0 ? read("k") : write(100);
       client->send(statement);
       std::string answer = client->answer();
-      // Between requests a router may close a connection, to make room; what crosses that its client sends
-      // once more.
-      if (answer == "end" && at % 10 != 0) {
+      // The router may close a connection between requests to make room. A client whose statement crosses the
+      // close sends it again.
+      if (answer == "end" && index % 10 != 0) {
         client = std::make_unique<Peer>(connected());
         client->send(statement);
         answer = client->answer();
@@ -65,53 +67,56 @@
       if (answer.find("D(") != std::string::npos)
         ++committed;
       else if (answer.find("E(") != std::string::npos)
-        ++otherwise;
+        ++otherAnswers;
       else
         ++unanswered;
     }
-    std::cout << committed << " committed, " << otherwise << " answered otherwise, " << unanswered
+    std::cout << committed << " committed, " << otherAnswers << " with another answer, " << unanswered
               << " without an answer\n";
   }
-  // Whether each txn came to the node once: what is sent once more was not sent on before.
-  void tellSentOn(int txns) {
-    const std::string all = node_.receivedKeys();
-    const auto statements = 1 + std::count(all.begin(), all.end(), ' ');
-    std::cout << (statements == txns ? "each sent on once\n"
-                                     : std::to_string(statements) + " statements sent on\n");
+  // Prints whether the node received each transaction once: a statement that the client sends again must not
+  // have been forwarded before.
+  void printForwarded(int txns) {
+    const std::string keys = node_.receivedKeys();
+    const auto statements = 1 + std::count(keys.begin(), keys.end(), ' ');
+    std::cout << (statements == txns ? "each forwarded once\n"
+                                     : std::to_string(statements) + " statements forwarded\n");
   }
-  // A write whose statement has been there for a while when the program gets to read it: what its node is
-  // told is what its client has left. `later`: ends what kept the program from reading.
-  void askLate(std::chrono::milliseconds late, const std::function<void()>& later) {
+  // Sends a write that the program can read only after a delay. The remaining time that the node receives
+  // must not exceed what the client has left. `resumeReading` lets the program read.
+  void sendDelayedWrite(std::chrono::milliseconds delay, const std::function<void()>& resumeReading) {
     Peer client = Peer::to(port_.number());
     const auto sentAt = Clock::now();
     client.send(postgres::startup("worker", "catalog") + write(10, "late"));
-    sleepUntil(sentAt + late);
-    later();
-    client.answer();  // of the greeting
+    sleepUntil(sentAt + delay);
+    resumeReading();
+    client.answer();  // the answer to the startup message
     client.answer();
-    const int left = kWriteMs - static_cast<int>(late.count()) + kSlackMs;
-    const int told = node_.remainingTimeMs("late");
-    std::cout << (told == 0      ? "nothing was sent\n"
-                  : told <= left ? "told at most what is left\n"
-                                 : "told " + std::to_string(told - left) + " ms too much\n");
+    const int maxRemainingMs = kWriteMs - static_cast<int>(delay.count()) + kSlackMs;
+    const int remainingMs = node_.remainingTimeMs("late");
+    std::cout << (remainingMs == 0 ? "nothing was sent\n"
+                  : remainingMs <= maxRemainingMs
+                      ? "remaining time within its bound\n"
+                      : "remaining time " + std::to_string(remainingMs - maxRemainingMs) + " ms too long\n");
   }
-  // A statement whose client closes its connection before the program gets to read it.
-  void askAndClose(std::chrono::milliseconds late, const std::function<void()>& later) {
+  // Sends a statement whose client closes its connection before the program can read it.
+  void sendAndClose(std::chrono::milliseconds delay, const std::function<void()>& resumeReading) {
     {
       Peer client = Peer::to(port_.number());
       client.send(postgres::startup("worker", "catalog") + write(10, "gone"));
       client.waitUntilDelivered();
     }
-    sleepUntil(Clock::now() + late);
-    later();
-    ask(2);
-    std::cout << "nodes saw "
-              << (node_.remainingTimeMs("gone") == 0 ? "nothing" : "a statement of a client that had gone")
+    sleepUntil(Clock::now() + delay);
+    resumeReading();
+    runTransactions(2);
+    std::cout << "the node received "
+              << (node_.remainingTimeMs("gone") == 0 ? "nothing" : "a statement of a disconnected client")
               << "\n";
   }
-  void halt() { child_->suspend(); }
-  void go() { child_->signal(SIGCONT); }
-  void tellFired(Kind kind) {
+  void suspend() { child_->suspend(); }
+  void resume() { child_->signal(SIGCONT); }
+  // Prints whether a fault of this kind was injected.
+  void printInjected(Kind kind) {
     std::cout << faults::kNames[static_cast<std::size_t>(kind)]
               << (machine.fired(kind) > 0 ? " fired\n" : " never fired\n");
   }
@@ -119,10 +124,10 @@
  private:
   std::string nodes() const { return endpointListJson(1, endpointEntryJson(node_.server(), "s-1", "up")); }
   Peer connected() const {
-    Peer made = Peer::to(port_.number());
-    made.send(postgres::startup("worker", "catalog"));
-    made.answer();
-    return made;
+    Peer client = Peer::to(port_.number());
+    client.send(postgres::startup("worker", "catalog"));
+    client.answer();
+    return client;
   }
 
   std::string folder_;
@@ -137,76 +142,80 @@
   std::unique_ptr<Child> child_;
 };
 
-// All the time that txns are asked for.
+// Injects the fault while transactions run.
 void whileServing(Kind kind, std::uint32_t perMille) {
-  Trial trial(7);
-  if (!trial.start()) return;
-  trial.machine.fail(kind, perMille);
-  trial.ask(kTxns);
-  if (kind == Kind::accepting) trial.tellSentOn(kTxns);
-  trial.tellFired(kind);
-  trial.machine.heal();
+  RouterUnderTest router(7);
+  if (!router.start()) return;
+  router.machine.fail(kind, perMille);
+  router.runTransactions(kTxns);
+  if (kind == Kind::accepting) router.printForwarded(kTxns);
+  router.printInjected(kind);
+  router.machine.heal();
 }
 
-// The first calls of the start fail.
+// Injects the fault into the first calls of the start.
 void atStart(Kind kind, std::uint32_t calls) {
-  Trial trial(7);
-  trial.machine.failFirst(kind, calls);
-  std::cout << (trial.start() ? "started\n" : "not started\n");
-  trial.tellFired(kind);
+  RouterUnderTest router(7);
+  router.machine.failFirst(kind, calls);
+  std::cout << (router.start() ? "started\n" : "not started\n");
+  router.printInjected(kind);
 }
 
-// Finds: a statement that waited in the queue of connections counted as if it had just come.
-void acceptedLate() {
-  Trial trial(7);
-  if (!trial.start()) return;
-  trial.machine.fail(Kind::accepting, 1000);
-  trial.askLate(kLate, [&] { trial.machine.heal(); });
-  trial.tellFired(Kind::accepting);
+// Guards against the fault that a statement counts as just received although its connection waited in the
+// accept queue.
+void delayedAccept() {
+  RouterUnderTest router(7);
+  if (!router.start()) return;
+  router.machine.fail(Kind::accepting, 1000);
+  router.sendDelayedWrite(kReadDelay, [&] { router.machine.heal(); });
+  router.printInjected(Kind::accepting);
 }
 
-// Finds: a statement that came while the process stood still counted as if it had just come.
-void stoppedLate() {
-  Trial trial(7);
-  if (!trial.start()) return;
-  trial.ask(2);
-  trial.halt();
-  trial.askLate(kLate, [&] { trial.go(); });
+// Guards against the fault that a statement counts as just received although it arrived while the process was
+// suspended.
+void delayedBySuspension() {
+  RouterUnderTest router(7);
+  if (!router.start()) return;
+  router.runTransactions(2);
+  router.suspend();
+  router.sendDelayedWrite(kReadDelay, [&] { router.resume(); });
 }
 
-// Finds: a statement sent on long after its client closed.
-void stoppedGone() {
-  Trial trial(7);
-  if (!trial.start()) return;
-  trial.ask(2);
-  trial.halt();
-  trial.askAndClose(kLate, [&] { trial.go(); });
+// Guards against the fault that a statement is forwarded long after its client has closed the connection. The
+// process is suspended when the statement arrives.
+void closedWhileSuspended() {
+  RouterUnderTest router(7);
+  if (!router.start()) return;
+  router.runTransactions(2);
+  router.suspend();
+  router.sendAndClose(kReadDelay, [&] { router.resume(); });
 }
-void acceptedGone() {
-  Trial trial(7);
-  if (!trial.start()) return;
-  trial.ask(2);
-  trial.machine.fail(Kind::accepting, 1000);
-  trial.askAndClose(kLate, [&] { trial.machine.heal(); });
-  trial.tellFired(Kind::accepting);
+// The same where connections can't be accepted when the statement arrives.
+void closedBeforeAccept() {
+  RouterUnderTest router(7);
+  if (!router.start()) return;
+  router.runTransactions(2);
+  router.machine.fail(Kind::accepting, 1000);
+  router.sendAndClose(kReadDelay, [&] { router.machine.heal(); });
+  router.printInjected(Kind::accepting);
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  const std::string name = count > 1 ? words[1] : "";
-  if (name == "short-reads") return whileServing(Kind::shortRead, 100), 0;
-  if (name == "short-writes") return whileServing(Kind::shortWrite, 300), 0;
-  if (name == "interrupted") return whileServing(Kind::interrupted, 100), 0;
-  if (name == "memory") return whileServing(Kind::memory, 50), 0;
-  if (name == "epoll-ctl") return whileServing(Kind::epollCtl, 300), 0;
-  if (name == "accepting") return whileServing(Kind::accepting, 500), 0;
-  if (name == "accepted-late") return acceptedLate(), 0;
-  if (name == "accepted-gone") return acceptedGone(), 0;
-  if (name == "stopped-gone") return stoppedGone(), 0;
-  if (name == "stopped-late") return stoppedLate(), 0;
-  if (name == "start-socket") return atStart(Kind::socket, 2), 0;
-  if (name == "start-listen") return atStart(Kind::listening, 3), 0;
-  if (name == "start-epoll") return atStart(Kind::epollCtl, 2), 0;
+int main(int count, char** arguments) {
+  const std::string caseName = count > 1 ? arguments[1] : "";
+  if (caseName == "short-reads") return whileServing(Kind::shortRead, 100), 0;
+  if (caseName == "short-writes") return whileServing(Kind::shortWrite, 300), 0;
+  if (caseName == "interrupted") return whileServing(Kind::interrupted, 100), 0;
+  if (caseName == "out-of-memory") return whileServing(Kind::memory, 50), 0;
+  if (caseName == "epoll-ctl") return whileServing(Kind::epollCtl, 300), 0;
+  if (caseName == "accept-errors") return whileServing(Kind::accepting, 500), 0;
+  if (caseName == "delayed-accept") return delayedAccept(), 0;
+  if (caseName == "closed-before-accept") return closedBeforeAccept(), 0;
+  if (caseName == "closed-while-suspended") return closedWhileSuspended(), 0;
+  if (caseName == "delayed-by-suspension") return delayedBySuspension(), 0;
+  if (caseName == "start-socket") return atStart(Kind::socket, 2), 0;
+  if (caseName == "start-listen") return atStart(Kind::listening, 3), 0;
+  if (caseName == "start-epoll") return atStart(Kind::epollCtl, 2), 0;
   return 2;
 }
--- a/tests/faults/machine.cpp
+++ b/tests/faults/machine.cpp
@@ -1,6 +1,6 @@
-// The library of the bad machine, preloaded into the program: its system calls fail now and then, each in a
-// way that the manual pages of Linux document. Which kinds fail, and how often, stands in a page that a test
-// shares with it (machine.h). Descriptors of regular files alone have the troubles of disks.
+// Fault injection library that is preloaded into the program. Its system calls fail at random, each with an
+// error that the manual pages of Linux document. A test sets the rates of the kinds of faults in shared
+// memory (machine.h). Disk faults affect only descriptors of regular files.
 #include "machine.h"
 
 #include <dlfcn.h>
@@ -20,226 +20,231 @@
 
 using namespace gulltrestle::faults;
 
-constexpr std::uint64_t kMostBytes = 3;  // that a short call takes
-constexpr std::uint64_t kMostHeldUpMillis = 150;
+constexpr std::uint64_t kMaxShortBytes = 3;  // of a short read or write
+constexpr std::uint64_t kMaxDelayMillis = 150;
 
-Page* page() {
-  static Page* const mapped = [] {
+FaultControls* faultControls() {
+  static FaultControls* const controls = [] {
     const char* path = std::getenv(kVariable);
-    return path ? mapPage(path) : nullptr;
+    return path ? mapFaultControls(path) : nullptr;
   }();
-  return mapped;
+  return controls;
 }
 
 template <typename Function>
-Function next(const char* name) {
+Function nextFunction(const char* name) {
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
-// Splitmix: a sequence for each thread, from the page's seed.
-std::uint64_t chance() {
+// A SplitMix64 random sequence for each thread, from the shared seed.
+std::uint64_t randomNumber() {
   static std::atomic<std::uint64_t> threads{0};
-  thread_local std::uint64_t state = page()->seed + ++threads * 0x9E3779B97F4A7C15u;
+  thread_local std::uint64_t state = faultControls()->seed + ++threads * 0x9E3779B97F4A7C15u;
   std::uint64_t mixed = state += 0x9E3779B97F4A7C15u;
   mixed = (mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9u;
   mixed = (mixed ^ mixed >> 27) * 0x94D049BB133111EBu;
   return mixed ^ mixed >> 31;
 }
 
-bool takesOne(std::atomic<std::uint32_t>& left) {
-  std::uint32_t now = left;
-  while (now > 0 && !left.compare_exchange_weak(now, now - 1)) {}
-  return now > 0;
+// Decrements the counter if it is positive, and returns whether it was.
+bool decrementIfPositive(std::atomic<std::uint32_t>& remaining) {
+  std::uint32_t value = remaining;
+  while (value > 0 && !remaining.compare_exchange_weak(value, value - 1)) {}
+  return value > 0;
 }
 
-bool fires(Kind kind) {
-  Page* const at = page();
-  if (!at) return false;
-  const auto row = static_cast<std::size_t>(kind);
-  const std::uint32_t perMille = at->perMille[row];
-  const bool does = takesOne(at->failFirst[row]) || (perMille > 0 && chance() % 1000 < perMille);
-  if (does) ++at->fired[row];
-  return does;
+// Decides whether this call fails with a fault of this kind, and counts the fault.
+bool injectFault(Kind kind) {
+  FaultControls* const controls = faultControls();
+  if (!controls) return false;
+  const auto kindIndex = static_cast<std::size_t>(kind);
+  const std::uint32_t perMille = controls->perMille[kindIndex];
+  const bool injects = decrementIfPositive(controls->failFirst[kindIndex]) ||
+                       (perMille > 0 && randomNumber() % 1000 < perMille);
+  if (injects) ++controls->fired[kindIndex];
+  return injects;
 }
 
+// Sets errno to a random one of the errors and returns -1.
 template <std::size_t N>
 int failWith(const int (&errors)[N]) {
-  errno = errors[chance() % N];
+  errno = errors[randomNumber() % N];
   return -1;
 }
 
-bool isFile(int descriptor) {
-  struct stat told;
-  return fstat(descriptor, &told) == 0 && S_ISREG(told.st_mode);
+bool isRegularFile(int descriptor) {
+  struct stat status;
+  return fstat(descriptor, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-// A connection that failed once stays so.
+// Resets the connection, so that calls after an injected failure fail too.
 void reset(int descriptor) {
-  const linger at{1, 0};
-  setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at, sizeof at);
+  const linger abortiveClose{1, 0};
+  setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &abortiveClose, sizeof abortiveClose);
   ::shutdown(descriptor, SHUT_RDWR);
 }
 
-// A startup message begins with its length, all others with their type.
+// A startup message begins with its length, whose first byte is zero; all others begin with their type.
 bool isStartup(const msghdr* message) {
   return message->msg_iovlen > 0 && message->msg_iov[0].iov_len > 0 &&
          *static_cast<const char*>(message->msg_iov[0].iov_base) == 0;
 }
 
-// Set by the send of a startup message: the next wait is held.
-std::atomic<bool> holdsNextWait{false};
+// Set when a startup message is sent: the next epoll_wait blocks.
+std::atomic<bool> blocksNextWait{false};
 
-void holdWait() {
-  if (!holdsNextWait.exchange(false)) return;
+void blockWait() {
+  if (!blocksNextWait.exchange(false)) return;
   const timespec pause{0, 200'000};
-  for (page()->held = 1; page()->held != 0;) nanosleep(&pause, nullptr);
+  for (faultControls()->isWaitBlocked = 1; faultControls()->isWaitBlocked != 0;) nanosleep(&pause, nullptr);
 }
 
-bool isWall(clockid_t clock) { return clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE; }
+bool isWallClock(clockid_t clock) { return clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE; }
 
 }  // namespace
 
 extern "C" {
 
 ssize_t recv(int descriptor, void* buffer, size_t size, int flags) {
-  static const auto real = next<ssize_t (*)(int, void*, size_t, int)>("recv");
-  if (fires(Kind::interrupted)) return failWith({EINTR});
-  if (fires(Kind::memory)) return failWith({ENOMEM, ENOBUFS});
-  if (fires(Kind::lost)) {
+  static const auto real = nextFunction<ssize_t (*)(int, void*, size_t, int)>("recv");
+  if (injectFault(Kind::interrupted)) return failWith({EINTR});
+  if (injectFault(Kind::memory)) return failWith({ENOMEM, ENOBUFS});
+  if (injectFault(Kind::lost)) {
     reset(descriptor);
     return failWith({ECONNRESET, ETIMEDOUT, EHOSTUNREACH});
   }
-  if (size > kMostBytes && fires(Kind::shortRead)) size = 1 + chance() % kMostBytes;
+  if (size > kMaxShortBytes && injectFault(Kind::shortRead)) size = 1 + randomNumber() % kMaxShortBytes;
   return real(descriptor, buffer, size, flags);
 }
 
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
-  static const auto real = next<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
-  if (fires(Kind::interrupted)) return failWith({EINTR});
-  if (fires(Kind::memory)) return failWith({ENOMEM, ENOBUFS});
-  if (fires(Kind::lost)) {
+  static const auto real = nextFunction<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
+  if (injectFault(Kind::interrupted)) return failWith({EINTR});
+  if (injectFault(Kind::memory)) return failWith({ENOMEM, ENOBUFS});
+  if (injectFault(Kind::lost)) {
     reset(descriptor);
     return failWith({ECONNRESET, ETIMEDOUT, EPIPE, EHOSTUNREACH});
   }
-  if (page() && isStartup(message) && takesOne(page()->holdAfterStartup)) holdsNextWait = true;
-  if (message->msg_iovlen == 0 || !fires(Kind::shortWrite)) return real(descriptor, message, flags);
+  if (faultControls() && isStartup(message) && decrementIfPositive(faultControls()->blockAfterStartup))
+    blocksNextWait = true;
+  if (message->msg_iovlen == 0 || !injectFault(Kind::shortWrite)) return real(descriptor, message, flags);
   iovec part = message->msg_iov[0];
-  part.iov_len = std::min<std::size_t>(part.iov_len, 1 + chance() % kMostBytes);
-  msghdr cut = *message;
-  cut.msg_iov = &part;
-  cut.msg_iovlen = 1;
-  return real(descriptor, &cut, flags);
+  part.iov_len = std::min<std::size_t>(part.iov_len, 1 + randomNumber() % kMaxShortBytes);
+  msghdr partialMessage = *message;
+  partialMessage.msg_iov = &part;
+  partialMessage.msg_iovlen = 1;
+  return real(descriptor, &partialMessage, flags);
 }
 
 int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
-  static const auto real = next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (fires(Kind::interrupted)) return failWith({EINTR});
-  if (fires(Kind::accepting))
+  static const auto real = nextFunction<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+  if (injectFault(Kind::interrupted)) return failWith({EINTR});
+  if (injectFault(Kind::accepting))
     return failWith({ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EPERM, ENETDOWN, EHOSTUNREACH});
   return real(descriptor, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) {
-  static const auto real = next<int (*)(int, int, int)>("socket");
-  if (fires(Kind::socket)) return failWith({EMFILE, ENFILE, ENOBUFS, ENOMEM});
+  static const auto real = nextFunction<int (*)(int, int, int)>("socket");
+  if (injectFault(Kind::socket)) return failWith({EMFILE, ENFILE, ENOBUFS, ENOMEM});
   return real(domain, type, protocol);
 }
 
 int bind(int descriptor, const sockaddr* address, socklen_t size) {
-  static const auto real = next<int (*)(int, const sockaddr*, socklen_t)>("bind");
-  if (fires(Kind::listening)) return failWith({EADDRINUSE, EADDRNOTAVAIL, ENOMEM});
+  static const auto real = nextFunction<int (*)(int, const sockaddr*, socklen_t)>("bind");
+  if (injectFault(Kind::listening)) return failWith({EADDRINUSE, EADDRNOTAVAIL, ENOMEM});
   return real(descriptor, address, size);
 }
 
 int listen(int descriptor, int backlog) {
-  static const auto real = next<int (*)(int, int)>("listen");
-  if (fires(Kind::listening)) return failWith({EADDRINUSE});
+  static const auto real = nextFunction<int (*)(int, int)>("listen");
+  if (injectFault(Kind::listening)) return failWith({EADDRINUSE});
   return real(descriptor, backlog);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
-  static const auto real = next<int (*)(int, const sockaddr*, socklen_t)>("connect");
-  if (fires(Kind::interrupted)) return failWith({EINTR});
-  if (fires(Kind::connecting))
+  static const auto real = nextFunction<int (*)(int, const sockaddr*, socklen_t)>("connect");
+  if (injectFault(Kind::interrupted)) return failWith({EINTR});
+  if (injectFault(Kind::connecting))
     return failWith({EAGAIN, EADDRNOTAVAIL, ENETUNREACH, ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH});
   return real(descriptor, address, size);
 }
 
-int epoll_ctl(int epoll, int what, int descriptor, epoll_event* event) noexcept {
-  static const auto real = next<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
-  if (what != EPOLL_CTL_DEL && fires(Kind::epollCtl)) return failWith({ENOMEM, ENOSPC});
-  return real(epoll, what, descriptor, event);
+int epoll_ctl(int epoll, int operation, int descriptor, epoll_event* event) noexcept {
+  static const auto real = nextFunction<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
+  if (operation != EPOLL_CTL_DEL && injectFault(Kind::epollCtl)) return failWith({ENOMEM, ENOSPC});
+  return real(epoll, operation, descriptor, event);
 }
 
-int epoll_wait(int epoll, epoll_event* events, int most, int millis) {
-  static const auto real = next<int (*)(int, epoll_event*, int, int)>("epoll_wait");
-  holdWait();
-  if (fires(Kind::interrupted)) return failWith({EINTR});
-  const int count = real(epoll, events, most, millis);
-  if (fires(Kind::heldUp)) {
-    const timespec pause{0, static_cast<long>(chance() % kMostHeldUpMillis) * 1'000'000};
+int epoll_wait(int epoll, epoll_event* events, int maxEvents, int timeoutMillis) {
+  static const auto real = nextFunction<int (*)(int, epoll_event*, int, int)>("epoll_wait");
+  blockWait();
+  if (injectFault(Kind::interrupted)) return failWith({EINTR});
+  const int count = real(epoll, events, maxEvents, timeoutMillis);
+  if (injectFault(Kind::heldUp)) {
+    const timespec pause{0, static_cast<long>(randomNumber() % kMaxDelayMillis) * 1'000'000};
     nanosleep(&pause, nullptr);
   }
   return count;
 }
 
-int clock_gettime(clockid_t clock, timespec* told) noexcept {
-  static const auto real = next<int (*)(clockid_t, timespec*)>("clock_gettime");
-  const int result = real(clock, told);
-  Page* const at = isWall(clock) ? page() : nullptr;
-  const std::int64_t offset = at ? at->wallOffsetSeconds.load() : 0;
+int clock_gettime(clockid_t clock, timespec* clockTime) noexcept {
+  static const auto real = nextFunction<int (*)(clockid_t, timespec*)>("clock_gettime");
+  const int result = real(clock, clockTime);
+  FaultControls* const controls = isWallClock(clock) ? faultControls() : nullptr;
+  const std::int64_t offset = controls ? controls->wallOffsetSeconds.load() : 0;
   if (offset == 0) return result;
-  ++at->wallReads;
-  told->tv_sec += offset;
+  ++controls->wallReads;
+  clockTime->tv_sec += offset;
   return result;
 }
 
 // --- Files
 
 int fsync(int descriptor) {
-  static const auto real = next<int (*)(int)>("fsync");
-  return isFile(descriptor) && fires(Kind::diskError) ? failWith({EIO}) : real(descriptor);
+  static const auto real = nextFunction<int (*)(int)>("fsync");
+  return isRegularFile(descriptor) && injectFault(Kind::diskError) ? failWith({EIO}) : real(descriptor);
 }
 
 int fdatasync(int descriptor) {
-  static const auto real = next<int (*)(int)>("fdatasync");
-  return isFile(descriptor) && fires(Kind::diskError) ? failWith({EIO}) : real(descriptor);
+  static const auto real = nextFunction<int (*)(int)>("fdatasync");
+  return isRegularFile(descriptor) && injectFault(Kind::diskError) ? failWith({EIO}) : real(descriptor);
 }
 
 ssize_t write(int descriptor, const void* bytes, size_t size) {
-  static const auto real = next<ssize_t (*)(int, const void*, size_t)>("write");
-  if (!isFile(descriptor)) return real(descriptor, bytes, size);
-  if (fires(Kind::diskError)) return failWith({EIO, EINTR});
-  if (!fires(Kind::diskFull)) return real(descriptor, bytes, size);
-  // A full disk may take a part first.
-  return size < 2 || chance() % 2 == 0 ? failWith({ENOSPC}) : real(descriptor, bytes, size / 2);
+  static const auto real = nextFunction<ssize_t (*)(int, const void*, size_t)>("write");
+  if (!isRegularFile(descriptor)) return real(descriptor, bytes, size);
+  if (injectFault(Kind::diskError)) return failWith({EIO, EINTR});
+  if (!injectFault(Kind::diskFull)) return real(descriptor, bytes, size);
+  // A write to a full disk may write a part of the bytes first.
+  return size < 2 || randomNumber() % 2 == 0 ? failWith({ENOSPC}) : real(descriptor, bytes, size / 2);
 }
 
-ssize_t pwrite64(int descriptor, const void* bytes, size_t size, off64_t at) {
-  static const auto real = next<ssize_t (*)(int, const void*, size_t, off64_t)>("pwrite64");
-  if (fires(Kind::diskError)) return failWith({EIO, EINTR});
-  if (!fires(Kind::diskFull)) return real(descriptor, bytes, size, at);
-  return size < 2 || chance() % 2 == 0 ? failWith({ENOSPC}) : real(descriptor, bytes, size / 2, at);
+ssize_t pwrite64(int descriptor, const void* bytes, size_t size, off64_t offset) {
+  static const auto real = nextFunction<ssize_t (*)(int, const void*, size_t, off64_t)>("pwrite64");
+  if (injectFault(Kind::diskError)) return failWith({EIO, EINTR});
+  if (!injectFault(Kind::diskFull)) return real(descriptor, bytes, size, offset);
+  return size < 2 || randomNumber() % 2 == 0 ? failWith({ENOSPC}) : real(descriptor, bytes, size / 2, offset);
 }
 
 int open64(const char* path, int flags, ...) {
-  static const auto real = next<int (*)(const char*, int, ...)>("open64");
-  va_list more;
-  va_start(more, flags);
-  const mode_t mode = flags & O_CREAT ? va_arg(more, mode_t) : 0;
-  va_end(more);
-  if (flags & O_CREAT && fires(Kind::diskFull)) return failWith({ENOSPC});
+  static const auto real = nextFunction<int (*)(const char*, int, ...)>("open64");
+  va_list arguments;
+  va_start(arguments, flags);
+  const mode_t mode = flags & O_CREAT ? va_arg(arguments, mode_t) : 0;
+  va_end(arguments);
+  if (flags & O_CREAT && injectFault(Kind::diskFull)) return failWith({ENOSPC});
   return real(path, flags, mode);
 }
 
 int rename(const char* from, const char* to) noexcept {
-  static const auto real = next<int (*)(const char*, const char*)>("rename");
-  return fires(Kind::diskError) ? failWith({EIO, ENOSPC}) : real(from, to);
+  static const auto real = nextFunction<int (*)(const char*, const char*)>("rename");
+  return injectFault(Kind::diskError) ? failWith({EIO, ENOSPC}) : real(from, to);
 }
 
 int unlink(const char* path) noexcept {
-  static const auto real = next<int (*)(const char*)>("unlink");
-  return fires(Kind::diskError) ? failWith({EIO}) : real(path);
+  static const auto real = nextFunction<int (*)(const char*)>("unlink");
+  return injectFault(Kind::diskError) ? failWith({EIO}) : real(path);
 }
 
 }  // extern "C"
--- a/tests/faults/machine.h
+++ b/tests/faults/machine.h
@@ -1,7 +1,6 @@
-// A bad machine: what tests and soaks share with the library that they preload into the program
-// (tests/faults/machine.cpp). The page lies in a file that both map: who drives a test sets how often a kind
-// of fault comes, also while the program runs, and reads how often it came, also after the program was
-// killed.
+// Controls the fault injection of system calls. Tests and soaks share a memory-mapped file with the library
+// that they preload into the program (tests/faults/machine.cpp). A test sets the rate of each kind of fault,
+// also while the program runs, and reads how often each kind was injected, also after the program was killed.
 #pragma once
 
 #include <fcntl.h>
@@ -17,93 +16,104 @@
 
 namespace gulltrestle::faults {
 
+// The kinds of faults, each with the system calls that it affects.
 enum class Kind : std::size_t {
-  shortRead,    // recv takes one to three bytes
-  shortWrite,   // sendmsg takes one to three bytes
+  shortRead,    // recv returns one to three bytes
+  shortWrite,   // sendmsg sends one to three bytes
   interrupted,  // EINTR: recv, sendmsg, accept4, connect, epoll_wait
   memory,       // ENOMEM, ENOBUFS: recv, sendmsg
   epollCtl,     // ENOMEM, ENOSPC: epoll_ctl
-  accepting,    // accept4, as its manual page lists
+  accepting,    // accept4: errors that its manual page lists
   socket,       // EMFILE, ENFILE, ENOBUFS, ENOMEM: socket
   listening,    // EADDRINUSE: bind, listen
-  connecting,   // connect: passing troubles of this machine, and of the network
+  connecting,   // connect: transient errors of the local machine and of the network
   lost,         // recv, sendmsg: ECONNRESET, ETIMEDOUT, EHOSTUNREACH; the connection is reset
   heldUp,       // epoll_wait returns up to 0.15 s late
-  diskFull,     // ENOSPC: open with O_CREAT, write, pwrite, also after a part was written
+  diskFull,     // ENOSPC: open with O_CREAT, write, pwrite; also after a partial write
   diskError,    // EIO: write, pwrite, fsync, fdatasync, rename, unlink
   count
 };
 constexpr std::size_t kKinds = static_cast<std::size_t>(Kind::count);
+// The names of the kinds in reports and traces, by the kind's value.
 constexpr std::array<const char*, kKinds> kNames{
     "short-read", "short-write", "interrupted", "memory",  "epoll-ctl", "accepting", "socket",
     "listening",  "connecting",  "lost",        "held-up", "disk-full", "disk-error"};
 
-struct Page {
-  std::array<std::atomic<std::uint32_t>, kKinds> perMille;   // of the calls that may fail so
-  std::array<std::atomic<std::uint32_t>, kKinds> failFirst;  // so many calls from now on fail
-  std::array<std::atomic<std::uint64_t>, kKinds> fired;
+// The shared memory. All members are lock-free atomics, because two processes access them.
+struct FaultControls {
+  std::array<std::atomic<std::uint32_t>, kKinds> perMille;   // share of the affected calls that fail
+  std::array<std::atomic<std::uint32_t>, kKinds> failFirst;  // number of the next calls that fail
+  std::array<std::atomic<std::uint64_t>, kKinds> fired;      // number of injected faults
   std::atomic<std::uint64_t> seed;
   std::atomic<std::uint32_t>
-      holdAfterStartup;             // the next startup message that is sent holds the wait after it
-  std::atomic<std::uint32_t> held;  // that wait has not begun yet
-  std::atomic<std::int64_t> wallOffsetSeconds;  // of the wall clock, which steps as it is changed
-  std::atomic<std::uint64_t> wallReads;         // with an offset in force
+      blockAfterStartup;                     // 1: the first epoll_wait after the next startup message blocks
+  std::atomic<std::uint32_t> isWaitBlocked;  // 1: that wait is blocked
+  std::atomic<std::int64_t> wallOffsetSeconds;  // added to the wall clock; a change makes the clock step
+  std::atomic<std::uint64_t> wallReads;         // reads of the wall clock with an offset
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free);
 
-// Variable of the environment that names the file of the page.
+// Name of the environment variable with the path of the shared file.
 constexpr const char* kVariable = "GULLTRESTLE_BAD_MACHINE";
 
-// Maps the page in the file, which is made where it is missing. Null where that can't be.
-inline Page* mapPage(const char* path) {
+// Maps the shared file, and creates it if it is missing. Returns null on an error.
+inline FaultControls* mapFaultControls(const char* path) {
   const int file = ::open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   if (file < 0) return nullptr;
-  void* at = ftruncate(file, sizeof(Page)) == 0
-                 ? mmap(nullptr, sizeof(Page), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0)
-                 : MAP_FAILED;
+  void* memory = ftruncate(file, sizeof(FaultControls)) == 0
+                     ? mmap(nullptr, sizeof(FaultControls), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0)
+                     : MAP_FAILED;
   ::close(file);
-  return at == MAP_FAILED ? nullptr : static_cast<Page*>(at);
+  return memory == MAP_FAILED ? nullptr : static_cast<FaultControls*>(memory);
 }
 
-// The side that drives: a machine for one program.
+// The test's end: controls the faults of one program.
 class Machine {
  public:
-  Machine(std::string path, std::uint64_t seed) : path_(std::move(path)), page_(mapPage(path_.c_str())) {
-    if (!page_) throw std::runtime_error("no page at " + path_);
-    page_->seed = seed;
+  Machine(std::string path, std::uint64_t seed)
+      : path_(std::move(path)), controls_(mapFaultControls(path_.c_str())) {
+    if (!controls_) throw std::runtime_error("can't map the file for fault injection " + path_);
+    controls_->seed = seed;
   }
   Machine(const Machine&) = delete;
   Machine& operator=(const Machine&) = delete;
   ~Machine() {
-    munmap(page_, sizeof(Page));
+    munmap(controls_, sizeof(FaultControls));
     unlink(path_.c_str());
   }
 
-  void fail(Kind kind, std::uint32_t perMille) { page_->perMille[index(kind)] = perMille; }
-  void failFirst(Kind kind, std::uint32_t calls) { page_->failFirst[index(kind)] = calls; }
-  void offsetWallClock(std::int64_t seconds) { page_->wallOffsetSeconds = seconds; }
+  // Sets the share of the affected calls that fail.
+  void fail(Kind kind, std::uint32_t perMille) { controls_->perMille[index(kind)] = perMille; }
+  // Makes the next `calls` affected calls fail.
+  void failFirst(Kind kind, std::uint32_t calls) { controls_->failFirst[index(kind)] = calls; }
+  // Sets the offset that is added to the program's wall clock.
+  void offsetWallClock(std::int64_t seconds) { controls_->wallOffsetSeconds = seconds; }
+  // Stops the injection of faults. The counts and the offset of the wall clock stay.
   void heal() {
-    for (auto& one : page_->perMille) one = 0;
-    for (auto& one : page_->failFirst) one = 0;
+    for (auto& value : controls_->perMille) value = 0;
+    for (auto& value : controls_->failFirst) value = 0;
   }
-  // The program stands still ahead of the first wait after it next begins a connection to a node.
-  void holdAfterStartup() { page_->holdAfterStartup = 1; }
-  // False: it has not come to that.
-  bool awaitHeld() const {
-    for (int tries = 0; tries < kMostTries && page_->held == 0; ++tries) usleep(1000);
-    return page_->held != 0;
+  // Makes the program block in the first epoll_wait after the next startup message that it sends to a node.
+  void blockAfterStartup() { controls_->blockAfterStartup = 1; }
+  // Returns false if the program does not block within 30 s.
+  bool waitUntilBlocked() const {
+    for (int poll = 0; poll < kMaxPolls && controls_->isWaitBlocked == 0; ++poll) usleep(1000);
+    return controls_->isWaitBlocked != 0;
   }
-  void release() { page_->held = 0; }
-  std::uint64_t fired(Kind kind) const { return page_->fired[index(kind)]; }
-  std::uint64_t wallReads() const { return page_->wallReads; }
-  // For the program's environment.
+  // Lets the blocked wait continue.
+  void release() { controls_->isWaitBlocked = 0; }
+  // Number of faults of this kind that were injected so far.
+  std::uint64_t fired(Kind kind) const { return controls_->fired[index(kind)]; }
+  // Number of the program's reads of the wall clock with an offset.
+  std::uint64_t wallReads() const { return controls_->wallReads; }
+  // Returns the setting for the program's environment, as NAME=value.
   std::string variable() const { return std::string(kVariable) + "=" + path_; }
 
  private:
-  static constexpr int kMostTries = 30'000;  // of a millisecond
+  static constexpr int kMaxPolls = 30'000;  // one per millisecond
   static std::size_t index(Kind kind) { return static_cast<std::size_t>(kind); }
   std::string path_;
-  Page* page_;
+  FaultControls* controls_;
 };
 
 }  // namespace gulltrestle::faults
--- a/tests/sockets.cpp
+++ b/tests/sockets.cpp
@@ -1,5 +1,5 @@
-// The whole router on loopback sockets, between a fake client, node and discovery. Run as `sockets CASE`:
-// prints what each side saw.
+// Runs the complete router on loopback sockets, with fake clients, a fake node and a fake discovery service.
+// `sockets CASE` prints what the clients and servers received.
 #include <spdlog/spdlog.h>
 
 #include <fstream>
@@ -15,12 +15,12 @@
 
 namespace {
 
-// Of the statements of these keys at the node.
+// Progress of the statements with the keys `slow` and `until-the-end` at the node.
 std::atomic<bool> slowStarted = false, endlessStarted = false, endlessCancelled = false;
 
-// A node: it reports that it is an up-to-date primary; a write gets back as many bytes as it brought; a read
-// of `slow` takes 700 ms, one of `cut` is cut off, one of `huge` gets 64 KiB, one of `until-the-end` has no
-// answer.
+// A fake node. It reports itself as an up-to-date primary. The answer to a write has as many bytes as its
+// value. A read of `slow` takes 700 ms, the answer to `cut` is cut off, the answer to `huge` has 64 KiB, and
+// `until-the-end` is never answered.
 void node(Peer& peer) {
   peer.startup();
   peer.send(postgres::welcome());
@@ -67,23 +67,24 @@
   std::cout << client.answer() << "\n" << client.answer() << "\n" << client.answer() << "\n";
   client.send(write(65536), 1000);
   std::cout << client.answer() << "\n";
-  std::cout << "many that are read late\n";
+  std::cout << "many answers that the client reads late\n";
   std::string statements;
   for (int i = 0; i < 100; ++i) statements += read("huge");
   std::jthread sender([&] { client.send(statements); });
   pause(200);
-  int wholeValues = 0;
-  for (int i = 0; i < 100; ++i) wholeValues += client.answer() == "T D(65536 bytes) C Z ";
-  std::cout << wholeValues << " whole values\n";
+  int completeValues = 0;
+  for (int i = 0; i < 100; ++i) completeValues += client.answer() == "T D(65536 bytes) C Z ";
+  std::cout << completeValues << " complete values\n";
   sender.join();
-  std::cout << "cut off by the node: the read has no more tries, the write may have run\n";
+  std::cout << "cut off by the node: the read has no attempts left, the write may have run\n";
   client.send(read("cut") + write(1, "cut"));
   std::cout << client.answer() << "\n" << client.answer() << "\n";
-  std::cout << "half closed while it waits, then nonsense\n";
+  std::cout << "half-closed while its statement is in flight\n";
   client.send(read("slow"));
   client.closeSending();
   std::cout << client.answer() << client.answer() << "\n";
-  std::cout << "closed while it waits: the node sees that nobody waits any more\n";
+  std::cout << "closed while its statement is in flight: the node's connection is closed; then an invalid "
+               "message\n";
   {
     Peer leaving = router.client();
     leaving.send(read("until-the-end", 60000));
@@ -91,7 +92,7 @@
   }
   endlessCancelled.wait(false);
   Peer other = router.client();
-  other.send("nonsense that is no message");
+  other.send("nonsense that is not a message");
   std::cout << other.answer() << "\n";
 }
 
@@ -105,7 +106,7 @@
     clients.back().send(query(""));
     answered += clients.back().answer() == "I Z ";
   }
-  std::cout << answered << " clients were answered, one after the other, and stayed\n";
+  std::cout << answered << " clients were answered, one after another, and stayed connected\n";
   std::vector<Peer> busy;
   int committed = 0, rejected = 0;
   for (int i = 0; i < 60; ++i) {
@@ -119,11 +120,11 @@
     rejected += answer.starts_with("E(53300)");
   }
   std::cout << committed + rejected
-            << " that came together were answered, some committed: " << (committed > 0)
-            << ", some refused: " << (rejected > 0) << "\n";
+            << " that connected together were answered, some committed: " << (committed > 0)
+            << ", some rejected: " << (rejected > 0) << "\n";
 }
 
-void shutdownInOrder() {
+void gracefulShutdown() {
   FakeServer nodes(node), discovery(silentDiscovery);
   RunningRouter router(discovery, endpointListJson(1, endpointEntryJson(nodes, "s-1", "up")));
   Peer idle = router.client(), busy = router.client();
@@ -136,7 +137,7 @@
   std::cout << "idle: " << idle.answer() << "\n";
 }
 
-// The paths that were requested, in order.
+// Records the requested paths in order.
 class RequestedPaths {
  public:
   // Returns the number of requests so far.
@@ -167,7 +168,8 @@
   peer.send(chunk.str(), 7);
 }
 
-// Discovery answers with half a list, a list, a watch whose version goes back, nothing, and then is silent.
+// Discovery answers with half a list, a list, a watch whose version decreases, and an answer without a list;
+// after that it sends nothing.
 void discoveryFailures() {
   FakeServer first(node), second(node);
   RequestedPaths requested;
@@ -188,21 +190,21 @@
   Peer client = Peer::to(router.port());
   client.send(postgres::startup("worker", "catalog") + query(""));
   client.answer();
-  std::cout << client.answer() << "once the list is known\n";
+  std::cout << client.answer() << "once the list is received\n";
   requested.waitFor(5);
   client.send(read("k"));
   std::cout << client.answer() << "\n";
   requested.print();
 }
 
-// A request for the list that discovery never answers, as it was down: it is repeated well before a
-// transaction that waits for the list times out.
+// Discovery never answers a request for the list, as if it were down. The router must repeat the request well
+// before a transaction that waits for the list times out.
 void unansweredListCall() {
   FakeServer first(node);
-  std::atomic<int> turn = 0;
+  std::atomic<int> requestCount = 0;
   FakeServer discovery([&](Peer& peer) {
     const auto path = pathOf(peer);
-    if (++turn > 2 && path.ends_with("targets"))
+    if (++requestCount > 2 && path.ends_with("targets"))
       return peer.send(http(endpointListJson(5, endpointEntryJson(first, "s-1", "up"))));
     peer.readMore();
   });
@@ -213,7 +215,8 @@
   std::cout << client.answer() << "\n";
 }
 
-// Discovery under a name: serves the list, and a watch without changes.
+// A fake discovery service that serves the list and a watch without changes, and records requests under its
+// name.
 std::function<void(Peer&)> namedDiscovery(const std::string& name, const std::string& entries,
                                           RequestedPaths& requested) {
   return [name, entries, &requested](Peer& peer) {
@@ -225,7 +228,7 @@
   };
 }
 
-// SIGHUP with files that can't be used, and with one that moves discovery.
+// SIGHUP with invalid configuration files, and with one that changes the address of discovery.
 void configurationReload() {
   FakeServer first(node), second(node);
   RequestedPaths requested;
@@ -235,7 +238,7 @@
       requested));
   const std::string path = "reload-" + std::to_string(getpid()) + ".json";
   setenv("BALANCER_CONFIG", path.c_str(), 1);
-  // At the start the variable takes precedence, later the file does.
+  // The environment variable takes precedence at the start, the file at a reload.
   setenv("BALANCER_DISCOVERY", ("127.0.0.1:" + std::to_string(oldDiscovery.port())).c_str(), 1);
   RunningRouter router(oldDiscovery, endpointListJson(0, ""));
   requested.waitFor(2);
@@ -250,9 +253,9 @@
   kill(getpid(), SIGHUP);
   reload("", "an empty file");
   reload(router.text(newDiscovery, endpointListJson(0, "")).substr(0, 150), "half a file");
-  reload(router.text(newDiscovery, endpointListJson(0, "")), "a whole one");
+  reload(router.text(newDiscovery, endpointListJson(0, "")), "a complete file");
   requested.waitFor(4);
-  reload(router.text(newDiscovery, endpointListJson(0, "")), "the same again");
+  reload(router.text(newDiscovery, endpointListJson(0, "")), "the same file again");
   requested.print();
   unlink(path.c_str());
 }
@@ -264,12 +267,12 @@
   sigemptyset(&blocked);
   sigaddset(&blocked, SIGTERM);
   sigaddset(&blocked, SIGHUP);
-  std::signal(SIGHUP, SIG_IGN);  // as a router may be started
+  std::signal(SIGHUP, SIG_IGN);  // as the process that starts a router may have set it
   pthread_sigmask(SIG_BLOCK, &blocked, nullptr);
   spdlog::set_level(spdlog::level::off);
   const std::map<std::string, void (*)()> cases{{"values", largeValuesAndBrokenAnswers},
                                                 {"client-limit", clientLimit},
-                                                {"shutdown", shutdownInOrder},
+                                                {"shutdown", gracefulShutdown},
                                                 {"discovery-failures", discoveryFailures},
                                                 {"unanswered-list-call", unansweredListCall},
                                                 {"configuration-reload", configurationReload}};
--- a/tests/watches.cpp
+++ b/tests/watches.cpp
@@ -1,5 +1,5 @@
-// Endpoint lists and drains that race with other events, on real connections with the program itself:
-// docs/crossings.md has the table. Run as `watches CASE`: prints what each side saw.
+// Endpoint lists and drains that race with other events, on real connections to the program itself;
+// docs/crossings.md has the table. `watches CASE` prints what the clients and nodes received.
 #include <spdlog/spdlog.h>
 
 #include "faults/machine.h"
@@ -16,84 +16,84 @@
                nextId() + ",c=write,d=60000,cluster=1 */");
 }
 
-// An entry of the list.
+// Returns an entry of the endpoint list.
 std::string entryOf(const FakeNode& node, const std::string& id, const std::string& state, bool primary) {
-  auto text = endpointEntryJson(node.server(), id, state);
-  if (!primary) text.replace(text.find("master"), 6, "replica");
-  return text;
+  auto entry = endpointEntryJson(node.server(), id, state);
+  if (!primary) entry.replace(entry.find("master"), 6, "replica");
+  return entry;
 }
-// Two nodes: the first is the primary, or drains and the second one is.
-std::string both(int version, const FakeNode& first, const FakeNode& second, const std::string& stateOfFirst,
-                 bool isSnapshot = true) {
+// Returns a list of two nodes. The first is the primary if it is up; otherwise the second is.
+std::string bothNodesList(int version, const FakeNode& first, const FakeNode& second,
+                          const std::string& stateOfFirst, bool isSnapshot = true) {
   const bool drains = stateOfFirst != "up";
   return endpointListJson(
       version, entryOf(first, "s-1", stateOfFirst, !drains) + "," + entryOf(second, "s-2", "up", drains),
       isSnapshot);
 }
 
-// The JSON over many lines.
-std::string indented(const std::string& text) {
-  std::string out;
-  for (const char c : text) {
-    out += c;
-    if (c == '{' || c == '[' || c == ',') out += "\n   ";
+// Breaks the JSON into many lines.
+std::string indented(const std::string& json) {
+  std::string result;
+  for (const char c : json) {
+    result += c;
+    if (c == '{' || c == '[' || c == ',') result += "\n   ";
   }
-  return out;
+  return result;
 }
 
-// Sends a write and prints its answer, and what both nodes saw.
+// Sends a write and prints its answer and what both nodes have received.
 void printWrite(Program& router, FakeNode& first, FakeNode& second, const std::string& title) {
   Peer client = router.client();
   client.send(write("k"));
-  std::cout << title << ": " << client.answer() << "first saw " << first.receivedKeys() << ", second saw "
-            << second.receivedKeys() << "\n";
+  std::cout << title << ": " << client.answer() << "first received " << first.receivedKeys()
+            << ", second received " << second.receivedKeys() << "\n";
 }
 
 void splitUpdates() {
   FakeNode first, second;
-  FakeDiscovery discovery(both(1, first, second, "up"));
-  Program router(discovery.port(), both(1, first, second, "up"));
+  FakeDiscovery discovery(bothNodesList(1, first, second, "up"));
+  Program router(discovery.port(), bothNodesList(1, first, second, "up"));
   discovery.events.waitFor("watch");
   router.waitForLine("list version 1");
-  const auto text = "\n\n" + indented(both(2, first, second, "draining", false)) + "\n";
-  discovery.sendUpdate(text, 7);
+  const auto update = "\n\n" + indented(bothNodesList(2, first, second, "draining", false)) + "\n";
+  discovery.sendUpdate(update, 7);
   router.waitForLine("list version 2");
   printWrite(router, first, second, "indented and in pieces of 7 bytes");
-  discovery.sendUpdate(both(3, first, second, "up", false) + both(4, first, second, "draining", false) +
-                       "\n\n");
+  discovery.sendUpdate(bothNodesList(3, first, second, "up", false) +
+                       bothNodesList(4, first, second, "draining", false) + "\n\n");
   router.waitForLine("list version 4");
-  printWrite(router, first, second, "two in a row, no line between");
-  std::cout << "calls for the whole list: " << discovery.listCalls() << "\n";
+  printWrite(router, first, second, "two updates without a line break between them");
+  std::cout << "full list calls: " << discovery.listCalls() << "\n";
 }
 
 void watchReset() {
   FakeNode first, second;
-  FakeDiscovery discovery(both(1, first, second, "up"));
-  Program router(discovery.port(), both(1, first, second, "up"));
+  FakeDiscovery discovery(bothNodesList(1, first, second, "up"));
+  Program router(discovery.port(), bothNodesList(1, first, second, "up"));
   discovery.events.waitFor("watch");
-  discovery.setFullList(both(2, first, second, "draining"));
+  discovery.setFullList(bothNodesList(2, first, second, "draining"));
   discovery.resetWatch();
   router.waitForLine("list version 2");
   printWrite(router, first, second, "the watch was reset before the change");
 }
 
-// The watch is silent from its first line on.
+// The watch sends nothing after its first line.
 void silentWatch() {
   FakeNode first, second;
-  FakeDiscovery discovery(both(1, first, second, "up"));
-  Program router(discovery.port(), both(1, first, second, "up"));
+  FakeDiscovery discovery(bothNodesList(1, first, second, "up"));
+  Program router(discovery.port(), bothNodesList(1, first, second, "up"));
   discovery.events.waitFor("watch");
-  discovery.setFullList(both(2, first, second, "draining"));
+  discovery.setFullList(bothNodesList(2, first, second, "draining"));
   discovery.events.waitFor("list", 2);
   router.waitForLine("list version 2");
-  printWrite(router, first, second, "the watch fell silent before the change");
+  printWrite(router, first, second, "the watch became silent before the change");
 }
 
-// Requests that are never answered, rejected, broken off or answered with nonsense are repeated.
+// List calls that are never answered, rejected, cut off or answered with invalid data are repeated.
 void failedListCalls() {
   FakeNode first, second;
-  FakeDiscovery discovery(both(9, first, second, "draining"));
-  const auto body = both(2, first, second, "up");
+  FakeDiscovery discovery(bothNodesList(9, first, second, "draining"));
+  const auto body = bothNodesList(2, first, second, "up");
   discovery.nextList([](Peer& peer) { peer.readMore(); });
   discovery.nextList([](Peer& peer) { peer.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"); });
   discovery.nextList([&](Peer& peer) { peer.send(http(body).substr(0, 150)); });
@@ -104,50 +104,52 @@
   client.send(postgres::startup("worker", "catalog") + query(""));
   client.answer();
   std::cout << client.answer() << "after " << discovery.listCalls() << " calls\n";
-  printWrite(router, first, second, "by the first list that was whole");
+  printWrite(router, first, second, "by the first complete list");
 }
 
-// An answer without a length ends with its connection; a reset is no end, even where the document is
-// complete.
+// An answer without a content length ends when its connection is closed. A reset is not such an end, even if
+// the document is complete.
 void answerWithoutLength() {
   FakeNode first, second;
-  FakeDiscovery discovery(both(9, first, second, "draining"));
+  FakeDiscovery discovery(bothNodesList(9, first, second, "draining"));
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
   Events events;
   discovery.nextList([&](Peer& peer) {
-    peer.send(head + both(2, first, second, "up"));
+    peer.send(head + bothNodesList(2, first, second, "up"));
     events.waitFor("read");
     peer.reset();
   });
-  discovery.nextList([&](Peer& peer) { peer.send(head + both(3, first, second, "draining")), peer.close(); });
+  discovery.nextList(
+      [&](Peer& peer) { peer.send(head + bothNodesList(3, first, second, "draining")), peer.close(); });
   Program router(discovery.port(), endpointListJson(0, ""));
   discovery.events.waitFor("list");
   Peer client = Peer::to(router.port());
   client.send(postgres::startup("worker", "catalog"));
-  client.answer();  // a turn later than the bytes came
+  client.answer();  // one turn of the event loop after the bytes arrived
   events.signal("read");
-  std::cout << "taken first: version 2: ";
+  std::cout << "version 2 was applied first: ";
   std::cout << !router.waitForLine("list version 3") << "\n";
-  printWrite(router, first, second, "by the one that ended in order");
+  printWrite(router, first, second, "by the answer that ended with a close");
 }
 
 void nodeMissingFromList() {
   FakeNode first, second;
   FakeDiscovery discovery(endpointListJson(2, entryOf(second, "s-2", "up", true)));
-  Program router(discovery.port(), both(1, first, second, "up"));
+  Program router(discovery.port(), bothNodesList(1, first, second, "up"));
   router.waitForLine("list version 2");
   discovery.events.waitFor("watch");
-  printWrite(router, first, second, "a whole list without the primary");
+  printWrite(router, first, second, "a full list without the primary");
 }
 
-// The answer to a request for the list is there when a router that was stopped continues, longer after the
-// request than it would have waited. A request that it had abandoned before it was stopped is skipped.
+// The router is suspended after a list call for longer than the timeout of the call. The answer has arrived
+// when it is resumed, and must be applied. A call that the router had abandoned before it was suspended is
+// skipped.
 void stoppedProcess() {
   FakeNode first, second;
-  FakeDiscovery discovery(both(9, first, second, "up"));
+  FakeDiscovery discovery(bothNodesList(9, first, second, "up"));
   Events events;
   std::optional<Program> router;
-  const std::string answer = http(both(5, first, second, "draining"));
+  const std::string answer = http(bothNodesList(5, first, second, "draining"));
   for (int i = 0; i < 12; ++i)
     discovery.nextList([&](Peer& peer) {
       if (!events.has("started")) return void(peer.readMore());
@@ -160,103 +162,108 @@
       router->resume();
       if (isAwaited) peer.readMore();
     });
-  router.emplace(discovery.port(), both(1, first, second, "up"));
+  router.emplace(discovery.port(), bothNodesList(1, first, second, "up"));
   events.signal("started");
   router->waitForLine("list version");
-  printWrite(*router, first, second, "by the first answer that was there");
+  printWrite(*router, first, second, "by the first answer that had arrived");
 }
 
-// Where lists are polled: a watch from the known version comes first, and again after rejections; only an
-// update that can't be used costs a request for the whole list.
+// With polled lists, the router first opens a watch from the known version, and opens it again after
+// rejections. Only an update that can't be parsed causes a call for the full list.
 void polledLists() {
   FakeNode first, second;
-  FakeDiscovery discovery(both(9, first, second, "up"));
+  FakeDiscovery discovery(bothNodesList(9, first, second, "up"));
   const auto reject = [](Peer& peer) { peer.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"); };
   discovery.nextWatch(reject);
   discovery.nextWatch(reject);
-  Program router(discovery.port(), both(1, first, second, "up"), 250, 256, 0, R"("discovery":"on_request",)");
+  Program router(discovery.port(), bothNodesList(1, first, second, "up"), 250, 256, 0,
+                 R"("discovery":"on_request",)");
   discovery.events.waitFor("watch", 3);
-  discovery.sendUpdate(both(2, first, second, "draining", false) + "\n");
+  discovery.sendUpdate(bothNodesList(2, first, second, "draining", false) + "\n");
   router.waitForLine("list version 2");
-  printWrite(router, first, second, "refused twice, then told");
+  printWrite(router, first, second, "rejected twice, then updated");
   discovery.resetWatch();
   discovery.events.waitFor("watch", 4);
-  std::cout << "calls for the whole list after a reset: " << discovery.listCalls() << "\n";
+  std::cout << "full list calls after a reset: " << discovery.listCalls() << "\n";
   discovery.sendUpdate("no list\n");
   router.waitForLine("list version 9");
-  std::cout << "and after a change that can't be read: " << discovery.listCalls() << "\n";
-  printWrite(router, first, second, "by that list");
+  std::cout << "and after an update that can't be parsed: " << discovery.listCalls() << "\n";
+  printWrite(router, first, second, "by the full list");
 }
 
-// SIGHUP moves discovery; an update of the old one arrives in the same turn, before or after.
+// SIGHUP changes the address of discovery. An update from the old address arrives in the same turn, before or
+// after the signal.
 void discoveryMoves() {
   for (const bool isUpdateFirst : {true, false}) {
     FakeNode first, second;
-    FakeDiscovery oldDiscovery(both(1, first, second, "up")),
-        newDiscovery(both(7, first, second, "draining"));
-    Program router(oldDiscovery.port(), both(1, first, second, "up"));
+    FakeDiscovery oldDiscovery(bothNodesList(1, first, second, "up")),
+        newDiscovery(bothNodesList(7, first, second, "draining"));
+    Program router(oldDiscovery.port(), bothNodesList(1, first, second, "up"));
     oldDiscovery.events.waitFor("watch");
     router.waitForLine("list version 1");
-    router.configure(newDiscovery.port(), both(1, first, second, "up"));
+    router.configure(newDiscovery.port(), bothNodesList(1, first, second, "up"));
     router.suspend();
-    const auto update = both(8, first, second, "up", false) + "\n";
+    const auto update = bothNodesList(8, first, second, "up", false) + "\n";
     if (isUpdateFirst) oldDiscovery.sendUpdate(update);
     router.signal(SIGHUP);
     if (!isUpdateFirst) oldDiscovery.sendUpdate(update);
     router.resume();
     newDiscovery.events.waitFor("watch");
     router.waitUntilIdle();
-    printWrite(router, first, second, isUpdateFirst ? "the old place first" : "the signal first");
+    printWrite(router, first, second, isUpdateFirst ? "the update first" : "the signal first");
   }
 }
 
 // --- Drains
 
-// The drain arrives while the connection that a statement waits for is being established.
+// The drain arrives while a statement waits for a connection to be established, in the same turn as the
+// node's greeting or in an earlier one.
 void drainWhileConnecting() {
   for (const bool inSameTurn : {false, true}) {
     FakeNode first({}, 0), second;
-    FakeDiscovery discovery(both(1, first, second, "up"));
-    Program router(discovery.port(), both(1, first, second, "up"), 20000);
+    FakeDiscovery discovery(bothNodesList(1, first, second, "up"));
+    Program router(discovery.port(), bothNodesList(1, first, second, "up"), 20000);
     discovery.events.waitFor("watch");
     Peer client = router.client();
     client.send(write("k"));
     first.events.waitFor("connection");
     if (inSameTurn) router.suspend();
-    discovery.sendUpdate(both(2, first, second, "draining", false) + "\n");
+    discovery.sendUpdate(bothNodesList(2, first, second, "draining", false) + "\n");
     if (!inSameTurn) router.waitForLine("list version 2");
     first.events.signal("greet");
     if (inSameTurn) {
       first.events.waitFor("greeted");
       router.resume();
     }
-    std::cout << (inSameTurn ? "in one turn: " : "in two: ") << client.answer() << "first saw "
-              << first.receivedKeys() << ", second saw " << second.receivedKeys() << "\n";
+    std::cout << (inSameTurn ? "in the same turn: " : "in separate turns: ") << client.answer()
+              << "first received " << first.receivedKeys() << ", second received " << second.receivedKeys()
+              << "\n";
   }
 }
 
-// The same where the connection was reported in the wait before: what epoll reports by level stays first in
-// its list, and the node's greeting is reported ahead of the drain that arrived before it.
+// The same, but the connection was already reported by the previous epoll_wait. Level-triggered descriptors
+// stay first in epoll's ready list, so the node's greeting is reported before the drain, which arrived
+// earlier.
 void drainBeforeGreeting() {
   const std::string folder = scratchFolder("watches");
   faults::Machine machine(folder + "/machine", 1);
   FakeNode first({}, 0), second;
-  FakeDiscovery discovery(both(1, first, second, "up"));
-  Program router(discovery.port(), both(1, first, second, "up"), 20000, 256, 0, "",
+  FakeDiscovery discovery(bothNodesList(1, first, second, "up"));
+  Program router(discovery.port(), bothNodesList(1, first, second, "up"), 20000, 256, 0, "",
                  R"("probes":true,"cancel":true)",
                  {"LD_PRELOAD=" GULLTRESTLE_BAD_MACHINE_LIBRARY, "ASAN_OPTIONS=verify_asan_link_order=0",
                   machine.variable()});
   discovery.events.waitFor("watch");
   Peer client = router.client();
-  machine.holdAfterStartup();
+  machine.blockAfterStartup();
   client.send(write("k"));
-  if (!machine.awaitHeld()) std::cout << "it was not held\n";
+  if (!machine.waitUntilBlocked()) std::cout << "the wait was not blocked\n";
   first.events.waitFor("connection");
-  discovery.sendUpdate(both(2, first, second, "draining", false) + "\n");
+  discovery.sendUpdate(bothNodesList(2, first, second, "draining", false) + "\n");
   first.events.signal("greet");
   first.events.waitFor("greeted");
   machine.release();
-  std::cout << client.answer() << "first saw " << first.receivedKeys() << ", second saw "
+  std::cout << client.answer() << "first received " << first.receivedKeys() << ", second received "
             << second.receivedKeys() << "\n";
 }
 
@@ -264,43 +271,45 @@
 void drainWithStatement() {
   for (const bool isDrainFirst : {true, false}) {
     FakeNode first, second;
-    FakeDiscovery discovery(both(1, first, second, "up"));
-    Program router(discovery.port(), both(1, first, second, "up"));
+    FakeDiscovery discovery(bothNodesList(1, first, second, "up"));
+    Program router(discovery.port(), bothNodesList(1, first, second, "up"));
     discovery.events.waitFor("watch");
     Peer client = router.client();
     client.send(write("before"));
     client.answer();
     router.suspend();
-    if (isDrainFirst) discovery.sendUpdate(both(2, first, second, "draining", false) + "\n");
+    if (isDrainFirst) discovery.sendUpdate(bothNodesList(2, first, second, "draining", false) + "\n");
     client.send(write("k"));
-    if (!isDrainFirst) discovery.sendUpdate(both(2, first, second, "draining", false) + "\n");
+    if (!isDrainFirst) discovery.sendUpdate(bothNodesList(2, first, second, "draining", false) + "\n");
     router.resume();
     std::cout << (isDrainFirst ? "the drain first: " : "the statement first: ") << client.answer()
-              << "first saw " << first.receivedKeys() << ", second saw " << second.receivedKeys() << "\n";
+              << "first received " << first.receivedKeys() << ", second received " << second.receivedKeys()
+              << "\n";
   }
 }
 
-// The node drains as its connection breaks before an answer: the retry goes to the other one.
+// The node starts to drain in the same turn in which its connection breaks before the answer. The retry goes
+// to the other node.
 void drainAtRetry() {
   FakeNode first({"breaks"}), second;
-  FakeDiscovery discovery(both(1, first, second, "up"));
-  Program router(discovery.port(), both(1, first, second, "up"));
+  FakeDiscovery discovery(bothNodesList(1, first, second, "up"));
+  Program router(discovery.port(), bothNodesList(1, first, second, "up"));
   discovery.events.waitFor("watch");
   Peer client = router.client();
   client.send(
       query("SELECT body FROM objects WHERE oid = 'breaks' /* " + nextId() + ",c=read,d=60000,cluster=1 */"));
   first.events.waitFor("received breaks");
   router.suspend();
-  discovery.sendUpdate(both(2, first, second, "draining", false) + "\n");
+  discovery.sendUpdate(bothNodesList(2, first, second, "draining", false) + "\n");
   first.releaseAnswer("breaks");
   first.events.waitFor("broke");
   router.resume();
-  std::cout << client.answer() << "first saw " << first.receivedKeys() << ", second saw "
+  std::cout << client.answer() << "first received " << first.receivedKeys() << ", second received "
             << second.receivedKeys() << "\n";
 }
 
-// A statement is held as there is no primary; one is listed, and drains in the same turn. Then in the other
-// order: the last update counts.
+// A statement is queued because there is no primary. In one turn a primary is listed and starts to drain;
+// then the same in the other order. The last update counts.
 void drainAtRelease() {
   for (const bool isDrainLast : {true, false}) {
     FakeNode first, second;
@@ -322,30 +331,30 @@
     router.resume();
     router.waitForLine("list version 3");
     router.waitUntilIdle();
-    std::cout << (isDrainLast ? "named, then drained: " : "drained, then named: ");
+    std::cout << (isDrainLast ? "listed, then drained: " : "drained, then listed: ");
     if (isDrainLast) {
-      std::cout << "second saw " << second.receivedKeys() << "; ";
+      std::cout << "second received " << second.receivedKeys() << "; ";
       discovery.sendUpdate(listOf(4, "up") + "\n");
     }
-    std::cout << client.answer() << "first saw " << first.receivedKeys() << ", second saw "
+    std::cout << client.answer() << "first received " << first.receivedKeys() << ", second received "
               << second.receivedKeys() << "\n";
   }
 }
 
 // --- Descriptors and starts
 
-// Idle clients use all connections that clients may have while discovery is down: its return is noticed all
-// the same.
+// Idle clients use all client connections while discovery is down. The router must still notice when
+// discovery is available again.
 void discoveryAtClientLimit() {
   FakeNode first, second;
-  FakeDiscovery discovery(both(5, first, second, "draining"));
+  FakeDiscovery discovery(bothNodesList(5, first, second, "draining"));
   Events events;
   for (int i = 0; i < 200; ++i)
     discovery.nextList([&](Peer& peer) {
-      if (events.has("back")) return peer.send(http(both(5, first, second, "draining")));
+      if (events.has("back")) return peer.send(http(bothNodesList(5, first, second, "draining")));
       peer.readMore();
     });
-  Program router(discovery.port(), both(1, first, second, "up"), 250, 64);
+  Program router(discovery.port(), bothNodesList(1, first, second, "up"), 250, 64);
   std::vector<Peer> idle;
   int answered = 0;
   for (int i = 0; i < 70; ++i) {
@@ -353,14 +362,14 @@
     idle.back().send(query(""));
     answered += idle.back().answer() == "I Z ";
   }
-  std::cout << answered << " came, one after the other, and rest\n";
+  std::cout << answered << " connected one after another and stayed idle\n";
   events.signal("back");
   router.waitForLine("list version 5");
-  printWrite(router, first, second, "one more");
+  printWrite(router, first, second, "an additional client");
 }
 
-// The known node is gone, and discovery is silent: the router serves all the same, and each statement is
-// answered in time.
+// The configured node is not running, and discovery never answers. The router must still accept clients, and
+// answer each statement before its deadline.
 void startWithoutDiscovery() {
   unsigned short unusedPort = 0;
   {
@@ -377,18 +386,18 @@
   std::cout << client.answer() << client.answer() << "\n";
 }
 
-// Thirty routers start at the same moment with an outdated list: each accepts clients, serves by the new list
-// and exits with code 0.
+// Thirty routers start at the same moment with an outdated list. Each must accept clients, serve by the new
+// list and exit with code 0.
 void simultaneousStarts() {
   FakeNode first, second;
-  FakeDiscovery discovery(both(5, first, second, "draining"));
+  FakeDiscovery discovery(bothNodesList(5, first, second, "draining"));
   std::atomic<int> ready = 0, served = 0, ended = 0;
   Events events;
   std::vector<std::jthread> routers;
   for (int i = 0; i < 30; ++i)
     routers.emplace_back([&, i] {
       events.waitFor("start");
-      Program router(discovery.port(), both(1, first, second, "up"));
+      Program router(discovery.port(), bothNodesList(1, first, second, "up"));
       Peer client = router.client();
       client.send(query(""));
       ready += client.answer() == "I Z ";
@@ -399,9 +408,10 @@
     });
   events.signal("start");
   routers.clear();
-  const auto saw = second.receivedKeys();
-  std::cout << ready << " ready, " << served << " served, " << ended << " ended with code 0; first saw "
-            << first.receivedKeys() << ", second " << 1 + std::count(saw.begin(), saw.end(), ' ') << "\n";
+  const auto receivedKeys = second.receivedKeys();
+  std::cout << ready << " ready, " << served << " served, " << ended << " ended with code 0; first received "
+            << first.receivedKeys() << ", second "
+            << 1 + std::count(receivedKeys.begin(), receivedKeys.end(), ' ') << "\n";
 }
 
 }  // namespace
