--- a/src/tools/fleet_model/fleet.cpp
+++ b/src/tools/fleet_model/fleet.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-// Any time would do; positions are Unix times, so it is a recent one.
-constexpr Instant kBegin = Instant::atMicros(1'700'000'000'000'000);
-// In windows of this many seconds the committed fraction is measured; with fewer transactions it says little.
+// Simulated time starts at a recent Unix time, as log positions are Unix times.
+constexpr Instant kStartTime = Instant::atMicros(1'700'000'000'000'000);
+// The committed fraction is measured per window. Windows with fewer transactions are skipped, because their
+// fraction is not meaningful.
 constexpr double kWindowSeconds = 10, kMinWindowTxns = 50;
 
-// Shares that differ by up to `imbalance` times the mean, the first the largest.
+// Returns relative shares between 1 and 1 + `imbalance`. The first one is the largest.
 std::vector<double> sharesOf(std::size_t count, double imbalance) {
   std::vector<double> shares;
   for (std::size_t i = 0; i < count; ++i)
@@ -26,11 +27,12 @@
 
 RoutingConfig routingConfigOf(const FleetParameters& parameters) {
   RoutingConfig routing;
-  for (const auto& kind : parameters.trafficClasses) routing.transactionClasses.push_back(kind.type);
+  for (const auto& trafficClass : parameters.trafficClasses)
+    routing.transactionClasses.push_back(trafficClass.type);
   routing.roundInterval = kStep;
-  routing.routerCount =
-      static_cast<unsigned>(parameters.believedRouters > 0 ? parameters.believedRouters : parameters.routers);
-  routing.slowStartFraction = parameters.believesNodesWarm ? 1 : 0.2;
+  routing.routerCount = static_cast<unsigned>(parameters.configuredRouters > 0 ? parameters.configuredRouters
+                                                                               : parameters.routers);
+  routing.slowStartFraction = parameters.assumesNodesWarm ? 1 : 0.2;
   routing.slowStartWindow = Duration::millis(10'000);
   routing.hedgingAllowed = routing.retryAfterAllowed = routing.sessionAgeProvided = true;
   routing.healthChecksAllowed = parameters.allowsHealthChecks;
@@ -43,18 +45,18 @@
 Fleet::Fleet(FleetParameters parameters)
     : parameters_(std::move(parameters)),
       random_(parameters_.seed),
-      begin_(kBegin),
-      now_(kBegin),
+      startTime_(kStartTime),
+      now_(kStartTime),
       nodes_(parameters_.nodeParameters) {
   double work = 0, shares = 0;
-  for (const auto& kind : parameters_.trafficClasses) {
-    work += kind.share * kind.meanWork.inSeconds();
-    shares += kind.share;
+  for (const auto& trafficClass : parameters_.trafficClasses) {
+    work += trafficClass.share * trafficClass.meanWork.inSeconds();
+    shares += trafficClass.share;
   }
   capacity_ = static_cast<double>(nodes_.nodes().size()) * shares / work;
   routerShares_ = sharesOf(parameters_.routers, parameters_.imbalance);
   groupShares_ = sharesOf(parameters_.nodeParameters.groups, parameters_.imbalance * 0.2);
-  result_.kinds.resize(parameters_.trafficClasses.size());
+  result_.valueByClass.resize(parameters_.trafficClasses.size());
   currentList_ = nodes_.endpointList(now_);
   routers_.resize(parameters_.routers);
   incarnations_.resize(parameters_.routers);
@@ -63,28 +65,29 @@
 
 Fleet::~Fleet() = default;
 
-double Fleet::seconds() const { return (now_ - begin_).inSeconds(); }
+double Fleet::seconds() const { return (now_ - startTime_).inSeconds(); }
 
 bool Fleet::isReached(double second) const {
   return second >= 0 && seconds() >= second && seconds() - kStep.inSeconds() < second;
 }
 
 Second& Fleet::secondOf(Instant at) {
-  const auto row = static_cast<std::size_t>((at - begin_).inSeconds());
+  const auto row = static_cast<std::size_t>((at - startTime_).inSeconds());
   if (result_.seconds.size() <= row) result_.seconds.resize(row + 1);
   return result_.seconds[row];
 }
 
-// As a new process; attempts of the one before it go on at the nodes, and nobody learns their outcome.
+// Starts the router as a new process. Attempts of its previous process continue at the nodes, and their
+// outcomes are discarded.
 void Fleet::startRouter(std::size_t router) {
-  if (routers_[router]) levelChangesBefore_ += routers_[router]->levelChanges;
+  if (routers_[router]) levelChangesOfStoppedRouters_ += routers_[router]->levelChanges;
   routers_[router] = std::make_unique<Router>(*this, router, ++incarnations_[router]);
   deliverEndpointList(*routers_[router], currentList_);
 }
 
-// Its clients lose their connections, and retry at other routers.
+// Stops the router. Its clients lose their connections and retry at other routers.
 void Fleet::stopRouter(std::size_t router) {
-  levelChangesBefore_ += routers_[router]->levelChanges;
+  levelChangesOfStoppedRouters_ += routers_[router]->levelChanges;
   for (const auto& [owner, open] : routers_[router]->openRequests) {
     const bool isAtMostOnce =
         parameters_.trafficClasses[open.request.trafficClass].type.effect == Effect::atMostOnce;
@@ -111,30 +114,31 @@
       nodes_.drain(now_, outage.node);
       publishEndpointList();
     }
-    if (!isReached(outage.offAt)) continue;
-    const Instant back = now_ + Duration::seconds(outage.backAt - outage.offAt);
-    loseNode(outage.node, back, {});
+    if (!isReached(outage.stopsAt)) continue;
+    const Instant restartsAt = now_ + Duration::seconds(outage.restartsAt - outage.stopsAt);
+    stopNode(outage.node, restartsAt, {});
     publishEndpointList();
   }
 }
 
-// Routers with a connection to it lose that.
-void Fleet::loseNode(std::size_t node, Instant back, Duration logLost) {
+// Stops the node. Routers that are connected to it lose the connection.
+void Fleet::stopNode(std::size_t node, Instant restartsAt, Duration lostLog) {
   const auto connected = nodes_.nodes()[node].connections;
-  nodes_.lose(now_, node, back, logLost);
+  nodes_.stop(now_, node, restartsAt, lostLog);
   for (const auto& router : routers_)
     if (router && connected.contains(router->connectionKey())) {
       router->transactions.onNodeDisconnected(nodes_.nodes()[node].id);
       router->isDirty = true;
     }
-  nodesBackAt_.insert(back);
+  nodeRestarts_.insert(restartsAt);
 }
 
 void Fleet::injectFaults() {
   const FaultPlan& faults = parameters_.faults;
   applyOutages();
-  const auto backAt = [&](const FaultPlan::Loss& loss) {
-    return now_ + Duration::seconds(std::uniform_real_distribution<>(loss.backFrom, loss.backTo)(random_));
+  const auto drawRestart = [&](const FaultPlan::PowerLoss& powerLoss) {
+    return now_ + Duration::seconds(
+                      std::uniform_real_distribution<>(powerLoss.restartFrom, powerLoss.restartTo)(random_));
   };
   if (isReached(faults.restartAt))
     for (std::size_t i = 0; i < routers_.size(); ++i) startRouter(i);
@@ -142,26 +146,27 @@
     nodes_.drain(now_, nodes_.nodes().size() - 1);
     publishEndpointList();
   }
-  if (isReached(faults.nodesLost.at)) {
+  if (isReached(faults.nodePowerLoss.at)) {
     for (std::size_t i = 0; i < nodes_.nodes().size(); ++i) {
-      if (std::uniform_real_distribution<>()(random_) >= faults.nodesLost.fraction) continue;
-      loseNode(i, backAt(faults.nodesLost), faults.logLost);
+      if (std::uniform_real_distribution<>()(random_) >= faults.nodePowerLoss.fraction) continue;
+      stopNode(i, drawRestart(faults.nodePowerLoss), faults.lostLog);
     }
     publishEndpointList();
   }
-  if (isReached(faults.routersLost.at))
+  if (isReached(faults.routerPowerLoss.at))
     for (std::size_t i = 0; i < routers_.size(); ++i) {
-      if (!routers_[i] || std::uniform_real_distribution<>()(random_) >= faults.routersLost.fraction)
+      if (!routers_[i] || std::uniform_real_distribution<>()(random_) >= faults.routerPowerLoss.fraction)
         continue;
       stopRouter(i);
-      routersBackAt_.emplace(backAt(faults.routersLost), i);
+      routerRestarts_.emplace(drawRestart(faults.routerPowerLoss), i);
     }
-  while (!routersBackAt_.empty() && routersBackAt_.begin()->first <= now_) {
-    startRouter(routersBackAt_.begin()->second);
-    routersBackAt_.erase(routersBackAt_.begin());
+  while (!routerRestarts_.empty() && routerRestarts_.begin()->first <= now_) {
+    startRouter(routerRestarts_.begin()->second);
+    routerRestarts_.erase(routerRestarts_.begin());
   }
-  if (!nodesBackAt_.empty() && *nodesBackAt_.begin() <= now_) {
-    while (!nodesBackAt_.empty() && *nodesBackAt_.begin() <= now_) nodesBackAt_.erase(nodesBackAt_.begin());
+  if (!nodeRestarts_.empty() && *nodeRestarts_.begin() <= now_) {
+    while (!nodeRestarts_.empty() && *nodeRestarts_.begin() <= now_)
+      nodeRestarts_.erase(nodeRestarts_.begin());
     publishEndpointList();
   }
   while (!publishedLists_.empty() && publishedLists_.begin()->first <= now_) {
@@ -186,14 +191,14 @@
   while (seconds() < length) {
     now_ = now_ + kStep;
     injectFaults();
-    if (seconds() - windowBegin_ >= kWindowSeconds) closeWindow();
+    if (seconds() - windowStart_ >= kWindowSeconds) closeWindow();
     while (!retries_.empty() && retries_.begin()->first <= now_) {
       const ClientRequest request = retries_.begin()->second;
       retries_.erase(retries_.begin());
       submit(request);
     }
     std::poisson_distribution<int> arrivals(demand(seconds()) * capacity_ * kStep.inSeconds());
-    for (int n = arrivals(random_); n > 0; --n) generateRequest();
+    for (int remaining = arrivals(random_); remaining > 0; --remaining) generateRequest();
     while (!attemptEnds_.empty() && attemptEnds_.top().at <= now_) {
       const AttemptEnd end = attemptEnds_.top();
       attemptEnds_.pop();
@@ -210,7 +215,7 @@
   if (window_.first >= kMinWindowTxns)
     result_.worstCommittedFraction = std::min(result_.worstCommittedFraction, window_.second / window_.first);
   window_ = {};
-  windowBegin_ = seconds();
+  windowStart_ = seconds();
 }
 
 void Fleet::recordLevel() {
@@ -231,8 +236,8 @@
       result_.violations.unanswered +=
           now_ - open.submittedAt > router->routing.transactionClasses[open.request.trafficClass].deadline;
   }
-  result_.levelChanges += levelChangesBefore_;
-  result_.value = valueRequested_ > 0 ? valueServed_ / valueRequested_ : 0;
+  result_.levelChanges += levelChangesOfStoppedRouters_;
+  result_.value = requestedValue_ > 0 ? servedValue_ / requestedValue_ : 0;
   result_.collapsedNodes = nodes_.collapsedNodes();
 }
 
--- a/src/tools/fleet_model/fleet.h
+++ b/src/tools/fleet_model/fleet.h
@@ -1,7 +1,7 @@
-// A model of the routers of an installation, their clients and the groups of nodes behind them: the project's
-// own transaction tables, degradation controllers and routers run in simulated time against queues. No
-// socket, no wall clock; the same result for the same seed. It knows what truly happened, and counts
-// violations of the rules.
+// Discrete-time simulation of a fleet: clients, routers and groups of nodes. The routers run the project's
+// own transaction tables, degradation controllers and routing in simulated time; nodes are modelled as
+// queues. It uses no sockets and no wall clock, and the result is the same for the same seed. The model knows
+// the true state of all parts and counts violations of the five rules (RuleViolations).
 #pragma once
 
 #include <cstdint>
@@ -23,110 +23,116 @@
 // A transaction class of the modelled traffic.
 struct TrafficClass {
   TransactionClass type;
-  double share = 0;   // of the transactions
-  Duration meanWork;  // of a node's one core; each transaction takes from half to one and a half of it
+  double share = 0;   // relative share of all transactions
+  Duration meanWork;  // CPU time on a node's single core; each transaction takes 0.5 to 1.5 times as long
 };
 
-// Who decides what is rejected in an overload.
+// Which component rejects transactions during an overload: degradation levels, the routing module's own load
+// shedding, or none.
 enum class LoadShedding { byLevels, byModule, nobody };
 
-// What happens beside the load. Times in seconds from the start; below 0: never.
+// The faults to inject. Times are in seconds since the start of the run; a negative time means never.
 struct FaultPlan {
   double replicationStopsAt = -1, replicationResumesAt = -1;  // of all replicas
-  double loadReportDelay = 0;                                 // positions that nodes report are so old
-  double drainAt = -1;                                        // a replica is listed as draining
-  double restartAt = -1;                                      // all routers restart without any state
-  unsigned maxRetriesAfterRejection = 0;                      // at once, as new transactions
-  // Clients retry whatever failed, at any router, until the deadline of their first attempt: after the time
-  // that a rejection names or, where they don't obey that, after retryDelay.
+  double loadReportDelay = 0;             // age of the positions that nodes report, in seconds
+  double drainAt = -1;                    // the last replica is listed as draining
+  double restartAt = -1;                  // all routers restart without any state
+  unsigned maxRetriesAfterRejection = 0;  // clients retry immediately, as new transactions
+  // Clients retry all failed requests, at any router, until the deadline of their first attempt. They wait
+  // for the retry-after time of a rejection or, if they don't obey it, for retryDelay.
   bool retriesUntilDeadline = false, obeysRetryAfter = true;
   Duration retryDelay = Duration::millis(100);
-  double endpointListDelay = 0;  // until routers receive a list
-  // A fraction of the routers, or of the nodes, loses power, and each is back at some time of this window
-  // after it.
-  struct Loss {
-    double at = -1, fraction = 1, backFrom = 0.5, backTo = 3;
+  double endpointListDelay = 0;  // seconds until routers receive an endpoint update
+  // A fraction of the routers, or of the nodes, loses power at time `at`. Each restarts at a random time
+  // between restartFrom and restartTo seconds later.
+  struct PowerLoss {
+    double at = -1, fraction = 1, restartFrom = 0.5, restartTo = 3;
   };
-  Loss routersLost, nodesLost;
-  Duration logLost;  // of replicas that lose power: the end of their log
-  // A node that is taken out for maintenance: listed as draining, off, and back, cold, if it goes off at all.
+  PowerLoss routerPowerLoss, nodePowerLoss;
+  Duration lostLog;  // how much of the end of its log a replica loses with its power
+  // Maintenance of a node: it is listed as draining, then stopped, then restarted with cold caches. If
+  // stopsAt is never reached, it is only drained.
   struct Outage {
     std::size_t node = 0;
-    double drainsAt = 0, offAt = 0, backAt = 0;
+    double drainsAt = 0, stopsAt = 0, restartsAt = 0;
   };
   std::vector<Outage> outages;
-  // Nothing passes between a fraction of the routers and a fraction of the nodes.
+  // A network partition between a fraction of the routers and a fraction of the nodes.
   struct Partition {
     double from = -1, to = -1, routers = 0.3, nodes = 0.3;
   };
   Partition partition;
 };
 
-// What is modelled.
+// Parameters of a simulated fleet.
 struct FleetParameters {
   std::vector<TrafficClass> trafficClasses;
   std::size_t routers = 1;
   NodeParameters nodeParameters;
   bool allowsHealthChecks = false;
-  double imbalance = 0;    // some routers and groups get so many times the mean more; 0: all the same
-  unsigned sessions = 50;  // of clients that read what they wrote
+  double imbalance = 0;  // some routers and groups get this multiple of the base load in addition; 0: uniform
+  unsigned sessions = 50;  // number of client sessions that read their own writes
   LoadShedding loadShedding = LoadShedding::byLevels;
-  // Built-in faults: the number of routers that routers believe in, 0: the true one; nodes count as warm.
-  std::size_t believedRouters = 0;
-  bool believesNodesWarm = false;
-  bool hasAdmissionRamp = false;  // routers that start (recovery/admission_ramp.h)
+  // Deliberate misconfigurations, to test the checks: the number of routers that routers are configured with
+  // (0: the true number), and routers that treat restarted nodes as warm.
+  std::size_t configuredRouters = 0;
+  bool assumesNodesWarm = false;
+  bool hasAdmissionRamp = false;  // for routers after a start, see recovery/admission_ramp.h
   FaultPlan faults;
   std::uint64_t seed = 1;
 };
 
-// How often a rule was truly violated.
+// Number of true violations of each rule.
 struct RuleViolations {
-  std::uint64_t late = 0;                    // final answers past the deadline
-  std::uint64_t unanswered = 0;              // transactions without one, of routers that went on
-  std::uint64_t executedTwice = 0;           // at-most-once transactions that ran more than once
-  std::uint64_t rejectedAfterExecution = 0;  // at-most-once transactions that ran and were rejected
+  std::uint64_t late = 0;           // final answers after the deadline
+  std::uint64_t unanswered = 0;     // transactions without a final answer, at routers that were not stopped
+  std::uint64_t executedTwice = 0;  // at-most-once transactions that were executed more than once
+  std::uint64_t rejectedAfterExecution = 0;  // at-most-once transactions that were executed and rejected
   std::uint64_t stale = 0;                   // reads answered from data older than allowed
-  std::uint64_t sentToDrained = 0;           // attempts to a node a second after it was drained
+  std::uint64_t sentToDrained = 0;           // attempts to a node more than a second after it was drained
   std::uint64_t sum() const {
     return late + unanswered + executedTwice + rejectedAfterExecution + stale + sentToDrained;
   }
 };
 
-// What happened in one second.
+// Statistics of one second.
 struct Second {
-  double valueRequested = 0, valueServed = 0;  // of transactions that were first submitted in it
-  // First submitted in it; of these committed at last, and past their latency target.
+  double valueRequested = 0, valueServed = 0;  // of transactions first submitted in this second
+  // Transactions first submitted in this second; how many of them were committed eventually, and how many of
+  // those after their latency target.
   unsigned txns = 0, committed = 0, late = 0;
   unsigned attempts = 0, healthChecks = 0, connections = 0, rejected = 0;
 };
 
 // The result of one run.
 struct Result {
-  double value = 0;                   // served within the latency target, as a fraction of the requested
-  double worstCommittedFraction = 1;  // of a 10 s window's transactions, the least that were committed
-  unsigned levelChanges = 0, maxLevelChangesPerMinute = 0;  // of all routers; of the first one
+  double value = 0;  // served value as a fraction of the requested value; late answers count in part
+  double worstCommittedFraction = 1;                        // lowest committed fraction of a 10 s window
+  unsigned levelChanges = 0, maxLevelChangesPerMinute = 0;  // of all routers; of the first router
   unsigned maxLevel = 0;
-  // Rejections by a level, as judged by an observer who sees the nodes' queues.
+  // Rejections by a degradation level, classified by the true queue lengths of the nodes.
   std::uint64_t correctRejections = 0, wrongRejections = 0;
-  std::vector<std::pair<double, unsigned>> levels;  // of the first router, by the second of each change
+  std::vector<std::pair<double, unsigned>>
+      levels;  // of the first router: second of each change and new level
   RuleViolations violations;
   std::vector<Second> seconds;
-  std::vector<std::pair<double, double>> kinds;  // value requested and served, by traffic class
-  std::uint64_t collapsedNodes = 0;              // cold nodes that fell over under load
+  std::vector<std::pair<double, double>> valueByClass;  // requested and served value of each traffic class
+  std::uint64_t collapsedNodes = 0;                     // number of cold nodes that collapsed under load
 };
 
-// The model. One for each run.
+// The simulation. An instance serves for one run.
 class Fleet {
  public:
   explicit Fleet(FleetParameters parameters);
   ~Fleet();
 
-  // `demand`: by the second, as a multiple of what the nodes can serve.
+  // Simulates `seconds` seconds. `demand` maps the time in seconds to the load as a multiple of the capacity
+  // of all nodes.
   Result run(double seconds, const std::function<double(double)>& demand);
 
  private:
   struct Router;
-  // An attempt that a node has queued, by when it ends.
+  // The end of an attempt that is queued at a node. Ordered such that a priority queue yields the earliest.
   struct AttemptEnd {
     Instant at;
     std::size_t router;
@@ -137,7 +143,7 @@
     AttemptOutcome outcome;
     bool operator<(const AttemptEnd& other) const { return at > other.at; }
   };
-  // What one client wants, over all its attempts.
+  // A request of a client, including its retries.
   struct ClientRequest {
     std::size_t trafficClass = 0;
     GroupId group = 1;
@@ -146,18 +152,18 @@
     unsigned attempts = 0;
   };
 
-  // --- Faults and lists (fleet.cpp)
-  // Whether this step is the one in which that second begins.
+  // --- Faults and endpoint lists (fleet.cpp)
+  // Returns true in the simulation step in which this time is reached; false for a negative time.
   bool isReached(double second) const;
   void injectFaults();
   void applyOutages();
-  void loseNode(std::size_t node, Instant backAt, Duration logLost);
+  void stopNode(std::size_t node, Instant restartsAt, Duration lostLog);
   void startRouter(std::size_t router);
   void stopRouter(std::size_t router);
   void publishEndpointList();
   void deliverEndpointList(Router& router, const std::vector<transactions::ResolvedEndpoint>& list);
   void endRouterTurns();
-  // --- Results (fleet.cpp): at the end of a window, of a step, and of the run
+  // --- Results (fleet.cpp), recorded at the end of each window, of each step and of the run
   void closeWindow();
   void recordLevel();
   void recordTotals();
@@ -167,38 +173,38 @@
   // --- Requests and attempts (fleet_requests.cpp)
   void generateRequest();
   void submit(ClientRequest request);
-  // While there is time for it.
+  // Schedules a retry, unless the deadline would be reached first.
   void retryLater(ClientRequest request, Duration after);
   void executeAttempt(Router& router, transactions::AttemptId attempt, const NodeId& node);
   void finishAttempt(const AttemptEnd& end);
   void onAnswer(Router& router, transactions::OwnerId owner, bool isCommitted, bool isRejected,
                 Duration retryAfter);
-  void judgeRejection(const ClientRequest& request);
+  void classifyRejection(const ClientRequest& request);
   bool isPartitioned(const Router& router, std::size_t node) const;
   Instant appliedPosition(const NodeModel::Node& node) const;
 
   FleetParameters parameters_;
   std::mt19937_64 random_;
-  Instant begin_, now_;
-  double capacity_ = 0;  // transactions a second
+  Instant startTime_, now_;
+  double capacity_ = 0;  // of all nodes, in transactions per second
   NodeModel nodes_;
-  std::vector<std::unique_ptr<Router>> routers_;    // null: it is down
+  std::vector<std::unique_ptr<Router>> routers_;    // null while the router is stopped
   std::vector<unsigned> incarnations_;              // of each router
-  std::vector<double> routerShares_, groupShares_;  // of the transactions, by router and by group
-  std::multimap<Instant, std::size_t> routersBackAt_;
+  std::vector<double> routerShares_, groupShares_;  // relative shares of the transactions
+  std::multimap<Instant, std::size_t> routerRestarts_;
   std::priority_queue<AttemptEnd> attemptEnds_;
   std::multimap<Instant, ClientRequest> retries_;
-  // By when routers receive them.
+  // Keyed by the time at which routers receive them.
   std::multimap<Instant, std::vector<transactions::ResolvedEndpoint>> publishedLists_;
-  std::vector<transactions::ResolvedEndpoint> currentList_;  // as a router that starts receives it
-  std::set<Instant> nodesBackAt_;
+  std::vector<transactions::ResolvedEndpoint> currentList_;  // the list that a starting router receives
+  std::set<Instant> nodeRestarts_;
   std::map<std::uint64_t, Instant> lastCommits_;  // by session
-  std::pair<double, double> window_;              // transactions submitted and committed in this one
-  double windowBegin_ = 0;                        // in seconds
-  std::deque<Instant> recentChanges_;             // of the first router's level, within a minute
-  unsigned recordedLevel_ = 0;                    // of the first router
-  double valueRequested_ = 0, valueServed_ = 0;
-  unsigned levelChangesBefore_ = 0;  // of routers that have stopped
+  std::pair<double, double> window_;   // transactions submitted and committed in the current window
+  double windowStart_ = 0;             // in seconds
+  std::deque<Instant> recentChanges_;  // level changes of the first router in the last minute
+  unsigned recordedLevel_ = 0;         // last recorded level of the first router
+  double requestedValue_ = 0, servedValue_ = 0;
+  unsigned levelChangesOfStoppedRouters_ = 0;  // of router processes that were stopped
   Result result_;
 };
 
--- a/src/tools/fleet_model/fleet_requests.cpp
+++ b/src/tools/fleet_model/fleet_requests.cpp
@@ -1,5 +1,5 @@
-// The fleet model's requests: what clients submit and retry, what nodes make of attempts, and what the
-// answers are worth.
+// Requests of the fleet model: clients that submit and retry, the execution of attempts at nodes, and the
+// accounting of answers.
 #include <algorithm>
 
 #include "tools/fleet_model/fleet_router.h"
@@ -8,11 +8,11 @@
 
 namespace {
 
-// After which no attempt may go to a node that was drained: rule 3.
+// No attempt may be sent to a node later than this after it was drained: rule 3.
 constexpr Duration kDrainGrace = Duration::millis(1000);
-// A rejection was correct if no replica could have begun the transaction within this fraction of its latency
-// target.
-constexpr double kFreeFraction = 0.35;
+// A rejection was correct if no replica could have started the transaction within this fraction of its
+// latency target.
+constexpr double kFreeReplicaWaitFraction = 0.35;
 
 }  // namespace
 
@@ -24,8 +24,8 @@
   if (groupShares_.size() > 1) request.group = 1 + drawIndex(groupShares_, random_);
   request.firstSubmittedAt = now_;
   const double value = parameters_.trafficClasses[request.trafficClass].type.priorityWeight;
-  valueRequested_ += value;
-  result_.kinds[request.trafficClass].first += value;
+  requestedValue_ += value;
+  result_.valueByClass[request.trafficClass].first += value;
   secondOf(now_).valueRequested += value;
   ++secondOf(now_).txns;
   ++window_.first;
@@ -38,8 +38,9 @@
   const TransactionClass& type = parameters_.trafficClasses[request.trafficClass].type;
   if (request.session == 0 && (type.level == ReadLevel::session || type.level >= ReadLevel::write))
     request.session = 1 + random_() % parameters_.sessions;
-  // Of clients whose router is down, each finds the next that is up.
-  for (std::size_t n = 0; n < routers_.size() && !routers_[index]; ++n) index = (index + 1) % routers_.size();
+  // A client whose router is stopped connects to the next running one.
+  for (std::size_t tried = 0; tried < routers_.size() && !routers_[index]; ++tried)
+    index = (index + 1) % routers_.size();
   if (!routers_[index]) return retryLater(request, parameters_.faults.retryDelay);
   Router& router = *routers_[index];
   Transaction txn;
@@ -52,7 +53,7 @@
   if (request.session > 0) {
     txn.session = request.session;
     const auto commit = lastCommits_.find(request.session);
-    if (commit != lastCommits_.end()) open.mustReflect = commit->second;
+    if (commit != lastCommits_.end()) open.requiredPosition = commit->second;
     txn.writeAge =
         commit == lastCommits_.end() ? Duration() : std::max(now_ - commit->second, Duration::micros(1));
   }
@@ -77,7 +78,7 @@
                           faults.replicationStopsAt >= 0;
   return nodes_.appliedPosition(
       now_, node,
-      hasStopped ? std::optional(begin_ + Duration::seconds(faults.replicationStopsAt)) : std::nullopt);
+      hasStopped ? std::optional(startTime_ + Duration::seconds(faults.replicationStopsAt)) : std::nullopt);
 }
 
 bool Fleet::isPartitioned(const Router& router, std::size_t node) const {
@@ -122,9 +123,10 @@
   const TrafficClass& trafficClass = parameters_.trafficClasses[open->request.trafficClass];
   if (trafficClass.type.effect == Effect::atMostOnce && ++router.executions[attempt.txn] > 1)
     ++result_.violations.executedTwice;
-  // As the replica is when the attempt is sent: it applies more while the attempt waits, which only helps.
+  // The position is taken when the attempt is sent. The replica applies more of the log while the attempt is
+  // queued, so the check is stricter than necessary.
   const Instant applied = appliedPosition(node);
-  if (trafficClass.type.level == ReadLevel::session && applied < open->mustReflect)
+  if (trafficClass.type.level == ReadLevel::session && applied < open->requiredPosition)
     ++result_.violations.stale;
   if (trafficClass.type.level == ReadLevel::bounded && applied < now_ - trafficClass.type.maxStaleness)
     ++result_.violations.stale;
@@ -177,20 +179,20 @@
   ++window_.second;
   const double value =
       type.priorityWeight * (now_ - submittedAt <= type.latencyTarget ? 1 : type.lateValueFraction);
-  valueServed_ += value;
-  result_.kinds[request.trafficClass].second += value;
+  servedValue_ += value;
+  result_.valueByClass[request.trafficClass].second += value;
   Second& second = secondOf(request.firstSubmittedAt);
   second.valueServed += value;
   ++second.committed;
   second.late += now_ - submittedAt > type.latencyTarget;
 }
 
-void Fleet::judgeRejection(const ClientRequest& request) {
+void Fleet::classifyRejection(const ClientRequest& request) {
   const auto& nodes = nodes_.nodes();
   const bool hasFreeReplica = std::any_of(nodes.begin(), nodes.end(), [&](const NodeModel::Node& node) {
     return node.group == request.group && !node.isPrimary && !node.isDraining &&
            node.busyUntil - now_ <
-               parameters_.trafficClasses[request.trafficClass].type.latencyTarget * kFreeFraction;
+               parameters_.trafficClasses[request.trafficClass].type.latencyTarget * kFreeReplicaWaitFraction;
   });
   ++(hasFreeReplica ? result_.wrongRejections : result_.correctRejections);
 }
--- a/src/tools/fleet_model/fleet_router.h
+++ b/src/tools/fleet_model/fleet_router.h
@@ -1,4 +1,4 @@
-// The modelled routers, for the files of the fleet model alone.
+// Simulated router processes. Internal to the fleet model.
 #pragma once
 
 #include <map>
@@ -9,39 +9,40 @@
 
 namespace gulltrestle::fleet_model {
 
-// The length of a simulated step: the interval of routing rounds.
+// Duration of a simulation step, which is also the interval of routing rounds.
 constexpr Duration kStep = Duration::millis(5);
 
-// The routing settings of all routers.
+// Returns the routing configuration, which is the same for all routers.
 RoutingConfig routingConfigOf(const FleetParameters& parameters);
 
-// Draws an index with these weights.
+// Returns a random index, with probabilities in proportion to the weights.
 inline std::size_t drawIndex(const std::vector<double>& weights, std::mt19937_64& random) {
   return std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(random);
 }
 
-// One router process: its transaction table, degradation controller and the requests of its clients.
+// One router process: its transaction table, degradation controller and admission ramp, and the open requests
+// of its clients.
 struct Fleet::Router final : transactions::DownstreamHandler,
                              transactions::UpstreamTransport,
                              transactions::AdmissionController {
-  Router(Fleet& ofFleet, std::size_t ofIndex, unsigned ofIncarnation)
-      : fleet(ofFleet),
-        index(ofIndex),
-        incarnation(ofIncarnation),
-        routing(routingConfigOf(ofFleet.parameters_)),
-        levels({}, ofFleet.parameters_.seed + ofIndex),
-        transactions(routing, ofFleet.parameters_.seed * 1000 + ofIndex, 1 << 20, [] {}) {
+  Router(Fleet& owningFleet, std::size_t routerIndex, unsigned routerIncarnation)
+      : fleet(owningFleet),
+        index(routerIndex),
+        incarnation(routerIncarnation),
+        routing(routingConfigOf(owningFleet.parameters_)),
+        levels({}, owningFleet.parameters_.seed + routerIndex),
+        transactions(routing, owningFleet.parameters_.seed * 1000 + routerIndex, 1 << 20, [] {}) {
     transactions.addTransport(*this);
-    if (ofFleet.parameters_.loadShedding == LoadShedding::byLevels)
+    if (owningFleet.parameters_.loadShedding == LoadShedding::byLevels)
       transactions.enableDegradation(levels, degradation::defaultAdmissionTable(routing.transactionClasses),
                                      [this](const degradation::Change&) { ++levelChanges; });
-    if (!ofFleet.parameters_.hasAdmissionRamp) return;
+    if (!owningFleet.parameters_.hasAdmissionRamp) return;
     const recovery::AdmissionRampConfig rampConfig{.routers = routing.routerCount,
                                                    .initialRatePerNode = recovery::kInitialRatePerNode,
                                                    .maxRetryAfter = routing.maxRetryAfter,
-                                                   .seed = ofFleet.parameters_.seed * 1000 + ofIndex};
-    ramp.emplace(ofFleet.now_, rampConfig);
-    ramp->setNodeCount(ofFleet.nodes_.nodes().size());
+                                                   .seed = owningFleet.parameters_.seed * 1000 + routerIndex};
+    ramp.emplace(owningFleet.now_, rampConfig);
+    ramp->setNodeCount(owningFleet.nodes_.nodes().size());
     transactions.setAdmissionController(this);
   }
 
@@ -49,7 +50,7 @@
     fleet.onAnswer(*this, owner, true, false, {});
   }
   void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override {
-    if (level > 0) fleet.judgeRejection(openRequests.at(owner).request);
+    if (level > 0) fleet.classifyRejection(openRequests.at(owner).request);
     fleet.onAnswer(*this, owner, false, true, retryAfter);
   }
   void rolledBack(transactions::OwnerId owner) override { fleet.onAnswer(*this, owner, false, false, {}); }
@@ -72,13 +73,14 @@
   void onLoadReport(const NodeId&, const LoadReport&) override {}
   void onNodeDisconnected(const NodeId&) override {}
 
+  // A submitted request without a final answer.
   struct OpenRequest {
     ClientRequest request;
     Instant submittedAt;
-    Instant mustReflect;  // when its session had committed last
+    Instant requiredPosition;  // time of the last commit of its session before it was submitted
     TxnId txn;
   };
-  // Names this incarnation at the nodes, for its connections.
+  // Identifies the connections of this incarnation at the nodes.
   std::uint64_t connectionKey() const { return index * 1'000'000 + incarnation; }
 
   Fleet& fleet;
@@ -88,12 +90,12 @@
   degradation::DegradationController levels;
   transactions::TransactionTable transactions;
   std::optional<recovery::AdmissionRamp> ramp;
-  Instant due;          // of its next turn, if nothing happens
-  bool isDirty = true;  // something has happened since its last turn
+  Instant due;          // time of its next turn, if no event occurs before
+  bool isDirty = true;  // an event has occurred since its last turn
   unsigned levelChanges = 0;
   std::map<transactions::OwnerId, OpenRequest> openRequests;
   std::map<TxnId, transactions::OwnerId> owners;
-  std::map<TxnId, unsigned> executions;  // of at-most-once transactions
+  std::map<TxnId, unsigned> executions;  // number of executions of each at-most-once transaction
   transactions::OwnerId lastOwner = 0;
 };
 
--- a/src/tools/fleet_model/node_model.h
+++ b/src/tools/fleet_model/node_model.h
@@ -1,6 +1,6 @@
-// The modelled nodes, as they truly are: each a queue before one core, replication that lags, cold starts, a
-// price for each new connection, losses of power. Routers learn of it by load reports and endpoint lists
-// alone.
+// Simulated nodes and their true state. Each node is a queue in front of a single core, with replication lag,
+// cold caches after a start, a cost for each new connection, and power losses. Routers learn of this state
+// only from load reports and endpoint lists.
 #pragma once
 
 #include <cstdint>
@@ -16,66 +16,70 @@
 
 namespace gulltrestle::fleet_model {
 
-// What nodes are like. Durations below zero make no sense; a fraction is from 0 to 1.
+// Parameters of the nodes. Durations must not be negative; fractions are from 0 to 1.
 struct NodeParameters {
-  std::size_t groups = 1, replicas = 2;            // each group has a primary and so many replicas
-  Duration maxQueueWait = Duration::millis(2000);  // a node rejects what would wait for longer
+  std::size_t groups = 1, replicas = 2;            // each group has a primary and this many replicas
+  Duration maxQueueWait = Duration::millis(2000);  // a node rejects transactions that would wait longer
   Duration replicationLag = Duration::millis(40);
-  double coldSpeedFraction = 1;  // of its speed, that a node has as it starts
-  Duration warmUpDuration;       // until it has all of it
-  Duration connectionWork;       // to accept a new connection
+  double coldSpeedFraction = 1;  // speed of a node at its start, relative to a warm node
+  Duration warmUpDuration;       // time from the start until full speed
+  Duration connectionWork;       // CPU time to accept a new connection
   Duration healthCheckWork = Duration::micros(200);
-  Duration collapseWait;  // a cold node falls over where work would wait for longer; zero: it does not
-  Duration collapseDuration = Duration::millis(3000);  // until it is back, cold
+  Duration collapseWait;  // a cold node collapses if work would wait longer; zero: never
+  Duration collapseDuration = Duration::millis(3000);  // time until it restarts, cold
 };
 
-// All nodes of all groups. Nodes are addressed by their index.
+// All nodes of all groups. Nodes are addressed by index.
 class NodeModel {
  public:
+  // The true state of a node.
   struct Node {
     NodeId id;
     GroupId group = 0;
     bool isPrimary = false, isDraining = false;
     Instant busyUntil, drainedAt, startedAt;
-    Instant backAt;  // it is down before
+    Instant restartsAt;  // the node is down before this time
     unsigned incarnation = 0;
-    std::deque<Instant> inFlightEnds;     // when each of the transactions in flight ends
-    Instant recoveredLogEnd;              // how far its log reached as it came back; never: it lost none
+    std::deque<Instant> inFlightEnds;     // when each transaction in flight ends, ascending
+    Instant recoveredLogEnd;              // log position at its restart; zero if no log was lost
     std::set<std::uint64_t> connections;  // by router incarnation
   };
 
   explicit NodeModel(NodeParameters parameters);
 
   enum class ServeOutcome { served, rejected, noConnection };
+  // How a node handled an attempt.
   struct ServeResult {
     ServeOutcome outcome = ServeOutcome::served;
-    Instant end;                   // of the work
-    bool isNewConnection = false;  // one was opened for it
+    Instant end;                   // when the work is done
+    bool isNewConnection = false;  // a connection was opened for it
   };
-  // `router`: a router incarnation, for its connection; `work`: called, and so drawn, unless it is rejected.
+  // Queues work at a node. `router`: identifies the router incarnation, for its connection. `work` returns
+  // the CPU time; it is not called if the attempt is rejected, so no random number is drawn then.
   ServeResult serve(Instant now, std::size_t node, std::uint64_t router,
                     const std::function<Duration()>& work);
 
   void drain(Instant now, std::size_t node);
-  // The node goes down now, and is back cold then; what it had in flight is lost. A replica has lost so much
-  // of the end of its log, too, and catches up from there.
-  void lose(Instant now, std::size_t node, Instant backAt, Duration logLost = {});
-  bool isUp(Instant now, std::size_t node) const { return nodes_[node].backAt <= now; }
+  // Stops the node until `restartsAt`, when it starts with cold caches. Its transactions in flight are lost.
+  // A replica also loses the last `lostLog` of its log and catches up from there.
+  void stop(Instant now, std::size_t node, Instant restartsAt, Duration lostLog = {});
+  bool isUp(Instant now, std::size_t node) const { return nodes_[node].restartsAt <= now; }
 
-  // The node has applied all commits up to there. `stoppedAt`: when replication stopped.
+  // Returns the commit time up to which the node has applied all commits. `stoppedAt`: when replication
+  // stopped, if it has.
   Instant appliedPosition(Instant now, const Node& node, std::optional<Instant> stoppedAt) const;
-  // Transactions in flight at the node, of all routers.
+  // Returns the number of transactions in flight at the node, over all routers.
   double inFlight(Instant now, std::size_t node);
-  // As discovery would list the nodes if it knew all at this moment.
+  // Returns the endpoint list that discovery would publish if it knew the true state of all nodes.
   std::vector<transactions::ResolvedEndpoint> endpointList(Instant now) const;
 
   const std::vector<Node>& nodes() const { return nodes_; }
   std::size_t indexOf(const NodeId& id) const;
-  // Cold nodes that fell over so far.
+  // Number of cold nodes that have collapsed so far.
   std::uint64_t collapsedNodes() const { return collapsedNodes_; }
 
  private:
-  // As a fraction of a warm node's.
+  // Returns the speed of the node relative to a warm node.
   double speed(Instant now, const Node& node) const;
 
   NodeParameters parameters_;
--- a/src/tools/fleet_model/scenario_check.cpp
+++ b/src/tools/fleet_model/scenario_check.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-// The fraction that has to be served of what a single router serves, as in the users' standing test. It says
-// nothing where a single router serves little, or for a traffic class of which few transactions come.
+// Each traffic class must get at least this fraction of the value that a single router serves, as in the
+// users' regular test. The comparison is not meaningful, and is skipped, if the single router serves little
+// or if the traffic class has few transactions.
 constexpr double kMinServedFraction = 0.5, kMinSingleRouterFraction = 0.3, kMinShare = 0.05;
-// Over all routers: more health checks than that are more than what they are for.
+// Maximum over all routers; with more, health checks would be more traffic than the transactions they serve.
 constexpr double kMaxHealthChecksPerTxn = 2;
 
-std::string figure(double value) {
+std::string formatFraction(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.2f", value);
   return text;
@@ -33,31 +34,34 @@
 
 }  // namespace
 
-std::vector<std::string> faultsOf(const Scenario& scenario, const Result& result,
-                                  const Result& singleRouter) {
-  std::vector<std::string> faults;
+std::vector<std::string> failuresOf(const Scenario& scenario, const Result& result,
+                                    const Result& singleRouter) {
+  std::vector<std::string> failures;
   const RuleViolations& violations = result.violations;
-  for (const auto& [count, what] : {std::pair{violations.late, "answered too late"},
-                                    {violations.unanswered, "never answered"},
-                                    {violations.executedTwice, "ran twice"},
-                                    {violations.rejectedAfterExecution, "ran and were refused"},
-                                    {violations.stale, "read data that is too old"},
-                                    {violations.sentToDrained, "were sent to a drained node"}})
-    if (count > 0) faults.push_back(std::to_string(count) + " txns " + what);
+  for (const auto& [count, description] : {std::pair{violations.late, "were answered after their deadline"},
+                                           {violations.unanswered, "were never answered"},
+                                           {violations.executedTwice, "were executed twice"},
+                                           {violations.rejectedAfterExecution, "were executed and rejected"},
+                                           {violations.stale, "read data that is too stale"},
+                                           {violations.sentToDrained, "were sent to a drained node"}})
+    if (count > 0) failures.push_back(std::to_string(count) + " txns " + description);
   if (result.collapsedNodes > singleRouter.collapsedNodes)
-    faults.push_back(std::to_string(result.collapsedNodes - singleRouter.collapsedNodes) +
-                     " cold nodes were pushed over");
+    failures.push_back(std::to_string(result.collapsedNodes - singleRouter.collapsedNodes) +
+                       " cold nodes were pushed over");
   for (std::size_t row = 0; row < scenario.parameters.trafficClasses.size(); ++row) {
-    const double served = servedFraction(result.kinds[row]), could = servedFraction(singleRouter.kinds[row]);
-    if (scenario.parameters.trafficClasses[row].share < kMinShare || could < kMinSingleRouterFraction ||
-        served >= could * kMinServedFraction)
+    const double served = servedFraction(result.valueByClass[row]),
+                 servedBySingleRouter = servedFraction(singleRouter.valueByClass[row]);
+    if (scenario.parameters.trafficClasses[row].share < kMinShare ||
+        servedBySingleRouter < kMinSingleRouterFraction ||
+        served >= servedBySingleRouter * kMinServedFraction)
       continue;
-    faults.push_back("of txn type " + std::to_string(row) + " " + figure(served) + " is served where " +
-                     figure(could) + " could be");
+    failures.push_back("transaction class " + std::to_string(row) + ": served fraction " +
+                       formatFraction(served) + ", expected at least half of " +
+                       formatFraction(servedBySingleRouter) + " (single router)");
   }
   if (const double healthChecks = healthChecksPerTxnOf(result); healthChecks > kMaxHealthChecksPerTxn)
-    faults.push_back(figure(healthChecks) + " probes a txn");
-  return faults;
+    failures.push_back(formatFraction(healthChecks) + " health checks per txn");
+  return failures;
 }
 
 ScenarioResult checkScenario(const Scenario& scenario) {
@@ -65,7 +69,7 @@
   check.result = Fleet(scenario.parameters).run(scenario.seconds, scenario.demand);
   const Scenario single = withSingleRouter(scenario);
   const Result singleRouter = Fleet(single.parameters).run(single.seconds, single.demand);
-  check.faults = faultsOf(scenario, check.result, singleRouter);
+  check.failures = failuresOf(scenario, check.result, singleRouter);
   check.value = check.result.value;
   check.singleRouterValue = singleRouter.value;
   check.healthChecksPerTxn = healthChecksPerTxnOf(check.result);
--- a/src/tools/fleet_simulator/outage_orders.cpp
+++ b/src/tools/fleet_simulator/outage_orders.cpp
@@ -12,26 +12,29 @@
 
 constexpr std::size_t kZones = 3, kGroupsPerMachine = 3, kNodesPerGroup = 4;  // a primary and three replicas
 constexpr unsigned kMachinesInProgress = 5;
-// In seconds: from the drain until all routers have reported that they have drained, or what an operator
-// waits; the work; until a node that is back is warm; and the start of the first drain.
-constexpr double kRoutersDrain = 2, kOperatorWait = 1, kWork = 3, kWarmUp = 10, kFirstDrain = 5;
+// Durations of the phases of an outage: from the drain until all routers have reported it as complete, or
+// until an operator who doesn't wait for them stops the machine; the work; from the restart of a node until
+// it is warm. The first drain starts at kFirstDrainSeconds.
+constexpr double kRouterDrainSeconds = 2, kOperatorWaitSeconds = 1, kWorkSeconds = 3, kWarmUpSeconds = 10,
+                 kFirstDrainSeconds = 5;
 
-// One machine's outage, in seconds.
+// Times of the outage of one machine, in seconds.
 struct MachineOutage {
-  double drainsAt = 0, offAt = 0, backAt = 0;
+  double drainsAt = 0, stopsAt = 0, restartsAt = 0;
 };
 
 MachineOutage outageAt(double drainsAt, double drainTime) {
-  return {drainsAt, drainsAt + drainTime, drainsAt + drainTime + kWork};
+  return {drainsAt, drainsAt + drainTime, drainsAt + drainTime + kWorkSeconds};
 }
 
-void add(const maintenance::Machine& machine, const MachineOutage& outage, Schedule& schedule) {
+// Adds the outages of all nodes of the machine.
+void addOutage(const maintenance::Machine& machine, const MachineOutage& outage, Schedule& schedule) {
   for (const auto& node : machine.nodes)
-    schedule.outages.push_back({std::stoul(node), outage.drainsAt, outage.offAt, outage.backAt});
-  schedule.ends = std::max(schedule.ends, outage.backAt + kWarmUp);
+    schedule.outages.push_back({std::stoul(node), outage.drainsAt, outage.stopsAt, outage.restartsAt});
+  schedule.endSeconds = std::max(schedule.endSeconds, outage.restartsAt + kWarmUpSeconds);
 }
 
-// Nodes are named by their index in the fleet model.
+// Returns the state of a healthy fleet. The name of a node is its index in the fleet model.
 maintenance::FleetState fleetOf(std::size_t groups) {
   maintenance::FleetState fleet;
   fleet.routers["r"].isAlive = true;
@@ -44,7 +47,7 @@
   return fleet;
 }
 
-// By name, as an operator's list has them: machine by machine, whatever the zone.
+// Returns a plan with all machines ordered by name, as in an operator's list, independent of their zones.
 maintenance::Plan planOf(std::size_t groups) {
   maintenance::Plan plan;
   for (std::size_t slot = 0; slot * kGroupsPerMachine < groups; ++slot)
@@ -52,7 +55,7 @@
       maintenance::Machine machine;
       machine.name = "m" + std::to_string(1000 + slot * kZones + zone);
       machine.zone = std::to_string(zone);
-      machine.expectedDuration = Duration::seconds(kWork);
+      machine.expectedDuration = Duration::seconds(kWorkSeconds);
       const std::size_t end = std::min(groups, (slot + 1) * kGroupsPerMachine);
       for (std::size_t group = slot * kGroupsPerMachine; group < end; ++group)
         machine.nodes.push_back(std::to_string(group * kNodesPerGroup + 1 + zone));
@@ -61,36 +64,37 @@
   return plan;
 }
 
-Schedule byName(const maintenance::Plan& plan) {
+Schedule scheduleByName(const maintenance::Plan& plan) {
   Schedule schedule;
-  double now = kFirstDrain;
+  double now = kFirstDrainSeconds;
   for (const auto& machine : plan.machines) {
-    add(machine, outageAt(now, kOperatorWait), schedule);
-    now += kOperatorWait + kWork;
+    addOutage(machine, outageAt(now, kOperatorWaitSeconds), schedule);
+    now += kOperatorWaitSeconds + kWorkSeconds;
   }
   return schedule;
 }
 
-Schedule byZone(const maintenance::Plan& plan) {
+Schedule scheduleByZone(const maintenance::Plan& plan) {
   Schedule schedule;
-  double now = kFirstDrain;
-  for (std::size_t zone = 0; zone < kZones; ++zone, now += kOperatorWait + kWork)
+  double now = kFirstDrainSeconds;
+  for (std::size_t zone = 0; zone < kZones; ++zone, now += kOperatorWaitSeconds + kWorkSeconds)
     for (const auto& machine : plan.machines)
-      if (machine.zone == std::to_string(zone)) add(machine, outageAt(now, kOperatorWait), schedule);
+      if (machine.zone == std::to_string(zone))
+        addOutage(machine, outageAt(now, kOperatorWaitSeconds), schedule);
   return schedule;
 }
 
-Schedule byScheduling(maintenance::Plan plan, const maintenance::FleetState& fleet) {
+Schedule scheduleByScheduler(maintenance::Plan plan, const maintenance::FleetState& fleet) {
   Schedule schedule;
   maintenance::Bounds bounds;
   bounds.maxMachinesInProgress = kMachinesInProgress;
-  double now = kFirstDrain;
-  std::multimap<double, std::string> inProgress;  // machines, by when they are warm
+  double now = kFirstDrainSeconds;
+  std::multimap<double, std::string> inProgress;  // machine names by the time at which they are warm
   for (;;) {
     while (const maintenance::Machine* next = maintenance::nextMachine(plan, fleet, bounds, {})) {
-      const MachineOutage outage = outageAt(now, kRoutersDrain);
-      add(*next, outage, schedule);
-      inProgress.emplace(outage.backAt + kWarmUp, next->name);
+      const MachineOutage outage = outageAt(now, kRouterDrainSeconds);
+      addOutage(*next, outage, schedule);
+      inProgress.emplace(outage.restartsAt + kWarmUpSeconds, next->name);
       plan.find(next->name)->phase = maintenance::Phase::released;
     }
     if (inProgress.empty()) return schedule;
@@ -110,10 +114,10 @@
 
 Schedule scheduleOf(const std::string& order, std::size_t groups) {
   if (order == "none") return {};
-  if (order == "names") return byName(planOf(groups));
-  if (order == "zones") return byZone(planOf(groups));
-  if (order == "settled") return byScheduling(planOf(groups), fleetOf(groups));
-  throw std::invalid_argument("'" + order + "' is no order");
+  if (order == "names") return scheduleByName(planOf(groups));
+  if (order == "zones") return scheduleByZone(planOf(groups));
+  if (order == "settled") return scheduleByScheduler(planOf(groups), fleetOf(groups));
+  throw std::invalid_argument("'" + order + "' is not a known order");
 }
 
 }  // namespace gulltrestle::fleet_simulator
--- a/src/tools/fleet_simulator/outage_orders.h
+++ b/src/tools/fleet_simulator/outage_orders.h
@@ -1,4 +1,4 @@
-// Orders in which modelled machines are taken out for maintenance, to compare what each costs (simulated).
+// Orders in which simulated machines are taken down for maintenance, to compare their cost in served value.
 #pragma once
 
 #include <string>
@@ -8,23 +8,26 @@
 
 namespace gulltrestle::fleet_simulator {
 
-// The orders, for maintenance of all replicas: three zones, each machine with three replicas of its zone, of
-// three groups. The work takes some seconds, as a day of hours would take too long to simulate.
+// Names of the orders for maintenance of all replicas. There are three zones, and each machine hosts three
+// replicas of its zone, of three groups. The work on a machine takes seconds instead of hours, because a run
+// of hours would take too long to simulate.
+//
 //   none      no maintenance
-//   settled   as routers schedule it: by src/maintenance, five machines at once, each back and warm before
-//             the next
-//   names     by name, one after another; off a second after the drain, the next one once it is back
-//   zones     a zone at a time
+//   settled   the schedule of the routers, computed by src/maintenance: up to five machines at the same time;
+//             a machine is in progress until it has restarted and is warm
+//   names     by machine name, one at a time: each is stopped one second after its drain, and the next one
+//             follows once it has restarted
+//   zones     all machines of a zone at the same time, zone by zone
 const std::vector<std::string>& orderNames();
 
-// When each node is out, and when the last one is warm again, in seconds.
+// The outage of each node, and the time in seconds at which the last node is warm after it.
 struct Schedule {
   std::vector<fleet_model::FaultPlan::Outage> outages;
-  double ends = 0;
+  double endSeconds = 0;
 };
 
-// `groups`: of a primary and three replicas each, as fleet_model::scenarioNamed() makes them. Throws
-// std::invalid_argument for an order that is none.
+// Returns the schedule for `groups` groups of a primary and three replicas each, as in
+// fleet_model::makeScenario(). Throws std::invalid_argument for an unknown order.
 Schedule scheduleOf(const std::string& order, std::size_t groups);
 
 }  // namespace gulltrestle::fleet_simulator
--- a/src/tools/simulator_adapter/adapter.cpp
+++ b/src/tools/simulator_adapter/adapter.cpp
@@ -16,52 +16,55 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 3> kHealths{"live", "quiescing", "dead"};
-constexpr std::array<std::string_view, 4> kListForms{"diff", "snapshot", "disk", "error"};
-constexpr std::array<std::string_view, 9> kOutcomes{"served",     "server_error",  "turned_away",
-                                                    "no_answer",  "no_connection", "connection_lost",
-                                                    "called_off", "not_sent",      "not_stored"};
+constexpr std::array<std::string_view, 3> kHealthNames{"live", "quiescing", "dead"};
+constexpr std::array<std::string_view, 4> kListFormNames{"diff", "snapshot", "disk", "error"};
+constexpr std::array<std::string_view, 9> kOutcomeNames{"served",     "server_error",  "turned_away",
+                                                        "no_answer",  "no_connection", "connection_lost",
+                                                        "called_off", "not_sent",      "not_stored"};
 
-Duration micros(std::uint64_t n) { return Duration::micros(static_cast<std::int64_t>(n)); }
+Duration micros(std::uint64_t count) { return Duration::micros(static_cast<std::int64_t>(count)); }
 
+// An endpoint list, and the zone of each entry. Routers of different zones share it.
 struct EndpointDirectory {
   std::vector<EndpointEntry> entries;
   std::vector<std::string> zones;
 };
 
-// A line held until its router's turn, with the list it refers to as that stood when the line came.
+// A line that is queued until the whole batch has been read, with the endpoint list that it refers to. The
+// list is the one that was current when the line was read: a later line may replace it.
 struct ReceivedLine {
   std::size_t number;
   MessageLine line;
   std::shared_ptr<const EndpointDirectory> directory;
 };
 
-// One router and what the wire says about reading its lines.
+// One router, with the settings of its POWER_ON line that are needed to parse its other lines.
 class RouterInstance {
  public:
   explicit RouterInstance(const MessageLine& start) : RouterInstance(start, deployment::read(start)) {}
 
   Router& router() { return router_; }
 
-  void deliver(Router& to, const ReceivedLine& received) const {
+  void deliver(Router& router, const ReceivedLine& received) const {
     const MessageLine& line = received.line;
     const auto tag = line.tag();
     if (tag == "INCOMING") {
-      to.onTransaction(readTransaction(line));
+      router.onTransaction(readTransaction(line));
     } else if (tag == "FINISHED") {
-      to.onAttemptEnded(line.whole("rid"), static_cast<unsigned>(line.whole("sendNo")),
-                        NodeId(line.text("node")), outcomeOf(line), line.flag("last"),
-                        micros(line.whole("latency", 0)), loadReportOfAnswer(line), loadReportOfUsage(line));
+      router.onAttemptEnded(line.whole("rid"), static_cast<unsigned>(line.whole("sendNo")),
+                            NodeId(line.text("node")), outcomeOf(line), line.flag("last"),
+                            micros(line.whole("latency", 0)), loadReportOfAnswer(line),
+                            loadReportOfUsage(line));
     } else if (tag == "PROBE_DONE") {
-      to.onHealthCheckEnded(NodeId(line.text("node")), outcomeOf(line), loadReportOfUsage(line));
+      router.onHealthCheckEnded(NodeId(line.text("node")), outcomeOf(line), loadReportOfUsage(line));
     } else if (tag == "DUE") {
-      line.whole("name");  // the round itself is all that was asked for
+      line.whole("name");  // requests a routing round; the name is only validated
     } else if (tag == "CANCELLED_BY_CLIENT") {
-      to.onClientLeft(line.whole("rid"));
+      router.onClientLeft(line.whole("rid"));
     } else if (tag == "FLOWING") {
-      to.onStreamStarted(line.whole("rid"));
+      router.onStreamStarted(line.whole("rid"));
     } else if (tag == "MEMBERS") {
-      deliverList(to, received);
+      deliverEndpointList(router, received);
     }
   }
 
@@ -71,20 +74,20 @@
         zone_(std::move(settings.zone)),
         baseTime_(Instant::atMicros(static_cast<std::int64_t>(start.whole("specifics.baseTime", 0)))) {
     for (std::size_t row = 0; row < settings.classNames.size(); ++row)
-      types_.emplace(settings.classNames[row], row);
+      classIndexes_.emplace(settings.classNames[row], row);
   }
 
   static AttemptOutcome outcomeOf(const MessageLine& line) {
-    return deployment::choice<AttemptOutcome>("stateCode", line.text("stateCode"), kOutcomes);
+    return deployment::choice<AttemptOutcome>("stateCode", line.text("stateCode"), kOutcomeNames);
   }
 
   Transaction readTransaction(const MessageLine& line) const {
     Transaction txn;
     txn.id = line.whole("rid");
-    const auto type = types_.find(line.text("grade"));
-    if (type == types_.end())
+    const auto classIndex = classIndexes_.find(line.text("grade"));
+    if (classIndex == classIndexes_.end())
       throw InvalidField("grade", "'" + classNameOf(line) + "' is not in the settings");
-    txn.type = type->second;
+    txn.type = classIndex->second;
     txn.group = deployment::toGroup("cluster", line.text("cluster"));
     if (line.find("session")) txn.session = line.whole("session");
     if (line.find("tokenMs"))
@@ -97,20 +100,21 @@
 
   LoadReport loadReportOfAnswer(const MessageLine& line) const {
     LoadReport report;
-    const auto note = line.whole("stand", 0);
-    report.role = roleOf(note % 4);
-    if (note / 4 > 0) report.position = baseTime_ + Duration::millis(static_cast<std::int64_t>(note / 4));
+    const auto roleAndPosition = line.whole("stand", 0);
+    report.role = roleOf(roleAndPosition % 4);
+    if (roleAndPosition / 4 > 0)
+      report.position = baseTime_ + Duration::millis(static_cast<std::int64_t>(roleAndPosition / 4));
     return report;
   }
 
   LoadReport loadReportOfUsage(const MessageLine& line) const {
     LoadReport report;
-    const auto gauges = line.find("usage");
-    if (!gauges || gauges->empty() || *gauges == "-") return report;
-    for (const auto pair : deployment::split(*gauges, ',')) {
+    const auto usage = line.find("usage");
+    if (!usage || usage->empty() || *usage == "-") return report;
+    for (const auto pair : deployment::split(*usage, ',')) {
       const auto colon = pair.find(':');
       if (colon == std::string_view::npos) throw InvalidField("usage", "has a part without a value");
-      const auto name = pair.substr(0, colon);
+      const auto name = pair.substr(0, colon);  // x0: position in seconds since baseTime; x1: 1 for a primary
       if (name == "x0")
         report.position = baseTime_ + Duration::seconds(toNumber("usage", pair.substr(colon + 1)));
       if (name == "active") report.inFlight = toNumber("usage", pair.substr(colon + 1));
@@ -120,77 +124,82 @@
     return report;
   }
 
-  static Role roleOf(std::uint64_t n) {
-    return n == 1 ? Role::primary : n == 2 ? Role::replica : Role::unknown;
+  static Role roleOf(std::uint64_t code) {
+    return code == 1 ? Role::primary : code == 2 ? Role::replica : Role::unknown;
   }
 
-  void deliverList(Router& to, const ReceivedLine& received) const {
+  void deliverEndpointList(Router& router, const ReceivedLine& received) const {
     const auto form = received.line.text("form");
-    deployment::choice<int>("form", form, kListForms);
-    if (form == "error") return to.onEndpointListFailed();
+    deployment::choice<int>("form", form, kListFormNames);
+    if (form == "error") return router.onEndpointListFailed();
     if (!received.directory) throw InvalidField("sheet", "was never given");
     auto entries = received.directory->entries;
     for (std::size_t i = 0; i < entries.size(); ++i)
       entries[i].sameZone = received.directory->zones[i] == zone_;
-    to.onEndpointList(form == "diff"   ? EndpointUpdateKind::delta
-                      : form == "disk" ? EndpointUpdateKind::restored
-                                       : EndpointUpdateKind::snapshot,
-                      entries);
+    router.onEndpointList(form == "diff"   ? EndpointUpdateKind::delta
+                          : form == "disk" ? EndpointUpdateKind::restored
+                                           : EndpointUpdateKind::snapshot,
+                          entries);
   }
 
   Router router_;
-  std::map<std::string, std::size_t, std::less<>> types_;
+  std::map<std::string, std::size_t, std::less<>> classIndexes_;
   std::string zone_;
   Instant baseTime_;
 };
 
+// Writes each routing decision of one router as a line.
 class DecisionWriter final : public DecisionSink {
  public:
   DecisionWriter(std::string& text, std::uint64_t instance)
       : text_(text), instance_(" i=" + std::to_string(instance)) {}
 
-  void sendAttempt(TxnId txn, const NodeId& node, Instant, Instant cutAt) override {  // sent at once
-    line("ASSIGN", " rid=", txn, " node=", node, " cutAt=", cutAt.inMicros());
+  // The simulator sends attempts immediately and has no field for `sendBy`.
+  void sendAttempt(TxnId txn, const NodeId& node, Instant, Instant abandonAt) override {
+    writeLine("ASSIGN", " rid=", txn, " node=", node, " cutAt=", abandonAt.inMicros());
+  }
+  void cancel(TxnId txn, unsigned attempt) override {
+    writeLine("ABANDON", " rid=", txn, " sendNo=", attempt);
   }
-  void cancel(TxnId txn, unsigned attempt) override { line("ABANDON", " rid=", txn, " sendNo=", attempt); }
   void reject(TxnId txn, Duration retryAfter) override {
     if (retryAfter > Duration())
-      line("REJECT", " rid=", txn, " notBeforeFor=", retryAfter.inMicros());
+      writeLine("REJECT", " rid=", txn, " notBeforeFor=", retryAfter.inMicros());
     else
-      line("REJECT", " rid=", txn);
+      writeLine("REJECT", " rid=", txn);
   }
-  void rollBack(TxnId txn) override { line("RESPOND_ERROR", " rid=", txn); }
-  void sendHealthCheck(const NodeId& node) override { line("SAMPLE", " node=", node); }
-  void wakeAfter(Duration after) override { line("REMIND", " after=", after.inMicros(), " name=", 0); }
-  void followEndpointList() override { line("SUBSCRIBE", " active=", 1); }
-  void forgetNode(const NodeId&) override {}  // nothing is kept of nodes here
+  void rollBack(TxnId txn) override { writeLine("RESPOND_ERROR", " rid=", txn); }
+  void sendHealthCheck(const NodeId& node) override { writeLine("SAMPLE", " node=", node); }
+  void wakeAfter(Duration after) override { writeLine("REMIND", " after=", after.inMicros(), " name=", 0); }
+  void followEndpointList() override { writeLine("SUBSCRIBE", " active=", 1); }
+  void forgetNode(const NodeId&) override {}  // the adapter keeps no state of nodes
 
  private:
-  template <typename... ByteSlices>
-  void line(std::string_view tag, const ByteSlices&... parts) {
+  template <typename... Values>
+  void writeLine(std::string_view tag, const Values&... values) {
     text_ += tag;
     text_ += instance_;
-    (add(parts), ...);
+    (append(values), ...);
     text_ += '\n';
   }
-  void add(std::string_view part) { text_ += part; }
-  template <typename N>
-  requires std::is_integral_v<N>
-  void add(N n) { text_ += std::to_string(n); }
+  void append(std::string_view text) { text_ += text; }
+  template <typename Integer>
+  requires std::is_integral_v<Integer>
+  void append(Integer value) { text_ += std::to_string(value); }
 
   std::string& text_;
   std::string instance_;
 };
 
+// Reads batches of lines from the simulator and runs a routing round of each router that they address.
 class Adapter {
  public:
   Adapter(std::istream& input, std::ostream& output) : input_(input), output_(output) {}
 
-  // Plays one batch; false at the end of the input.
-  bool batch() {
+  // Processes one batch. Returns false at the end of the input.
+  bool processBatch() {
     lines_.clear();
     received_.clear();
-    order_.clear();
+    instanceOrder_.clear();
     lineNumber_ = 0;
     std::string first;
     if (!std::getline(input_, first)) return false;
@@ -198,18 +207,20 @@
     if (start.tag() != "SYNC") throw InvalidField("SYNC", "is not how this line starts");
     frame_ = start.whole("frame");
     const auto now = Instant::atMicros(static_cast<std::int64_t>(start.whole("moment")));
-    read();
+    readBatch();
     std::string reply;
-    for (const auto instance : order_) play(now, instance, reply);
+    for (const auto instance : instanceOrder_) runRounds(now, instance, reply);
     reply += "END frame=" + std::to_string(frame_) + "\n";
     output_ << reply << std::flush;
     return true;
   }
 
+  // The batch and the line within it that were processed last.
   std::uint64_t frame() const { return frame_; }
   std::size_t lineNumber() const { return lineNumber_; }
 
  private:
+  // Delivers a range of the lines of one router, and tracks the line number for error messages.
   class LineSource final : public EventSource {
    public:
     LineSource(Adapter& adapter, const RouterInstance& instance, std::size_t from, std::size_t to,
@@ -229,15 +240,16 @@
     const std::vector<ReceivedLine>& lines_;
   };
 
+  // The result is valid until the next line is stored.
   const MessageLine& storeLine(std::string text) {
     ++lineNumber_;
     if (!text.empty() && text.back() == '\r') text.pop_back();
     lines_.push_back(std::move(text));
-    last_ = MessageLine(lines_.back());
-    return last_;
+    lastLine_ = MessageLine(lines_.back());
+    return lastLine_;
   }
 
-  const MessageLine& next() {
+  const MessageLine& nextLine() {
     std::string text;
     if (!std::getline(input_, text)) {
       ++lineNumber_;
@@ -246,14 +258,14 @@
     return storeLine(std::move(text));
   }
 
-  void read() {
-    for (const MessageLine* line = &next(); line->tag() != "OVER_TO_YOU"; line = &next()) {
+  void readBatch() {
+    for (const MessageLine* line = &nextLine(); line->tag() != "OVER_TO_YOU"; line = &nextLine()) {
       if (line->tag() == "DIRECTORY") {
         readDirectory(*line);
       } else if (isRouterLine(line->tag())) {
         const auto instance = line->whole("i");
         auto& lines = received_[instance];
-        if (lines.empty()) order_.push_back(instance);
+        if (lines.empty()) instanceOrder_.push_back(instance);
         std::shared_ptr<const EndpointDirectory> directory;
         if (line->tag() == "MEMBERS" && line->find("form") != "error") {
           const auto number = line->whole("sheet");
@@ -266,9 +278,9 @@
   }
 
   static bool isRouterLine(std::string_view tag) {
-    for (const std::string_view word : {"POWER_ON", "INCOMING", "CANCELLED_BY_CLIENT", "KILL", "DUE",
-                                        "PROBE_DONE", "MESSAGE", "FLOWING", "FINISHED", "MEMBERS"})
-      if (tag == word) return true;
+    for (const std::string_view routerTag : {"POWER_ON", "INCOMING", "CANCELLED_BY_CLIENT", "KILL", "DUE",
+                                             "PROBE_DONE", "MESSAGE", "FLOWING", "FINISHED", "MEMBERS"})
+      if (tag == routerTag) return true;
     return false;
   }
 
@@ -278,13 +290,13 @@
     const auto count = head.whole("entries");
     auto directory = std::make_shared<EndpointDirectory>();
     for (std::uint64_t i = 0; i < count; ++i) {
-      const MessageLine& line = next();
+      const MessageLine& line = nextLine();
       if (line.tag() != "NODE") throw InvalidField("entries", "counts more entries than follow");
       EndpointEntry entry;
       entry.node = line.text("node");
       entry.group = deployment::toGroup("shard", line.text("shard"));
       entry.kind = line.find("familyType").value_or("");
-      entry.health = deployment::choice<Health>("health", line.text("health"), kHealths);
+      entry.health = deployment::choice<Health>("health", line.text("health"), kHealthNames);
       entry.primary = line.number("head", 0) == 1;
       entry.startedAt = Instant::atMicros(static_cast<std::int64_t>(line.whole("startedAt", 0)));
       directory->entries.push_back(std::move(entry));
@@ -293,8 +305,9 @@
     directories_[number] = std::move(directory);
   }
 
-  // A kill and a new start may loadReportOfAnswer in one batch: the lines between them are one round each.
-  void play(Instant now, std::uint64_t id, std::string& reply) {
+  // Runs one round for each range of lines between KILL and POWER_ON lines: a router may be killed and
+  // started again within one batch.
+  void runRounds(Instant now, std::uint64_t id, std::string& reply) {
     const auto& lines = received_.at(id);
     DecisionWriter writer(reply, id);
     for (std::size_t from = 0; from < lines.size();) {
@@ -314,11 +327,11 @@
       while (to < lines.size() && lines[to].line.tag() != "KILL" && lines[to].line.tag() != "POWER_ON") ++to;
       const auto found = instances_.find(id);
       if (found == instances_.end()) throw InvalidField("i", "names a router that is not running");
-      LineSource feed(*this, found->second, from, to, lines);
-      // What a router that is killed later in this batch decides would be void.
-      const auto length = reply.size();
-      found->second.router().runRound(now, feed, writer);
-      if (to < lines.size()) reply.resize(length);
+      LineSource source(*this, found->second, from, to, lines);
+      // Decisions of a router that is killed later in this batch have no effect: they are discarded.
+      const auto previousSize = reply.size();
+      found->second.router().runRound(now, source, writer);
+      if (to < lines.size()) reply.resize(previousSize);
       from = to;
     }
   }
@@ -327,11 +340,11 @@
   std::ostream& output_;
   std::uint64_t frame_ = 0;
   std::size_t lineNumber_ = 0;
-  std::deque<std::string> lines_;
-  MessageLine last_{""};
-  std::map<std::uint64_t, std::vector<ReceivedLine>> received_;
-  std::vector<std::uint64_t> order_;
-  std::array<std::shared_ptr<const EndpointDirectory>, 16> directories_;
+  std::deque<std::string> lines_;  // of this batch; a deque, so that views into them stay valid
+  MessageLine lastLine_{""};
+  std::map<std::uint64_t, std::vector<ReceivedLine>> received_;  // by router
+  std::vector<std::uint64_t> instanceOrder_;                     // in which the batch first names them
+  std::array<std::shared_ptr<const EndpointDirectory>, 16> directories_;  // by sheet number
   std::map<std::uint64_t, RouterInstance> instances_;
 };
 
@@ -340,11 +353,11 @@
 int runAdapter(std::istream& input, std::ostream& output, std::ostream& errors) {
   Adapter adapter(input, output);
   try {
-    while (adapter.batch()) {}
+    while (adapter.processBatch()) {}
     return 0;
-  } catch (const InvalidField& bad) {
+  } catch (const InvalidField& error) {
     errors << "gulltrestle_drill: frame " << adapter.frame() << ", line " << adapter.lineNumber() << ", "
-           << bad.what() << std::endl;
+           << error.what() << std::endl;
     return 1;
   }
 }
--- a/src/tools/simulator_adapter/message_line.h
+++ b/src/tools/simulator_adapter/message_line.h
@@ -1,5 +1,5 @@
-// One line of the simulator protocol: a tag and its name=value parts, with the typed access of a
-// deployment::SettingsSource.
+// Parser for one line of the simulator protocol: a tag, followed by name=value fields that are separated by
+// spaces. Fields are read through the typed accessors of deployment::SettingsSource.
 #pragma once
 
 #include <optional>
@@ -14,23 +14,26 @@
 using deployment::toNumber;
 using deployment::toWhole;
 
-// Views into the text it was made from, which must outlive it.
+// A parsed line. It holds views into the text that it was constructed from, which must outlive it.
+// If a name occurs several times, its first value counts.
 class MessageLine final : public deployment::SettingsSource {
  public:
+  // Throws InvalidField for a field without '='.
   explicit MessageLine(std::string_view text);
 
   std::string_view tag() const { return tag_; }
   std::optional<std::string_view> find(std::string_view name) const override;
 
-  struct Part {
+  // One name=value pair.
+  struct Field {
     std::string_view name;
     std::string_view value;
   };
-  const std::vector<Part>& parts() const { return parts_; }
+  const std::vector<Field>& fields() const { return fields_; }
 
  private:
   std::string_view tag_;
-  std::vector<Part> parts_;
+  std::vector<Field> fields_;
 };
 
 }  // namespace gulltrestle::simulator_adapter
