--- a/src/tools/fleet_model/fleet.h
+++ b/src/tools/fleet_model/fleet.h
@@ -27,8 +27,8 @@
   Duration meanWork;  // CPU time on a node's single core; each transaction takes 0.5 to 1.5 times as long
 };
 
-// Which component rejects transactions during an overload: degradation levels, the routing module's own load
-// shedding, or none.
+// Which component rejects transactions during an overload: the degradation levels, the routing module's own
+// load shedding, or none.
 enum class LoadShedding { byLevels, byModule, nobody };
 
 // The faults to inject. Times are in seconds since the start of the run; a negative time means never.
@@ -70,7 +70,8 @@
   std::size_t routers = 1;
   NodeParameters nodeParameters;
   bool allowsHealthChecks = false;
-  double imbalance = 0;  // some routers and groups get this multiple of the base load in addition; 0: uniform
+  // Some routers get this multiple of the base load in addition, and some groups a part of it; 0: uniform.
+  double imbalance = 0;
   unsigned sessions = 50;  // number of client sessions that read their own writes
   LoadShedding loadShedding = LoadShedding::byLevels;
   // Deliberate misconfigurations, to test the checks: the number of routers that routers are configured with
@@ -106,14 +107,15 @@
 
 // The result of one run.
 struct Result {
-  double value = 0;  // served value as a fraction of the requested value; late answers count in part
+  // Served value as a fraction of the requested value; late answers count in part.
+  double value = 0;
   double worstCommittedFraction = 1;                        // lowest committed fraction of a 10 s window
   unsigned levelChanges = 0, maxLevelChangesPerMinute = 0;  // of all routers; of the first router
   unsigned maxLevel = 0;
   // Rejections by a degradation level, classified by the true queue lengths of the nodes.
   std::uint64_t correctRejections = 0, wrongRejections = 0;
-  std::vector<std::pair<double, unsigned>>
-      levels;  // of the first router: second of each change and new level
+  // Level changes of the first router: time in seconds and new level.
+  std::vector<std::pair<double, unsigned>> levels;
   RuleViolations violations;
   std::vector<Second> seconds;
   std::vector<std::pair<double, double>> valueByClass;  // requested and served value of each traffic class
@@ -204,7 +206,7 @@
   std::deque<Instant> recentChanges_;  // level changes of the first router in the last minute
   unsigned recordedLevel_ = 0;         // last recorded level of the first router
   double requestedValue_ = 0, servedValue_ = 0;
-  unsigned levelChangesOfStoppedRouters_ = 0;  // of router processes that were stopped
+  unsigned levelChangesOfStoppedRouters_ = 0;
   Result result_;
 };
 
