--- a/benchmarks/fronts.cpp
+++ b/benchmarks/fronts.cpp
@@ -148,7 +148,7 @@
   Proxy(event_loop::EventLoop& loop, Load& loadGenerator, event_loop::Descriptor descriptor)
       : load(loadGenerator),
         stream(loop, std::move(descriptor)),
-        session(http2::Session::Side::client, {4000}, *this) {}
+        session(http2::Session::Perspective::client, {4000}, *this) {}
   // One request, as an HTTP/2 stream.
   struct Call {
     Instant due;
@@ -174,20 +174,20 @@
                                      {"te", "trailers"}});
     calls[id].due = due;
     // A typical number of headers.
-    session.send(id,
-                 grpc::framed(ext_proc::request({ext_proc::Phase::requestHeaders,
-                                                 {{":method", "GET"},
-                                                  {":path", "/bookings/7f3a9c21e0b4d655"},
-                                                  {":scheme", "https"},
-                                                  {":authority", "bookings.example"},
-                                                  {"user-agent", "driver-app/5.1"},
-                                                  {"accept", "application/json"},
-                                                  {"x-request-id", "0b8f6f0e-5f0e-4a52-9c39-d9c5c9c6a1f4"},
-                                                  {"x-txn-id", "t" + std::to_string(++lastTxnNumber)},
-                                                  {"x-txn-type", "look"},
-                                                  {"x-txn-group", "1"},
-                                                  {"x-txn-patience-ms", "4000"}},
-                                                 false})));
+    session.send(
+        id, grpc::framed(ext_proc::encodeRequest({ext_proc::Phase::requestHeaders,
+                                                  {{":method", "GET"},
+                                                   {":path", "/bookings/7f3a9c21e0b4d655"},
+                                                   {":scheme", "https"},
+                                                   {":authority", "bookings.example"},
+                                                   {"user-agent", "driver-app/5.1"},
+                                                   {"accept", "application/json"},
+                                                   {"x-request-id", "0b8f6f0e-5f0e-4a52-9c39-d9c5c9c6a1f4"},
+                                                   {"x-txn-id", "t" + std::to_string(++lastTxnNumber)},
+                                                   {"x-txn-type", "look"},
+                                                   {"x-txn-group", "1"},
+                                                   {"x-txn-patience-ms", "4000"}},
+                                                  false})));
   }
   void headers(http2::StreamId, http2::Headers) override {}
   void data(http2::StreamId id, std::string_view bytes) override {
@@ -202,12 +202,12 @@
         load.recordAnswer(call.due, false);
       } else if (response.phase == ext_proc::Phase::requestHeaders) {
         load.recordAnswer(call.due, true);
-        session.send(id, grpc::framed(ext_proc::request({ext_proc::Phase::responseHeaders,
-                                                         {{":status", "200"},
-                                                          {"content-type", "application/json"},
-                                                          {"x-node-role", "replica"},
-                                                          {"x-node-outcome", "committed"}},
-                                                         false})));
+        session.send(id, grpc::framed(ext_proc::encodeRequest({ext_proc::Phase::responseHeaders,
+                                                               {{":status", "200"},
+                                                                {"content-type", "application/json"},
+                                                                {"x-node-role", "replica"},
+                                                                {"x-node-outcome", "committed"}},
+                                                               false})));
       } else {
         session.end(id);
       }
@@ -224,7 +224,7 @@
       if (unsent.empty()) return;
       const std::string_view buffer = unsent;
       const auto result = stream.write({&buffer, 1});
-      if (result.status != event_loop::Io::some) return;
+      if (result.status != event_loop::IoStatus::ok) return;
       unsent.erase(0, result.size);
     }
   }
@@ -235,10 +235,10 @@
   for (;;) {
     static char bytes[256 * 1024];
     const auto result = proxy.stream.read(bytes);
-    if (result.status == event_loop::Io::some)
+    if (result.status == event_loop::IoStatus::ok)
       proxy.session.received(proxy.load.loop.now(), {bytes, result.size});
     proxy.flush();
-    if (result.status != event_loop::Io::some) co_await proxy.stream.changed();
+    if (result.status != event_loop::IoStatus::ok) co_await proxy.stream.changed();
   }
 }
 
@@ -255,9 +255,10 @@
     static char bytes[64 * 1024];
     for (;;) {
       const auto result = stream.read(bytes);
-      if (result.status == event_loop::Io::some) received.append(bytes, result.size);
-      if (result.status == event_loop::Io::ended || result.status == event_loop::Io::failed) isClosed = true;
-      if (result.status != event_loop::Io::some) return;
+      if (result.status == event_loop::IoStatus::ok) received.append(bytes, result.size);
+      if (result.status == event_loop::IoStatus::endOfStream || result.status == event_loop::IoStatus::failed)
+        isClosed = true;
+      if (result.status != event_loop::IoStatus::ok) return;
     }
   }
   void write(const std::string& bytes) {
@@ -279,8 +280,8 @@
     std::string_view unread = connection.received;
     std::string output;
     if (!started) {
-      started = postgres::takeOpening(unread).has_value();
-      if (started) output += postgres::welcome();
+      started = postgres::takeStartupMessage(unread).has_value();
+      if (started) output += postgres::startupAnswer();
     }
     while (started) {
       const auto message = postgres::takeMessage(unread, 1 << 20);
@@ -298,7 +299,7 @@
 event_loop::Task acceptNodes(event_loop::EventLoop& loop, event_loop::Stream& listener) {
   for (;;) {
     event_loop::Descriptor accepted;
-    if (listener.accept(accepted) == event_loop::Io::some)
+    if (listener.accept(accepted) == event_loop::IoStatus::ok)
       loop.spawn(runNode(loop, std::move(accepted)));
     else
       co_await listener.changed();
@@ -408,7 +409,7 @@
         return load.rate > 0 ? now : Instant();
       },
       [](std::exception_ptr failure) { std::rethrow_exception(failure); });
-  loop.endTasks();
+  loop.destroyTasks();
   return result;
 }
 
--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -12,7 +12,7 @@
 #include "runtime/event_loop/sockets.h"
 
 using namespace gulltrestle;
-using event_loop::Io;
+using event_loop::IoStatus;
 
 namespace {
 
@@ -72,7 +72,7 @@
     const auto statement = postgres::readStatement(text);
     std::cout << (isPrimary ? "primary: " : "replica: ") << text << std::endl;
     auto& versions = objects[std::string(statement.key)];
-    if (!statement.writes) {
+    if (!statement.isWrite) {
       std::string hex;
       for (const Version& version : versions)
         if (version.commit <= position) hex = version.hex;
@@ -98,8 +98,9 @@
   while (from.canRead()) {
     std::array<char, 4096> bytes;
     const auto result = from.read(bytes);
-    if (result.status == Io::some) received.append(bytes.data(), result.size);
-    if (result.status == Io::ended || result.status == Io::failed || received.size() > kMaxBufferedBytes)
+    if (result.status == IoStatus::ok) received.append(bytes.data(), result.size);
+    if (result.status == IoStatus::endOfStream || result.status == IoStatus::failed ||
+        received.size() > kMaxBufferedBytes)
       return false;
   }
   return true;
@@ -110,7 +111,7 @@
   while (!unsent.empty()) {
     const std::string_view buffer = unsent;
     const auto result = to.write({&buffer, 1});
-    if (result.status != Io::some) return result.status == Io::wouldBlock;
+    if (result.status != IoStatus::ok) return result.status == IoStatus::wouldBlock;
     unsent.erase(0, result.size);
   }
   return true;
@@ -124,13 +125,14 @@
   try {
     while (readAll(stream, received)) {
       std::string_view bytes = received;
-      if (!started && (started = postgres::takeOpening(bytes).has_value())) unsent += postgres::welcome();
+      if (!started && (started = postgres::takeStartupMessage(bytes).has_value()))
+        unsent += postgres::startupAnswer();
       while (started) {
         const auto message = postgres::takeMessage(bytes, kMaxBufferedBytes);
         if (!message) break;
         if (message->type == 'X') co_return;
         auto body = message->body;
-        if (message->type == 'Q') unsent += answer(postgres::takeText(body), isPrimary, loop.now());
+        if (message->type == 'Q') unsent += answer(postgres::takeString(body), isPrimary, loop.now());
       }
       received.erase(0, received.size() - bytes.size());
       if (!write(stream, unsent)) co_return;
@@ -196,7 +198,7 @@
   event_loop::Stream listener(loop, event_loop::listenOn(kHost, port));
   for (;;) {
     event_loop::Descriptor accepted;
-    if (listener.accept(accepted) == Io::some)
+    if (listener.accept(accepted) == IoStatus::ok)
       loop.spawn(serve(std::move(accepted)));
     else
       co_await listener.changed();
@@ -205,7 +207,7 @@
 
 // Stops the event loop on a termination signal.
 event_loop::Task stopOnSignal(event_loop::EventLoop& loop) {
-  event_loop::Stream signals(loop, event_loop::signals());
+  event_loop::Stream signals(loop, event_loop::openSignalDescriptor());
   co_await signals.changed();
   loop.stop();
 }
--- a/src/cluster/claim_dispatcher.cpp
+++ b/src/cluster/claim_dispatcher.cpp
@@ -99,7 +99,7 @@
   for (const auto& [group, primary] : stored->primaries)
     recovery_.onPrimaryUpdate({group, {primary.node, primary.listVersion}});
   for (const auto& [node, drain] : stored->nodeDrains)
-    drains_.learn({node, drain.listVersion, drain.isDraining});
+    drains_.applyUpdate({node, drain.listVersion, drain.isDraining});
   storeDrains({});
   votingMember_.emplace(transactions_.now(), identity_.name, config.votingMember, std::move(*stored));
   // After the loss of a disk the acceptor is marked incomplete on the new one too, so that the next start
--- a/src/cluster/claim_dispatcher_updates.cpp
+++ b/src/cluster/claim_dispatcher_updates.cpp
@@ -25,7 +25,7 @@
   const std::size_t notLive = countNotLive(entries);
   if (notLive > notLiveInList)
     effects_.log("peers.outdated_endpoint_list",
-                 "version=" + std::to_string(version) + " newest=" + std::to_string(drains_.newest()) +
+                 "version=" + std::to_string(version) + " newest=" + std::to_string(drains_.newestVersion()) +
                      " kept_draining=" + std::to_string(notLive - notLiveInList));
   recovery_.onEndpointList(kind, version, entries);
   if (updates.empty()) return;
@@ -37,7 +37,7 @@
   DrainUpdates newUpdates;
   std::vector<NodeId> draining;
   for (const auto& update : updates)
-    if (drains_.learn(update)) {
+    if (drains_.applyUpdate(update)) {
       newUpdates.push_back(update);
       if (update.isDraining) draining.push_back(update.node);
     }
--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -63,7 +63,7 @@
   }
   lists.push_back({lists.size() + 1, {}});
   for (const auto& voter : config.voters) lists.back().names.insert(voter.name);
-  if (const auto fault = idempotency::faultIn(lists)) throw ConfigError(kKey, *fault);
+  if (const auto fault = idempotency::validateVoterLists(lists)) throw ConfigError(kKey, *fault);
   return lists;
 }
 
@@ -118,7 +118,7 @@
 void readMaintenance(ConfigSection section, ClusterConfig& config) {
   config.requestFolder = section.read(StringField{"folder", ""});
   config.announceFile = section.read(StringField{"announce_file", ""});
-  maintenance::Bounds& bounds = config.maintenance;
+  maintenance::MaintenanceLimits& bounds = config.maintenance;
   bounds.notifiesDiscovery = !config.announceFile.empty();
   const auto readCount = [&](const char* key, unsigned defaultValue) {
     return static_cast<unsigned>(section.read(IntegerField{key, defaultValue, 1, 100}));
--- a/src/cluster/cluster_config.h
+++ b/src/cluster/cluster_config.h
@@ -41,7 +41,7 @@
   std::string forcedBy;                        // name of the operator who forced the stage
 
   // --- Maintenance
-  maintenance::Bounds maintenance;
+  maintenance::MaintenanceLimits maintenance;
   Duration proposalTimeout = Duration::millis(2000);  // well below the retention time
   std::string requestFolder;  // where operators put requests; empty: this router accepts none
   std::string announceFile;   // excluded nodes, for the system that feeds discovery; empty: not written
--- a/src/cluster/cluster_server.cpp
+++ b/src/cluster/cluster_server.cpp
@@ -11,7 +11,7 @@
 
 namespace gulltrestle::cluster {
 
-using event_loop::Io;
+using event_loop::IoStatus;
 
 namespace {
 
@@ -104,7 +104,8 @@
   store_ = storeOf(config_, name, draw);
   transactions_.advanceTo(loop_.now());
   if (!store_) return std::nullopt;
-  if (!store_->setAside().empty()) spdlog::error("event=store.damaged set_aside=\"{}\"", store_->setAside());
+  if (!store_->damagedFile().empty())
+    spdlog::error("event=store.damaged set_aside=\"{}\"", store_->damagedFile());
   const idempotency::StoredState& stored = store_->storedState();
   spdlog::info("event=store.opened folder={} start={} complete={} ids={}", config_.storeFolder,
                stored.ownStarts.back().number, stored.isComplete, stored.claims.size());
@@ -130,7 +131,7 @@
 ClusterServer::~ClusterServer() {
   transactions_.setExecutionGate(nullptr);
   transactions_.setAdmissionController(nullptr);
-  loop_.endTasks();
+  loop_.destroyTasks();
 }
 
 // --- Effects
@@ -220,7 +221,7 @@
   statusWrittenAt_ = now;
   const auto storeStatistics = store_ ? std::optional(store_->statistics()) : std::nullopt;
   const std::string status =
-      statusOf(now, *dispatcher_, storeStatistics ? &*storeStatistics : nullptr, streamStatistics_);
+      statusDocument(now, *dispatcher_, storeStatistics ? &*storeStatistics : nullptr, streamStatistics_);
   const bool hasFailed = !replaceFile(config_.statusFile, status);
   if (hasFailed && !isStatusFailing_)
     spdlog::error("event=peers.status_failed file=\"{}\"", config_.statusFile);
@@ -265,7 +266,7 @@
 }
 
 void ClusterServer::logStoreHealth() {
-  const auto fault = store_->statistics().lastFault;
+  const auto fault = store_->statistics().lastError;
   if (fault.empty() != isStoreFailing_) return;
   isStoreFailing_ = !fault.empty();
   if (isStoreFailing_)
@@ -316,8 +317,8 @@
 bool ClusterServer::receiveReplies(idempotency::VoterIndex voter, PeerStream& peer, Duration& backoff) {
   char bytes[kReadBytes];
   const auto result = peer.stream().read(bytes);
-  if (result.status == Io::ended || result.status == Io::failed) return false;
-  if (result.status != Io::some) return true;
+  if (result.status == IoStatus::endOfStream || result.status == IoStatus::failed) return false;
+  if (result.status != IoStatus::ok) return true;
   const Instant now = loop_.now();
   transactions_.advanceTo(now);
   peer.onBytes(now, {bytes, result.size});
--- a/src/cluster/cluster_server.h
+++ b/src/cluster/cluster_server.h
@@ -49,7 +49,7 @@
   // Does nothing: a voter continues to serve the other routers until this router's own transactions have
   // finished.
   void stop() override {}
-  bool empty() const override { return true; }
+  bool isDrained() const override { return true; }
 
  private:
   // Descriptors for the store's files and the listening socket, with a small reserve.
--- a/src/cluster/maintenance_service.cpp
+++ b/src/cluster/maintenance_service.cpp
@@ -122,7 +122,7 @@
 
 void MaintenanceService::addNodeStates(const RecoveryService& recovery,
                                        maintenance::FleetState& fleet) const {
-  const auto observations = recovery.firstHand();
+  const auto observations = recovery.ownObservations();
   for (const auto& [id, listed] : transactions_.lastEndpointList()) {
     auto& node = fleet.nodes[id];
     node.group = listed.entry.group;
--- a/src/cluster/maintenance_service.h
+++ b/src/cluster/maintenance_service.h
@@ -32,7 +32,7 @@
  public:
   using Log = std::function<void(std::string_view event, const std::string& fields)>;
   struct Limits {
-    maintenance::Bounds bounds;
+    maintenance::MaintenanceLimits bounds;
     Duration proposalTimeout;  // maximum duration of a proposal round
   };
   // State of a voter's acceptor as read from its store.
--- a/src/cluster/peer_stream.cpp
+++ b/src/cluster/peer_stream.cpp
@@ -5,7 +5,7 @@
 
 namespace gulltrestle::cluster {
 
-using event_loop::Io;
+using event_loop::IoStatus;
 
 namespace {
 
@@ -44,8 +44,8 @@
   while (!unsent_.empty()) {
     const std::string_view bytes = unsent_;
     const auto written = stream_.write({&bytes, 1});
-    if (written.status == Io::failed) isClosed_ = true;
-    if (written.status != Io::some) break;
+    if (written.status == IoStatus::failed) isClosed_ = true;
+    if (written.status != IoStatus::ok) break;
     unsent_.erase(0, written.size);
   }
   if (unsent_.size() > kMaxUnsentBytes) isClosed_ = true;
--- a/src/cluster/peer_stream.h
+++ b/src/cluster/peer_stream.h
@@ -26,7 +26,7 @@
   PeerStream(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
       : loop_(loop),
         stream_(loop, std::move(descriptor)),
-        session_(http2::Session::Side::client, {}, *this) {}
+        session_(http2::Session::Perspective::client, {}, *this) {}
 
   event_loop::Stream& stream() { return stream_; }
 
--- a/src/cluster/recovery_service.cpp
+++ b/src/cluster/recovery_service.cpp
@@ -42,10 +42,10 @@
 
 // --- From the transaction table
 
-std::optional<Duration> RecoveryService::rejectsWithRetryAfter(GroupId group, std::size_t type) {
+std::optional<Duration> RecoveryService::retryAfterIfRejected(GroupId group, std::size_t type) {
   if (!stages_.admits(group, type))
     return stageRetryAfter_ * std::uniform_real_distribution<>(0.5, 1)(random_);
-  return ramp_.rejectsWithRetryAfter(transactions_.now());
+  return ramp_.retryAfterIfRejected(transactions_.now());
 }
 
 void RecoveryService::onTransactionEnded(GroupId, std::size_t, const AdmittedResult& result) {
@@ -91,8 +91,9 @@
 
 ObservationReport RecoveryService::observations() const {
   const Instant now = transactions_.now();
-  return {observations_.firstHand(now), recoveredAt_ != Instant() && now - recoveredAt_ >= kRecoveredDelay &&
-                                            ramp_.state() == AdmissionRamp::State::finished};
+  return {observations_.ownObservations(now), recoveredAt_ != Instant() &&
+                                                  now - recoveredAt_ >= kRecoveredDelay &&
+                                                  ramp_.state() == AdmissionRamp::State::finished};
 }
 
 void RecoveryService::onObservations(const std::string& router, const ObservationReport& report) {
--- a/src/cluster/recovery_service.h
+++ b/src/cluster/recovery_service.h
@@ -40,7 +40,7 @@
                   double initialRatePerNode, std::uint64_t seed, Log log);
 
   // --- From the transaction table
-  std::optional<Duration> rejectsWithRetryAfter(GroupId group, std::size_t type) override;
+  std::optional<Duration> retryAfterIfRejected(GroupId group, std::size_t type) override;
   void onTransactionEnded(GroupId group, std::size_t type, const AdmittedResult& result) override;
   void onLoadReport(const NodeId& node, const LoadReport& report) override;
   void onNodeDisconnected(const NodeId& node) override { observations_.onDisconnected(node); }
@@ -68,8 +68,8 @@
   unsigned progress() const;
 
   // --- For the status document
-  std::vector<recovery::Observation> firstHand() const {
-    return observations_.firstHand(transactions_.now());
+  std::vector<recovery::Observation> ownObservations() const {
+    return observations_.ownObservations(transactions_.now());
   }
   // All groups admit everything, and the admission ramp does not hold its rate because of overloaded nodes.
   bool isFullyRecovered() const {
--- a/src/cluster/status_document.cpp
+++ b/src/cluster/status_document.cpp
@@ -17,7 +17,7 @@
     const auto status = stages.statusOf(id);
     Json group{
         {"group", id}, {"stage", recovery::nameOf(status.stage)}, {"for_ms", millis(now - status.since)}};
-    if (!status.awaits.empty()) group["awaits"] = status.awaits;
+    if (!status.waitingFor.empty()) group["awaits"] = status.waitingFor;
     if (!status.contenders.empty()) group["contested_by"] = status.contenders;
     if (const auto known = recovery.knownPrimaries().find(id); known != recovery.knownPrimaries().end())
       group["primary"] = known->second.node;
@@ -60,7 +60,8 @@
                 {"why", machine.reason},
                 {"by", machine.requestedBy},
                 {"tries", machine.attempts}};
-    if (const auto awaits = maintenance.waitingFor(machine); !awaits.empty()) status["awaits"] = awaits;
+    if (const auto waitingFor = maintenance.waitingFor(machine); !waitingFor.empty())
+      status["awaits"] = waitingFor;
     work["machines"].push_back(std::move(status));
   }
   return work;
@@ -80,14 +81,14 @@
               {"failures", store.failedCommits},
               {"longest_ms", millis(store.longestCommit)},
               {"durable_ms_ago", millis(store.sinceLastCommit)}};
-  if (!store.lastFault.empty()) status["fault"] = store.lastFault;
+  if (!store.lastError.empty()) status["fault"] = store.lastError;
   return status;
 }
 
 }  // namespace
 
-std::string statusOf(Instant now, const ClaimDispatcher& dispatcher, const store::StoreStatistics* store,
-                     const StreamStatistics& streams) {
+std::string statusDocument(Instant now, const ClaimDispatcher& dispatcher,
+                           const store::StoreStatistics* store, const StreamStatistics& streams) {
   Json document;
   const RecoveryService& recovery = dispatcher.recovery();
   const auto& ramp = recovery.ramp();
--- a/src/cluster/status_document.h
+++ b/src/cluster/status_document.h
@@ -15,7 +15,7 @@
 };
 
 // Returns the document. `store`: null if this router is not a voter.
-std::string statusOf(Instant now, const ClaimDispatcher& dispatcher, const store::StoreStatistics* store,
-                     const StreamStatistics& streams);
+std::string statusDocument(Instant now, const ClaimDispatcher& dispatcher,
+                           const store::StoreStatistics* store, const StreamStatistics& streams);
 
 }  // namespace gulltrestle::cluster
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -68,10 +68,10 @@
   return list;
 }
 
-std::string listPath() { return "/api/targets"; }
+std::string endpointListPath() { return "/api/targets"; }
 
-std::string watchPath(std::uint64_t version) {
-  return listPath() + "?stream=1&index=" + std::to_string(version);
+std::string endpointWatchPath(std::uint64_t version) {
+  return endpointListPath() + "?stream=1&index=" + std::to_string(version);
 }
 
 }  // namespace gulltrestle::config
--- a/src/config/endpoint_list.h
+++ b/src/config/endpoint_list.h
@@ -25,7 +25,7 @@
 EndpointList readEndpointList(const json::Value& document, const std::string& zone);
 
 // The HTTP paths at which discovery serves the complete list, and its changes after a version.
-std::string listPath();
-std::string watchPath(std::uint64_t version);
+std::string endpointListPath();
+std::string endpointWatchPath(std::uint64_t version);
 
 }  // namespace gulltrestle::config
--- a/src/config/router_config.cpp
+++ b/src/config/router_config.cpp
@@ -74,7 +74,8 @@
   config.seed = readSeed(file);
   readLimits(file.requireSection("limits"), config);
   config.deployment = readDeployment(file.requireSection("settings").value());
-  if (file.has("known")) config.known = readKnownEndpoints(*file.find("known"), config.deployment.zone);
+  if (file.has("known"))
+    config.initialEndpoints = readKnownEndpoints(*file.find("known"), config.deployment.zone);
   return config;
 }
 
--- a/src/config/router_config.h
+++ b/src/config/router_config.h
@@ -20,8 +20,8 @@
   Address listen, discovery;
   std::uint64_t seed = 0;
   std::size_t memoryBytes = 0;
-  std::size_t descriptors = 0;  // maximum number of open file descriptors
-  EndpointList known;           // initial endpoint list, used until discovery responds
+  std::size_t descriptors = 0;    // maximum number of open file descriptors
+  EndpointList initialEndpoints;  // initial endpoint list, used until discovery responds
   deployment::DeploymentSettings deployment;
 };
 
--- a/src/degradation_service/degradation_service.h
+++ b/src/degradation_service/degradation_service.h
@@ -29,7 +29,7 @@
     return statusWrittenAt_ == Instant() ? Instant() : statusWrittenAt_ + config_.statusInterval;
   }
   void stop() override {}
-  bool empty() const override { return true; }
+  bool isDrained() const override { return true; }
   // Reloads the configuration. An invalid one is logged with the invalid key, and the previous one stays in
   // effect.
   void reloadConfig() override;
--- a/src/deployment/routing_config.cpp
+++ b/src/deployment/routing_config.cpp
@@ -12,8 +12,8 @@
 // Integers up to this value are exact in a double.
 constexpr double kMaxGroup = 9e15;
 
-constexpr Duration kDefaultIdleLimit = Duration::seconds(15);
-constexpr Duration kDefaultConnectLimit = Duration::millis(250);
+constexpr Duration kDefaultIdleTimeout = Duration::seconds(15);
+constexpr Duration kDefaultConnectTimeout = Duration::millis(250);
 constexpr Duration kDefaultDrainGrace = Duration::seconds(1);
 
 // The names in the settings, in the order of the enumerators of Effect and ReadLevel.
@@ -36,10 +36,10 @@
 
 // Reads a duration, which settings give in whole microseconds.
 Duration readDuration(const SettingsSource& settings, const std::string& name) {
-  return toDuration(name, settings.whole(name));
+  return toDuration(name, settings.unsignedInteger(name));
 }
 Duration readDuration(const SettingsSource& settings, const std::string& name, Duration fallback) {
-  return toDuration(name, settings.whole(name, static_cast<std::uint64_t>(fallback.inMicros())));
+  return toDuration(name, settings.unsignedInteger(name, static_cast<std::uint64_t>(fallback.inMicros())));
 }
 
 // Checks the settings that deduplicated classes require, so that a router without knowledge of where retries
@@ -57,13 +57,14 @@
                                       const std::vector<std::string_view>& stalenessBounds) {
   const std::string prefix = "lanes." + std::to_string(row) + ".";
   TransactionClass transactionClass;
-  transactionClass.effect = choice<Effect>(prefix + "effect", settings.text(prefix + "effect"), kEffects);
+  transactionClass.effect =
+      toEnumerator<Effect>(prefix + "effect", settings.text(prefix + "effect"), kEffects);
   if (row >= levels.size())
     throw InvalidField("specifics.readLevel", "has fewer values than there are types");
-  transactionClass.level = choice<ReadLevel>("specifics.readLevel", levels[row], kReadLevels);
+  transactionClass.level = toEnumerator<ReadLevel>("specifics.readLevel", levels[row], kReadLevels);
   if (row < stalenessBounds.size())
     transactionClass.maxStaleness =
-        toDuration("specifics.lagAllowed", toWhole("specifics.lagAllowed", stalenessBounds[row]));
+        toDuration("specifics.lagAllowed", toUnsigned("specifics.lagAllowed", stalenessBounds[row]));
   transactionClass.latencyTarget = readDuration(settings, prefix + "objective");
   transactionClass.latencyTargetPerServiceTime = settings.number(prefix + "aimStretch", 0);
   transactionClass.deadline = readDuration(settings, prefix + "deadline");
@@ -81,7 +82,7 @@
 void readTransactionClasses(const SettingsSource& settings, DeploymentSettings& deployment) {
   const auto levels = split(settings.text("specifics.readLevel"), ',');
   const auto stalenessBounds = split(settings.find("specifics.lagAllowed").value_or("0"), ',');
-  const std::uint64_t count = settings.whole("lanes.count");
+  const std::uint64_t count = settings.unsignedInteger("lanes.count");
   if (count == 0) throw InvalidField("lanes.count", "is 0, must be positive");
   for (std::size_t row = 0; row < count; ++row) {
     deployment.routing.transactionClasses.push_back(
@@ -92,7 +93,7 @@
 
 void readRouting(const SettingsSource& settings, RoutingConfig& routing) {
   routing.roundInterval = readDuration(settings, "round");
-  routing.routerCount = static_cast<unsigned>(settings.whole("balancers", 1));
+  routing.routerCount = static_cast<unsigned>(settings.unsignedInteger("balancers", 1));
   if (routing.routerCount == 0) throw InvalidField("balancers", "is 0, must be positive");
   routing.slowStartFraction = settings.number("rules.coldFrom", 1);
   routing.slowStartWindow = readDuration(settings, "rules.cold", Duration());
@@ -102,7 +103,7 @@
   routing.cancelAllowed = settings.flag("limits.cancel");
   routing.retryAfterAllowed = settings.flag("limits.retryAfter");
   routing.maxRetryAfter = readDuration(settings, "limits.maxRetryAfter", Duration());
-  routing.maxAttempts = static_cast<unsigned>(settings.whole("limits.maxAttempts", 1));
+  routing.maxAttempts = static_cast<unsigned>(settings.unsignedInteger("limits.maxAttempts", 1));
   routing.crossZoneCost = settings.number("penalties.crossZone", 0);
   routing.nodesRejectStaleReads = settings.find("specifics.guards").value_or("off") != "off";
   routing.sessionAgeProvided = settings.find("specifics.sessionMarks").value_or("client") == "client";
@@ -111,7 +112,7 @@
 
 }  // namespace
 
-std::uint64_t toWhole(std::string_view field, std::string_view text) {
+std::uint64_t toUnsigned(std::string_view field, std::string_view text) {
   return parse<std::uint64_t>(field, text, "a whole number");
 }
 
@@ -150,11 +151,13 @@
   return *value;
 }
 
-std::uint64_t SettingsSource::whole(std::string_view name) const { return toWhole(name, text(name)); }
+std::uint64_t SettingsSource::unsignedInteger(std::string_view name) const {
+  return toUnsigned(name, text(name));
+}
 
-std::uint64_t SettingsSource::whole(std::string_view name, std::uint64_t fallback) const {
+std::uint64_t SettingsSource::unsignedInteger(std::string_view name, std::uint64_t fallback) const {
   const auto value = find(name);
-  return value ? toWhole(name, *value) : fallback;
+  return value ? toUnsigned(name, *value) : fallback;
 }
 
 double SettingsSource::number(std::string_view name, double fallback) const {
@@ -172,10 +175,10 @@
   readTransactionClasses(settings, deployment);
   readRouting(settings, deployment.routing);
   deployment.zone = settings.find("zone").value_or("");
-  deployment.idleLimit = readDuration(settings, "limits.connIdle", kDefaultIdleLimit);
-  deployment.connectLimit = readDuration(settings, "limits.connectTimeout", kDefaultConnectLimit);
+  deployment.idleTimeout = readDuration(settings, "limits.connIdle", kDefaultIdleTimeout);
+  deployment.connectTimeout = readDuration(settings, "limits.connectTimeout", kDefaultConnectTimeout);
   deployment.drainGrace = readDuration(settings, "rules.drainGrace", kDefaultDrainGrace);
-  deployment.notifiedWithin = readDuration(settings, "rules.askWithin", Duration());
+  deployment.notificationBound = readDuration(settings, "rules.askWithin", Duration());
   return deployment;
 }
 
--- a/src/deployment/routing_config.h
+++ b/src/deployment/routing_config.h
@@ -25,7 +25,7 @@
 
 // The functions below parse the entire text of a field; `field` is used only in the error message.
 // Parses an unsigned integer.
-std::uint64_t toWhole(std::string_view field, std::string_view text);
+std::uint64_t toUnsigned(std::string_view field, std::string_view text);
 // Parses a finite number.
 double toNumber(std::string_view field, std::string_view text);
 // Parses 1, true, 0 or false.
@@ -38,7 +38,7 @@
 
 // The enumerator whose value is the position of `name` in `names`.
 template <typename E, std::size_t N>
-E choice(std::string_view field, std::string_view name, const std::array<std::string_view, N>& names) {
+E toEnumerator(std::string_view field, std::string_view name, const std::array<std::string_view, N>& names) {
   for (std::size_t i = 0; i < N; ++i)
     if (names[i] == name) return static_cast<E>(i);
   throw InvalidField(field, "'" + std::string(name) + "' is not a known value");
@@ -55,8 +55,8 @@
   // A required setting, which must not be empty.
   std::string_view text(std::string_view name) const;
   // An unsigned integer, either required or `fallback` if absent.
-  std::uint64_t whole(std::string_view name) const;
-  std::uint64_t whole(std::string_view name, std::uint64_t fallback) const;
+  std::uint64_t unsignedInteger(std::string_view name) const;
+  std::uint64_t unsignedInteger(std::string_view name, std::uint64_t fallback) const;
   // A finite number, or `fallback` if absent.
   double number(std::string_view name, double fallback) const;
   // A boolean, false if absent.
@@ -68,11 +68,11 @@
   RoutingConfig routing;
   std::vector<std::string> classNames;  // of RoutingConfig::transactionClasses, in the same order
   std::string zone;                     // of this router; empty: none
-  Duration idleLimit;                   // nodes close connections that are idle for this long
-  Duration connectLimit;                // a connection that isn't established within this time has failed
+  Duration idleTimeout;                 // nodes close connections that are idle for this long
+  Duration connectTimeout;              // a connection that isn't established within this time has failed
   Duration drainGrace;                  // after this time a draining node receives no new attempts
   // Endpoint list changes count as notified this long after they were due; zero: only once they have arrived.
-  Duration notifiedWithin;
+  Duration notificationBound;
   bool operator==(const DeploymentSettings&) const = default;
 };
 
--- a/src/discovery/poll_schedule.cpp
+++ b/src/discovery/poll_schedule.cpp
@@ -35,14 +35,14 @@
       timeFactor_(std::clamp(drainGrace / kReferenceGrace, kMinTimeFactor, 1.0)),
       random_(seed) {}
 
-Duration PollSchedule::silence(bool isWatch, bool hasReceived) const {
+Duration PollSchedule::idleTimeout(bool isWatch, bool hasReceived) const {
   if (isPolled_ && !hasReceived) return kMaxFirstByteDelay;
   if (isWatch || isPolled_) return kMaxSilence;
   // A discovery that has started to answer is up.
   return hasReceived ? kMaxAnswerDelay : kMaxAnswerDelay * timeFactor_;
 }
 
-Duration PollSchedule::pause() {
+Duration PollSchedule::nextBackoff() {
   if (!isPolled_) return kBaseBackoff * timeFactor_;
   const double jitter = std::uniform_real_distribution<>(kMinJitter, kMaxJitter)(random_);
   const int doublings = std::min(failedCalls_, kMaxDoublings);
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -23,14 +23,14 @@
 
   // Whether to start with a watch from the known list, and to retry one that failed without invalid content
   // with another watch, rather than request the whole list. Changes cost the service less than whole lists.
-  bool watchesAtOnce() const { return isPolled_; }
+  bool startsWithWatch() const { return isPolled_; }
   // The maximum time without data from a call. `hasReceived`: part of the answer has been received.
-  Duration silence(bool isWatch, bool hasReceived) const;
+  Duration idleTimeout(bool isWatch, bool hasReceived) const;
   // Resets the backoff after a call that was answered.
-  void answered() { failedCalls_ = 0; }
+  void resetBackoff() { failedCalls_ = 0; }
   // Records a failed call and returns the time until the next one. If lists are polled it draws one random
   // number.
-  Duration pause();
+  Duration nextBackoff();
 
  private:
   bool isPolled_;
--- a/src/downstream/ext_proc/request_streams.cpp
+++ b/src/downstream/ext_proc/request_streams.cpp
@@ -18,11 +18,11 @@
 
 RequestStreams::RequestStreams(transactions::TransactionTable& transactions, HeaderMapping mapping,
                                endpoint_leases::LeaseRegistry leaseRegistry,
-                               endpoint_leases::DrainRule drainRule, Bounds bounds, Effects& effects)
+                               endpoint_leases::DrainRule drainRule, StreamLimits limits, Effects& effects)
     : transactions_(transactions),
       mapping_(std::move(mapping)),
       leaseRegistry_(std::move(leaseRegistry)),
-      bounds_(bounds),
+      limits_(limits),
       effects_(effects),
       transport_(transactions, drainRule, *this) {}
 
@@ -31,13 +31,13 @@
 // Closes a stream that exceeds the limit over all connections. Prevents unbounded memory use.
 void RequestStreams::onOpened(StreamKey key) {
   Stream& stream = streams_[key];
-  const bool isFull = streams_.size() > bounds_.maxStreams;
+  const bool isFull = streams_.size() > limits_.maxStreams;
   if (isStopped_ || isFull) {
     stream.stage = Stage::answered;
     return isStopped_ ? effects_.close(key, StreamCloseReason::unavailable, "shutting down")
                       : effects_.close(key, StreamCloseReason::tooManyStreams, "too many streams");
   }
-  setDeadline(key, stream, transactions_.now() + bounds_.requestTimeout);
+  setDeadline(key, stream, transactions_.now() + limits_.requestTimeout);
 }
 
 void RequestStreams::onMessage(StreamKey key, std::string_view bytes) {
@@ -47,7 +47,7 @@
   try {
     request = wire::readRequest(bytes);
   } catch (const wire::Malformed& error) { return rejectMessage(key, error.what()); }
-  if (request.wantsNoAnswer) return;  // observability mode: the proxy only mirrors its traffic
+  if (request.isObservabilityMode) return;  // observability mode: the proxy only mirrors its traffic
   Stream& stream = found->second;
   switch (request.phase) {
     case wire::Phase::requestHeaders:
@@ -67,8 +67,8 @@
     stream.request = mapping_.readRequest(headers);
   } catch (const InvalidHeader& error) { return rejectRequest(key, stream, error.what()); }
   ++counts_.requested;
-  stream.decisionDeadlines = endpoint_leases::holdDeadlines(
-      transactions_.now(), stream.request.transaction.remainingTime, bounds_.messageTimeout);
+  stream.decisionDeadlines = endpoint_leases::decisionDeadlines(
+      transactions_.now(), stream.request.transaction.remainingTime, limits_.messageTimeout);
   requestLease(key, stream);
 }
 
@@ -79,14 +79,14 @@
   // through and has no effect.
   const bool hadLease = stream.lease.duration > Duration();
   if (hadLease && !std::exchange(stream.hasReported, true))
-    return effects_.send(key, wire::continued(wire::Phase::responseHeaders));
+    return effects_.send(key, wire::encodeContinue(wire::Phase::responseHeaders));
   rejectMessage(key, "response_headers came twice");
 }
 
 void RequestStreams::onBodyOrTrailers(StreamKey key, Stream& stream, wire::Phase phase) {
   if (stream.stage != Stage::leased && stream.stage != Stage::answered)
     return rejectMessage(key, "a body or trailers came before the answer on the headers");
-  effects_.send(key, wire::continued(phase));
+  effects_.send(key, wire::encodeContinue(phase));
 }
 
 void RequestStreams::onHalfClosed(StreamKey key) {
@@ -119,7 +119,7 @@
   if (stream.txn == 0) return;
   owners_.erase(stream.txn);
   transport_.onReporterLost(stream.txn);
-  transactions_.onClientLeft(stream.txn);
+  transactions_.onClientDisconnected(stream.txn);
 }
 
 // --- Lease requests
@@ -145,7 +145,7 @@
   Transaction transaction = stream.request.transaction;
   transaction.priorAttempts = std::move(priorAttempts);
   transaction.maxLocalAttempts = 1;
-  transaction.maxHold = stream.decisionDeadlines.answerBy - transactions_.now();
+  transaction.maxQueueTime = stream.decisionDeadlines.answerBy - transactions_.now();
   stream.txn = transactions_.openTransaction(*this, key, transport_, std::move(transaction), {},
                                              stream.request.leaseRequest.id);
   owners_[stream.txn] = key;
@@ -198,11 +198,11 @@
   switch (stream.stage) {
     case Stage::opened:
       stream.stage = Stage::answered;
-      effects_.close(key, StreamCloseReason::overdue, "nothing was asked for");
+      effects_.close(key, StreamCloseReason::timedOut, "nothing was asked for");
       break;
     case Stage::leased:
       releaseTransaction(key, stream);
-      effects_.close(key, StreamCloseReason::overdue, "no answer was told");
+      effects_.close(key, StreamCloseReason::timedOut, "no answer was told");
       break;
     case Stage::awaitingPrior:
     case Stage::awaitingDecision:
@@ -217,7 +217,7 @@
 // Requests a timeout extension for a stream that waits for its decision, or rejects it.
 void RequestStreams::onDecisionDeadline(StreamKey key, Stream& stream, Instant deadline) {
   if (deadline == stream.decisionDeadlines.extensionRequestAt) {
-    effects_.send(key, wire::wait(stream.decisionDeadlines.extension));
+    effects_.send(key, wire::encodeTimeoutOverride(stream.decisionDeadlines.extension));
     setDeadline(key, stream, stream.decisionDeadlines.answerBy);
     return;
   }
@@ -225,7 +225,7 @@
   // stream that waits for another one. Ensures exactly one final answer: the proxy stops waiting a moment
   // later.
   if (deadline < stream.decisionDeadlines.answerBy) return;
-  if (stream.txn != 0) transactions_.onClientLeft(stream.txn);
+  if (stream.txn != 0) transactions_.onClientDisconnected(stream.txn);
   awaitingPrior_.erase(key);
   sendImmediate(key, stream, {.outcome = FinalOutcome::rejected, .reason = "no node was free in time"});
 }
@@ -244,7 +244,7 @@
     return;
   }
   const std::size_t suppressed = limit.suppressedCount;
-  effects_.log(event, fields + (suppressed > 0 ? " unsaid=" + std::to_string(suppressed) : ""));
+  effects_.log(event, fields + (suppressed > 0 ? " suppressed=" + std::to_string(suppressed) : ""));
   limit = {transactions_.now(), 0};
 }
 
--- a/src/downstream/ext_proc/request_streams.h
+++ b/src/downstream/ext_proc/request_streams.h
@@ -38,7 +38,7 @@
 using endpoint_leases::StreamKey;
 
 // Why the gateway closes a stream. Each reason maps to a gRPC status.
-enum class StreamCloseReason { finished, invalidMessage, overdue, tooManyStreams, unavailable };
+enum class StreamCloseReason { finished, invalidMessage, timedOut, tooManyStreams, unavailable };
 
 // Actions that the streams request from the owner of the sockets.
 class Effects {
@@ -52,7 +52,7 @@
 };
 
 // Limits on streams of proxies.
-struct Bounds {
+struct StreamLimits {
   std::size_t maxStreams = 1000;                     // open at the same time
   Duration requestTimeout = Duration::millis(2000);  // from the opening of a stream to its request headers
   endpoint_leases::MessageTimeout messageTimeout;
@@ -65,7 +65,7 @@
   // The references must outlive this.
   RequestStreams(transactions::TransactionTable& transactions, HeaderMapping mapping,
                  endpoint_leases::LeaseRegistry leaseRegistry, endpoint_leases::DrainRule drainRule,
-                 Bounds bounds, Effects& effects);
+                 StreamLimits limits, Effects& effects);
 
   // --- Events. TransactionTable::advanceTo() must be called with the time of the event first.
 
@@ -112,7 +112,7 @@
     HeaderMapping::ParsedRequest request;
     TxnId txn = 0;                // 0: no transaction was opened
     bool ownsTransaction = true;  // false: another stream owns the transaction with this id
-    endpoint_leases::HoldDeadlines decisionDeadlines;
+    endpoint_leases::DecisionDeadlines decisionDeadlines;
     upstream::delegated::EndpointLease lease;
     std::optional<Answer> pendingAnswer;  // answer of the router that can't be sent yet
     bool hasHalfClosed = false, hasReported = false;
@@ -129,9 +129,9 @@
   };
 
   // DownstreamHandler
-  void committed(transactions::OwnerId owner, const transactions::ResultValue& value) override;
-  void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override;
-  void rolledBack(transactions::OwnerId owner) override;
+  void onTransactionCommitted(transactions::OwnerId owner, const transactions::ResultValue& value) override;
+  void onTransactionRejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override;
+  void onTransactionRolledBack(transactions::OwnerId owner) override;
   bool requiresValue() const override { return false; }
   // LeaseHandler
   bool onLeaseGranted(TxnId txn, const upstream::delegated::EndpointLease& lease) override;
@@ -163,7 +163,7 @@
   transactions::TransactionTable& transactions_;
   HeaderMapping mapping_;
   endpoint_leases::LeaseRegistry leaseRegistry_;
-  Bounds bounds_;
+  StreamLimits limits_;
   Effects& effects_;
   upstream::delegated::DelegatedTransport transport_;
   std::map<StreamKey, Stream> streams_;
--- a/src/downstream/ext_proc/stream_answers.cpp
+++ b/src/downstream/ext_proc/stream_answers.cpp
@@ -65,10 +65,10 @@
   stream.lease = lease;
   setDeadline(key, stream, lease.reportBy + kLateReportTime);
   const HeaderNames& names = mapping_.names();
-  effects_.send(key, wire::continued(wire::Phase::requestHeaders,
-                                     {{names.destination, lease.address},
-                                      {names.leaseToken, token},
-                                      {names.leaseDuration, std::to_string(millisOf(lease.duration))}}));
+  effects_.send(key, wire::encodeContinue(wire::Phase::requestHeaders,
+                                          {{names.destination, lease.address},
+                                           {names.leaseToken, token},
+                                           {names.leaseDuration, std::to_string(millisOf(lease.duration))}}));
   if (stream.hasHalfClosed) {  // the proxy can't report the outcome
     releaseTransaction(key, stream);
     effects_.close(key, StreamCloseReason::finished, "");
@@ -80,7 +80,7 @@
   const std::string& leasedAddress = stream.lease.address;
   if (report.sentToAddress && *report.sentToAddress != leasedAddress) {
     ++counts_.misused;
-    logLimited("ext_proc.misused", "told=" + leasedAddress + " sent_to=" + quoted(*report.sentToAddress));
+    logLimited("ext_proc.misused", "leased=" + leasedAddress + " sent_to=" + quoted(*report.sentToAddress));
   }
   stream.stage = Stage::reported;
   stream.hasReported = true;
@@ -98,15 +98,15 @@
 
 // --- Final answers
 
-void RequestStreams::committed(transactions::OwnerId owner, const transactions::ResultValue&) {
+void RequestStreams::onTransactionCommitted(transactions::OwnerId owner, const transactions::ResultValue&) {
   deliverAnswer(owner, {.outcome = FinalOutcome::committed});
 }
 
-void RequestStreams::rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) {
+void RequestStreams::onTransactionRejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) {
   deliverAnswer(owner, {.outcome = FinalOutcome::rejected, .retryAfter = retryAfter, .level = level});
 }
 
-void RequestStreams::rolledBack(transactions::OwnerId owner) {
+void RequestStreams::onTransactionRolledBack(transactions::OwnerId owner) {
   deliverAnswer(owner, {.outcome = FinalOutcome::rolledBack});
 }
 
@@ -130,8 +130,8 @@
   owners_.erase(stream.txn);
   stream.stage = Stage::answered;
   leaseRegistry_.onAnswered(transactions_.now(), stream.request.leaseRequest.id, key, kOutcome);
-  effects_.send(key, wire::continued(wire::Phase::responseHeaders,
-                                     {{mapping_.names().outcome, std::string(nameOf(kOutcome))}}));
+  effects_.send(key, wire::encodeContinue(wire::Phase::responseHeaders,
+                                          {{mapping_.names().outcome, std::string(nameOf(kOutcome))}}));
   if (stream.hasHalfClosed) effects_.close(key, StreamCloseReason::finished, "");
 }
 
@@ -146,7 +146,7 @@
     leaseRegistry_.onAnswered(transactions_.now(), stream.request.leaseRequest.id, key, answer.outcome);
   const HeaderNames& names = mapping_.names();
   const std::string outcome(nameOf(answer.outcome));
-  wire::Immediate immediate;
+  wire::ImmediateAnswer immediate;
   immediate.status = isRejected ? kServiceUnavailable : kInternalServerError;
   immediate.headers = {{names.outcome, outcome}};
   if (isRejected && answer.retryAfter > Duration()) {
@@ -158,7 +158,7 @@
   if (answer.level > 0) immediate.headers.push_back({"x-txn-level", std::to_string(answer.level)});
   immediate.details = isRejected ? "txn_refused" : "txn_rolled_back";
   immediate.body = outcome + (answer.reason.empty() ? "" : ": " + std::string(answer.reason)) + "\n";
-  effects_.send(key, wire::answered(immediate));
+  effects_.send(key, wire::encodeImmediateResponse(immediate));
   effects_.close(key, StreamCloseReason::finished, "");
 }
 
@@ -168,7 +168,7 @@
 void RequestStreams::deny(StreamKey key, Stream& stream, const LeaseDecision& decision) {
   ++counts_.denied;
   logLimited("ext_proc.denied",
-             "why=" + quoted(decision.reason) + " id=" + quoted(stream.request.leaseRequest.id));
+             "reason=" + quoted(decision.reason) + " id=" + quoted(stream.request.leaseRequest.id));
   stream.ownsTransaction = false;
   sendImmediate(key, stream, {.outcome = decision.outcome, .reason = decision.reason});
 }
@@ -176,20 +176,20 @@
 // Answers a request with invalid headers with an error. No transaction was opened.
 void RequestStreams::rejectRequest(StreamKey key, Stream& stream, std::string_view reason) {
   ++counts_.malformed;
-  logLimited("ext_proc.bad_request", "why=" + quoted(reason));
+  logLimited("ext_proc.bad_request", "reason=" + quoted(reason));
   stream.stage = Stage::answered;
   setDeadline(key, stream, {});
-  wire::Immediate immediate;
+  wire::ImmediateAnswer immediate;
   immediate.status = kBadRequest;
   immediate.body = std::string(reason) + "\n";
   immediate.details = "txn_not_taken";
-  effects_.send(key, wire::answered(immediate));
+  effects_.send(key, wire::encodeImmediateResponse(immediate));
   effects_.close(key, StreamCloseReason::finished, "");
 }
 
 void RequestStreams::rejectMessage(StreamKey key, std::string_view reason) {
   ++counts_.malformed;
-  logLimited("ext_proc.invalid_message", "why=" + quoted(reason));
+  logLimited("ext_proc.invalid_message", "reason=" + quoted(reason));
   Stream& stream = streams_.at(key);
   releaseTransaction(key, stream);
   awaitingPrior_.erase(key);
--- a/src/downstream/postgres/client_messages.cpp
+++ b/src/downstream/postgres/client_messages.cpp
@@ -33,7 +33,7 @@
 // Prevents clients that send nothing, or half of a message, from keeping a descriptor and their buffered
 // bytes. Trade-off: closes clients whose network takes seconds for a message.
 void ClientSessions::startMessageTimer(ClientId id, Client& client) {
-  setDeadline(id, client, transactions_.now() + limits_.connectLimit * kMessageTimeFactor);
+  setDeadline(id, client, transactions_.now() + limits_.connectTimeout * kMessageTimeFactor);
 }
 
 // `deadline`: when the client is closed; never: nothing is awaited from it.
@@ -91,7 +91,7 @@
 }
 
 bool ClientSessions::consumeStartup(ClientId id, Client& client, std::string_view& bytes) {
-  const auto startup = wire::takeOpening(bytes);
+  const auto startup = wire::takeStartupMessage(bytes);
   if (!startup) return false;
   if (startup->code == wire::kSslRequest || startup->code == wire::kGssRequest) {
     effects_.writeClient(id, {"N"});
@@ -101,7 +101,7 @@
     closeWithError(id, wire::kNotSupported, "only version 3 of the protocol is spoken here");
   } else {
     client.stage = Stage::ready;
-    effects_.writeClient(id, {wire::welcome()});
+    effects_.writeClient(id, {wire::startupAnswer()});
   }
   return true;
 }
@@ -114,15 +114,15 @@
   if (!message) return false;
   const Instant arrivedAt = client.arrivals.arrivalOf(consumedBefore + sizeBefore - bytes.size());
   const auto request = wire::requestOf(message->type);
-  if (client.stage == Stage::skippingToSync && request != wire::Request::goodbye &&
+  if (client.stage == Stage::skippingToSync && request != wire::Request::terminate &&
       request != wire::Request::sync)
     return true;
   std::string_view body = message->body;
   switch (request) {
     case wire::Request::query:
-      handleQuery(id, client, wire::takeText(body), arrivedAt);
+      handleQuery(id, client, wire::takeString(body), arrivedAt);
       break;
-    case wire::Request::goodbye:
+    case wire::Request::terminate:
       close(id, ConnectionCloseReason::clientFinished);
       break;
     case wire::Request::sync:
@@ -136,7 +136,7 @@
     case wire::Request::functionCall:
       answerError(id, wire::kNotSupported, "only simple queries are taken");
       break;
-    case wire::Request::passedOver:
+    case wire::Request::ignored:
       break;
     case wire::Request::unknown:
       throw wire::Malformed("a message of this type is not known");
@@ -158,7 +158,7 @@
 // Throws wire::InvalidStatement if the statement is invalid or if this router rejects it.
 void ClientSessions::openTransaction(ClientId id, Client& client, std::string_view text, Instant arrivedAt) {
   if (stoppedAt_ != Instant() && arrivedAt >= stoppedAt_ && client.isActive)
-    throw wire::InvalidStatement(wire::kRefused, "refused: this router ends");
+    throw wire::InvalidStatement(wire::kRejected, "refused: this router ends");
   const wire::Statement statement = wire::readStatement(text);
   const std::size_t type = classOf(statement);
   if (transactions_.isOpen(statement.id))
@@ -166,15 +166,15 @@
   // Keeps the memory limit if many long statements are in flight. Trade-off: rejects statements while nodes
   // are slow.
   if (!transactions_.hasCapacityFor(text.size()))
-    throw wire::InvalidStatement(wire::kRefused, "refused: too much is held here");
+    throw wire::InvalidStatement(wire::kRejected, "refused: too much is held here");
   if (!std::exchange(client.isActive, true)) ++activeClients_;
   const auto offsetOf = [&](std::string_view slice) {
     return static_cast<std::size_t>(slice.data() - text.data());
   };
   transactions::RequestMessage message;
   message.bytes = std::string(text);
-  message.timeoutOffset = offsetOf(statement.wait);
-  message.timeoutSize = statement.wait.size();
+  message.timeoutOffset = offsetOf(statement.timeoutText);
+  message.timeoutSize = statement.timeoutText.size();
   message.idOffset = offsetOf(statement.id);
   message.idSize = statement.id.size();
   client.txn = transactions_.openTransaction(*this, id, transport_, transactionOf(statement, type, arrivedAt),
@@ -189,7 +189,7 @@
     throw wire::InvalidStatement(wire::kBadValue,
                                  "txn type '" + std::string(statement.typeName) + "' is not known");
   const bool isWriteClass = readLevels_[found->second] == ReadLevel::write;
-  if (statement.writes != isWriteClass)
+  if (statement.isWrite != isWriteClass)
     throw wire::InvalidStatement(wire::kBadValue, "the statement is not of its txn type");
   return found->second;
 }
@@ -212,7 +212,7 @@
   }
   // The client's timeout starts when it sends the statement, also if the statement waited here behind others.
   transaction.remainingTime =
-      Duration::millis(static_cast<std::int64_t>(statement.waitMs)) - (now - arrivedAt);
+      Duration::millis(static_cast<std::int64_t>(statement.timeoutMs)) - (now - arrivedAt);
   return transaction;
 }
 
--- a/src/downstream/postgres/client_sessions.cpp
+++ b/src/downstream/postgres/client_sessions.cpp
@@ -42,18 +42,20 @@
 
 // --- Final answers
 
-void ClientSessions::committed(transactions::OwnerId owner, const transactions::ResultValue& value) {
+void ClientSessions::onTransactionCommitted(transactions::OwnerId owner,
+                                            const transactions::ResultValue& value) {
   effects_.writeClient(owner, {value[0], value[1], value[2], wire::readyForQuery()});
   onAnswered(owner);
 }
 
-void ClientSessions::rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) {
-  effects_.writeClient(owner, {wire::refused(retryAfter.inMicros() / 1000, level), wire::readyForQuery()});
+void ClientSessions::onTransactionRejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) {
+  effects_.writeClient(owner,
+                       {wire::rejectedError(retryAfter.inMicros() / 1000, level), wire::readyForQuery()});
   onAnswered(owner);
 }
 
-void ClientSessions::rolledBack(transactions::OwnerId owner) {
-  effects_.writeClient(owner, {wire::rolledBack(), wire::readyForQuery()});
+void ClientSessions::onTransactionRolledBack(transactions::OwnerId owner) {
+  effects_.writeClient(owner, {wire::rolledBackError(), wire::readyForQuery()});
   onAnswered(owner);
 }
 
@@ -113,7 +115,7 @@
 
 void ClientSessions::traceClose(ClientId id, std::string_view reason) const {
   transactions_.trace().write([&] {
-    return "event=client.closed client=" + std::to_string(id) + " why=\"" + std::string(reason) + "\"";
+    return "event=client.closed client=" + std::to_string(id) + " reason=\"" + std::string(reason) + "\"";
   });
 }
 
@@ -125,7 +127,7 @@
   setDeadline(id, client, {});
   if (client.isActive) --activeClients_;
   clients_.erase(found);
-  transactions_.onClientLeft(txn);
+  transactions_.onClientDisconnected(txn);
 }
 
 // A half-closed client may still await its answer or may be gone: both look alike. A notice, which clients
@@ -140,7 +142,7 @@
 }
 
 void ClientSessions::reject(ClientId id) {
-  if (clients_.contains(id)) closeWithError(id, wire::kRefused, "refused: too much is held here");
+  if (clients_.contains(id)) closeWithError(id, wire::kRejected, "refused: too much is held here");
 }
 
 void ClientSessions::endTurn() {
@@ -165,7 +167,7 @@
   for (const auto& [id, client] : clients_) {
     const bool isIncluded = client.isActive || which == IdleClients::all;
     if (isIncluded && !client.isWaiting() && !client.hasUnreadMessages &&
-        !hasJustConnected(client, limits_.connectLimit * kStartupFraction))
+        !hasJustConnected(client, limits_.connectTimeout * kStartupFraction))
       idle.push_back({client.idleSince, id});
   }
   const std::size_t count = std::min(max, idle.size());
@@ -188,7 +190,7 @@
 void ClientSessions::closeIdleAtShutDown() {
   std::vector<ClientId> idle;
   for (const auto& [id, client] : clients_)
-    if (client.txn == 0 && !client.hasUnreadMessages && !hasJustConnected(client, limits_.connectLimit))
+    if (client.txn == 0 && !client.hasUnreadMessages && !hasJustConnected(client, limits_.connectTimeout))
       idle.push_back(id);
   for (const ClientId id : idle) close(id, ConnectionCloseReason::shuttingDown);
 }
--- a/src/downstream/postgres/client_sessions.h
+++ b/src/downstream/postgres/client_sessions.h
@@ -35,7 +35,7 @@
 
 // Limits for clients, derived from the settings and the process's resource limits.
 struct ClientLimits {
-  Duration connectLimit;             // time limit for establishing a connection
+  Duration connectTimeout;           // time limit for establishing a connection
   std::size_t maxActiveClients = 0;  // connections that clients keep for transactions; 0: unlimited
 };
 
@@ -104,9 +104,9 @@
   };
 
   // DownstreamHandler
-  void committed(transactions::OwnerId owner, const transactions::ResultValue& value) override;
-  void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override;
-  void rolledBack(transactions::OwnerId owner) override;
+  void onTransactionCommitted(transactions::OwnerId owner, const transactions::ResultValue& value) override;
+  void onTransactionRejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override;
+  void onTransactionRolledBack(transactions::OwnerId owner) override;
 
   // Reading (client_messages.cpp). A bool result tells whether a message was consumed.
   std::size_t consumeMessages(ClientId id, std::string_view bytes);
--- a/src/endpoint_leases/attempt_outcome.cpp
+++ b/src/endpoint_leases/attempt_outcome.cpp
@@ -31,9 +31,10 @@
 
 // Interprets the status conservatively, so that an attempt that may have run never counts as not run: a 503
 // or 429 may come from a proxy or node that had started to execute it, unless the report says that nothing
-// was written. By 421 a node states that it is the wrong one and did nothing. Prevents violations of rule 2
-// by statuses that promise more than is known. Trade-off: at-most-once transactions at nodes that reject with
-// a bare 503 are rolled back, whereas a node that reports `turned-away` allows a retry elsewhere.
+// was written. By 421 a node states that it is the wrong one and did nothing. Prevents executing an
+// at-most-once transaction twice because of statuses that promise more than is known. Trade-off: at-most-once
+// transactions at nodes that reject with a bare 503 are rolled back, whereas a node that reports
+// `turned-away` allows a retry elsewhere.
 AttemptOutcome outcomeOfStatus(const ProxyReport& report) {
   const int status = report.httpStatus;
   if (status == kMisdirectedRequest && isFromNode(report)) return AttemptOutcome::wrongNode;
--- a/src/endpoint_leases/lease_duration.cpp
+++ b/src/endpoint_leases/lease_duration.cpp
@@ -8,8 +8,9 @@
 
 // The fraction of the grace period that a lease may use. The other half covers the delays between granting
 // the lease and the node: the answer's transit to the proxy, the proxy's queue, and the transit of the first
-// byte to the node. Prevents violations of the drain rule if the announcement of a drain and a lease cross in
-// transit. Trade-off: proxies that wait longer for a connection must retry, with nothing written.
+// byte to the node. Prevents new attempts at a draining node after its grace period if the announcement of a
+// drain and a lease cross in transit. Trade-off: proxies that wait longer for a connection must retry, with
+// nothing written.
 constexpr double kGraceFraction = 0.5;
 
 // A shorter lease is not granted because it would expire in transit.
@@ -31,31 +32,31 @@
 }  // namespace
 
 // Handles drains that are announced late: if discovery was silent for longer than its keepalive interval, a
-// drain may be pending that counts as announced `notifiedWithin` after it was due. The grace period runs from
-// then on, and a lease must be used before that period can end. Trade-off: during a long outage of discovery,
-// if the rule counts lists that were never received, no lease is granted eventually and requests are
-// rejected.
+// drain may be pending that counts as announced `notificationBound` after it was due. The grace period runs
+// from then on, and a lease must be used before that period can end. Trade-off: during a long outage of
+// discovery, if the rule counts lists that were never received, no lease is granted eventually and requests
+// are rejected.
 Duration leaseDuration(Instant now, Instant sendBy, const DrainRule& rule, const EndpointListAge& list) {
   const Duration graceForLease = rule.grace * kGraceFraction;
   Duration duration = std::min(graceForLease, sendBy - now);
   const bool isListOverdue =
       list.lastActivityAt != Instant() && now - list.lastActivityAt > list.keepaliveInterval;
-  if (rule.notifiedWithin > Duration() && isListOverdue)
-    duration = std::min(duration, list.lastActivityAt + rule.notifiedWithin + graceForLease - now);
+  if (rule.notificationBound > Duration() && isListOverdue)
+    duration = std::min(duration, list.lastActivityAt + rule.notificationBound + graceForLease - now);
   return duration < kMinLease ? Duration() : duration;
 }
 
-HoldDeadlines holdDeadlines(Instant now, Duration remainingTime, const MessageTimeout& message) {
-  HoldDeadlines hold;
-  hold.answerBy = now + std::min(remainingTime, message.timeout - answerMargin(message.timeout));
+DecisionDeadlines decisionDeadlines(Instant now, Duration remainingTime, const MessageTimeout& message) {
+  DecisionDeadlines deadlines;
+  deadlines.answerBy = now + std::min(remainingTime, message.timeout - answerMargin(message.timeout));
   // An extension never exceeds the time that the client waits, and none is requested if it gains nothing.
   const Duration untilRequest = message.timeout * kExtensionRequestFraction;
   const Duration extension = std::min(message.maxExtension, remainingTime - untilRequest);
-  if (remainingTime <= message.timeout || untilRequest + extension <= message.timeout) return hold;
-  hold.extensionRequestAt = now + untilRequest;
-  hold.extension = extension;
-  hold.answerBy = hold.extensionRequestAt + (extension - answerMargin(extension));
-  return hold;
+  if (remainingTime <= message.timeout || untilRequest + extension <= message.timeout) return deadlines;
+  deadlines.extensionRequestAt = now + untilRequest;
+  deadlines.extension = extension;
+  deadlines.answerBy = deadlines.extensionRequestAt + (extension - answerMargin(extension));
+  return deadlines;
 }
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/lease_duration.h
+++ b/src/endpoint_leases/lease_duration.h
@@ -16,7 +16,7 @@
   Duration grace = Duration::millis(1000);
   // An endpoint list counts as received this long after it was due, whether it arrived or not. Zero: only
   // lists that were received count.
-  Duration notifiedWithin;
+  Duration notificationBound;
 };
 
 // The age of the endpoint list.
@@ -38,12 +38,12 @@
 };
 
 // The deadlines while a proxy's request is held.
-struct HoldDeadlines {
+struct DecisionDeadlines {
   Instant extensionRequestAt;  // when an extension is requested, unless answered by then; Instant(): none
   Duration extension;
   Instant answerBy;  // when the request is answered in any case
 };
 // `remainingTime`: how long the client waits from `now`.
-HoldDeadlines holdDeadlines(Instant now, Duration remainingTime, const MessageTimeout& message);
+DecisionDeadlines decisionDeadlines(Instant now, Duration remainingTime, const MessageTimeout& message);
 
 }  // namespace gulltrestle::endpoint_leases
--- a/src/endpoint_leases/lease_registry.h
+++ b/src/endpoint_leases/lease_registry.h
@@ -78,7 +78,7 @@
 };
 
 // Limits on the registry's memory.
-struct RegistryBounds {
+struct RegistryLimits {
   // Number of remembered transactions: this many idempotent ones, and this many others.
   std::size_t maxTransactionsPerKind = 65536;
 };
@@ -87,7 +87,7 @@
 class LeaseRegistry {
  public:
   // `incarnation`: identifies this run of the program in tokens; unique to each start.
-  LeaseRegistry(std::vector<TransactionClass> classes, ProxyPlacement placement, RegistryBounds bounds,
+  LeaseRegistry(std::vector<TransactionClass> classes, ProxyPlacement placement, RegistryLimits limits,
                 std::string incarnation);
 
   // A stream requests a lease. Must be called again after a decision to wait.
@@ -106,7 +106,7 @@
   Instant dropExpired(Instant now);
 
   // The number of remembered transactions.
-  std::size_t size() const { return entries_.size(); }
+  std::size_t size() const { return records_.size(); }
 
  private:
   enum class State { requested, leased, betweenAttempts, finished };
@@ -115,7 +115,7 @@
     StreamKey stream = 0;
     Instant until;
   };
-  struct Entry {
+  struct TransactionRecord {
     State state = State::requested;
     std::size_t transactionClass = 0;
     StreamKey stream = 0;  // the stream that requests or has the lease; 0: none
@@ -134,25 +134,26 @@
   };
   using ExpiryQueue = std::deque<Expiry>;  // oldest first
 
-  Entry* find(const std::string& id, StreamKey stream);
-  Entry& startEntry(Instant now, StreamKey stream, const LeaseRequest& request);
-  LeaseDecision route(Instant now, const Entry& entry) const;
+  TransactionRecord* find(const std::string& id, StreamKey stream);
+  TransactionRecord& startRecord(Instant now, StreamKey stream, const LeaseRequest& request);
+  LeaseDecision route(Instant now, const TransactionRecord& record) const;
   LeaseDecision routeUnknown(Instant now, StreamKey stream, const LeaseRequest& request);
-  LeaseDecision routeRetry(Instant now, StreamKey stream, const LeaseRequest& request, Entry& entry);
-  LeaseDecision deny(const Entry& entry, std::string_view reason) const;
-  std::optional<LeaseDecision> denyRetryOfFinished(const Entry& entry) const;
-  std::optional<LeaseDecision> denyReuseOfFinished(const Entry& entry) const;
-  void remember(Instant now, const std::string& id, Entry& entry, State state);
+  LeaseDecision routeRetry(Instant now, StreamKey stream, const LeaseRequest& request,
+                           TransactionRecord& record);
+  LeaseDecision deny(const TransactionRecord& record, std::string_view reason) const;
+  std::optional<LeaseDecision> denyRetryOfFinished(const TransactionRecord& record) const;
+  std::optional<LeaseDecision> denyReuseOfFinished(const TransactionRecord& record) const;
+  void remember(Instant now, const std::string& id, TransactionRecord& record, State state);
   bool isIdempotent(std::size_t transactionClass) const {
     return classes_[transactionClass].effect == Effect::idempotent;
   }
 
   std::vector<TransactionClass> classes_;
   ProxyPlacement placement_;
-  RegistryBounds bounds_;
+  RegistryLimits limits_;
   std::string incarnation_;
-  std::unordered_map<std::string, Entry> entries_;
-  // When entries in state betweenAttempts or finished expire.
+  std::unordered_map<std::string, TransactionRecord> records_;
+  // When records in state betweenAttempts or finished expire.
   ExpiryQueue idempotentExpiries_, otherExpiries_;
 };
 
--- a/src/gateway/effects.h
+++ b/src/gateway/effects.h
@@ -21,7 +21,7 @@
   // Requests the endpoint list, if lists are polled.
   virtual void requestEndpointList() = 0;
   // Discovery is at this address (address:port) from now on; its full list must be fetched at once.
-  virtual void followDiscovery(const std::string& address) = 0;
+  virtual void setDiscoveryAddress(const std::string& address) = 0;
 };
 
 }  // namespace gulltrestle::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -14,17 +14,17 @@
 }  // namespace
 
 Gateway::Gateway(const RoutingConfig& config, const std::vector<std::string>& classNames, std::uint64_t seed,
-                 Bounds bounds, Effects& effects)
-    : bounds_(bounds),
+                 GatewayLimits limits, Effects& effects)
+    : limits_(limits),
       effects_(effects),
-      transactions_(config, seed, bounds.maxBufferedBytes, [&effects] { effects.requestEndpointList(); }),
+      transactions_(config, seed, limits.maxBufferedBytes, [&effects] { effects.requestEndpointList(); }),
       connectionPool_(transactions_,
-                      {.idleLimit = bounds.idleLimit,
-                       .connectLimit = bounds.connectLimit,
-                       .maxConnections = bounds.maxNodeConnections},
+                      {.idleTimeout = limits.idleTimeout,
+                       .connectTimeout = limits.connectTimeout,
+                       .maxConnections = limits.maxNodeConnections},
                       effects),
       clientSessions_(transactions_, connectionPool_, config, classNames,
-                      {.connectLimit = bounds.connectLimit, .maxActiveClients = bounds.maxActiveClients},
+                      {.connectTimeout = limits.connectTimeout, .maxActiveClients = limits.maxActiveClients},
                       effects) {
   transactions_.addTransport(connectionPool_);
   transactions_.invariants().setListener(
@@ -112,7 +112,7 @@
     effects_.log("configuration reloaded: discovery at " + discovery + (isMoved ? "" : ", unchanged"));
   if (!isMoved) return;
   discoveryAddress_ = discovery;
-  effects_.followDiscovery(discovery);
+  effects_.setDiscoveryAddress(discovery);
 }
 
 void Gateway::onConfigRejected(Instant now, std::string_view fault) {
@@ -131,13 +131,13 @@
   transactions_.advanceTo(now);
   if (std::exchange(isShuttingDown_, true)) return;
   stopAt_ = transactions_.now() + kShutdownGracePeriod;
-  effects_.log("told to end: serving on for a while, then answering what was taken");
+  effects_.log("shutdown requested: serving for a grace period, then answering accepted transactions");
 }
 
-bool Gateway::finished() const {
+bool Gateway::isFinished() const {
   return isStopped_ && clientSessions_.empty() &&
          std::all_of(components_.begin(), components_.end(),
-                     [](const Component* component) { return component->empty(); });
+                     [](const Component* component) { return component->isDrained(); });
 }
 
 // The order matters: due connections and clients end first, then the components run their turns, so that the
@@ -179,7 +179,7 @@
 }
 
 Instant Gateway::nextShutDownStep() const {
-  if (isStopped_) return transactions_.now() + bounds_.connectLimit;
+  if (isStopped_) return transactions_.now() + limits_.connectTimeout;
   return isStopDue_ ? transactions_.now() : stopAt_;
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -15,9 +15,9 @@
 using transactions::ResolvedEndpoint;
 
 // Limits on connections, derived from the settings and the process's limits.
-struct Bounds {
-  Duration idleLimit;                  // nodes close connections that are idle for this long
-  Duration connectLimit;               // time limit for establishing a connection, and for a health check
+struct GatewayLimits {
+  Duration idleTimeout;                // nodes close connections that are idle for this long
+  Duration connectTimeout;             // time limit for establishing a connection, and for a health check
   std::size_t maxNodeConnections = 0;  // connections to nodes that may be open at the same time
   std::size_t maxBufferedBytes = 0;    // total size of the statements of open transactions
   std::size_t maxActiveClients = 0;    // connections that clients keep for transactions; 0: unlimited
@@ -33,7 +33,7 @@
   virtual void flush() = 0;                // called after the router's round
   virtual Instant nextDue() const = 0;     // when the next turn is needed; Instant(): none
   virtual void stop() = 0;                 // nothing new may be accepted from now on
-  virtual bool empty() const = 0;          // after stop(): whether everything is answered
+  virtual bool isDrained() const = 0;      // after stop(): whether everything is answered
   virtual void reloadConfig() {}           // reloads its own configuration, after a signal
 };
 
@@ -42,7 +42,7 @@
  public:
   // `classNames`: the names of the transaction classes, in the same order.
   Gateway(const RoutingConfig& config, const std::vector<std::string>& classNames, std::uint64_t seed,
-          Bounds bounds, Effects& effects);
+          GatewayLimits limits, Effects& effects);
 
   // Must be called before the first event. The component must outlive the gateway's last event.
   void add(Component& component) { components_.push_back(&component); }
@@ -83,7 +83,7 @@
   Instant endTurn(Instant now);
 
   // Returns whether everything is answered after shutDown().
-  bool finished() const;
+  bool isFinished() const;
   // Closes up to `max` of the clients that have been idle longest. Returns false if none is idle.
   bool closeIdleClients(std::size_t max = 1) { return clientSessions_.closeIdle(max); }
   // Rejects the client because there is no memory for the data that it sends.
@@ -96,7 +96,7 @@
   Instant nextDue(Instant transactionsDue) const;
   Instant nextShutDownStep() const;
 
-  Bounds bounds_;
+  GatewayLimits limits_;
   Effects& effects_;
   transactions::TransactionTable transactions_;
   upstream::postgres::ConnectionPool connectionPool_;
--- a/src/idempotency/stored_state.h
+++ b/src/idempotency/stored_state.h
@@ -30,8 +30,8 @@
 
 // Whether votes of earlier starts count. The folder has one such record.
 struct VotingRecord {
-  bool isComplete = false;     // the stored claims include every granted vote that still counts
-  std::uint64_t newSince = 0;  // starts below this number belong to another disk and no longer count
+  bool isComplete = false;          // the stored claims include every granted vote that still counts
+  std::uint64_t minValidStart = 0;  // starts below this number belong to another disk and no longer count
 };
 
 // Whether a node is draining, according to the last endpoint list that reported it
@@ -71,8 +71,8 @@
 struct StoredState {
   // The starts recorded on this disk, the current one last. All of them are durable.
   std::vector<VoterIncarnation> ownStarts;
-  bool isComplete = false;     // as in VotingRecord
-  std::uint64_t newSince = 0;  // as in VotingRecord
+  bool isComplete = false;          // as in VotingRecord
+  std::uint64_t minValidStart = 0;  // as in VotingRecord
   std::vector<ClaimRecord> claims;
   std::map<std::string, VoterIncarnation> voterStarts;   // by voter: the newest start of each other voter
   std::map<std::string, NodeDrainRecord> nodeDrains;     // by node
--- a/src/idempotency/voter_lists.cpp
+++ b/src/idempotency/voter_lists.cpp
@@ -34,8 +34,9 @@
                                            const std::vector<VoterList>& lists) {
   const std::uint64_t servedVersion = servedUnder.version;
   if (servedVersion > lists.size())
-    return "are list " + std::to_string(lists.back().version) + ", and this keeper served under list " +
-           std::to_string(servedVersion) + " already (" + joinedNames(servedUnder) + ")";
+    return "the lists end at list " + std::to_string(lists.back().version) +
+           ", but this voter served under list " + std::to_string(servedVersion) + " already (" +
+           joinedNames(servedUnder) + ")";
   if (servedVersion > 0 && lists[servedVersion - 1] != servedUnder)
     return "list " + std::to_string(servedVersion) + " differs from the one that this voter served under (" +
            joinedNames(servedUnder) + "); to change the voters, add a list";
@@ -44,7 +45,7 @@
 
 }  // namespace
 
-std::optional<std::string> faultIn(const std::vector<VoterList>& lists) {
+std::optional<std::string> validateVoterLists(const std::vector<VoterList>& lists) {
   if (lists.size() > kMaxVoterLists) return "too many voter lists";
   for (std::size_t i = 1; i < lists.size(); ++i)
     if (auto fault = successionError(lists[i], lists[i - 1], i + 1)) return fault;
--- a/src/idempotency/voter_lists.h
+++ b/src/idempotency/voter_lists.h
@@ -58,7 +58,7 @@
 
 // Validates the lists of a file, the current one last. Returns an error text for the operator, or nullopt if
 // the lists are valid.
-[[nodiscard]] std::optional<std::string> faultIn(const std::vector<VoterList>& lists);
+[[nodiscard]] std::optional<std::string> validateVoterLists(const std::vector<VoterList>& lists);
 
 // The change from the lists stored on a disk to the lists of an operator's file.
 struct VoterListTransition {
@@ -71,7 +71,7 @@
   std::string reason;  // shown to the operator
 };
 // Computes the transition of the voter with this name. `lists`: all lists of the file, the current one last;
-// faultIn() must have found no error in them.
+// validateVoterLists() must have found no error in them.
 [[nodiscard]] std::variant<VoterListTransition, VoterListRejection> transitionTo(
     const VoterListHistory& stored, const std::vector<VoterList>& lists, const std::string& voter);
 
--- a/src/idempotency/voting_member.cpp
+++ b/src/idempotency/voting_member.cpp
@@ -16,7 +16,7 @@
       lists_(std::move(stored.voterLists)),
       votersOnCurrentList_{name},
       ownStarts_(std::move(stored.ownStarts)),
-      newSince_(stored.newSince),
+      minValidStart_(stored.minValidStart),
       otherVoters_(lists_.current.names),
       otherStarts_(std::move(stored.voterStarts)) {
   otherVoters_.erase(name);
@@ -91,7 +91,7 @@
   // A start that is not on this disk belongs to another disk, or to this one after this copy was made.
   // Comparing the numbers is not enough to detect this, as they also count starts that no other voter was
   // notified of.
-  if (knownStart.number > 0 && knownStart.number >= newSince_ && !isKnownStart) {
+  if (knownStart.number > 0 && knownStart.number >= minValidStart_ && !isKnownStart) {
     restartVerification(knownStart);
     return true;
   }
@@ -101,10 +101,10 @@
 }
 
 void VotingMember::restartVerification(const VoterIncarnation& knownStart) {
-  newSince_ = std::max(knownStart.number, start().number) + 1;
-  ownStarts_.push_back({.number = newSince_, .draw = start().draw});
+  minValidStart_ = std::max(knownStart.number, start().number) + 1;
+  ownStarts_.push_back({.number = minValidStart_, .draw = start().draw});
   changes_.push_back(VoterStartRecord{.voter = {}, .incarnation = start()});
-  changes_.push_back(VotingRecord{.isComplete = false, .newSince = newSince_});
+  changes_.push_back(VotingRecord{.isComplete = false, .minValidStart = minValidStart_});
   isComplete_ = false;
   state_ = State::verifyingDisk;
   confirmedBy_.clear();
@@ -184,7 +184,7 @@
   if (state_ == State::abstaining && now >= abstainsUntil_) {
     state_ = State::voting;
     isComplete_ = true;
-    changes_.push_back(VotingRecord{.isComplete = true, .newSince = newSince_});
+    changes_.push_back(VotingRecord{.isComplete = true, .minValidStart = minValidStart_});
   }
   removeExpired(now);
   const Instant nextExpiry = expiries_.empty() ? Instant() : expiries_.front().when;
--- a/src/idempotency/voting_member.h
+++ b/src/idempotency/voting_member.h
@@ -144,7 +144,7 @@
   VoterListHistory lists_;
   std::set<std::string> votersOnCurrentList_;  // voters serving under the current list, including this one
   std::vector<VoterIncarnation> ownStarts_;    // as in StoredState
-  std::uint64_t newSince_;                     // as in StoredState
+  std::uint64_t minValidStart_;                // as in StoredState
   std::set<std::string> otherVoters_, confirmedBy_;
   std::map<std::string, VoterIncarnation> otherStarts_;  // newest start of each other voter
   std::unordered_map<std::string, StoredClaim> claims_;  // by id
--- a/src/maintenance/fleet_state.h
+++ b/src/maintenance/fleet_state.h
@@ -52,7 +52,7 @@
 }
 
 // Limits and timeouts of maintenance, from the configuration.
-struct Bounds {
+struct MaintenanceLimits {
   unsigned maxNodesOutPerGroup = 1;                     // unavailable at a time, for any reason
   unsigned maxMachinesInProgress = 2;                   // at a time, all in the same zone
   unsigned maxRoutersOut = 1;                           // unavailable at a time, for any reason
--- a/src/maintenance/maintenance_leader.h
+++ b/src/maintenance/maintenance_leader.h
@@ -35,7 +35,7 @@
 // chosen plan and the fleet state as known to this voter.
 class MaintenanceLeader {
  public:
-  explicit MaintenanceLeader(Bounds bounds) : bounds_(bounds) {}
+  explicit MaintenanceLeader(MaintenanceLimits bounds) : bounds_(bounds) {}
 
   // Records since when each router and machine has been in its state. Called twice per second, also while
   // this voter does not lead, so that a voter that takes over has already observed the fleet.
@@ -54,7 +54,7 @@
   bool shouldLead(Instant now, bool isDue, std::size_t aliveAhead);
   // Restarts the takeover delay after a value was chosen.
   void onChosen() { dueSince_ = Instant(); }
-  const Bounds& bounds() const { return bounds_; }
+  const MaintenanceLimits& bounds() const { return bounds_; }
 
  private:
   // Each time is when a condition became true, or never while it is false.
@@ -99,7 +99,7 @@
     return since != Instant() && now - since >= bounds_.fenceDuration;
   }
 
-  Bounds bounds_;
+  MaintenanceLimits bounds_;
   Instant observedAt_, dueSince_;
   std::map<std::string, ObservedRouter> routers_;
   std::map<std::string, ObservedMachine> machines_;
--- a/src/maintenance/maintenance_plan.cpp
+++ b/src/maintenance/maintenance_plan.cpp
@@ -21,7 +21,7 @@
           {"nodes", machine.nodes},
           {"routers", machine.routers},
           {"takes_us", machine.expectedDuration.inMicros()},
-          {"within_us", machine.wantedWithin.inMicros()},
+          {"within_us", machine.completeWithin.inMicros()},
           {"order", machine.request},
           {"by", machine.requestedBy},
           {"phase", nameOf(machine.phase)},
@@ -37,7 +37,7 @@
   machine.nodes = object.at("nodes").get<std::vector<std::string>>();
   machine.routers = object.at("routers").get<std::vector<std::string>>();
   machine.expectedDuration = Duration::micros(object.at("takes_us"));
-  machine.wantedWithin = Duration::micros(object.at("within_us"));
+  machine.completeWithin = Duration::micros(object.at("within_us"));
   machine.request = object.at("order");
   machine.requestedBy = object.at("by");
   const auto phase = phaseNamed(object.at("phase").get<std::string>());
--- a/src/maintenance/maintenance_plan.h
+++ b/src/maintenance/maintenance_plan.h
@@ -66,7 +66,7 @@
   std::string name, zone;
   std::vector<std::string> nodes, routers;  // those that run on the machine
   Duration expectedDuration;                // expected duration of the work
-  Duration wantedWithin;  // time from the request by which the work should be done; zero if there is none
+  Duration completeWithin;  // time from the request by which the work should be done; zero if there is none
   std::string request, requestedBy;  // id of the request, and name of the operator
   Phase phase = Phase::waiting;
   std::uint64_t phaseVersion = 0;  // plan version in which it entered its phase
--- a/src/maintenance/operator_requests.cpp
+++ b/src/maintenance/operator_requests.cpp
@@ -78,8 +78,8 @@
   machine.nodes = readNames(object, path, "nodes");
   machine.routers = readNames(object, path, "routers");
   machine.expectedDuration = readMillis(object, path, "takes_ms", Duration::millis(600'000));
-  machine.wantedWithin = readMillis(object, path, "within_ms", Duration());
-  if (machine.wantedWithin != Duration() && machine.wantedWithin < machine.expectedDuration)
+  machine.completeWithin = readMillis(object, path, "within_ms", Duration());
+  if (machine.completeWithin != Duration() && machine.completeWithin < machine.expectedDuration)
     throw InvalidRequest(path + "within_ms", "is less than the work takes");
   return machine;
 }
@@ -141,7 +141,7 @@
 
 // Returns why the machines cannot be added to the plan, or an empty string if they can.
 std::string rejectionReason(const Plan& plan, const std::vector<Machine>& machines, const FleetState& fleet,
-                            const Bounds& bounds) {
+                            const MaintenanceLimits& bounds) {
   if (machines.empty()) return "it names no machine";
   const auto unfinished = static_cast<std::size_t>(
       std::count_if(plan.machines.begin(), plan.machines.end(),
@@ -195,15 +195,15 @@
                         {"nodes", machine.nodes},
                         {"routers", machine.routers},
                         {"takes_ms", machine.expectedDuration.inMicros() / 1000}};
-    if (machine.wantedWithin != Duration())
-      encodedMachine["within_ms"] = machine.wantedWithin.inMicros() / 1000;
+    if (machine.completeWithin != Duration())
+      encodedMachine["within_ms"] = machine.completeWithin.inMicros() / 1000;
     object["machines"][machine.name] = std::move(encodedMachine);
   }
   return object.dump(2);
 }
 
 std::string applyRequest(Plan& plan, const std::string& requestId, const OperatorRequest& request,
-                         const FleetState& fleet, const Bounds& bounds) {
+                         const FleetState& fleet, const MaintenanceLimits& bounds) {
   switch (request.kind) {
     case OperatorRequest::Kind::plan: {
       Plan extended = plan;
@@ -223,7 +223,7 @@
 }
 
 std::string addMachines(Plan& plan, const std::string& requestId, const std::vector<Machine>& machines,
-                        const FleetState& fleet, const Bounds& bounds) {
+                        const FleetState& fleet, const MaintenanceLimits& bounds) {
   if (wasApplied(plan, requestId)) return "";
   if (const auto reason = rejectionReason(plan, machines, fleet, bounds); !reason.empty()) return reason;
   for (const Machine& machine : machines) {
--- a/src/maintenance/operator_requests.h
+++ b/src/maintenance/operator_requests.h
@@ -41,12 +41,12 @@
 // without effect. Returns why the request was rejected, or an empty string if it was applied.
 [[nodiscard]] std::string applyRequest(Plan& plan, const std::string& requestId,
                                        const OperatorRequest& request, const FleetState& fleet,
-                                       const Bounds& bounds);
+                                       const MaintenanceLimits& bounds);
 
 // Apply a request of one kind, with the guarantees of applyRequest(). addMachines() does not limit the
 // encoded size of the plan.
 std::string addMachines(Plan& plan, const std::string& requestId, const std::vector<Machine>& machines,
-                        const FleetState& fleet, const Bounds& bounds);
+                        const FleetState& fleet, const MaintenanceLimits& bounds);
 std::string stopMaintenance(Plan& plan, const std::string& requestId, const std::string& machine,
                             const std::string& requestedBy);
 std::string completeMaintenance(Plan& plan, const std::string& requestId, const std::string& machine,
--- a/src/maintenance/scheduling.cpp
+++ b/src/maintenance/scheduling.cpp
@@ -74,7 +74,7 @@
 }
 
 std::string routerBlockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet,
-                                 const Bounds& bounds) {
+                                 const MaintenanceLimits& bounds) {
   if (machine.routers.empty()) return "";
   std::set<std::string> unavailable = inProgressElsewhere(plan, machine, &Machine::routers);
   std::size_t voters = 0, votersLeft = 0, serving = 0;
@@ -107,10 +107,10 @@
 Rank rankOf(const Machine& machine, const FleetState& fleet, const std::map<std::string, Duration>& waited) {
   const auto sinceRequest = waited.find(machine.name);
   const std::int64_t slackMicros =
-      machine.wantedWithin == Duration() ? INT64_MAX
+      machine.completeWithin == Duration() ? INT64_MAX
       : sinceRequest == waited.end()
-          ? machine.wantedWithin.inMicros()
-          : (machine.wantedWithin - machine.expectedDuration - sinceRequest->second).inMicros();
+          ? machine.completeWithin.inMicros()
+          : (machine.completeWithin - machine.expectedDuration - sinceRequest->second).inMicros();
   Duration lag;
   for (const auto& name : machine.nodes)
     if (const auto node = fleet.nodes.find(name); node != fleet.nodes.end())
@@ -123,7 +123,7 @@
 }  // namespace
 
 std::string blockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet,
-                           const Bounds& bounds) {
+                           const MaintenanceLimits& bounds) {
   for (const std::uint64_t id : groupsOn(machine, fleet)) {
     const GroupCounts group = countGroup(plan, machine, id, fleet);
     const std::string prefix = "group " + std::to_string(id);
@@ -138,12 +138,12 @@
 }
 
 std::string startBlockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet,
-                                const Bounds& bounds) {
+                                const MaintenanceLimits& bounds) {
   const std::string reason = blockingReason(plan, machine, fleet, bounds);
   return reason.empty() ? silentRouterBlockingReason(plan, machine, fleet) : reason;
 }
 
-const Machine* nextMachine(const Plan& plan, const FleetState& fleet, const Bounds& bounds,
+const Machine* nextMachine(const Plan& plan, const FleetState& fleet, const MaintenanceLimits& bounds,
                            const std::map<std::string, Duration>& waited) {
   if (fleet.isDegraded) return nullptr;
   std::size_t inProgress = 0;
@@ -168,7 +168,8 @@
   return best;
 }
 
-std::string permanentBlockingReason(const Machine& machine, const FleetState& fleet, const Bounds& bounds) {
+std::string permanentBlockingReason(const Machine& machine, const FleetState& fleet,
+                                    const MaintenanceLimits& bounds) {
   if (machine.nodes.empty() && machine.routers.empty()) return "nothing stands on it";
   for (const auto& name : machine.nodes)
     if (!fleet.nodes.contains(name)) return "no list names the node '" + name + "'";
--- a/src/maintenance/scheduling.h
+++ b/src/maintenance/scheduling.h
@@ -24,20 +24,21 @@
 // Returns why this machine cannot be out of service now, or an empty string if it can. Counts nodes and
 // routers that are unavailable for any reason, except those on the machine itself.
 std::string blockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet,
-                           const Bounds& bounds);
+                           const MaintenanceLimits& bounds);
 
 // Like blockingReason(), but also includes conditions that prevent maintenance from starting, though not from
 // continuing.
 std::string startBlockingReason(const Plan& plan, const Machine& machine, const FleetState& fleet,
-                                const Bounds& bounds);
+                                const MaintenanceLimits& bounds);
 
 // Returns the waiting machine to start next, or null if all are blocked. `waited`: time since each machine
 // was requested, where known.
-const Machine* nextMachine(const Plan& plan, const FleetState& fleet, const Bounds& bounds,
+const Machine* nextMachine(const Plan& plan, const FleetState& fleet, const MaintenanceLimits& bounds,
                            const std::map<std::string, Duration>& waited);
 
 // Returns a reason that blocks the machine regardless of how long it waits, or an empty string if there is
 // none. Used to validate requests.
-std::string permanentBlockingReason(const Machine& machine, const FleetState& fleet, const Bounds& bounds);
+std::string permanentBlockingReason(const Machine& machine, const FleetState& fleet,
+                                    const MaintenanceLimits& bounds);
 
 }  // namespace gulltrestle::maintenance
--- a/src/observability/logging/transaction_logging.h
+++ b/src/observability/logging/transaction_logging.h
@@ -24,7 +24,7 @@
   void flush() override {}
   Instant nextDue() const override { return Instant(); }
   void stop() override {}
-  bool empty() const override { return true; }
+  bool isDrained() const override { return true; }
   // Reloads the configuration. An invalid one is logged with the invalid key, and the previous one stays in
   // effect.
   void reloadConfig() override;
--- a/src/protocol/ext_proc/messages.cpp
+++ b/src/protocol/ext_proc/messages.cpp
@@ -95,14 +95,14 @@
   if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     throw Malformed("the message can't be read");
   Request request;
-  request.wantsNoAnswer = message.observability_mode();
+  request.isObservabilityMode = message.observability_mode();
   request.phase = phaseOf(message);
   if (request.phase == Phase::requestHeaders) request.headers = read(message.request_headers().headers());
   if (request.phase == Phase::responseHeaders) request.headers = read(message.response_headers().headers());
   return request;
 }
 
-std::string continued(Phase phase, const Headers& set, const std::vector<std::string>& removed) {
+std::string encodeContinue(Phase phase, const Headers& set, const std::vector<std::string>& removed) {
   ProcessingResponse message;
   auto* headers = setPhase(message, phase);
   if (headers && (!set.empty() || !removed.empty())) {
@@ -114,7 +114,7 @@
   return message.SerializeAsString();
 }
 
-std::string answered(const Immediate& answer) {
+std::string encodeImmediateResponse(const ImmediateAnswer& answer) {
   ProcessingResponse message;
   auto& immediate = *message.mutable_immediate_response();
   immediate.mutable_status()->set_code(answer.status);
@@ -124,17 +124,17 @@
   return message.SerializeAsString();
 }
 
-std::string wait(Duration time) {
+std::string encodeTimeoutOverride(Duration time) {
   ProcessingResponse message;
-  auto& wait = *message.mutable_override_message_timeout();
-  wait.set_seconds(time.inMicros() / 1'000'000);
-  wait.set_nanos(static_cast<std::int32_t>(time.inMicros() % 1'000'000 * 1000));
+  auto& timeoutOverride = *message.mutable_override_message_timeout();
+  timeoutOverride.set_seconds(time.inMicros() / 1'000'000);
+  timeoutOverride.set_nanos(static_cast<std::int32_t>(time.inMicros() % 1'000'000 * 1000));
   return message.SerializeAsString();
 }
 
-std::string request(const Request& request, bool raw) {
+std::string encodeRequest(const Request& request, bool raw) {
   ProcessingRequest message;
-  message.set_observability_mode(request.wantsNoAnswer);
+  message.set_observability_mode(request.isObservabilityMode);
   auto* headers = setPhase(message, request.phase);
   if (headers) {
     for (const auto& [name, value] : request.headers) {
@@ -168,8 +168,9 @@
     response.immediate = {immediate.status().code(), read(immediate.headers()), immediate.body(),
                           immediate.details()};
   }
-  const auto& wait = message.override_message_timeout();
-  response.wait = Duration::micros(wait.seconds() * 1'000'000 + wait.nanos() / 1000);
+  const auto& timeoutOverride = message.override_message_timeout();
+  response.timeoutOverride =
+      Duration::micros(timeoutOverride.seconds() * 1'000'000 + timeoutOverride.nanos() / 1000);
   return response;
 }
 
--- a/src/protocol/ext_proc/messages.h
+++ b/src/protocol/ext_proc/messages.h
@@ -42,8 +42,8 @@
 // A message from the proxy.
 struct Request {
   Phase phase = Phase::none;
-  Headers headers;             // only in the two header phases
-  bool wantsNoAnswer = false;  // observability mode: the proxy expects no response
+  Headers headers;                   // only in the two header phases
+  bool isObservabilityMode = false;  // observability mode: the proxy expects no response
 };
 
 // Decodes a message from the proxy. Throws Malformed. Unknown fields are skipped. If a header has both forms
@@ -52,31 +52,32 @@
 
 // Encodes a response that continues the phase. `set` replaces any headers of the same names; headers named in
 // `removed` are removed.
-std::string continued(Phase phase, const Headers& set = {}, const std::vector<std::string>& removed = {});
+std::string encodeContinue(Phase phase, const Headers& set = {},
+                           const std::vector<std::string>& removed = {});
 // A response that the proxy sends to its client and that ends the exchange.
-struct Immediate {
+struct ImmediateAnswer {
   int status = 500;
   Headers headers;
   std::string body, details;
 };
 // Encodes an immediate response.
-std::string answered(const Immediate& answer);
+std::string encodeImmediateResponse(const ImmediateAnswer& answer);
 // Encodes a message that sets the proxy's timeout for the response to the current phase, counted from now.
 // The time is sent in whole microseconds.
-std::string wait(Duration time);
+std::string encodeTimeoutOverride(Duration time);
 
 // --- The proxy's end, for fake servers and tests
 
 // Encodes a message from the proxy. `raw` selects raw_value rather than value for the header values.
-std::string request(const Request& request, bool raw = true);
+std::string encodeRequest(const Request& request, bool raw = true);
 // A message from the processor, as decoded by the proxy.
 struct Response {
   Phase phase = Phase::none;  // the phase that continues
   Headers set;
   std::vector<std::string> removed;
   bool isImmediate = false;
-  Immediate immediate;
-  Duration wait;  // the requested timeout; zero: not requested
+  ImmediateAnswer immediate;
+  Duration timeoutOverride;  // the requested timeout; zero: not requested
 };
 // Decodes a message from the processor. Throws Malformed.
 Response readResponse(std::string_view bytes);
--- a/src/protocol/grpc/server_calls.cpp
+++ b/src/protocol/grpc/server_calls.cpp
@@ -60,7 +60,7 @@
     : method_(std::move(method)),
       bounds_(bounds),
       handler_(handler),
-      session_(http2::Session::Side::server, bounds.connection, *this) {}
+      session_(http2::Session::Perspective::server, bounds.connection, *this) {}
 
 ServerCalls::Call* ServerCalls::find(CallId id) {
   const auto at = calls_.find(id);
--- a/src/protocol/grpc/server_calls.h
+++ b/src/protocol/grpc/server_calls.h
@@ -55,7 +55,7 @@
   bool received(Instant now, std::string_view bytes) { return session_.received(now, bytes); }
   std::string output() { return session_.output(); }
   bool done() const { return session_.done(); }
-  void connectionEnded() { session_.ended(); }
+  void connectionEnded() { session_.connectionEnded(); }
   void goAway() { session_.goAway(); }
   // The number of open calls.
   std::size_t open() const { return calls_.size(); }
--- a/src/protocol/http1/response.cpp
+++ b/src/protocol/http1/response.cpp
@@ -125,7 +125,7 @@
   lineBytes_ = 0;
 }
 
-std::string get(std::string_view path, std::string_view host) {
+std::string encodeGetRequest(std::string_view path, std::string_view host) {
   return "GET " + std::string(path) + " HTTP/1.1\r\nHost: " + std::string(host) +
          "\r\nAccept: application/json\r\n\r\n";
 }
--- a/src/protocol/http1/response.h
+++ b/src/protocol/http1/response.h
@@ -57,6 +57,6 @@
 };
 
 // Returns a GET request for JSON. `host` is the value of the Host header.
-std::string get(std::string_view path, std::string_view host);
+std::string encodeGetRequest(std::string_view path, std::string_view host);
 
 }  // namespace gulltrestle::http1
--- a/src/protocol/http2/session.cpp
+++ b/src/protocol/http2/session.cpp
@@ -125,7 +125,7 @@
     const bool hasEndStream = (frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA) &&
                               (frame->hd.flags & NGHTTP2_FLAG_END_STREAM);
     const StreamId id = frame->hd.stream_id;
-    if (hasEndStream && self(user).perspective_ == Side::server &&
+    if (hasEndStream && self(user).perspective_ == Perspective::server &&
         nghttp2_session_get_stream_remote_close(session, id) == 0)
       nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, id, NGHTTP2_NO_ERROR);
     return 0;
@@ -165,7 +165,7 @@
   }
 };
 
-Session::Session(Side perspective, Bounds bounds, Handler& handler)
+Session::Session(Perspective perspective, Bounds bounds, Handler& handler)
     : perspective_(perspective), bounds_(bounds), handler_(handler), allowance_(kMaxAllowance) {
   createSession();
   submitSettings();
@@ -188,7 +188,7 @@
   nghttp2_option_set_max_settings(option, kMaxSettings);
   nghttp2_option_set_stream_reset_rate_limit(option, kUnlimitedResets, kUnlimitedResets);
   nghttp2_option_set_max_deflate_dynamic_table_size(option, kHeaderTableBytes);
-  const int result = perspective_ == Side::server
+  const int result = perspective_ == Perspective::server
                          ? nghttp2_session_server_new2(&session_, callbacks, this, option)
                          : nghttp2_session_client_new2(&session_, callbacks, this, option);
   nghttp2_session_callbacks_del(callbacks);
@@ -201,7 +201,7 @@
       {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, bounds_.maxStreams},
       {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, static_cast<std::uint32_t>(kStreamWindowBytes)},
       {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(bounds_.maxHeaderBytes)}};
-  if (perspective_ == Side::client) settings = {{NGHTTP2_SETTINGS_ENABLE_PUSH, 0}};
+  if (perspective_ == Perspective::client) settings = {{NGHTTP2_SETTINGS_ENABLE_PUSH, 0}};
   nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
 }
 
@@ -250,7 +250,7 @@
          (isGoingAway_ && streams_.empty());
 }
 
-void Session::ended() {
+void Session::connectionEnded() {
   hasFailed_ = true;
   for (auto open = std::exchange(streams_, {}); auto& [id, stream] : open)
     handler_.closed(id, ErrorCode::cancel);
--- a/src/protocol/http2/session.h
+++ b/src/protocol/http2/session.h
@@ -55,21 +55,21 @@
 // One end of a connection. Not thread-safe; the handler must outlive it.
 class Session {
  public:
-  enum class Side { server, client };
-  Session(Side perspective, Bounds bounds, Handler& handler);
+  enum class Perspective { server, client };
+  Session(Perspective perspective, Bounds bounds, Handler& handler);
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
   ~Session();
 
   // Processes all of `bytes`. Returns false if the connection must be closed once the output is written. Its
-  // streams are reported as closed before that, or by ended().
+  // streams are reported as closed before that, or by connectionEnded().
   bool received(Instant now, std::string_view bytes);
   // Returns all bytes to be written now; empty if there are none.
   std::string output();
   // Whether there is nothing more to read or write, or this end has closed the connection.
   bool done() const;
   // Must be called when the connection is lost. Reports every open stream as closed.
-  void ended();
+  void connectionEnded();
 
   // Client only: opens a stream. Returns 0 if no more streams can be opened.
   StreamId request(const Headers& headers);
@@ -106,7 +106,7 @@
   // Creates the nghttp2 session with its callbacks and options.
   void createSession();
 
-  Side perspective_;
+  Perspective perspective_;
   Bounds bounds_;
   Handler& handler_;
   nghttp2_session* session_ = nullptr;
--- a/src/protocol/postgres/answer.cpp
+++ b/src/protocol/postgres/answer.cpp
@@ -85,8 +85,8 @@
 // valid log position; its position is then unknown.
 void readParameterStatus(std::string_view body, Answer& answer) {
   try {
-    const auto name = takeText(body);
-    const auto value = takeText(body);
+    const auto name = takeString(body);
+    const auto value = takeString(body);
     if (name == "part" && (value == "master" || value == "replica")) answer.fromPrimary = value == "master";
     if (name == "caught_up_to") answer.positionMs = parsePosition(value);
     if (name == "gauges") answer.report = parseReport(value);
@@ -97,7 +97,7 @@
 void checkDescription(std::string_view body) {
   if (readInteger(body, 2) != 1) throw Malformed("expected exactly one column in a row");
   body.remove_prefix(2);
-  takeText(body);
+  takeString(body);
   if (body.size() != kColumnDescriptionBytes)
     throw Malformed("a column description has an unexpected length");
 }
@@ -138,11 +138,11 @@
     switch (message.type) {
       case 'T':
         checkDescription(message.body);
-        answer_.description = message.whole;
+        answer_.description = message.encoded;
         expected_ = kAfterDescription;
         return;
       case 'D':
-        answer_.row = message.whole;
+        answer_.row = message.encoded;
         answer_.value = message.body.substr(kRowHeaderBytes);
         expected_ = kAfterRow;
         return;
@@ -163,9 +163,9 @@
  private:
   void takeCompletion(const Message& message) {
     std::string_view body = message.body;
-    takeText(body);
+    takeString(body);
     if (!body.empty()) throw Malformed("a CommandComplete message has extra bytes after its tag");
-    answer_.complete = message.whole;
+    answer_.completion = message.encoded;
     expected_ = kAfterCompletion;
   }
 
@@ -207,12 +207,12 @@
   return reader.answer();
 }
 
-std::optional<Greeting> takeGreeting(std::string_view& bytes) {
+std::optional<StartupResult> takeStartupResult(std::string_view& bytes) {
   while (const auto message = takeMessage(bytes, kMaxMessageBytes)) {
-    if (message->type == 'Z') return Greeting::welcome;
+    if (message->type == 'Z') return StartupResult::accepted;
     if (message->type == 'E')
-      return answerKindOf(readError(message->body).code) == AnswerKind::rejected ? Greeting::rejected
-                                                                                 : Greeting::refused;
+      return answerKindOf(readError(message->body).code) == AnswerKind::rejected ? StartupResult::rejected
+                                                                                 : StartupResult::refused;
     if (message->type == 'R' && message->body != std::string_view("\0\0\0\0", 4))
       throw Malformed("the node requests a password, which is not supported");
   }
@@ -225,7 +225,7 @@
   } catch (const Malformed&) { return {}; }
 }
 
-bool takeAllClear(std::string_view& bytes) {
+bool takeEmptyQueryAnswer(std::string_view& bytes) {
   auto rest = bytes;
   for (std::string_view expected = kAtEmptyQuery;;) {
     checkHeader(rest, expected);
@@ -238,14 +238,14 @@
   }
 }
 
-std::string refused(std::int64_t retryAfterMs, unsigned level) {
+std::string rejectedError(std::int64_t retryAfterMs, unsigned level) {
   const std::string degradation =
       level > 0 ? ", service is reduced to level " + std::to_string(level) : std::string();
-  return error("ERROR", kRefused, "refused: trying again is harmless" + degradation,
+  return error("ERROR", kRejected, "refused: trying again is harmless" + degradation,
                retryAfterMs > 0 ? std::to_string(retryAfterMs) : std::string());
 }
 
-std::string rolledBack() {
+std::string rolledBackError() {
   return error("ERROR", kTransactionResolutionUnknown, "rolled back: it may or may not have run");
 }
 
--- a/src/protocol/postgres/messages.cpp
+++ b/src/protocol/postgres/messages.cpp
@@ -51,18 +51,18 @@
   return message;
 }
 
-std::optional<Opening> takeOpening(std::string_view& bytes) {
+std::optional<StartupMessage> takeStartupMessage(std::string_view& bytes) {
   if (bytes.size() < 4) return std::nullopt;
   const std::uint32_t length = readInteger(bytes);
   if (length < 8 || length > kMaxStartupMessageBytes)
     throw Malformed("a startup message's length can't be right");
   if (bytes.size() < length) return std::nullopt;
-  const Opening startupMessage{readInteger(bytes.substr(4)), bytes.substr(8, length - 8)};
+  const StartupMessage startupMessage{readInteger(bytes.substr(4)), bytes.substr(8, length - 8)};
   bytes.remove_prefix(length);
   return startupMessage;
 }
 
-std::string_view takeText(std::string_view& body) {
+std::string_view takeString(std::string_view& body) {
   const auto end = body.find('\0');
   if (end == std::string_view::npos) throw Malformed("a text has no end");
   const auto text = body.substr(0, end);
@@ -75,7 +75,7 @@
     case 'Q':
       return Request::query;
     case 'X':
-      return Request::goodbye;
+      return Request::terminate;
     case 'S':
       return Request::sync;
     case 'F':
@@ -90,7 +90,7 @@
     case 'd':
     case 'c':
     case 'f':
-      return Request::passedOver;
+      return Request::ignored;
     default:
       return Request::unknown;
   }
@@ -101,7 +101,7 @@
   while (!body.empty() && body.front() != '\0') {
     const char field = body.front();
     body.remove_prefix(1);
-    const auto value = takeText(body);
+    const auto value = takeString(body);
     if (field == 'V' || (field == 'S' && fields.severity.empty())) fields.severity = value;
     if (field == 'C') fields.code = value;
     if (field == 'M') fields.message = value;
@@ -130,9 +130,9 @@
 }
 
 // Nodes accept any user; these are the names that clients use.
-std::string login() { return startup("worker", "catalog"); }
+std::string nodeStartupMessage() { return startup("worker", "catalog"); }
 
-std::string welcome() {
+std::string startupAnswer() {
   std::string out = message('R', std::string_view("\0\0\0\0", 4));
   for (const auto& [name, value] : {std::pair{"server_version", "15.0"},
                                     {"server_encoding", "UTF8"},
@@ -159,7 +159,7 @@
 std::string readyForQuery() { return message('Z', "I"); }
 std::string terminate() { return message('X', {}); }
 
-std::string queryHead(std::size_t statementSize) {
+std::string queryHeader(std::size_t statementSize) {
   std::string out(1, 'Q');
   appendInteger(out, static_cast<std::uint32_t>(statementSize + 5));
   return out;
--- a/src/protocol/postgres/statement.cpp
+++ b/src/protocol/postgres/statement.cpp
@@ -57,7 +57,7 @@
     text.remove_prefix(kSelect.size());
     statement.key = takeQuoted(text);
   } else if (text.starts_with(kInsert)) {
-    statement.writes = true;
+    statement.isWrite = true;
     text.remove_prefix(kInsert.size());
     statement.key = takeQuoted(text);
     skip(text, ", '\\x");
@@ -89,8 +89,8 @@
   if (name == "id") statement.id = value;
   if (name == "c") statement.typeName = value;
   if (name == "d") {
-    statement.waitMs = parseNumber(name, value, kMaxTimeoutMs);
-    statement.wait = value;
+    statement.timeoutMs = parseNumber(name, value, kMaxTimeoutMs);
+    statement.timeoutText = value;
   }
   if (name == "cluster") {
     statement.group = parseNumber(name, value, UINT64_MAX);
@@ -113,7 +113,7 @@
   }
   for (const auto& [name, isPresent] : {std::pair{"id", !statement.id.empty()},
                                         {"c", !statement.typeName.empty()},
-                                        {"d", !statement.wait.empty()},
+                                        {"d", !statement.timeoutText.empty()},
                                         {"cluster", hasGroup}})
     if (!isPresent)
       throw InvalidStatement(kBadValue, std::string("field ") + name + " of the comment is missing");
--- a/src/protocol/postgres/statement.h
+++ b/src/protocol/postgres/statement.h
@@ -24,12 +24,12 @@
 
 // A statement and the fields of its comment.
 struct Statement {
-  bool writes = false;        // true: INSERT; false: SELECT
-  std::string_view key;       // the object id: the first quoted text
-  std::string_view id;        // id of the client's attempt
-  std::string_view typeName;  // name of the transaction class
-  std::uint64_t waitMs = 0;   // time that the client waits for the answer
-  std::string_view wait;      // the digits of waitMs in the text
+  bool isWrite = false;          // true: INSERT; false: SELECT
+  std::string_view key;          // the object id: the first quoted text
+  std::string_view id;           // id of the client's attempt
+  std::string_view typeName;     // name of the transaction class
+  std::uint64_t timeoutMs = 0;   // time that the client waits for the answer
+  std::string_view timeoutText;  // the digits of timeoutMs in the text
   std::uint64_t group = 0;
   std::optional<std::uint64_t> afterMs;  // Unix time in ms; the read must see all commits up to it
 };
--- a/src/recovery/admission_ramp.cpp
+++ b/src/recovery/admission_ramp.cpp
@@ -95,7 +95,7 @@
   return true;
 }
 
-std::optional<Duration> AdmissionRamp::rejectsWithRetryAfter(Instant now) {
+std::optional<Duration> AdmissionRamp::retryAfterIfRejected(Instant now) {
   if (state_ == State::finished) return {};
   if (now - startedAt_ > kMaxDuration || now - lastRejected_ > kQuietTime) {
     finish();
--- a/src/recovery/admission_ramp.h
+++ b/src/recovery/admission_ramp.h
@@ -58,7 +58,7 @@
   void skip() { finish(); }
 
   // Returns nullopt if the transaction is admitted, and otherwise the time after which its client may retry.
-  std::optional<Duration> rejectsWithRetryAfter(Instant now);
+  std::optional<Duration> retryAfterIfRejected(Instant now);
   // Records the outcome of an admitted transaction.
   void onTransactionEnded(Instant now, const AdmittedOutcome& outcome);
 
--- a/src/recovery/drain_registry.cpp
+++ b/src/recovery/drain_registry.cpp
@@ -62,7 +62,7 @@
   return unlisted;
 }
 
-bool DrainRegistry::learn(const DrainUpdate& update) {
+bool DrainRegistry::applyUpdate(const DrainUpdate& update) {
   newest_ = std::max(newest_, update.version);
   return apply(update);
 }
--- a/src/recovery/drain_registry.h
+++ b/src/recovery/drain_registry.h
@@ -46,7 +46,7 @@
   [[nodiscard]] std::vector<DrainUpdate> applyList(EndpointUpdateKind kind, ListVersion version,
                                                    std::vector<EndpointEntry*>& entries);
   // Applies an update from another router or from disk. Returns whether the node's draining state changed.
-  bool learn(const DrainUpdate& update);
+  bool applyUpdate(const DrainUpdate& update);
 
   // The newest update for each node, draining or live.
   std::vector<DrainUpdate> all() const;
@@ -55,7 +55,7 @@
   // Whether the node is draining according to its newest update.
   bool isDraining(const NodeId& node) const;
   // The newest version of any list or update.
-  ListVersion newest() const { return newest_; }
+  ListVersion newestVersion() const { return newest_; }
 
  private:
   struct Node {
--- a/src/recovery/peer_observations.cpp
+++ b/src/recovery/peer_observations.cpp
@@ -89,7 +89,7 @@
   return confirmed;
 }
 
-std::vector<Observation> PeerObservations::firstHand(Instant now) const {
+std::vector<Observation> PeerObservations::ownObservations(Instant now) const {
   std::vector<Observation> observations;
   for (const auto& [id, node] : nodes_) {
     if (!node.own || now - node.own->when > kMaxAge) continue;
--- a/src/recovery/peer_observations.h
+++ b/src/recovery/peer_observations.h
@@ -65,7 +65,7 @@
                                           const Observation& observation);
 
   // This router's own observations, to be sent to its peers.
-  std::vector<Observation> firstHand(Instant now) const;
+  std::vector<Observation> ownObservations(Instant now) const;
   bool hasObserved(const NodeId& node) const;
   // The role from the node's own report, or else the one that two peers agree on; unknown if there is
   // neither.
--- a/src/recovery/recovery_stages.cpp
+++ b/src/recovery/recovery_stages.cpp
@@ -250,11 +250,11 @@
   const auto found = groups_.find(id);
   if (found == groups_.end()) return {};
   const Group& group = found->second;
-  constexpr std::string_view kAwaits[] = {"list", "positions", "primary", "keepers", ""};
+  constexpr std::string_view kWaitingFor[] = {"list", "positions", "primary", "keepers", ""};
   const bool mayBeContested = group.stage == Stage::consistentReads;
   return {.stage = group.stage,
           .since = group.since,
-          .awaits = kAwaits[static_cast<int>(group.stage)],
+          .waitingFor = kWaitingFor[static_cast<int>(group.stage)],
           .contenders = mayBeContested ? group.contenders : std::vector<NodeId>()};
 }
 
--- a/src/recovery/recovery_stages.h
+++ b/src/recovery/recovery_stages.h
@@ -121,7 +121,7 @@
   struct GroupStatus {
     Stage stage = Stage::closed;
     Instant since;
-    std::string_view awaits;         // condition that the stage waits for; empty if there is none
+    std::string_view waitingFor;     // condition that the stage waits for; empty if there is none
     std::vector<NodeId> contenders;  // candidates for a contested primary; empty if it is not contested
   };
   GroupStatus statusOf(GroupId group) const;
--- a/src/routing/dispatcher.cpp
+++ b/src/routing/dispatcher.cpp
@@ -80,8 +80,9 @@
 
 Instant Dispatcher::lastDecisionAt(const PendingTransaction& transaction) const {
   const Transaction& request = transaction.request;
-  const Duration longestHold =
-      request.maxHold && transaction.attemptsInFlight == 0 ? *request.maxHold : request.remainingTime;
+  const Duration longestHold = request.maxQueueTime && transaction.attemptsInFlight == 0
+                                   ? *request.maxQueueTime
+                                   : request.remainingTime;
   return std::min(transaction.receivedAt + longestHold, transaction.answerBy) -
          state_.config.roundInterval * kFinalAnswerRounds;
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -116,8 +116,9 @@
   transaction.request = request;
   transaction.receivedAt = shared.now;
   transaction.answerBy = shared.now + request.remainingTime;
-  const Duration extraLatencyTarget =
-      request.expectedWork ? *request.expectedWork * type.latencyTargetPerServiceTime : Duration();
+  const Duration extraLatencyTarget = request.expectedServiceTime
+                                          ? *request.expectedServiceTime * type.latencyTargetPerServiceTime
+                                          : Duration();
   // Earlier attempts reported by the front end count as attempts of this request: if one of them may have
   // run, the transaction may have run.
   const PriorAttempts& earlier = request.priorAttempts;
@@ -193,7 +194,7 @@
   events.deliver(*this);
   if (state_->shared.config.endpointListIsPolled && now >= state_->nextListPollAt) {
     state_->nextListPollAt = now + kListPollDisabled;
-    sink.followEndpointList();
+    sink.subscribeToEndpointList();
   }
   state_->dispatcher.decide();
 }
@@ -210,7 +211,7 @@
 
 void Router::onTransaction(const Transaction& transaction) { state_->receive(transaction); }
 
-void Router::onClientLeft(TxnId transaction) {
+void Router::onClientDisconnected(TxnId transaction) {
   auto& pending = state_->shared.pending;
   const auto found = pending.find(transaction);
   if (found == pending.end()) return;
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -95,10 +95,10 @@
   std::optional<SessionId> session;
   std::optional<Duration> writeAge;  // time since the last commit of a write of the session; zero: no write
   Duration remainingTime;            // until the client times out this request
-  std::optional<Duration> expectedWork;  // rough estimate of the service time
+  std::optional<Duration> expectedServiceTime;  // rough estimate of the service time
   PriorAttempts priorAttempts;
-  unsigned maxLocalAttempts = 0;    // limit of the front end on attempts; 0: as configured
-  std::optional<Duration> maxHold;  // longest time without an attempt; none: remainingTime
+  unsigned maxLocalAttempts = 0;         // limit of the front end on attempts; 0: as configured
+  std::optional<Duration> maxQueueTime;  // longest time without an attempt; none: remainingTime
 };
 
 // Which transactions of a class are admitted under degradation, in decreasing order. withReadyReplica: reads
@@ -182,7 +182,7 @@
   // Requests a round after this time, regardless of events.
   virtual void wakeAfter(Duration after) = 0;
   // Requests the endpoint list and subscribes to its changes.
-  virtual void followEndpointList() = 0;
+  virtual void subscribeToEndpointList() = 0;
   // The node was removed long ago: nothing is sent to it unless an endpoint list contains it again.
   virtual void forgetNode(const NodeId& node) = 0;
 };
@@ -202,7 +202,7 @@
   void onEndpointListFailed();
   void onTransaction(const Transaction& transaction);
   // The client has closed its connection: no final answer is required.
-  void onClientLeft(TxnId txn);
+  void onClientDisconnected(TxnId txn);
   // The answer of the transaction has started: no further decisions are made for it.
   void onStreamStarted(TxnId txn);
   // Sets the degradation rules of the group. The fraction `relaxedFraction` of its transactions is subject to
--- a/src/runtime/event_loop/event_loop.cpp
+++ b/src/runtime/event_loop/event_loop.cpp
@@ -53,9 +53,9 @@
   std::signal(SIGCONT, [](int) { wasContinued = 1; });
 }
 
-EventLoop::~EventLoop() { endTasks(); }
+EventLoop::~EventLoop() { destroyTasks(); }
 
-void EventLoop::endTasks() {
+void EventLoop::destroyTasks() {
   ready_.clear();
   timers_.clear();
   tasks_.clear();
--- a/src/runtime/event_loop/event_loop.h
+++ b/src/runtime/event_loop/event_loop.h
@@ -49,7 +49,7 @@
   void stop() { isStopped_ = true; }
   // Destroys all tasks at their suspension points. An object that tasks refer to calls this before it is
   // destroyed.
-  void endTasks();
+  void destroyTasks();
 
   // Awaitable: resumes the task at `at` or shortly after.
   auto sleepUntil(Instant at) {
--- a/src/runtime/event_loop/sockets.cpp
+++ b/src/runtime/event_loop/sockets.cpp
@@ -25,9 +25,9 @@
 bool wouldBlock() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
 // Returns the status of the read or write that failed just before, from errno.
-Io statusFromErrno() {
-  if (wouldBlock()) return Io::wouldBlock;
-  return errno == ENOMEM || errno == ENOBUFS ? Io::noMemory : Io::failed;
+IoStatus statusFromErrno() {
+  if (wouldBlock()) return IoStatus::wouldBlock;
+  return errno == ENOMEM || errno == ENOBUFS ? IoStatus::noMemory : IoStatus::failed;
 }
 
 sockaddr_in addressOf(const std::string& host, unsigned short port) {
@@ -112,8 +112,8 @@
 IoResult readInto(int descriptor, std::span<char> buffer) {
   for (;;) {
     const auto size = ::recv(descriptor, buffer.data(), buffer.size(), 0);
-    if (size > 0) return {Io::some, static_cast<std::size_t>(size)};
-    if (size == 0) return {Io::ended};
+    if (size > 0) return {IoStatus::ok, static_cast<std::size_t>(size)};
+    if (size == 0) return {IoStatus::endOfStream};
     if (errno == EINTR) continue;
     return {statusFromErrno()};
   }
@@ -131,7 +131,7 @@
   message.msg_iovlen = count;
   for (;;) {
     const auto size = ::sendmsg(descriptor, &message, MSG_NOSIGNAL);
-    if (size >= 0) return {Io::some, static_cast<std::size_t>(size)};
+    if (size >= 0) return {IoStatus::ok, static_cast<std::size_t>(size)};
     if (errno == EINTR) continue;
     return {statusFromErrno()};
   }
@@ -139,20 +139,20 @@
 
 void shutDownWriting(int descriptor) { ::shutdown(descriptor, SHUT_WR); }
 
-Io accept(int descriptor, Descriptor& accepted) {
+IoStatus accept(int descriptor, Descriptor& accepted) {
   for (int failures = 0; failures < kMaxFailedAccepts; ++failures) {
     accepted = Descriptor(::accept4(descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (accepted) {
       disableNagle(accepted.number());
-      return Io::some;
+      return IoStatus::ok;
     }
-    if (wouldBlock()) return Io::wouldBlock;
+    if (wouldBlock()) return IoStatus::wouldBlock;
     const bool isShortage = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    if (isShortage) return Io::noDescriptor;
-    if (errno == EBADF || errno == EINVAL || errno == ENOTSOCK) return Io::failed;
+    if (isShortage) return IoStatus::noDescriptor;
+    if (errno == EBADF || errno == EINVAL || errno == ENOTSOCK) return IoStatus::failed;
     // Otherwise the connection was reset while it waited, or the call was interrupted: try the next one.
   }
-  return Io::failed;
+  return IoStatus::failed;
 }
 
 // --- Signals
@@ -165,7 +165,7 @@
   for (const int number : kHandledSignals) std::signal(number, SIG_DFL);
 }
 
-Descriptor signals() {
+Descriptor openSignalDescriptor() {
   blockSignals();
   const sigset_t set = handledSignals();
   Descriptor descriptor(
--- a/src/runtime/event_loop/sockets.h
+++ b/src/runtime/event_loop/sockets.h
@@ -22,17 +22,17 @@
 bool isConnected(int descriptor);
 
 // Status of one system call on a socket.
-enum class Io {
-  some,          // bytes were transferred, or a connection was accepted
+enum class IoStatus {
+  ok,            // bytes were transferred, or a connection was accepted
   wouldBlock,    // nothing can be transferred now
-  ended,         // end of stream: the peer sends no more data
+  endOfStream,   // the peer sends no more data
   failed,        // the descriptor is no longer usable
   noDescriptor,  // accept() only: the system has no descriptor or memory for a connection now
   noMemory,      // the system is short of memory temporarily; nothing was transferred
 };
 // Status of a read or write, and the number of bytes transferred.
 struct IoResult {
-  Io status;
+  IoStatus status;
   std::size_t size = 0;
 };
 // Reads at most `buffer.size()` bytes.
@@ -42,8 +42,8 @@
 // Shuts down the sending direction: the peer reads an end of stream after the data that was written, and can
 // still send.
 void shutDownWriting(int descriptor);
-// Accepts one connection and stores it in `accepted` if the result is Io::some.
-Io accept(int descriptor, Descriptor& accepted);
+// Accepts one connection and stores it in `accepted` if the result is IoStatus::ok.
+IoStatus accept(int descriptor, Descriptor& accepted);
 
 // The request that a signal stands for: graceful shutdown (SIGTERM, SIGINT) or configuration reload (SIGHUP).
 enum class Signal { terminate, reload };
@@ -52,7 +52,7 @@
 void blockSignals();
 // Returns a descriptor that becomes readable when one of these signals arrives, even if the process was
 // started with them ignored. Blocks the signals, and ignores SIGPIPE.
-Descriptor signals();
+Descriptor openSignalDescriptor();
 // Removes the next pending signal and returns it; nullopt if none is pending.
 std::optional<Signal> readSignal(int descriptor);
 
--- a/src/runtime/event_loop/stream.cpp
+++ b/src/runtime/event_loop/stream.cpp
@@ -41,29 +41,29 @@
   const IoResult result = readInto(descriptor(), buffer);
   // A read that doesn't fill the buffer has usually read everything, and epoll reports the rest again if it
   // has not. If epoll has already reported the end of the stream, that end is still to be read.
-  const bool hasReadAll = result.status == Io::some && result.size < buffer.size() && !isPeerHalfClosed_;
-  if (result.status == Io::wouldBlock || hasReadAll) readBlocked();
-  if (result.status != Io::noMemory) return result;
+  const bool hasReadAll = result.status == IoStatus::ok && result.size < buffer.size() && !isPeerHalfClosed_;
+  if (result.status == IoStatus::wouldBlock || hasReadAll) readBlocked();
+  if (result.status != IoStatus::noMemory) return result;
   readBlocked();
   pauseReports();
-  return {Io::wouldBlock};
+  return {IoStatus::wouldBlock};
 }
 
 IoResult Stream::write(std::span<const std::string_view> parts) {
   std::size_t totalBytes = 0;
   for (const auto part : parts) totalBytes += part.size();
   const IoResult result = writeFrom(descriptor(), parts);
-  const bool wasShort = result.status == Io::some && result.size < totalBytes;
-  if (result.status == Io::wouldBlock || wasShort) writeBlocked();
-  if (result.status != Io::noMemory) return result;
+  const bool wasShort = result.status == IoStatus::ok && result.size < totalBytes;
+  if (result.status == IoStatus::wouldBlock || wasShort) writeBlocked();
+  if (result.status != IoStatus::noMemory) return result;
   writeBlocked();
   pauseReports();
-  return {Io::wouldBlock};
+  return {IoStatus::wouldBlock};
 }
 
-Io Stream::accept(Descriptor& accepted) {
-  const Io result = event_loop::accept(descriptor(), accepted);
-  if (result == Io::wouldBlock) readBlocked();
+IoStatus Stream::accept(Descriptor& accepted) {
+  const IoStatus result = event_loop::accept(descriptor(), accepted);
+  if (result == IoStatus::wouldBlock) readBlocked();
   return result;
 }
 
--- a/src/runtime/event_loop/stream.h
+++ b/src/runtime/event_loop/stream.h
@@ -34,12 +34,12 @@
   // The connection was reset, or both directions are shut down.
   bool hungUp() const { return hungUp_; }
 
-  // Each makes one non-blocking system call. If the system is short of memory, the result is Io::wouldBlock
-  // and the caller retries after the next report.
+  // Each makes one non-blocking system call. If the system is short of memory, the result is
+  // IoStatus::wouldBlock and the caller retries after the next report.
   IoResult read(std::span<char> buffer);
   IoResult write(std::span<const std::string_view> parts);
-  // Accepts one connection and stores it in `accepted` if the result is Io::some.
-  Io accept(Descriptor& accepted);
+  // Accepts one connection and stores it in `accepted` if the result is IoStatus::ok.
+  IoStatus accept(Descriptor& accepted);
   // In each turn, resumes the task that waits on this stream before all others, as the data it receives
   // affects their decisions. The order of epoll's reports can't be used for this: it is not the order of
   // arrival, as a descriptor that was reported last stays first in epoll's list.
--- a/src/runtime/ext_proc_server/ext_proc_config.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_config.cpp
@@ -44,8 +44,8 @@
   config.streams.maxStreams = limits.read(IntegerField{"streams", config.streams.maxStreams, 1, 100'000});
   config.maxMessageBytes =
       limits.read(IntegerField{"message_bytes", config.maxMessageBytes, 1024, 4 * 1024 * 1024});
-  config.registryBounds.maxTransactionsPerKind =
-      limits.read(IntegerField{"remembered", config.registryBounds.maxTransactionsPerKind, 100, 10'000'000});
+  config.registryLimits.maxTransactionsPerKind =
+      limits.read(IntegerField{"remembered", config.registryLimits.maxTransactionsPerKind, 100, 10'000'000});
   limits.rejectUnknownKeys();
 }
 
--- a/src/runtime/ext_proc_server/ext_proc_config.h
+++ b/src/runtime/ext_proc_server/ext_proc_config.h
@@ -15,8 +15,8 @@
 struct ExtProcConfig {
   config::Address listen;
   endpoint_leases::ProxyPlacement placement = endpoint_leases::ProxyPlacement::perAttempt;
-  endpoint_leases::RegistryBounds registryBounds;
-  downstream::ext_proc::Bounds streams;
+  endpoint_leases::RegistryLimits registryLimits;
+  downstream::ext_proc::StreamLimits streams;
   downstream::ext_proc::HeaderNames headers;
   // HTTP path at which nodes serve load reports. If empty, health checks are sent like transactions.
   std::string healthCheckPath;
--- a/src/runtime/ext_proc_server/ext_proc_server.cpp
+++ b/src/runtime/ext_proc_server/ext_proc_server.cpp
@@ -11,7 +11,7 @@
 
 using downstream::ext_proc::StreamCloseReason;
 using downstream::ext_proc::StreamKey;
-using event_loop::Io;
+using event_loop::IoStatus;
 using upstream::http::HealthCheckId;
 
 namespace {
@@ -35,7 +35,7 @@
       return grpc::Status::ok;
     case StreamCloseReason::invalidMessage:
       return grpc::Status::invalidArgument;
-    case StreamCloseReason::overdue:
+    case StreamCloseReason::timedOut:
       return grpc::Status::deadlineExceeded;
     case StreamCloseReason::tooManyStreams:
       return grpc::Status::resourceExhausted;
@@ -57,9 +57,9 @@
       streams_(transactions,
                downstream::ext_proc::HeaderMapping(config.headers, settings.routing, settings.classNames),
                endpoint_leases::LeaseRegistry(settings.routing.transactionClasses, config.placement,
-                                              config.registryBounds, incarnation),
-               {settings.drainGrace, settings.notifiedWithin}, config.streams, *this),
-      healthChecker_(transactions, settings.connectLimit, kMaxHealthChecks, *this) {
+                                              config.registryLimits, incarnation),
+               {settings.drainGrace, settings.notificationBound}, config.streams, *this),
+      healthChecker_(transactions, settings.connectTimeout, kMaxHealthChecks, *this) {
   transactions_.addTransport(streams_.transport());
   if (!config_.healthCheckPath.empty()) {
     transactions_.addTransport(healthChecker_);
@@ -69,7 +69,7 @@
 }
 
 // The coroutines of connections refer to the server, so they are destroyed first.
-ExtProcServer::~ExtProcServer() { loop_.endTasks(); }
+ExtProcServer::~ExtProcServer() { loop_.destroyTasks(); }
 
 // --- Effects
 
@@ -123,7 +123,7 @@
     const std::string_view bytes = unsent;
     const auto result = stream.write({&bytes, 1});
     unsent.erase(0, result.size);
-    return result.status == Io::some || result.status == Io::wouldBlock;
+    return result.status == IoStatus::ok || result.status == IoStatus::wouldBlock;
   }
 
   // Reads the available data, up to the end of the response. Returns false if no more data can follow.
@@ -131,8 +131,8 @@
     std::array<char, kReadBytes> buffer;
     while (!response.done()) {
       const auto result = stream.read(buffer);
-      if (result.status == Io::ended) response.connectionEnded();
-      if (result.status != Io::some) return result.status == Io::wouldBlock;
+      if (result.status == IoStatus::endOfStream) response.connectionEnded();
+      if (result.status != IoStatus::ok) return result.status == IoStatus::wouldBlock;
       response.feed({buffer.data(), result.size}, [](std::string_view) {});
     }
     return true;
@@ -164,7 +164,8 @@
     event_loop::Descriptor descriptor;
     if (isInFlight(id)) descriptor = event_loop::startConnecting(address.host, address.port);
     if (descriptor) {
-      HealthCheckCall call(loop_, std::move(descriptor), http1::get(config_.healthCheckPath, addressText));
+      HealthCheckCall call(loop_, std::move(descriptor),
+                           http1::encodeGetRequest(config_.healthCheckPath, addressText));
       call.response.onHeader = [&](std::string_view name, std::string_view value) {
         load_report::readField(config_.headers.loadReport, name, value, report);
       };
--- a/src/runtime/ext_proc_server/ext_proc_server.h
+++ b/src/runtime/ext_proc_server/ext_proc_server.h
@@ -39,7 +39,7 @@
   void flush() override { grpcServer_.flush(); }
   Instant nextDue() const override;
   void stop() override;
-  bool empty() const override { return streams_.empty() && grpcServer_.empty(); }
+  bool isDrained() const override { return streams_.empty() && grpcServer_.empty(); }
 
  private:
   // --- grpc_server::CallHandler
--- a/src/runtime/grpc_server/grpc_server.cpp
+++ b/src/runtime/grpc_server/grpc_server.cpp
@@ -9,7 +9,7 @@
 
 namespace gulltrestle::grpc_server {
 
-using event_loop::Io;
+using event_loop::IoStatus;
 
 namespace {
 
@@ -148,10 +148,10 @@
       continue;
     }
     event_loop::Descriptor descriptor;
-    const Io result = listener_->accept(descriptor);
-    if (result == Io::some) {
+    const IoStatus result = listener_->accept(descriptor);
+    if (result == IoStatus::ok) {
       handleAccepted(std::move(descriptor));
-    } else if (result == Io::wouldBlock) {
+    } else if (result == IoStatus::wouldBlock) {
       acceptedThisTurn = 0;
       co_await listener_->changed();
     } else {
@@ -210,9 +210,9 @@
 // Reads once per turn, so that other connections are served in between.
 void GrpcServer::receive(Connection& connection) {
   const auto result = connection.stream.read(readBuffer_);
-  if (result.status == Io::failed) connection.isBroken = true;
-  if (result.status == Io::ended) connection.hasEnded = true;
-  if (result.status != Io::some) return;
+  if (result.status == IoStatus::failed) connection.isBroken = true;
+  if (result.status == IoStatus::endOfStream) connection.hasEnded = true;
+  if (result.status != IoStatus::ok) return;
   const Instant now = loop_.now();
   handler_.advanceTo(now);
   connection.calls.received(now, {readBuffer_.data(), result.size});
@@ -228,8 +228,8 @@
     if (connection.unsent.empty()) break;
     const std::string_view bytes = connection.unsent;
     const auto result = connection.stream.write({&bytes, 1});
-    if (result.status == Io::failed) connection.isBroken = true;
-    if (result.status != Io::some) break;
+    if (result.status == IoStatus::failed) connection.isBroken = true;
+    if (result.status != IoStatus::ok) break;
     connection.unsent.erase(0, result.size);
   }
   if (connection.isBroken || connection.isFinished()) connection.stream.wake();
--- a/src/runtime/grpc_server/grpc_server.h
+++ b/src/runtime/grpc_server/grpc_server.h
@@ -49,7 +49,8 @@
              std::string name, CallHandler& handler);
   GrpcServer(const GrpcServer&) = delete;
   GrpcServer& operator=(const GrpcServer&) = delete;
-  // The coroutines of connections refer to the server: EventLoop::endTasks() must have been called before.
+  // The coroutines of connections refer to the server: EventLoop::destroyTasks() must have been called
+  // before.
   ~GrpcServer() = default;
 
   // Both queue their output until flush(). They have no effect if the call has ended.
--- a/src/runtime/grpc_server/grpc_server_log.cpp
+++ b/src/runtime/grpc_server/grpc_server_log.cpp
@@ -8,10 +8,10 @@
   spdlog::warn("event={}.connections_full connections={} closes_idle={}", server, connections, closesIdle);
 }
 
-void logAcceptFailed(std::string_view server, event_loop::Io result) {
+void logAcceptFailed(std::string_view server, event_loop::IoStatus result) {
   spdlog::warn(
       "event={}.accept_failed reason=\"{}\"", server,
-      result == event_loop::Io::noDescriptor ? "no descriptor is left" : "the listening socket failed");
+      result == event_loop::IoStatus::noDescriptor ? "no descriptor is left" : "the listening socket failed");
 }
 
 void logConnectionFailed(std::string_view server, std::string_view error) {
--- a/src/runtime/grpc_server/grpc_server_log.h
+++ b/src/runtime/grpc_server/grpc_server_log.h
@@ -15,7 +15,7 @@
 void logConnectionsFull(std::string_view server, std::size_t connections, bool closesIdle);
 
 // Accepting a connection failed. `result`: the status of that call.
-void logAcceptFailed(std::string_view server, event_loop::Io result);
+void logAcceptFailed(std::string_view server, event_loop::IoStatus result);
 
 // A connection was closed because of an exception. `error`: the text of that exception.
 void logConnectionFailed(std::string_view server, std::string_view error);
--- a/src/runtime/server/accept_loop.cpp
+++ b/src/runtime/server/accept_loop.cpp
@@ -9,7 +9,7 @@
 
 namespace gulltrestle::server {
 
-using event_loop::Io;
+using event_loop::IoStatus;
 using gateway::ClientId;
 
 namespace {
@@ -46,7 +46,7 @@
     : loop_(loop),
       gateway_(gateway),
       buffers_(buffers),
-      connectLimit_(config.deployment.connectLimit),
+      connectTimeout_(config.deployment.connectTimeout),
       longestDeadline_(longestDeadlineOf(config.deployment.routing)),
       listener_(std::make_unique<event_loop::Stream>(loop, listenAt(config.listen))),
       maxClients_(maxClients(config, reserved)) {}
@@ -78,14 +78,14 @@
       continue;
     }
     event_loop::Descriptor descriptor;
-    const Io result = listener_->accept(descriptor);
-    if (result == Io::some || result == Io::wouldBlock) hasFailed = false;
-    if (result == Io::wouldBlock) failingSince = Instant();
-    if (result == Io::some) {
+    const IoStatus result = listener_->accept(descriptor);
+    if (result == IoStatus::ok || result == IoStatus::wouldBlock) hasFailed = false;
+    if (result == IoStatus::wouldBlock) failingSince = Instant();
+    if (result == IoStatus::ok) {
       clients_.emplace(++lastClientId_, nullptr);
       const Instant maybeWaitingSince = failingSince == Instant() ? earliestArrival() : failingSince;
       loop_.spawn(serve(lastClientId_, std::move(descriptor), !isFullNow, maybeWaitingSince));
-    } else if (result == Io::wouldBlock) {
+    } else if (result == IoStatus::wouldBlock) {
       isAccepting = isListening_;
       acceptedThisTurn = 0;
       if (isAccepting) co_await listener_->changed();
--- a/src/runtime/server/client_connections.cpp
+++ b/src/runtime/server/client_connections.cpp
@@ -94,7 +94,7 @@
   if (isAccepted) {
     gateway_.clientOpened(loop_.now(), id);
   } else {
-    client.send({postgres::error("FATAL", postgres::kRefused, "refused: too many clients")});
+    client.send({postgres::error("FATAL", postgres::kRejected, "refused: too many clients")});
     client.isClosing = true;
   }
 }
@@ -194,7 +194,7 @@
 // Sends the end of stream. Returns the time until which the server waits for the client to close its end.
 Instant ClientConnections::startLingering(ClientId id, Client& client) {
   event_loop::shutDownWriting(client.stream.descriptor());
-  const Instant until = loop_.now() + connectLimit_ * kLingerFactor;
+  const Instant until = loop_.now() + connectTimeout_ * kLingerFactor;
   client.stream.wakeAt(until);
   lingering_.push_back(id);
   return until;
--- a/src/runtime/server/client_connections.h
+++ b/src/runtime/server/client_connections.h
@@ -65,7 +65,7 @@
   event_loop::EventLoop& loop_;
   gateway::Gateway& gateway_;
   SharedBuffers& buffers_;
-  Duration connectLimit_;
+  Duration connectTimeout_;
   Duration longestDeadline_;  // of all transaction classes
   std::unique_ptr<event_loop::Stream> listener_;
   std::size_t maxClients_;
--- a/src/runtime/server/connection.cpp
+++ b/src/runtime/server/connection.cpp
@@ -2,14 +2,14 @@
 
 namespace gulltrestle::server {
 
-using event_loop::Io;
+using event_loop::IoStatus;
 
 void Connection::send(gateway::ByteSlices slices) {
   if (isBroken || isAborted) return;
   std::size_t sent = 0;
   if (unsent_.empty()) {
     const auto result = stream.write({slices.begin(), slices.size()});
-    if (result.status == Io::failed) {
+    if (result.status == IoStatus::failed) {
       isBroken = true;
       stream.wake();
       return;
@@ -28,7 +28,7 @@
   while (!isBroken && !unsent_.empty() && stream.canWrite()) {
     const std::string_view unsent = unsent_;
     const auto result = stream.write({&unsent, 1});
-    if (result.status == Io::failed) isBroken = true;
+    if (result.status == IoStatus::failed) isBroken = true;
     unsent_.erase(0, result.size);
     if (unsent_.empty()) unsent_.shrink_to_fit();
   }
--- a/src/runtime/server/connection.h
+++ b/src/runtime/server/connection.h
@@ -88,9 +88,9 @@
 template <typename Consume>
 void Connection::read(Consume consume) {
   const auto result = stream.read(shared_.readBuffer);
-  if (result.status == event_loop::Io::ended) hasEnded = true;
-  if (result.status == event_loop::Io::failed) isBroken = true;
-  if (result.status != event_loop::Io::some) return;
+  if (result.status == event_loop::IoStatus::endOfStream) hasEnded = true;
+  if (result.status == event_loop::IoStatus::failed) isBroken = true;
+  if (result.status != event_loop::IoStatus::ok) return;
   std::string_view bytes(shared_.readBuffer.data(), result.size);
   if (!received_.empty()) bytes = received_.append(bytes);
   const std::size_t consumed = consume(bytes);
--- a/src/runtime/server/discovery_client.cpp
+++ b/src/runtime/server/discovery_client.cpp
@@ -66,8 +66,8 @@
 
 void DiscoveryClient::start(std::uint64_t listVersion) {
   listVersion_ = listVersion;
-  isWatching_ = schedule_.watchesAtOnce() && !config_.known.nodes.empty();
-  loop_.spawn(followEndpointList());
+  isWatching_ = schedule_.startsWithWatch() && !config_.initialEndpoints.nodes.empty();
+  loop_.spawn(subscribeToEndpointList());
 }
 
 void DiscoveryClient::setAddress(const std::string& address) {
@@ -77,7 +77,7 @@
 
 // When the address of discovery changes, the whole list is requested from the new address without a pause, as
 // data that the old address still sends may be outdated.
-event_loop::Task DiscoveryClient::followEndpointList() {
+event_loop::Task DiscoveryClient::subscribeToEndpointList() {
   for (;;) {
     const config::Address address = address_;
     CallResult result;
@@ -88,7 +88,7 @@
       call.connection.stream.prioritize();
       try {
         while (!call.isOver() && address == address_) {
-          const Duration idleTimeout = schedule_.silence(call.isWatch, call.hasReceived);
+          const Duration idleTimeout = schedule_.idleTimeout(call.isWatch, call.hasReceived);
           if (hasTimedOut(call, idleTimeout)) break;
           sendAndReceive(call, idleTimeout);
           if (!call.isOver()) co_await call.connection.stream.changed();
@@ -105,8 +105,8 @@
     if (address != address_) isWatching_ = false;
     if (address != address_ || result.failure.empty()) continue;
     reportFailure(address, result.failure);
-    isWatching_ = isWatching_ && !result.isContentInvalid && schedule_.watchesAtOnce();
-    co_await loop_.sleepUntil(loop_.now() + schedule_.pause());
+    isWatching_ = isWatching_ && !result.isContentInvalid && schedule_.startsWithWatch();
+    co_await loop_.sleepUntil(loop_.now() + schedule_.nextBackoff());
   }
 }
 
@@ -119,7 +119,7 @@
   const bool isConnecting = !call.isSent && !stream.canWrite();
   if (loop_.now() - call.lastReceivedAt > idleTimeout && !isResponseReadable && (call.isSent || isConnecting))
     return true;
-  if (!isConnecting || loop_.now() - call.startedAt <= config_.deployment.connectLimit) return false;
+  if (!isConnecting || loop_.now() - call.startedAt <= config_.deployment.connectTimeout) return false;
   call.result.failure = "the connection was not established in time";
   return true;
 }
@@ -130,15 +130,16 @@
   if (connection.stream.canWrite() && !call.isSent) {
     call.isSent = true;
     call.lastReceivedAt = loop_.now();
-    const std::string path = call.isWatch ? config::watchPath(listVersion_) : config::listPath();
-    connection.send({http1::get(path, textOf(call.address))});
+    const std::string path =
+        call.isWatch ? config::endpointWatchPath(listVersion_) : config::endpointListPath();
+    connection.send({http1::encodeGetRequest(path, textOf(call.address))});
   }
   connection.flush();
   if (call.isSent && connection.stream.canRead())
     connection.read([&](std::string_view bytes) { return receive(call, bytes); });
   if (connection.stream.canRead() && !call.hasConnectionEnded()) connection.stream.wake();
   const Instant deadline =
-      call.isSent ? call.lastReceivedAt + idleTimeout : call.startedAt + config_.deployment.connectLimit;
+      call.isSent ? call.lastReceivedAt + idleTimeout : call.startedAt + config_.deployment.connectTimeout;
   connection.stream.wakeAt(deadline + kWakeUpMargin);
 }
 
@@ -150,7 +151,7 @@
   const int status = call.response.status();
   if (status != 0 && status != 200)
     throw http1::Malformed("unexpected HTTP status " + std::to_string(status));
-  if (status == 200) schedule_.answered();
+  if (status == 200) schedule_.resetBackoff();
   return used;
 }
 
--- a/src/runtime/server/discovery_client.h
+++ b/src/runtime/server/discovery_client.h
@@ -39,7 +39,7 @@
     bool isContentInvalid = false;  // the response can't be used: the whole list is requested next
   };
 
-  event_loop::Task followEndpointList();
+  event_loop::Task subscribeToEndpointList();
   bool hasTimedOut(Call& call, Duration idleTimeout) const;
   void sendAndReceive(Call& call, Duration idleTimeout);
   std::size_t receive(Call& call, std::string_view bytes);
--- a/src/runtime/server/resource_limits.cpp
+++ b/src/runtime/server/resource_limits.cpp
@@ -35,9 +35,9 @@
   return config.memoryBytes / kMemoryDivisor;
 }
 
-gateway::Bounds gatewayBoundsOf(const config::RouterConfig& config) {
-  return {.idleLimit = config.deployment.idleLimit,
-          .connectLimit = config.deployment.connectLimit,
+gateway::GatewayLimits gatewayLimitsOf(const config::RouterConfig& config) {
+  return {.idleTimeout = config.deployment.idleTimeout,
+          .connectTimeout = config.deployment.connectTimeout,
           .maxNodeConnections = maxNodeConnections(config),
           .maxBufferedBytes = maxBufferedBytes(config),
           .maxActiveClients = config.descriptors / kTransactionDivisor};
--- a/src/runtime/server/resource_limits.h
+++ b/src/runtime/server/resource_limits.h
@@ -23,7 +23,7 @@
 RoutingConfig routingConfigOf(const config::RouterConfig& config, const ReservedResources& reserved);
 
 // Returns the limits of the gateway on connections and buffered bytes.
-gateway::Bounds gatewayBoundsOf(const config::RouterConfig& config);
+gateway::GatewayLimits gatewayLimitsOf(const config::RouterConfig& config);
 
 // Returns the upper bound on the received and unsent bytes of all connections.
 std::size_t maxBufferedBytes(const config::RouterConfig& config);
--- a/src/runtime/server/server.cpp
+++ b/src/runtime/server/server.cpp
@@ -24,25 +24,26 @@
 
 Server::Server(config::RouterConfig config, ReservedResources reserved)
     : config_(std::move(config)),
-      signals_(std::make_unique<event_loop::Stream>(loop_, event_loop::signals())),
+      signals_(std::make_unique<event_loop::Stream>(loop_, event_loop::openSignalDescriptor())),
       buffers_{.maxBytes = maxBufferedBytes(config_)},
       gateway_(routingConfigOf(config_, reserved), config_.deployment.classNames, config_.seed,
-               gatewayBoundsOf(config_), *this),
+               gatewayLimitsOf(config_), *this),
       clients_(loop_, gateway_, buffers_, config_, reserved),
       nodes_(loop_, gateway_, buffers_),
       discovery_(loop_, gateway_, buffers_, config_) {}
 
-Server::~Server() { loop_.endTasks(); }
+Server::~Server() { loop_.destroyTasks(); }
 
 void Server::run() {
   logListening(config_);
   transactions().advanceTo(loop_.now());
   transactions().invariants().checkStart(loop_.now(), loop_.now() - startedAt_,
                                          [this] { return config_.name; });
-  gateway_.onEndpointList(loop_.now(), EndpointUpdateKind::restored, resolvedEndpoints(config_.known));
+  gateway_.onEndpointList(loop_.now(), EndpointUpdateKind::restored,
+                          resolvedEndpoints(config_.initialEndpoints));
   gateway_.onConfigLoaded(loop_.now(), discoveryAddress(config_), {});
   loop_.spawn(watchSignals());
-  discovery_.start(config_.known.version);
+  discovery_.start(config_.initialEndpoints.version);
   clients_.start();
   loop_.run([this](Instant now) { return endTurn(now); }, logTaskFailed);
   logEnded();
@@ -56,7 +57,7 @@
   try {
     next = gateway_.endTurn(now);
   } catch (const std::exception& error) { logTurnFailed(error.what()); }
-  if (gateway_.finished() && clients_.areFinished()) loop_.stop();
+  if (gateway_.isFinished() && clients_.areFinished()) loop_.stop();
   return next;
 }
 
@@ -78,7 +79,7 @@
 
 void Server::requestEndpointList() {}  // nothing to do: the list is followed continuously
 
-void Server::followDiscovery(const std::string& address) { discovery_.setAddress(address); }
+void Server::setDiscoveryAddress(const std::string& address) { discovery_.setAddress(address); }
 
 void Server::log(std::string line) { logGatewayLine(line); }
 
--- a/src/runtime/server/server.h
+++ b/src/runtime/server/server.h
@@ -42,7 +42,7 @@
   void closeClient(gateway::ClientId id) override;
   void stopListening() override;
   void requestEndpointList() override;
-  void followDiscovery(const std::string& address) override;
+  void setDiscoveryAddress(const std::string& address) override;
   void log(std::string line) override;
 
   event_loop::Task watchSignals();
--- a/src/runtime/server/server_log.cpp
+++ b/src/runtime/server/server_log.cpp
@@ -6,7 +6,7 @@
 
 void logListening(const config::RouterConfig& config) {
   spdlog::info("{} listens on {}:{}, {} nodes known", config.name, config.listen.host, config.listen.port,
-               config.known.nodes.size());
+               config.initialEndpoints.nodes.size());
 }
 
 void logEnded() { spdlog::info("ended"); }
@@ -25,10 +25,10 @@
 
 void logNodeConnectionFailed(std::string_view error) { spdlog::error("node connection failed: {}", error); }
 
-void logAcceptFailed(event_loop::Io result) {
-  spdlog::warn("no new client can be taken: {}", result == event_loop::Io::noDescriptor
-                                                     ? "no descriptor is left"
-                                                     : "the listening socket failed");
+void logAcceptFailed(event_loop::IoStatus result) {
+  spdlog::warn("no new client can be accepted: {}", result == event_loop::IoStatus::noDescriptor
+                                                        ? "no descriptor is left"
+                                                        : "the listening socket failed");
 }
 
 void logDiscoveryFailed(const config::Address& address, std::string_view failedCall) {
--- a/src/runtime/server/server_log.h
+++ b/src/runtime/server/server_log.h
@@ -23,7 +23,7 @@
 void logClientFailed(std::string_view error);
 void logNodeConnectionFailed(std::string_view error);
 // Accepting a client failed. `result`: the status of that call.
-void logAcceptFailed(event_loop::Io result);
+void logAcceptFailed(event_loop::IoStatus result);
 
 // --- Discovery
 // `failedCall`: the kind of the call and the reason for its failure.
--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -115,7 +115,7 @@
   }
   if (meta(kDigestKey) != std::to_string(digest_))
     throw CorruptDatabase("its rows are not those that were written", connection_.path());
-  state.newSince = std::stoull(meta(kNewSinceKey));
+  state.minValidStart = std::stoull(meta(kNewSinceKey));
   if (format != kFormat && !connection_.isReadOnly()) upgrade(format);
   return state;
 }
@@ -329,7 +329,7 @@
 
 void Database::apply(const VotingRecord& voting) {
   setMeta(kCompleteKey, voting.isComplete ? "1" : "0");
-  setMeta(kNewSinceKey, std::to_string(voting.newSince));
+  setMeta(kNewSinceKey, std::to_string(voting.minValidStart));
 }
 
 void Database::apply(const MaintenanceRecord& maintenance) {
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -69,7 +69,7 @@
   try {
     openOrSetAside(path);
     if (database_->voter() != voter)
-      throw UnusableFolder(path + " is the store of the keeper '" + database_->voter() + "'", folder);
+      throw UnusableFolder(path + " belongs to the voting member '" + database_->voter() + "'", folder);
     recordStart(draw, lists);
   } catch (const UnusableFolder&) { throw; } catch (const RejectedVoterList&) {
     throw;
@@ -85,13 +85,13 @@
   for (int attempt = 1; attempt <= kAttempts; ++attempt) {
     try {
       database_ = std::make_unique<Database>(path, Database::OpenMode::writing);
-      if (database_->isNew()) database_->initialize(voter_, {.isComplete = false, .newSince = 0});
+      if (database_->isNew()) database_->initialize(voter_, {.isComplete = false, .minValidStart = 0});
       state_ = database_->load();
       return;
     } catch (const CorruptDatabase& damage) {
       database_.reset();
       if (attempt == kAttempts) throw UnusableFolder(path + ": " + damage.what(), folder_);
-      setAside_ = moveAside(path) + " (" + damage.what() + ")";
+      damagedFile_ = moveAside(path) + " (" + damage.what() + ")";
     }
   }
 }
@@ -108,8 +108,8 @@
   if (transition.hasChanged) changes.emplace_back(transition.lists);
   if (!transition.isDiskTrusted) {
     state_.isComplete = false;
-    state_.newSince = start.number;
-    changes.emplace_back(idempotency::VotingRecord{.isComplete = false, .newSince = start.number});
+    state_.minValidStart = start.number;
+    changes.emplace_back(idempotency::VotingRecord{.isComplete = false, .minValidStart = start.number});
   }
   database_->commit({&changes});
   state_.voterLists = transition.lists;
@@ -190,7 +190,7 @@
   } catch (const std::exception& error) { fault = error.what(); }
   database_.reset();
   const std::lock_guard lock(mutex_);
-  statistics_.lastFault = fault;
+  statistics_.lastError = fault;
   return false;
 }
 
@@ -211,7 +211,7 @@
     statistics_.queuedChanges -= queued.changes.size();
     statistics_.durableChanges += queued.changes.size();
   }
-  statistics_.lastFault.clear();
+  statistics_.lastError.clear();
   lastDurable_ = Clock::now();
 }
 
@@ -226,7 +226,7 @@
     throw UnusableFolder(folder + ": " + std::strerror(errno), folder);
   try {
     Database(databasePath(folder), Database::OpenMode::writing)
-        .initialize(voter, {.isComplete = true, .newSince = 0});
+        .initialize(voter, {.isComplete = true, .minValidStart = 0});
   } catch (const std::exception& error) {
     throw UnusableFolder(databasePath(folder) + ": " + error.what(), folder);
   }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -34,7 +34,7 @@
   Duration longestCommit;
   Duration sinceLastCommit;     // since the last successful commit, or since the start
   std::uint64_t fileBytes = 0;  // as of the last commit
-  std::string lastFault;        // error of the last commit; empty if it succeeded
+  std::string lastError;        // error of the last commit; empty if it succeeded
 };
 
 class Database;
@@ -60,7 +60,7 @@
   // Moves the stored state out; storedState() is empty afterwards.
   idempotency::StoredState takeStoredState() { return std::exchange(state_, {}); }
   // For operators: the new path of a damaged file and its damage; empty if no file was damaged.
-  const std::string& setAside() const { return setAside_; }
+  const std::string& damagedFile() const { return damagedFile_; }
 
   // Readable when takeCompleted() has something to return.
   int descriptor() const { return descriptor_; }
@@ -100,7 +100,7 @@
   void wakeOwner() const;
 
   const std::string folder_, voter_;
-  std::string setAside_;
+  std::string damagedFile_;
   idempotency::StoredState state_;
   std::unique_ptr<Database> database_;  // once the thread runs, used by it only; null after a failed commit
   int descriptor_ = -1;
--- a/src/testing/fake_servers/fake_node.cpp
+++ b/src/testing/fake_servers/fake_node.cpp
@@ -42,15 +42,16 @@
     char bytes[4096];
     while (stream.canRead() && !hasEnded) {
       const auto got = stream.read(bytes);
-      if (got.status == event_loop::Io::some) received.append(bytes, got.size);
-      if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) hasEnded = true;
+      if (got.status == event_loop::IoStatus::ok) received.append(bytes, got.size);
+      if (got.status == event_loop::IoStatus::endOfStream || got.status == event_loop::IoStatus::failed)
+        hasEnded = true;
     }
   }
   // Fake servers send only short messages, so a write that doesn't complete immediately means that the peer
   // is lost.
   void write(std::string_view bytes) {
     const auto done = stream.write({&bytes, 1});
-    if (done.status != event_loop::Io::some) hasEnded = true;
+    if (done.status != event_loop::IoStatus::ok) hasEnded = true;
   }
 };
 
@@ -58,7 +59,7 @@
 event_loop::Task acceptAll(event_loop::Stream& listener, std::function<void(event_loop::Descriptor)> serve) {
   for (;;) {
     event_loop::Descriptor accepted;
-    if (listener.accept(accepted) == event_loop::Io::some) {
+    if (listener.accept(accepted) == event_loop::IoStatus::ok) {
       serve(std::move(accepted));
     } else {
       co_await listener.changed();
--- a/src/testing/fake_servers/fake_proxy.cpp
+++ b/src/testing/fake_servers/fake_proxy.cpp
@@ -53,16 +53,17 @@
     char bytes[16384];
     if (connection->stream.canRead()) {
       const auto got = connection->stream.read(bytes);
-      if (got.status == event_loop::Io::some && !connection->session.received(loop_.now(), {bytes, got.size}))
+      if (got.status == event_loop::IoStatus::ok &&
+          !connection->session.received(loop_.now(), {bytes, got.size}))
         connection->hasEnded = true;
-      if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed)
+      if (got.status == event_loop::IoStatus::endOfStream || got.status == event_loop::IoStatus::failed)
         connection->hasEnded = true;
     }
     connection->flush();
     if (connection->session.done() && connection->streams.empty()) connection->hasEnded = true;
     if (!connection->hasEnded && !connection->stream.canRead()) co_await connection->stream.changed();
   }
-  connection->session.ended();
+  connection->session.connectionEnded();
 }
 
 // One client request with all its attempts: the state so far, and the steps between two waits. The coroutine
@@ -116,9 +117,10 @@
 
   // Also applies an extension of the message timeout. Only the first extension of an attempt has an effect.
   bool hasDecision() {
-    if (!stream->responses.empty() && stream->responses.front().wait > Duration()) {
+    if (!stream->responses.empty() && stream->responses.front().timeoutOverride > Duration()) {
       if (!wasExtended && proxy.config_.maxMessageTimeout > Duration())
-        messageDeadline = now() + std::min(stream->responses.front().wait, proxy.config_.maxMessageTimeout);
+        messageDeadline =
+            now() + std::min(stream->responses.front().timeoutOverride, proxy.config_.maxMessageTimeout);
       wasExtended = true;
       stream->responses.pop_front();
     }
@@ -187,7 +189,7 @@
       const std::string requestHead = std::string(request.isWrite ? "POST" : "GET") +
                                       " / HTTP/1.1\r\nx-txn-id: " + answer.transactionId + "\r\n\r\n";
       const std::string_view bytes = requestHead;
-      if (nodeConnection->stream.write({&bytes, 1}).status == event_loop::Io::some) written = "whole";
+      if (nodeConnection->stream.write({&bytes, 1}).status == event_loop::IoStatus::ok) written = "whole";
     }
     hasEnded = written == "none";
     answerDeadline = std::min(deadline, now() + proxy.attemptTimeout.value_or(proxy.config_.attemptTimeout));
@@ -198,9 +200,10 @@
   bool readFromNode() {
     char bytes[1024];
     const auto got = nodeConnection->stream.read(bytes);
-    if (got.status == event_loop::Io::some) responseHead.append(bytes, got.size);
-    if (got.status == event_loop::Io::ended || got.status == event_loop::Io::failed) hasEnded = true;
-    return got.status != event_loop::Io::wouldBlock;
+    if (got.status == event_loop::IoStatus::ok) responseHead.append(bytes, got.size);
+    if (got.status == event_loop::IoStatus::endOfStream || got.status == event_loop::IoStatus::failed)
+      hasEnded = true;
+    return got.status != event_loop::IoStatus::wouldBlock;
   }
   void handleHead() {
     if (hasHead()) {
--- a/src/testing/fake_servers/fake_proxy_connections.h
+++ b/src/testing/fake_servers/fake_proxy_connections.h
@@ -24,7 +24,7 @@
 // An HTTP/2 connection to the processor, with its open streams.
 struct FakeProxy::ProcessorConnection final : http2::Handler {
   ProcessorConnection(event_loop::EventLoop& loop, event_loop::Descriptor descriptor)
-      : stream(loop, std::move(descriptor)), session(http2::Session::Side::client, {}, *this) {}
+      : stream(loop, std::move(descriptor)), session(http2::Session::Perspective::client, {}, *this) {}
 
   void headers(http2::StreamId id, http2::Headers) override { (void)id; }
   void data(http2::StreamId id, std::string_view bytes) override {
@@ -63,7 +63,7 @@
     return processorStream;
   }
   void send(http2::StreamId id, const ext_proc::Request& request) {
-    session.send(id, grpc::framed(ext_proc::request(request)));
+    session.send(id, grpc::framed(ext_proc::encodeRequest(request)));
     flush();
   }
   void flush() {
@@ -72,8 +72,8 @@
     while (!unsent.empty()) {
       const std::string_view bytes = unsent;
       const auto done = stream.write({&bytes, 1});
-      if (done.status == event_loop::Io::failed) hasEnded = true;
-      if (done.status != event_loop::Io::some) break;
+      if (done.status == event_loop::IoStatus::failed) hasEnded = true;
+      if (done.status != event_loop::IoStatus::ok) break;
       unsent.erase(0, done.size);
     }
   }
--- a/src/tools/fleet_model/fleet.h
+++ b/src/tools/fleet_model/fleet.h
@@ -29,7 +29,7 @@
 
 // Which component rejects transactions during an overload: the degradation levels, the routing module's own
 // load shedding, or none.
-enum class LoadShedding { byLevels, byModule, nobody };
+enum class LoadShedding { byLevels, byModule, none };
 
 // The faults to inject. Times are in seconds since the start of the run; a negative time means never.
 struct FaultPlan {
--- a/src/tools/fleet_model/fleet_requests.cpp
+++ b/src/tools/fleet_model/fleet_requests.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// No attempt may be sent to a node later than this after it was drained: rule 3.
+// Grace period of a drain: no new attempt may be sent to the draining node after it.
 constexpr Duration kDrainGrace = Duration::millis(1000);
 // A rejection was correct if no replica could have started the transaction within this fraction of its
 // latency target.
--- a/src/tools/fleet_model/fleet_router.h
+++ b/src/tools/fleet_model/fleet_router.h
@@ -46,14 +46,16 @@
     transactions.setAdmissionController(this);
   }
 
-  void committed(transactions::OwnerId owner, const transactions::ResultValue&) override {
+  void onTransactionCommitted(transactions::OwnerId owner, const transactions::ResultValue&) override {
     fleet.onAnswer(*this, owner, true, false, {});
   }
-  void rejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override {
+  void onTransactionRejected(transactions::OwnerId owner, Duration retryAfter, unsigned level) override {
     if (level > 0) fleet.classifyRejection(openRequests.at(owner).request);
     fleet.onAnswer(*this, owner, false, true, retryAfter);
   }
-  void rolledBack(transactions::OwnerId owner) override { fleet.onAnswer(*this, owner, false, false, {}); }
+  void onTransactionRolledBack(transactions::OwnerId owner) override {
+    fleet.onAnswer(*this, owner, false, false, {});
+  }
   void startAttempt(transactions::AttemptId attempt, const NodeId& node) override {
     fleet.executeAttempt(*this, attempt, node);
   }
@@ -62,8 +64,8 @@
   }
   void onEndpointList(const std::vector<NodeId>&) override {}
   void forgetNode(const NodeId&) override {}
-  std::optional<Duration> rejectsWithRetryAfter(GroupId, std::size_t) override {
-    return ramp->rejectsWithRetryAfter(fleet.now_);
+  std::optional<Duration> retryAfterIfRejected(GroupId, std::size_t) override {
+    return ramp->retryAfterIfRejected(fleet.now_);
   }
   void onTransactionEnded(GroupId, std::size_t, const AdmittedResult& result) override {
     ramp->onTransactionEnded(
--- a/src/tools/fleet_model/scenario_check.cpp
+++ b/src/tools/fleet_model/scenario_check.cpp
@@ -47,7 +47,7 @@
     if (count > 0) failures.push_back(std::to_string(count) + " txns " + description);
   if (result.collapsedNodes > singleRouter.collapsedNodes)
     failures.push_back(std::to_string(result.collapsedNodes - singleRouter.collapsedNodes) +
-                       " cold nodes were pushed over");
+                       " cold nodes collapsed");
   for (std::size_t row = 0; row < scenario.parameters.trafficClasses.size(); ++row) {
     const double served = servedFraction(result.valueByClass[row]),
                  servedBySingleRouter = servedFraction(singleRouter.valueByClass[row]);
--- a/src/tools/fleet_simulator/outage_orders.cpp
+++ b/src/tools/fleet_simulator/outage_orders.cpp
@@ -86,7 +86,7 @@
 
 Schedule scheduleByScheduler(maintenance::Plan plan, const maintenance::FleetState& fleet) {
   Schedule schedule;
-  maintenance::Bounds bounds;
+  maintenance::MaintenanceLimits bounds;
   bounds.maxMachinesInProgress = kMachinesInProgress;
   double now = kFirstDrainSeconds;
   std::multimap<double, std::string> inProgress;  // machine names by the time at which they are warm
--- a/src/tools/simulator_adapter/adapter.cpp
+++ b/src/tools/simulator_adapter/adapter.cpp
@@ -51,18 +51,18 @@
     if (tag == "INCOMING") {
       router.onTransaction(readTransaction(line));
     } else if (tag == "FINISHED") {
-      router.onAttemptEnded(line.whole("rid"), static_cast<unsigned>(line.whole("sendNo")),
-                            NodeId(line.text("node")), outcomeOf(line), line.flag("last"),
-                            micros(line.whole("latency", 0)), loadReportOfAnswer(line),
-                            loadReportOfUsage(line));
+      router.onAttemptEnded(line.unsignedInteger("rid"),
+                            static_cast<unsigned>(line.unsignedInteger("sendNo")), NodeId(line.text("node")),
+                            outcomeOf(line), line.flag("last"), micros(line.unsignedInteger("latency", 0)),
+                            loadReportOfAnswer(line), loadReportOfUsage(line));
     } else if (tag == "PROBE_DONE") {
       router.onHealthCheckEnded(NodeId(line.text("node")), outcomeOf(line), loadReportOfUsage(line));
     } else if (tag == "DUE") {
-      line.whole("name");  // requests a routing round; the name is only validated
+      line.unsignedInteger("name");  // requests a routing round; the name is only validated
     } else if (tag == "CANCELLED_BY_CLIENT") {
-      router.onClientLeft(line.whole("rid"));
+      router.onClientDisconnected(line.unsignedInteger("rid"));
     } else if (tag == "FLOWING") {
-      router.onStreamStarted(line.whole("rid"));
+      router.onStreamStarted(line.unsignedInteger("rid"));
     } else if (tag == "MEMBERS") {
       deliverEndpointList(router, received);
     }
@@ -70,37 +70,38 @@
 
  private:
   RouterInstance(const MessageLine& start, deployment::DeploymentSettings settings)
-      : router_(std::move(settings.routing), start.whole("prng")),
+      : router_(std::move(settings.routing), start.unsignedInteger("prng")),
         zone_(std::move(settings.zone)),
-        baseTime_(Instant::atMicros(static_cast<std::int64_t>(start.whole("specifics.baseTime", 0)))) {
+        baseTime_(
+            Instant::atMicros(static_cast<std::int64_t>(start.unsignedInteger("specifics.baseTime", 0)))) {
     for (std::size_t row = 0; row < settings.classNames.size(); ++row)
       classIndexes_.emplace(settings.classNames[row], row);
   }
 
   static AttemptOutcome outcomeOf(const MessageLine& line) {
-    return deployment::choice<AttemptOutcome>("stateCode", line.text("stateCode"), kOutcomeNames);
+    return deployment::toEnumerator<AttemptOutcome>("stateCode", line.text("stateCode"), kOutcomeNames);
   }
 
   Transaction readTransaction(const MessageLine& line) const {
     Transaction txn;
-    txn.id = line.whole("rid");
+    txn.id = line.unsignedInteger("rid");
     const auto classIndex = classIndexes_.find(line.text("grade"));
     if (classIndex == classIndexes_.end())
       throw InvalidField("grade", "'" + classNameOf(line) + "' is not in the settings");
     txn.type = classIndex->second;
     txn.group = deployment::toGroup("cluster", line.text("cluster"));
-    if (line.find("session")) txn.session = line.whole("session");
+    if (line.find("session")) txn.session = line.unsignedInteger("session");
     if (line.find("tokenMs"))
       txn.writeAge = Duration::micros(std::llround(std::ceil(line.number("tokenMs", 0) * 1000)));
-    txn.remainingTime = micros(line.whole("patienceLeft"));
-    if (line.find("work")) txn.expectedWork = micros(line.whole("work"));
+    txn.remainingTime = micros(line.unsignedInteger("patienceLeft"));
+    if (line.find("work")) txn.expectedServiceTime = micros(line.unsignedInteger("work"));
     return txn;
   }
   static std::string classNameOf(const MessageLine& line) { return std::string(line.text("grade")); }
 
   LoadReport loadReportOfAnswer(const MessageLine& line) const {
     LoadReport report;
-    const auto roleAndPosition = line.whole("stand", 0);
+    const auto roleAndPosition = line.unsignedInteger("stand", 0);
     report.role = roleOf(roleAndPosition % 4);
     if (roleAndPosition / 4 > 0)
       report.position = baseTime_ + Duration::millis(static_cast<std::int64_t>(roleAndPosition / 4));
@@ -130,7 +131,7 @@
 
   void deliverEndpointList(Router& router, const ReceivedLine& received) const {
     const auto form = received.line.text("form");
-    deployment::choice<int>("form", form, kListFormNames);
+    deployment::toEnumerator<int>("form", form, kListFormNames);
     if (form == "error") return router.onEndpointListFailed();
     if (!received.directory) throw InvalidField("sheet", "was never given");
     auto entries = received.directory->entries;
@@ -170,7 +171,7 @@
   void rollBack(TxnId txn) override { writeLine("RESPOND_ERROR", " rid=", txn); }
   void sendHealthCheck(const NodeId& node) override { writeLine("SAMPLE", " node=", node); }
   void wakeAfter(Duration after) override { writeLine("REMIND", " after=", after.inMicros(), " name=", 0); }
-  void followEndpointList() override { writeLine("SUBSCRIBE", " active=", 1); }
+  void subscribeToEndpointList() override { writeLine("SUBSCRIBE", " active=", 1); }
   void forgetNode(const NodeId&) override {}  // the adapter keeps no state of nodes
 
  private:
@@ -205,8 +206,8 @@
     if (!std::getline(input_, first)) return false;
     const MessageLine& start = storeLine(std::move(first));
     if (start.tag() != "SYNC") throw InvalidField("SYNC", "is not how this line starts");
-    frame_ = start.whole("frame");
-    const auto now = Instant::atMicros(static_cast<std::int64_t>(start.whole("moment")));
+    frame_ = start.unsignedInteger("frame");
+    const auto now = Instant::atMicros(static_cast<std::int64_t>(start.unsignedInteger("moment")));
     readBatch();
     std::string reply;
     for (const auto instance : instanceOrder_) runRounds(now, instance, reply);
@@ -263,12 +264,12 @@
       if (line->tag() == "DIRECTORY") {
         readDirectory(*line);
       } else if (isRouterLine(line->tag())) {
-        const auto instance = line->whole("i");
+        const auto instance = line->unsignedInteger("i");
         auto& lines = received_[instance];
         if (lines.empty()) instanceOrder_.push_back(instance);
         std::shared_ptr<const EndpointDirectory> directory;
         if (line->tag() == "MEMBERS" && line->find("form") != "error") {
-          const auto number = line->whole("sheet");
+          const auto number = line->unsignedInteger("sheet");
           if (number >= directories_.size()) throw InvalidField("sheet", "is out of range");
           directory = directories_[number];
         }
@@ -285,9 +286,9 @@
   }
 
   void readDirectory(const MessageLine& head) {
-    const auto number = head.whole("sheet");
+    const auto number = head.unsignedInteger("sheet");
     if (number >= directories_.size()) throw InvalidField("sheet", "is out of range");
-    const auto count = head.whole("entries");
+    const auto count = head.unsignedInteger("entries");
     auto directory = std::make_shared<EndpointDirectory>();
     for (std::uint64_t i = 0; i < count; ++i) {
       const MessageLine& line = nextLine();
@@ -296,9 +297,9 @@
       entry.node = line.text("node");
       entry.group = deployment::toGroup("shard", line.text("shard"));
       entry.kind = line.find("familyType").value_or("");
-      entry.health = deployment::choice<Health>("health", line.text("health"), kHealthNames);
+      entry.health = deployment::toEnumerator<Health>("health", line.text("health"), kHealthNames);
       entry.primary = line.number("head", 0) == 1;
-      entry.startedAt = Instant::atMicros(static_cast<std::int64_t>(line.whole("startedAt", 0)));
+      entry.startedAt = Instant::atMicros(static_cast<std::int64_t>(line.unsignedInteger("startedAt", 0)));
       directory->entries.push_back(std::move(entry));
       directory->zones.emplace_back(line.find("campus").value_or(""));
     }
--- a/src/tools/simulator_adapter/message_line.h
+++ b/src/tools/simulator_adapter/message_line.h
@@ -12,7 +12,7 @@
 
 using deployment::InvalidField;
 using deployment::toNumber;
-using deployment::toWhole;
+using deployment::toUnsigned;
 
 // A parsed line. It holds views into the text that it was constructed from, which must outlive it.
 // If a name occurs several times, its first value counts.
--- a/src/transactions/admission_controller.h
+++ b/src/transactions/admission_controller.h
@@ -16,7 +16,7 @@
   // Returns nullopt if the transaction is admitted. Otherwise the transaction is rejected at once, and its
   // client may retry after the returned time. `transactionClass`: index into
   // RoutingConfig::transactionClasses.
-  virtual std::optional<Duration> rejectsWithRetryAfter(GroupId group, std::size_t transactionClass) = 0;
+  virtual std::optional<Duration> retryAfterIfRejected(GroupId group, std::size_t transactionClass) = 0;
   // The outcome of an admitted transaction.
   struct AdmittedResult {
     bool wasSent = false;  // at least one of its attempts was started
--- a/src/transactions/connection_close.cpp
+++ b/src/transactions/connection_close.cpp
@@ -40,11 +40,11 @@
 std::string_view nameOf(ConnectionCloseReason reason) {
   switch (reason) {
     case ConnectionCloseReason::noDescriptor:
-      return "not opened";
+      return "no descriptor";
     case ConnectionCloseReason::refused:
       return "refused";
     case ConnectionCloseReason::connectTimeout:
-      return "never up";
+      return "connect timeout";
     case ConnectionCloseReason::rejected:
       return "rejected";
     case ConnectionCloseReason::broken:
@@ -58,11 +58,11 @@
     case ConnectionCloseReason::retired:
       return "retired";
     case ConnectionCloseReason::nodeDrained:
-      return "node left";
+      return "node drained";
     case ConnectionCloseReason::clientFinished:
-      return "client done";
+      return "client finished";
     case ConnectionCloseReason::clientStalled:
-      return "client stuck";
+      return "client stalled";
     case ConnectionCloseReason::shuttingDown:
       return "shutting down";
   }
--- a/src/transactions/downstream_handler.h
+++ b/src/transactions/downstream_handler.h
@@ -18,13 +18,13 @@
 class DownstreamHandler {
  public:
   virtual ~DownstreamHandler() = default;
-  virtual void committed(OwnerId owner, const ResultValue& value) = 0;
+  virtual void onTransactionCommitted(OwnerId owner, const ResultValue& value) = 0;
   // A retry is safe, and may be sent after `retryAfter`. `level`: the degradation level that rejected the
   // transaction on arrival; 0 if it was rejected for another reason.
-  virtual void rejected(OwnerId owner, Duration retryAfter, unsigned level) = 0;
+  virtual void onTransactionRejected(OwnerId owner, Duration retryAfter, unsigned level) = 0;
   // The transaction was rolled back or its outcome is unknown; the client must not assume that a retry is
   // safe.
-  virtual void rolledBack(OwnerId owner) = 0;
+  virtual void onTransactionRolledBack(OwnerId owner) = 0;
   // Returns whether a commit can only be answered together with the value that the node returned.
   virtual bool requiresValue() const { return true; }
 };
--- a/src/transactions/transaction_admission.cpp
+++ b/src/transactions/transaction_admission.cpp
@@ -11,7 +11,7 @@
                               std::string_view gateId) {
   if (admissionController_) {
     const std::optional<Duration> retryAfter =
-        admissionController_->rejectsWithRetryAfter(transaction.group, transaction.type);
+        admissionController_->retryAfterIfRejected(transaction.group, transaction.type);
     if (retryAfter) {
       // Answered at the end of the turn because the handler is still within its call of openTransaction().
       admissionRejections_.push_back({txn, *retryAfter});
@@ -34,7 +34,7 @@
   // The time that the gate took counts towards the client's remaining time.
   const Duration waited = now_ - open->openedAt;
   transaction.remainingTime = transaction.remainingTime - waited;
-  if (transaction.maxHold) transaction.maxHold = *transaction.maxHold - waited;
+  if (transaction.maxQueueTime) transaction.maxQueueTime = *transaction.maxQueueTime - waited;
   enqueue([transaction](Router& router) { router.onTransaction(transaction); });
 }
 
@@ -50,9 +50,9 @@
       std::all_of(value.begin(), value.end(), [](std::string_view slice) { return slice.empty(); });
   finish(txn, [&](DownstreamHandler& handler, OwnerId owner) {
     if (isEmpty && handler.requiresValue()) {
-      handler.rolledBack(owner);
+      handler.onTransactionRolledBack(owner);
     } else {
-      handler.committed(owner, value);
+      handler.onTransactionCommitted(owner, value);
     }
   });
 }
@@ -60,20 +60,22 @@
 void TransactionTable::answerRejected(TxnId txn, Duration retryAfter) {
   if (!stopAwaitingGate(txn)) return;
   traceAnswer(txn, "rejected by the execution gate");
-  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rejected(owner, retryAfter, 0); });
+  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) {
+    handler.onTransactionRejected(owner, retryAfter, 0);
+  });
 }
 
 void TransactionTable::answerRolledBack(TxnId txn) {
   if (!stopAwaitingGate(txn)) return;
   traceAnswer(txn, "rolled back by the execution gate");
-  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rolledBack(owner); });
+  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.onTransactionRolledBack(owner); });
 }
 
 void TransactionTable::answerRejectedByAdmission() {
   for (const AdmissionRejection& rejection : std::exchange(admissionRejections_, {})) {
     traceAnswer(rejection.txn, "rejected by the admission ramp");
     finish(rejection.txn, [&](DownstreamHandler& handler, OwnerId owner) {
-      handler.rejected(owner, rejection.retryAfter, 0);
+      handler.onTransactionRejected(owner, rejection.retryAfter, 0);
     });
   }
 }
--- a/src/transactions/transaction_rounds.cpp
+++ b/src/transactions/transaction_rounds.cpp
@@ -120,14 +120,16 @@
     if (isRejectedOnArrival) level = degradation_.levelOf(open->group);
   }
   traceAnswer(txn, "rejected", level);
-  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rejected(owner, retryAfter, level); });
+  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) {
+    handler.onTransactionRejected(owner, retryAfter, level);
+  });
   withdrawAttempts(txn);
 }
 
 void TransactionTable::rollBack(TxnId txn) {
   if (const OpenTransaction* open = findAwaitingAnswer(txn)) degradation_.recordAbandoned(now_, *open);
   traceAnswer(txn, "rolled back");
-  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.rolledBack(owner); });
+  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.onTransactionRolledBack(owner); });
   withdrawAttempts(txn);
 }
 
@@ -143,7 +145,7 @@
   if (wakeUpAt_ == Instant() || wakeUpAt_ <= now_ || requested < wakeUpAt_) wakeUpAt_ = requested;
 }
 
-void TransactionTable::followEndpointList() { pollEndpointList_(); }
+void TransactionTable::subscribeToEndpointList() { pollEndpointList_(); }
 
 void TransactionTable::forgetNode(const NodeId& node) {
   if (!endpoints_.forget(node)) return;
--- a/src/transactions/transaction_table.cpp
+++ b/src/transactions/transaction_table.cpp
@@ -65,14 +65,14 @@
   return transaction.id;
 }
 
-void TransactionTable::onClientLeft(TxnId txn) {
+void TransactionTable::onClientDisconnected(TxnId txn) {
   OpenTransaction* open = findAwaitingAnswer(txn);
   if (!open) return;
   traceAnswer(txn, "none, client left");
   notifyAdmissionController(*open, false);
   open->handler = nullptr;
   const bool isKnownToRouter = !std::exchange(open->awaitingGate, std::nullopt);
-  if (isKnownToRouter) enqueue([txn](Router& router) { router.onClientLeft(txn); });
+  if (isKnownToRouter) enqueue([txn](Router& router) { router.onClientDisconnected(txn); });
   withdrawAttempts(txn);
   forgetIfFinished(txn);
 }
@@ -83,7 +83,8 @@
   if (OpenTransaction* open = findAwaitingAnswer(txn)) notifyAdmissionController(*open, true);
   if (const OpenTransaction* open = findAwaitingAnswer(txn)) degradation_.recordAnswer(now_, *open);
   traceAnswer(txn, "committed");
-  finish(txn, [&](DownstreamHandler& handler, OwnerId owner) { handler.committed(owner, value); });
+  finish(txn,
+         [&](DownstreamHandler& handler, OwnerId owner) { handler.onTransactionCommitted(owner, value); });
   withdrawAttempts(txn);
 }
 
--- a/src/transactions/transaction_table.h
+++ b/src/transactions/transaction_table.h
@@ -91,7 +91,7 @@
   TxnId openTransaction(DownstreamHandler& handler, OwnerId owner, UpstreamTransport& transport,
                         Transaction transaction, RequestMessage message, std::string_view id = {});
   // Its client has left: the transaction gets no answer, and no further attempt is started.
-  void onClientLeft(TxnId txn);
+  void onClientDisconnected(TxnId txn);
 
   // --- For upstream transports
 
@@ -156,7 +156,7 @@
   void rollBack(TxnId txn) override;
   void sendHealthCheck(const NodeId& node) override;
   void wakeAfter(Duration delay) override;
-  void followEndpointList() override;
+  void subscribeToEndpointList() override;
   void forgetNode(const NodeId& node) override;
 
   // An event is a call of the router, to be made in the next round.
--- a/src/upstream/postgres/connection_pool.cpp
+++ b/src/upstream/postgres/connection_pool.cpp
@@ -49,7 +49,7 @@
     ++state.opening;
     NodeConnection& connection = connections_[id];
     connection.node = node;
-    setDeadline(id, connection, transactions_.now() + limits_.connectLimit);
+    setDeadline(id, connection, transactions_.now() + limits_.connectTimeout);
     effects_.connect(id, endpoints_.find(node)->address);
   }
 }
@@ -75,7 +75,7 @@
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
   found->second.stage = Stage::starting;
-  effects_.writeNode(id, {wire::login()});
+  effects_.writeNode(id, {wire::nodeStartupMessage()});
 }
 
 // --- Writing
@@ -98,9 +98,9 @@
 }
 
 void ConnectionPool::writeHealthCheck(NodeConnectionId id, NodeConnection& connection) {
-  setDeadline(id, connection, transactions_.now() + limits_.connectLimit);
+  setDeadline(id, connection, transactions_.now() + limits_.connectTimeout);
   connection.isFullyWritten =
-      effects_.writeNode(id, {wire::queryHead(wire::kShowReport.size()), wire::kShowReport, {"\0", 1}});
+      effects_.writeNode(id, {wire::queryHeader(wire::kShowReport.size()), wire::kShowReport, {"\0", 1}});
 }
 
 void ConnectionPool::writeAttempt(NodeConnectionId id, NodeConnection& connection,
@@ -112,7 +112,7 @@
   const std::string timeout = std::to_string(timeoutMillis);
   const std::string_view statement = message.bytes;
   connection.isFullyWritten =
-      effects_.writeNode(id, {wire::queryHead(statement.size() - message.timeoutSize + timeout.size()),
+      effects_.writeNode(id, {wire::queryHeader(statement.size() - message.timeoutSize + timeout.size()),
                               statement.substr(0, message.timeoutOffset),
                               timeout,
                               statement.substr(message.timeoutOffset + message.timeoutSize),
@@ -147,7 +147,7 @@
     transactions_.onAttemptEnded(attemptId, connection.node, AttemptOutcome::notSent);
   }
   state.idle.push_back(id);
-  setDeadline(id, connection, transactions_.now() + limits_.idleLimit * kIdleFraction);
+  setDeadline(id, connection, transactions_.now() + limits_.idleTimeout * kIdleFraction);
   if (endpoints_.isDraining(connection.node)) close(id, ConnectionCloseReason::nodeDrained);
 }
 
--- a/src/upstream/postgres/connection_pool.h
+++ b/src/upstream/postgres/connection_pool.h
@@ -44,8 +44,8 @@
 
 // Limits for connections to nodes, derived from the settings and the process's resource limits.
 struct NodeConnectionLimits {
-  Duration idleLimit;              // nodes close connections that were idle for this long
-  Duration connectLimit;           // time limit for establishing a connection, and for a health check
+  Duration idleTimeout;            // nodes close connections that were idle for this long
+  Duration connectTimeout;         // time limit for establishing a connection, and for a health check
   std::size_t maxConnections = 0;  // open at the same time
 };
 
--- a/src/upstream/postgres/node_answers.cpp
+++ b/src/upstream/postgres/node_answers.cpp
@@ -81,11 +81,11 @@
 
 bool ConnectionPool::consumeStartupResult(NodeConnectionId id, NodeConnection& connection,
                                           std::string_view& bytes) {
-  const auto startupResult = wire::takeGreeting(bytes);
+  const auto startupResult = wire::takeStartupResult(bytes);
   if (!startupResult) return false;
-  if (*startupResult != wire::Greeting::welcome) {
-    close(id, *startupResult == wire::Greeting::rejected ? ConnectionCloseReason::rejected
-                                                         : ConnectionCloseReason::broken);
+  if (*startupResult != wire::StartupResult::accepted) {
+    close(id, *startupResult == wire::StartupResult::rejected ? ConnectionCloseReason::rejected
+                                                              : ConnectionCloseReason::broken);
     return true;
   }
   NodeState& state = nodeStates_.at(connection.node);
@@ -106,13 +106,13 @@
   // ends from using up all of the transaction's time. Trade-off: fails if the network takes longer for an
   // answer than for establishing a connection.
   if (!bytes.empty() && !std::exchange(connection.isAnswerPartial, true))
-    setDeadline(id, connection, std::min(connection.deadline, transactions_.now() + limits_.connectLimit));
+    setDeadline(id, connection, std::min(connection.deadline, transactions_.now() + limits_.connectTimeout));
   return false;
 }
 
 bool ConnectionPool::consumeResyncAnswer(NodeConnectionId id, NodeConnection& connection,
                                          std::string_view& bytes) {
-  if (!wire::takeAllClear(bytes)) return false;
+  if (!wire::takeEmptyQueryAnswer(bytes)) return false;
   if (!bytes.empty()) throw wire::Malformed("unexpected bytes after the answer");
   --nodeStates_.at(connection.node).resyncing;
   release(id, connection);
@@ -130,7 +130,7 @@
   // ones.
   connectionsByAttempt_.erase(attemptId);
   if (outcome == AttemptOutcome::committed && !isHealthCheck)
-    transactions_.commit(attemptId.txn, {answer.description, answer.row, answer.complete});
+    transactions_.commit(attemptId.txn, {answer.description, answer.row, answer.completion});
   LoadReport report = loadReportOf(answer.report);
   if (isHealthCheck && outcome == AttemptOutcome::committed)
     report = loadReportOf(wire::readReport(answer.value));
@@ -149,10 +149,10 @@
   connection.stage = Stage::resyncing;
   connection.attemptId = {};
   ++nodeStates_.at(connection.node).resyncing;
-  setDeadline(id, connection, transactions_.now() + limits_.connectLimit);
+  setDeadline(id, connection, transactions_.now() + limits_.connectTimeout);
   if (hasMoreBytes) throw wire::Malformed("unexpected bytes after the answer");
   if (endpoints_.isDraining(connection.node)) return close(id, ConnectionCloseReason::nodeDrained);
-  effects_.writeNode(id, {wire::queryHead(0), {"\0", 1}});
+  effects_.writeNode(id, {wire::queryHeader(0), {"\0", 1}});
 }
 
 void ConnectionPool::logMalformed(const NodeId& node, std::string_view fault) {
--- a/tests/claims/simulated_fleet.cpp
+++ b/tests/claims/simulated_fleet.cpp
@@ -146,7 +146,7 @@
     return true;
   }
   onDisk.isComplete = false;
-  onDisk.newSince = onDisk.ownStarts.back().number;
+  onDisk.minValidStart = onDisk.ownStarts.back().number;
   booted.diskLostAt = now_;
   return true;
 }
@@ -154,7 +154,7 @@
 StoredState SimulatedFleet::storedStateOf(const Disk& disk) const {
   StoredState stored;
   stored.ownStarts = disk.ownStarts;
-  stored.newSince = disk.newSince;
+  stored.minValidStart = disk.minValidStart;
   stored.isComplete = disk.isComplete || bug_ == InjectedBug::abstentionForgotten;
   stored.voterStarts = disk.voterStarts;
   stored.voterLists = disk.lists;
@@ -297,7 +297,7 @@
     if (const auto* lists = std::get_if<VoterListHistory>(&change)) disk.lists = *lists;
     if (const auto* voting = std::get_if<VotingRecord>(&change)) {
       disk.isComplete = voting->isComplete;
-      disk.newSince = voting->newSince;
+      disk.minValidStart = voting->minValidStart;
     }
     const auto* start = std::get_if<VoterStartRecord>(&change);
     if (!start) continue;
--- a/tests/claims/simulated_fleet.h
+++ b/tests/claims/simulated_fleet.h
@@ -54,7 +54,7 @@
   // The durable state of one router.
   struct Disk {
     std::vector<VoterIncarnation> ownStarts;
-    std::uint64_t newSince = 0;
+    std::uint64_t minValidStart = 0;
     bool isComplete = false;
     std::map<std::string, ClaimRecord> claims;
     std::map<std::string, VoterIncarnation> voterStarts;
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -187,7 +187,7 @@
   node.events.waitFor("received slow");
   router.signal(SIGHUP);
   router.signal(SIGTERM);
-  router.waitForLine("told to end");
+  router.waitForLine("shutdown requested");
   router.signal(SIGTERM);
   std::cout << "idle: " << idle.answer() << "\n";
   idle.send(statement("after", "write"));
@@ -207,7 +207,7 @@
   Program router(discovery.port(), singleNodeList(node));
   Peer idle = router.client();
   router.signal(SIGTERM);
-  router.waitForLine("told to end");
+  router.waitForLine("shutdown requested");
   router.suspend();
   const auto suspendedAt = Clock::now();
   idle.send(statement("crossing", "write"));
@@ -416,14 +416,14 @@
   router.limitDescriptors(3);
   Peer newClient = Peer::to(router.port());
   newClient.send(postgres::startup("worker", "catalog") + statement("added", "write"));
-  router.waitForLine("no new client can be taken");
+  router.waitForLine("no new client can be accepted");
   node.releaseAnswer("slow");
   std::cout << "served meanwhile: " << busy.answer() << "\n";
   node.events.waitFor("idle");
   router.limitDescriptors(256);
   newClient.answer();
   std::cout << "new client: " << newClient.answer() << "\n";
-  std::cout << "log lines: " << router.countLines("no new client can be taken") << "\n";
+  std::cout << "log lines: " << router.countLines("no new client can be accepted") << "\n";
 }
 
 // A client that keeps its end open while the router closes the connection uses one of the client connections
--- a/tests/day.cpp
+++ b/tests/day.cpp
@@ -326,7 +326,7 @@
     for (int i = 0; i < 300; ++i) {
       std::string_view part = bytes;
       const auto done = event_loop::writeFrom(flood.number(), {&part, 1});
-      if (done.status == event_loop::Io::failed) {
+      if (done.status == event_loop::IoStatus::failed) {
         ++closedCount;
         break;
       }
--- a/tests/decisions.cpp
+++ b/tests/decisions.cpp
@@ -133,7 +133,7 @@
     });
     const bool clientLeft = writeState == "the client has left",
                notSent = writeState == "it was not written to the node";
-    if (clientLeft || notSent) harness.at(30, [&](Router& r) { r.onClientLeft(1); });
+    if (clientLeft || notSent) harness.at(30, [&](Router& r) { r.onClientDisconnected(1); });
     if (writeState != "it is still in flight")
       harness.at(35, [&](Router& r) {
         r.onAttemptEnded(1, 0, "p",
@@ -728,8 +728,9 @@
   for (TxnId id = 11; id <= 20; ++id) {
     const auto from = static_cast<std::int64_t>(id) * 10 + 1500;
     harness.at(from, [&](Router& r) { r.onTransaction(harness.txn(id)); });
-    harness.at(from + 5,
-               [&](Router& r) { endAttempt(harness, r, id, AttemptOutcome::cancelled), r.onClientLeft(id); });
+    harness.at(from + 5, [&](Router& r) {
+      endAttempt(harness, r, id, AttemptOutcome::cancelled), r.onClientDisconnected(id);
+    });
   }
 }
 
@@ -756,7 +757,7 @@
       r.onAttemptEnded(id, 0, node,
                        node == "a" || node == "b" ? AttemptOutcome::committed : AttemptOutcome::cancelled,
                        false, ms(node == "a" ? 60 : 20), {Role::replica, {}}, {});
-      r.onClientLeft(id);
+      r.onClientDisconnected(id);
     });
   }
 }
