--- a/tests/execution_gate.cpp
+++ b/tests/execution_gate.cpp
@@ -88,13 +88,15 @@
   }
 
   // DownstreamHandler.
-  void committed(OwnerId owner, const ResultValue& value) override {
+  void onTransactionCommitted(OwnerId owner, const ResultValue& value) override {
     std::cout << "  handler " << owner << ": committed '" << value[0] << value[1] << value[2] << "'\n";
   }
-  void rejected(OwnerId owner, Duration retryAfter, unsigned) override {
+  void onTransactionRejected(OwnerId owner, Duration retryAfter, unsigned) override {
     std::cout << "  handler " << owner << ": rejected, retry after " << retryAfter.inMicros() / 1000 << "\n";
   }
-  void rolledBack(OwnerId owner) override { std::cout << "  handler " << owner << ": rolled back\n"; }
+  void onTransactionRolledBack(OwnerId owner) override {
+    std::cout << "  handler " << owner << ": rolled back\n";
+  }
   bool requiresValue() const override { return requiresValues; }
 
   // UpstreamTransport.
@@ -166,13 +168,13 @@
 void clientLeaves() {
   GateBench bench;
   const TxnId awaitingGate = bench.openWrite("b1");
-  bench.transactions().onClientLeft(awaitingGate);
+  bench.transactions().onClientDisconnected(awaitingGate);
   bench.transactions().admit(awaitingGate);
   bench.turn();
   const TxnId inFlight = bench.openWrite("b2");
   bench.transactions().admit(inFlight);
   bench.turn();
-  bench.transactions().onClientLeft(inFlight);
+  bench.transactions().onClientDisconnected(inFlight);
   bench.endAttempt(inFlight, AttemptOutcome::cancelled);
   std::cout << "retry after an earlier attempt that may have run\n";
   const TxnId retried = bench.openAmbiguousWrite("b3");
@@ -211,7 +213,7 @@
     if (attempt && !attempt->hasEnded) {
       bench.endAttempt(txn, AttemptOutcome::committed);
     } else {
-      bench.transactions().onClientLeft(txn);
+      bench.transactions().onClientDisconnected(txn);
     }
     bench.turn(5000);
   };
--- a/tests/ext_proc/bench.cpp
+++ b/tests/ext_proc/bench.cpp
@@ -46,7 +46,7 @@
       streams_(transactions_, downstream::ext_proc::HeaderMapping({}, routingConfig(), classNames()),
                endpoint_leases::LeaseRegistry(routingConfig().transactionClasses, setup.placement,
                                               {setup.maxTransactionsPerKind}, setup.incarnation),
-               {.grace = ms(1000), .notifiedWithin = setup.notifiedWithin},
+               {.grace = ms(1000), .notificationBound = setup.notificationBound},
                {.maxStreams = setup.maxStreams,
                 .requestTimeout = ms(2000),
                 .messageTimeout = setup.messageTimeout},
@@ -81,7 +81,7 @@
 }
 
 void ExtProcHarness::sendMessage(StreamKey stream, const wire::Request& request, ValueForm form) {
-  sendBytes(stream, wire::request(request, form == ValueForm::raw));
+  sendBytes(stream, wire::encodeRequest(request, form == ValueForm::raw));
 }
 
 void ExtProcHarness::sendBytes(StreamKey stream, const std::string& bytes) {
@@ -120,7 +120,7 @@
                               {"x-txn-group", "1"},
                               {"x-txn-patience-ms", "1000"}};
   streams_.onOpened(stream);
-  streams_.onMessage(stream, wire::request({Phase::requestHeaders, headers, false}));
+  streams_.onMessage(stream, wire::encodeRequest({Phase::requestHeaders, headers, false}));
   streams_.onEnded(stream);
   settle();
 }
@@ -175,8 +175,8 @@
 void ExtProcHarness::send(StreamKey stream, std::string_view message) {
   const wire::Response response = wire::readResponse(message);
   std::ostream& out = line(stream);
-  if (response.wait > Duration()) {
-    out << "timeout extended by " << response.wait.inMicros() / 1000 << " ms\n";
+  if (response.timeoutOverride > Duration()) {
+    out << "timeout extended by " << response.timeoutOverride.inMicros() / 1000 << " ms\n";
   } else if (response.isImmediate) {
     out << response.immediate.status;
     for (const auto& [name, value] : response.immediate.headers) out << " " << name << "=" << value;
--- a/tests/ext_proc/bench.h
+++ b/tests/ext_proc/bench.h
@@ -41,7 +41,7 @@
   endpoint_leases::MessageTimeout messageTimeout{.timeout = ms(200), .maxExtension = ms(0)};
   std::size_t maxStreams = 100, maxTransactionsPerKind = 100;
   std::string incarnation = "one";
-  Duration notifiedWithin;
+  Duration notificationBound;
 };
 
 // Request streams and their transaction table on a simulated clock. Prints the trace to standard output.
--- a/tests/ext_proc/limits.cpp
+++ b/tests/ext_proc/limits.cpp
@@ -42,12 +42,12 @@
   harness.describe("unknown fields are skipped");
   harness.openStream(++stream);
   harness.sendBytes(stream,
-                    std::string("\xa2\x06\x03xyz", 6) + wire::request({Phase::requestHeaders,
-                                                                       {{"x-txn-id", "r5"},
-                                                                        {"x-txn-type", "any"},
-                                                                        {"x-txn-group", "1"},
-                                                                        {"x-txn-patience-ms", "1000"}},
-                                                                       false}));
+                    std::string("\xa2\x06\x03xyz", 6) + wire::encodeRequest({Phase::requestHeaders,
+                                                                             {{"x-txn-id", "r5"},
+                                                                              {"x-txn-type", "any"},
+                                                                              {"x-txn-group", "1"},
+                                                                              {"x-txn-patience-ms", "1000"}},
+                                                                             false}));
   harness.describe("a stream without a message");
   harness.openStream(++stream);
   harness.advance(2000);
@@ -96,7 +96,7 @@
 
 void drainsLimitLeases() {
   ExtProcSetup setup;
-  setup.notifiedWithin = ms(6000);
+  setup.notificationBound = ms(6000);
   ExtProcHarness harness(setup);
   harness.describe(
       "a lease is valid for half of the grace period at most, and not beyond the client's deadline");
--- a/tests/ext_proc/same_decisions.cpp
+++ b/tests/ext_proc/same_decisions.cpp
@@ -99,13 +99,13 @@
         streams_(transactions_, downstream::ext_proc::HeaderMapping({}, config_, classNames()),
                  endpoint_leases::LeaseRegistry(config_.transactionClasses,
                                                 endpoint_leases::ProxyPlacement::perAttempt, {}, "one"),
-                 {.grace = ms(1000), .notifiedWithin = {}},
+                 {.grace = ms(1000), .notificationBound = {}},
                  {.maxStreams = 1000,
                   .requestTimeout = ms(2000),
                   .messageTimeout = {.timeout = ms(5000), .maxExtension = {}}},
                  recordingClients_),
         clients_(transactions_, transport_, config_, classNames(),
-                 {.connectLimit = ms(250), .maxActiveClients = 0}, recordingClients_) {
+                 {.connectTimeout = ms(250), .maxActiveClients = 0}, recordingClients_) {
     if (kind_ == ClientKind::proxy) {
       transactions_.addTransport(streams_.transport());
     } else {
@@ -162,7 +162,7 @@
                                   {"x-node-outcome", isRejected ? "turned-away" : "committed"},
                                   {"x-node-role", role == Role::primary ? "primary" : "replica"},
                                   {"x-node-position", std::to_string(positionMillis)}};
-      streams_.onMessage(txn, wire::request({Phase::responseHeaders, headers, false}));
+      streams_.onMessage(txn, wire::encodeRequest({Phase::responseHeaders, headers, false}));
     } else if (const auto* attempt = transport_.find(txn)) {
       if (!isRejected) transactions_.commit(txn, {});
       transactions_.onAttemptEnded(attempt->id, attempt->node,
@@ -192,7 +192,7 @@
     if (transactionClass == kSessionClass)
       headers.push_back({"x-txn-write-age-ms", std::to_string(writeAgeMillis)});
     streams_.onOpened(txn);
-    streams_.onMessage(txn, wire::request({Phase::requestHeaders, headers, false}));
+    streams_.onMessage(txn, wire::encodeRequest({Phase::requestHeaders, headers, false}));
   }
 
   void sendQuery(TxnId txn, std::size_t transactionClass, std::int64_t writeAgeMillis) {
--- a/tests/faults.cpp
+++ b/tests/faults.cpp
@@ -8,7 +8,7 @@
 
 using namespace gulltrestle;
 using namespace gulltrestle::testing;
-using faults::Kind;
+using faults::FaultKind;
 
 namespace {
 
@@ -116,9 +116,9 @@
   void suspend() { child_->suspend(); }
   void resume() { child_->signal(SIGCONT); }
   // Prints whether a fault of this kind was injected.
-  void printInjected(Kind kind) {
-    std::cout << faults::kNames[static_cast<std::size_t>(kind)]
-              << (machine.fired(kind) > 0 ? " fired\n" : " never fired\n");
+  void printInjected(FaultKind kind) {
+    std::cout << faults::kFaultNames[static_cast<std::size_t>(kind)]
+              << (machine.injectedCount(kind) > 0 ? " fired\n" : " never fired\n");
   }
 
  private:
@@ -134,7 +134,7 @@
   Port port_;
 
  public:
-  faults::Machine machine;
+  faults::FaultController machine;
 
  private:
   FakeNode node_;
@@ -143,18 +143,18 @@
 };
 
 // Injects the fault while transactions run.
-void whileServing(Kind kind, std::uint32_t perMille) {
+void whileServing(FaultKind kind, std::uint32_t perMille) {
   RouterUnderTest router(7);
   if (!router.start()) return;
-  router.machine.fail(kind, perMille);
+  router.machine.setFaultRate(kind, perMille);
   router.runTransactions(kTxns);
-  if (kind == Kind::accepting) router.printForwarded(kTxns);
+  if (kind == FaultKind::acceptError) router.printForwarded(kTxns);
   router.printInjected(kind);
-  router.machine.heal();
+  router.machine.clearFaults();
 }
 
 // Injects the fault into the first calls of the start.
-void atStart(Kind kind, std::uint32_t calls) {
+void atStart(FaultKind kind, std::uint32_t calls) {
   RouterUnderTest router(7);
   router.machine.failFirst(kind, calls);
   std::cout << (router.start() ? "started\n" : "not started\n");
@@ -166,9 +166,9 @@
 void delayedAccept() {
   RouterUnderTest router(7);
   if (!router.start()) return;
-  router.machine.fail(Kind::accepting, 1000);
-  router.sendDelayedWrite(kReadDelay, [&] { router.machine.heal(); });
-  router.printInjected(Kind::accepting);
+  router.machine.setFaultRate(FaultKind::acceptError, 1000);
+  router.sendDelayedWrite(kReadDelay, [&] { router.machine.clearFaults(); });
+  router.printInjected(FaultKind::acceptError);
 }
 
 // Guards against the fault that a statement counts as just received although it arrived while the process was
@@ -195,27 +195,27 @@
   RouterUnderTest router(7);
   if (!router.start()) return;
   router.runTransactions(2);
-  router.machine.fail(Kind::accepting, 1000);
-  router.sendAndClose(kReadDelay, [&] { router.machine.heal(); });
-  router.printInjected(Kind::accepting);
+  router.machine.setFaultRate(FaultKind::acceptError, 1000);
+  router.sendAndClose(kReadDelay, [&] { router.machine.clearFaults(); });
+  router.printInjected(FaultKind::acceptError);
 }
 
 }  // namespace
 
 int main(int count, char** arguments) {
   const std::string caseName = count > 1 ? arguments[1] : "";
-  if (caseName == "short-reads") return whileServing(Kind::shortRead, 100), 0;
-  if (caseName == "short-writes") return whileServing(Kind::shortWrite, 300), 0;
-  if (caseName == "interrupted") return whileServing(Kind::interrupted, 100), 0;
-  if (caseName == "out-of-memory") return whileServing(Kind::memory, 50), 0;
-  if (caseName == "epoll-ctl") return whileServing(Kind::epollCtl, 300), 0;
-  if (caseName == "accept-errors") return whileServing(Kind::accepting, 500), 0;
+  if (caseName == "short-reads") return whileServing(FaultKind::shortRead, 100), 0;
+  if (caseName == "short-writes") return whileServing(FaultKind::shortWrite, 300), 0;
+  if (caseName == "interrupted") return whileServing(FaultKind::interrupted, 100), 0;
+  if (caseName == "out-of-memory") return whileServing(FaultKind::outOfMemory, 50), 0;
+  if (caseName == "epoll-ctl") return whileServing(FaultKind::epollCtl, 300), 0;
+  if (caseName == "accept-errors") return whileServing(FaultKind::acceptError, 500), 0;
   if (caseName == "delayed-accept") return delayedAccept(), 0;
   if (caseName == "closed-before-accept") return closedBeforeAccept(), 0;
   if (caseName == "closed-while-suspended") return closedWhileSuspended(), 0;
   if (caseName == "delayed-by-suspension") return delayedBySuspension(), 0;
-  if (caseName == "start-socket") return atStart(Kind::socket, 2), 0;
-  if (caseName == "start-listen") return atStart(Kind::listening, 3), 0;
-  if (caseName == "start-epoll") return atStart(Kind::epollCtl, 2), 0;
+  if (caseName == "start-socket") return atStart(FaultKind::socket, 2), 0;
+  if (caseName == "start-listen") return atStart(FaultKind::listenError, 3), 0;
+  if (caseName == "start-epoll") return atStart(FaultKind::epollCtl, 2), 0;
   return 2;
 }
--- a/tests/faults/machine.cpp
+++ b/tests/faults/machine.cpp
@@ -54,14 +54,14 @@
 }
 
 // Decides whether this call fails with a fault of this kind, and counts the fault.
-bool injectFault(Kind kind) {
+bool injectFault(FaultKind kind) {
   FaultControls* const controls = faultControls();
   if (!controls) return false;
   const auto kindIndex = static_cast<std::size_t>(kind);
   const std::uint32_t perMille = controls->perMille[kindIndex];
   const bool injects = decrementIfPositive(controls->failFirst[kindIndex]) ||
                        (perMille > 0 && randomNumber() % 1000 < perMille);
-  if (injects) ++controls->fired[kindIndex];
+  if (injects) ++controls->injectedCount[kindIndex];
   return injects;
 }
 
@@ -107,27 +107,28 @@
 
 ssize_t recv(int descriptor, void* buffer, size_t size, int flags) {
   static const auto real = nextFunction<ssize_t (*)(int, void*, size_t, int)>("recv");
-  if (injectFault(Kind::interrupted)) return failWith({EINTR});
-  if (injectFault(Kind::memory)) return failWith({ENOMEM, ENOBUFS});
-  if (injectFault(Kind::lost)) {
+  if (injectFault(FaultKind::interrupted)) return failWith({EINTR});
+  if (injectFault(FaultKind::outOfMemory)) return failWith({ENOMEM, ENOBUFS});
+  if (injectFault(FaultKind::connectionLost)) {
     reset(descriptor);
     return failWith({ECONNRESET, ETIMEDOUT, EHOSTUNREACH});
   }
-  if (size > kMaxShortBytes && injectFault(Kind::shortRead)) size = 1 + randomNumber() % kMaxShortBytes;
+  if (size > kMaxShortBytes && injectFault(FaultKind::shortRead)) size = 1 + randomNumber() % kMaxShortBytes;
   return real(descriptor, buffer, size, flags);
 }
 
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
   static const auto real = nextFunction<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
-  if (injectFault(Kind::interrupted)) return failWith({EINTR});
-  if (injectFault(Kind::memory)) return failWith({ENOMEM, ENOBUFS});
-  if (injectFault(Kind::lost)) {
+  if (injectFault(FaultKind::interrupted)) return failWith({EINTR});
+  if (injectFault(FaultKind::outOfMemory)) return failWith({ENOMEM, ENOBUFS});
+  if (injectFault(FaultKind::connectionLost)) {
     reset(descriptor);
     return failWith({ECONNRESET, ETIMEDOUT, EPIPE, EHOSTUNREACH});
   }
   if (faultControls() && isStartup(message) && decrementIfPositive(faultControls()->blockAfterStartup))
     blocksNextWait = true;
-  if (message->msg_iovlen == 0 || !injectFault(Kind::shortWrite)) return real(descriptor, message, flags);
+  if (message->msg_iovlen == 0 || !injectFault(FaultKind::shortWrite))
+    return real(descriptor, message, flags);
   iovec part = message->msg_iov[0];
   part.iov_len = std::min<std::size_t>(part.iov_len, 1 + randomNumber() % kMaxShortBytes);
   msghdr partialMessage = *message;
@@ -138,50 +139,50 @@
 
 int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
   static const auto real = nextFunction<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (injectFault(Kind::interrupted)) return failWith({EINTR});
-  if (injectFault(Kind::accepting))
+  if (injectFault(FaultKind::interrupted)) return failWith({EINTR});
+  if (injectFault(FaultKind::acceptError))
     return failWith({ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EPERM, ENETDOWN, EHOSTUNREACH});
   return real(descriptor, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) {
   static const auto real = nextFunction<int (*)(int, int, int)>("socket");
-  if (injectFault(Kind::socket)) return failWith({EMFILE, ENFILE, ENOBUFS, ENOMEM});
+  if (injectFault(FaultKind::socket)) return failWith({EMFILE, ENFILE, ENOBUFS, ENOMEM});
   return real(domain, type, protocol);
 }
 
 int bind(int descriptor, const sockaddr* address, socklen_t size) {
   static const auto real = nextFunction<int (*)(int, const sockaddr*, socklen_t)>("bind");
-  if (injectFault(Kind::listening)) return failWith({EADDRINUSE, EADDRNOTAVAIL, ENOMEM});
+  if (injectFault(FaultKind::listenError)) return failWith({EADDRINUSE, EADDRNOTAVAIL, ENOMEM});
   return real(descriptor, address, size);
 }
 
 int listen(int descriptor, int backlog) {
   static const auto real = nextFunction<int (*)(int, int)>("listen");
-  if (injectFault(Kind::listening)) return failWith({EADDRINUSE});
+  if (injectFault(FaultKind::listenError)) return failWith({EADDRINUSE});
   return real(descriptor, backlog);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
   static const auto real = nextFunction<int (*)(int, const sockaddr*, socklen_t)>("connect");
-  if (injectFault(Kind::interrupted)) return failWith({EINTR});
-  if (injectFault(Kind::connecting))
+  if (injectFault(FaultKind::interrupted)) return failWith({EINTR});
+  if (injectFault(FaultKind::connectError))
     return failWith({EAGAIN, EADDRNOTAVAIL, ENETUNREACH, ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH});
   return real(descriptor, address, size);
 }
 
 int epoll_ctl(int epoll, int operation, int descriptor, epoll_event* event) noexcept {
   static const auto real = nextFunction<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
-  if (operation != EPOLL_CTL_DEL && injectFault(Kind::epollCtl)) return failWith({ENOMEM, ENOSPC});
+  if (operation != EPOLL_CTL_DEL && injectFault(FaultKind::epollCtl)) return failWith({ENOMEM, ENOSPC});
   return real(epoll, operation, descriptor, event);
 }
 
 int epoll_wait(int epoll, epoll_event* events, int maxEvents, int timeoutMillis) {
   static const auto real = nextFunction<int (*)(int, epoll_event*, int, int)>("epoll_wait");
   blockWait();
-  if (injectFault(Kind::interrupted)) return failWith({EINTR});
+  if (injectFault(FaultKind::interrupted)) return failWith({EINTR});
   const int count = real(epoll, events, maxEvents, timeoutMillis);
-  if (injectFault(Kind::heldUp)) {
+  if (injectFault(FaultKind::delayedWait)) {
     const timespec pause{0, static_cast<long>(randomNumber() % kMaxDelayMillis) * 1'000'000};
     nanosleep(&pause, nullptr);
   }
@@ -194,7 +195,7 @@
   FaultControls* const controls = isWallClock(clock) ? faultControls() : nullptr;
   const std::int64_t offset = controls ? controls->wallOffsetSeconds.load() : 0;
   if (offset == 0) return result;
-  ++controls->wallReads;
+  ++controls->wallClockReads;
   clockTime->tv_sec += offset;
   return result;
 }
@@ -203,27 +204,27 @@
 
 int fsync(int descriptor) {
   static const auto real = nextFunction<int (*)(int)>("fsync");
-  return isRegularFile(descriptor) && injectFault(Kind::diskError) ? failWith({EIO}) : real(descriptor);
+  return isRegularFile(descriptor) && injectFault(FaultKind::diskError) ? failWith({EIO}) : real(descriptor);
 }
 
 int fdatasync(int descriptor) {
   static const auto real = nextFunction<int (*)(int)>("fdatasync");
-  return isRegularFile(descriptor) && injectFault(Kind::diskError) ? failWith({EIO}) : real(descriptor);
+  return isRegularFile(descriptor) && injectFault(FaultKind::diskError) ? failWith({EIO}) : real(descriptor);
 }
 
 ssize_t write(int descriptor, const void* bytes, size_t size) {
   static const auto real = nextFunction<ssize_t (*)(int, const void*, size_t)>("write");
   if (!isRegularFile(descriptor)) return real(descriptor, bytes, size);
-  if (injectFault(Kind::diskError)) return failWith({EIO, EINTR});
-  if (!injectFault(Kind::diskFull)) return real(descriptor, bytes, size);
+  if (injectFault(FaultKind::diskError)) return failWith({EIO, EINTR});
+  if (!injectFault(FaultKind::diskFull)) return real(descriptor, bytes, size);
   // A write to a full disk may write a part of the bytes first.
   return size < 2 || randomNumber() % 2 == 0 ? failWith({ENOSPC}) : real(descriptor, bytes, size / 2);
 }
 
 ssize_t pwrite64(int descriptor, const void* bytes, size_t size, off64_t offset) {
   static const auto real = nextFunction<ssize_t (*)(int, const void*, size_t, off64_t)>("pwrite64");
-  if (injectFault(Kind::diskError)) return failWith({EIO, EINTR});
-  if (!injectFault(Kind::diskFull)) return real(descriptor, bytes, size, offset);
+  if (injectFault(FaultKind::diskError)) return failWith({EIO, EINTR});
+  if (!injectFault(FaultKind::diskFull)) return real(descriptor, bytes, size, offset);
   return size < 2 || randomNumber() % 2 == 0 ? failWith({ENOSPC}) : real(descriptor, bytes, size / 2, offset);
 }
 
@@ -233,18 +234,18 @@
   va_start(arguments, flags);
   const mode_t mode = flags & O_CREAT ? va_arg(arguments, mode_t) : 0;
   va_end(arguments);
-  if (flags & O_CREAT && injectFault(Kind::diskFull)) return failWith({ENOSPC});
+  if (flags & O_CREAT && injectFault(FaultKind::diskFull)) return failWith({ENOSPC});
   return real(path, flags, mode);
 }
 
 int rename(const char* from, const char* to) noexcept {
   static const auto real = nextFunction<int (*)(const char*, const char*)>("rename");
-  return injectFault(Kind::diskError) ? failWith({EIO, ENOSPC}) : real(from, to);
+  return injectFault(FaultKind::diskError) ? failWith({EIO, ENOSPC}) : real(from, to);
 }
 
 int unlink(const char* path) noexcept {
   static const auto real = nextFunction<int (*)(const char*)>("unlink");
-  return injectFault(Kind::diskError) ? failWith({EIO}) : real(path);
+  return injectFault(FaultKind::diskError) ? failWith({EIO}) : real(path);
 }
 
 }  // extern "C"
--- a/tests/faults/machine.h
+++ b/tests/faults/machine.h
@@ -17,39 +17,39 @@
 namespace gulltrestle::faults {
 
 // The kinds of faults, each with the system calls that it affects.
-enum class Kind : std::size_t {
-  shortRead,    // recv returns one to three bytes
-  shortWrite,   // sendmsg sends one to three bytes
-  interrupted,  // EINTR: recv, sendmsg, accept4, connect, epoll_wait
-  memory,       // ENOMEM, ENOBUFS: recv, sendmsg
-  epollCtl,     // ENOMEM, ENOSPC: epoll_ctl
-  accepting,    // accept4: errors that its manual page lists
-  socket,       // EMFILE, ENFILE, ENOBUFS, ENOMEM: socket
-  listening,    // EADDRINUSE: bind, listen
-  connecting,   // connect: transient errors of the local machine and of the network
-  lost,         // recv, sendmsg: ECONNRESET, ETIMEDOUT, EHOSTUNREACH; the connection is reset
-  heldUp,       // epoll_wait returns up to 0.15 s late
-  diskFull,     // ENOSPC: open with O_CREAT, write, pwrite; also after a partial write
-  diskError,    // EIO: write, pwrite, fsync, fdatasync, rename, unlink
+enum class FaultKind : std::size_t {
+  shortRead,       // recv returns one to three bytes
+  shortWrite,      // sendmsg sends one to three bytes
+  interrupted,     // EINTR: recv, sendmsg, accept4, connect, epoll_wait
+  outOfMemory,     // ENOMEM, ENOBUFS: recv, sendmsg
+  epollCtl,        // ENOMEM, ENOSPC: epoll_ctl
+  acceptError,     // accept4: errors that its manual page lists
+  socket,          // EMFILE, ENFILE, ENOBUFS, ENOMEM: socket
+  listenError,     // EADDRINUSE: bind, listen
+  connectError,    // connect: transient errors of the local machine and of the network
+  connectionLost,  // recv, sendmsg: ECONNRESET, ETIMEDOUT, EHOSTUNREACH; the connection is reset
+  delayedWait,     // epoll_wait returns up to 0.15 s late
+  diskFull,        // ENOSPC: open with O_CREAT, write, pwrite; also after a partial write
+  diskError,       // EIO: write, pwrite, fsync, fdatasync, rename, unlink
   count
 };
-constexpr std::size_t kKinds = static_cast<std::size_t>(Kind::count);
+constexpr std::size_t kFaultKindCount = static_cast<std::size_t>(FaultKind::count);
 // The names of the kinds in reports and traces, by the kind's value.
-constexpr std::array<const char*, kKinds> kNames{
+constexpr std::array<const char*, kFaultKindCount> kFaultNames{
     "short-read", "short-write", "interrupted", "memory",  "epoll-ctl", "accepting", "socket",
     "listening",  "connecting",  "lost",        "held-up", "disk-full", "disk-error"};
 
 // The shared memory. All members are lock-free atomics, because two processes access them.
 struct FaultControls {
-  std::array<std::atomic<std::uint32_t>, kKinds> perMille;   // share of the affected calls that fail
-  std::array<std::atomic<std::uint32_t>, kKinds> failFirst;  // number of the next calls that fail
-  std::array<std::atomic<std::uint64_t>, kKinds> fired;      // number of injected faults
+  std::array<std::atomic<std::uint32_t>, kFaultKindCount> perMille;   // share of the affected calls that fail
+  std::array<std::atomic<std::uint32_t>, kFaultKindCount> failFirst;  // number of the next calls that fail
+  std::array<std::atomic<std::uint64_t>, kFaultKindCount> injectedCount;  // number of injected faults
   std::atomic<std::uint64_t> seed;
   std::atomic<std::uint32_t>
       blockAfterStartup;                     // 1: the first epoll_wait after the next startup message blocks
   std::atomic<std::uint32_t> isWaitBlocked;  // 1: that wait is blocked
   std::atomic<std::int64_t> wallOffsetSeconds;  // added to the wall clock; a change makes the clock step
-  std::atomic<std::uint64_t> wallReads;         // reads of the wall clock with an offset
+  std::atomic<std::uint64_t> wallClockReads;    // reads of the wall clock with an offset
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free);
 
@@ -68,28 +68,28 @@
 }
 
 // The test's end: controls the faults of one program.
-class Machine {
+class FaultController {
  public:
-  Machine(std::string path, std::uint64_t seed)
+  FaultController(std::string path, std::uint64_t seed)
       : path_(std::move(path)), controls_(mapFaultControls(path_.c_str())) {
     if (!controls_) throw std::runtime_error("can't map the file for fault injection " + path_);
     controls_->seed = seed;
   }
-  Machine(const Machine&) = delete;
-  Machine& operator=(const Machine&) = delete;
-  ~Machine() {
+  FaultController(const FaultController&) = delete;
+  FaultController& operator=(const FaultController&) = delete;
+  ~FaultController() {
     munmap(controls_, sizeof(FaultControls));
     unlink(path_.c_str());
   }
 
   // Sets the share of the affected calls that fail.
-  void fail(Kind kind, std::uint32_t perMille) { controls_->perMille[index(kind)] = perMille; }
+  void setFaultRate(FaultKind kind, std::uint32_t perMille) { controls_->perMille[index(kind)] = perMille; }
   // Makes the next `calls` affected calls fail.
-  void failFirst(Kind kind, std::uint32_t calls) { controls_->failFirst[index(kind)] = calls; }
+  void failFirst(FaultKind kind, std::uint32_t calls) { controls_->failFirst[index(kind)] = calls; }
   // Sets the offset that is added to the program's wall clock.
   void offsetWallClock(std::int64_t seconds) { controls_->wallOffsetSeconds = seconds; }
   // Stops the injection of faults. The counts and the offset of the wall clock stay.
-  void heal() {
+  void clearFaults() {
     for (auto& value : controls_->perMille) value = 0;
     for (auto& value : controls_->failFirst) value = 0;
   }
@@ -103,15 +103,15 @@
   // Lets the blocked wait continue.
   void release() { controls_->isWaitBlocked = 0; }
   // Number of faults of this kind that were injected so far.
-  std::uint64_t fired(Kind kind) const { return controls_->fired[index(kind)]; }
+  std::uint64_t injectedCount(FaultKind kind) const { return controls_->injectedCount[index(kind)]; }
   // Number of the program's reads of the wall clock with an offset.
-  std::uint64_t wallReads() const { return controls_->wallReads; }
+  std::uint64_t wallClockReads() const { return controls_->wallClockReads; }
   // Returns the setting for the program's environment, as NAME=value.
   std::string variable() const { return std::string(kVariable) + "=" + path_; }
 
  private:
   static constexpr int kMaxPolls = 30'000;  // one per millisecond
-  static std::size_t index(Kind kind) { return static_cast<std::size_t>(kind); }
+  static std::size_t index(FaultKind kind) { return static_cast<std::size_t>(kind); }
   std::string path_;
   FaultControls* controls_;
 };
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -280,7 +280,7 @@
     swapFolders(voter, other);
     for (const std::size_t i : {voter, other}) {
       fleet_.start(i);
-      if (fleet_.exitCode(i) != 1 || fleet_.log(i).find("is the store of the keeper") == std::string::npos)
+      if (fleet_.exitCode(i) != 1 || fleet_.log(i).find("belongs to the voting member") == std::string::npos)
         fail("started on the disk of another voter");
     }
     swapFolders(voter, other);
@@ -473,7 +473,7 @@
 // Mixes routers and voters of an earlier build with those of this build in one fleet. Run by hand, as CI has
 // no earlier build. Ids must be granted once, and no transaction may run twice, also through power losses.
 int mixed(const char* olderProgram, std::uint64_t seeds) {
-  setenv("RIG_OLDER_PROGRAM", olderProgram, 1);
+  setenv("TEST_FLEET_OLDER_PROGRAM", olderProgram, 1);
   grants();
   Totals totals;
   bool ok = true;
--- a/tests/fleet/members.cpp
+++ b/tests/fleet/members.cpp
@@ -157,7 +157,7 @@
     fleet_.writeClusterConfig(0);
     fleet_.start(0);
     if (fleet_.exitCode(0) != 1 ||
-        fleet_.log(0).find("and this keeper served under list 2 already") == std::string::npos)
+        fleet_.log(0).find("but this voter served under list 2 already") == std::string::npos)
       fail("started with a configuration that omits the previous voter list");
     isEnding_ = true;
     const Instant until = loop_.now() + kScenarioTimeout;
--- a/tests/fleet/pg_node.cpp
+++ b/tests/fleet/pg_node.cpp
@@ -72,7 +72,7 @@
   event_loop::Stream listener(loop_, std::move(descriptor));
   for (;;) {
     event_loop::Descriptor accepted;
-    if (listener.accept(accepted) == event_loop::Io::some)
+    if (listener.accept(accepted) == event_loop::IoStatus::ok)
       loop_.spawn(serve(std::move(accepted)));
     else
       co_await listener.changed();
@@ -97,14 +97,15 @@
   bool isStarted = false;
   while (readAll(stream, received)) {
     std::string_view bytes = received;
-    if (!isStarted && (isStarted = postgres::takeOpening(bytes).has_value())) unsent += postgres::welcome();
+    if (!isStarted && (isStarted = postgres::takeStartupMessage(bytes).has_value()))
+      unsent += postgres::startupAnswer();
     while (isStarted) {
       const auto message = postgres::takeMessage(bytes, kMaxBufferedBytes);
       if (!message) break;
       if (message->type == 'X') co_return;
       if (message->type != 'Q') continue;
       auto body = message->body;
-      const std::string text(postgres::takeText(body));
+      const std::string text(postgres::takeString(body));
       const std::string position = std::to_string(loop_.now().inMicros() / 1000 + 1);
       const std::string statusMessages = parameterStatus("part", "master") +
                                          parameterStatus("caught_up_to", position) +
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -26,7 +26,7 @@
 
 namespace gulltrestle::fleet {
 
-using event_loop::Io;
+using event_loop::IoStatus;
 
 namespace {
 
@@ -206,7 +206,7 @@
 TestFleet::~TestFleet() {
   for (std::size_t i = 0; i < processes_.size(); ++i) kill(i);
   killNode();
-  loop_.endTasks();
+  loop_.destroyTasks();
   if (!keepsFiles_) std::filesystem::remove_all(path_);
 }
 
@@ -233,9 +233,10 @@
   if (options_.hasLyingDisk) setenv("TEST_FLEET_LYING_DISK", "1", 1);
   const int out = ::open((base + ".log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   if (out < 0 || dup2(out, 1) < 0 || dup2(out, 2) < 0) _exit(127);
-  const char* programOverride = std::getenv("RIG_PROGRAM");  // a build other than this test's own
+  const char* programOverride = std::getenv("TEST_FLEET_PROGRAM");  // a build other than this test's own
   const char* program = programOverride ? programOverride : GULLTRESTLE_RIGGED;
-  const char* olderProgram = std::getenv("RIG_OLDER_PROGRAM");  // an earlier build, for every second router
+  const char* olderProgram =
+      std::getenv("TEST_FLEET_OLDER_PROGRAM");  // an earlier build, for every second router
   if (olderProgram && i % 2 == 1) program = olderProgram;
   execl(program, program, static_cast<char*>(nullptr));
   _exit(127);
@@ -372,7 +373,7 @@
   event_loop::Stream listener(loop_, std::move(descriptor));
   for (;;) {
     event_loop::Descriptor accepted;
-    if (listener.accept(accepted) == Io::some)
+    if (listener.accept(accepted) == IoStatus::ok)
       loop_.spawn(serve(std::move(accepted)));
     else
       co_await listener.changed();
--- a/tests/fleet/streams.h
+++ b/tests/fleet/streams.h
@@ -18,8 +18,9 @@
   while (from.canRead() && received.size() < maxBytes) {
     char bytes[16384];
     const auto result = from.read(bytes);
-    if (result.status == event_loop::Io::some) received.append(bytes, result.size);
-    if (result.status == event_loop::Io::ended || result.status == event_loop::Io::failed) return false;
+    if (result.status == event_loop::IoStatus::ok) received.append(bytes, result.size);
+    if (result.status == event_loop::IoStatus::endOfStream || result.status == event_loop::IoStatus::failed)
+      return false;
   }
   return true;
 }
@@ -28,7 +29,7 @@
   while (!unsent.empty()) {
     const std::string_view all = unsent;
     const auto result = to.write({&all, 1});
-    if (result.status != event_loop::Io::some) return result.status == event_loop::Io::wouldBlock;
+    if (result.status != event_loop::IoStatus::ok) return result.status == event_loop::IoStatus::wouldBlock;
     unsent.erase(0, result.size);
   }
   return true;
--- a/tests/gateway/bench.cpp
+++ b/tests/gateway/bench.cpp
@@ -119,7 +119,7 @@
 
 void GatewayBench::connectNode(NodeConnectionId connection) {
   gateway_.nodeConnected(now_, connection);
-  gateway_.nodeReceived(now_, connection, postgres::welcome());
+  gateway_.nodeReceived(now_, connection, postgres::startupAnswer());
   runUntilIdle();
 }
 
@@ -242,7 +242,7 @@
 
 void GatewayBench::requestEndpointList() { beginLine() << "request endpoint list\n"; }
 
-void GatewayBench::followDiscovery(const std::string& address) {
+void GatewayBench::setDiscoveryAddress(const std::string& address) {
   beginLine() << "set discovery address " << address << "\n";
 }
 
--- a/tests/gateway/bench.h
+++ b/tests/gateway/bench.h
@@ -34,14 +34,14 @@
 std::string emptyQueryAnswer();
 
 // Limits for cases that do not test a limit.
-constexpr Bounds kDefaultBounds{.idleLimit = Duration::millis(10000),
-                                .connectLimit = Duration::millis(250),
-                                .maxNodeConnections = 8,
-                                .maxBufferedBytes = 100000};
+constexpr GatewayLimits kDefaultLimits{.idleTimeout = Duration::millis(10000),
+                                       .connectTimeout = Duration::millis(250),
+                                       .maxNodeConnections = 8,
+                                       .maxBufferedBytes = 100000};
 
 // What a gateway under test starts with.
 struct GatewaySetup {
-  Bounds bounds = kDefaultBounds;
+  GatewayLimits bounds = kDefaultLimits;
   bool hasEndpointList = true;  // starts with a restored list of the primary p and the replica a
   bool onlyDrainingExcludes = false;
 };
@@ -96,7 +96,7 @@
 
   std::int64_t unixMillis() const { return now_.inMicros() / 1000; }
   // Whether the gateway has shut down.
-  bool finished() const { return gateway_.finished(); }
+  bool isFinished() const { return gateway_.isFinished(); }
   // Returns false if no client is idle.
   bool closeIdleClients(std::size_t max = 1) { return gateway_.closeIdleClients(max); }
   // The connection that was opened last.
@@ -122,7 +122,7 @@
   void closeClient(ClientId client) override;
   void stopListening() override;
   void requestEndpointList() override;
-  void followDiscovery(const std::string& address) override;
+  void setDiscoveryAddress(const std::string& address) override;
   void log(std::string text) override;
 
   static constexpr Instant kStart = Instant::atMicros(1'700'000'000'000'000);
--- a/tests/gateway/clients.cpp
+++ b/tests/gateway/clients.cpp
@@ -127,7 +127,7 @@
 }
 
 void closesIdleClientsAtLimit() {
-  Bounds bounds = kDefaultBounds;
+  GatewayLimits bounds = kDefaultLimits;
   bounds.maxActiveClients = 8;
   GatewayBench bench({.bounds = bounds});
   bench.describe(
@@ -192,9 +192,9 @@
   bench.advance(500);
   bench.sendFromClient(1, readQuery("hh"));
   bench.answer(2, rowAnswer("sixth"));
-  std::cout << "finished: " << bench.finished() << "\n";
+  std::cout << "finished: " << bench.isFinished() << "\n";
   bench.answer(2, rowAnswer("seventh"));
-  std::cout << "finished: " << bench.finished() << "\n";
+  std::cout << "finished: " << bench.isFinished() << "\n";
 }
 
 // If a client disconnects while its transaction waits for a connection or is only partly written, no attempt
--- a/tests/gateway/node_connections.cpp
+++ b/tests/gateway/node_connections.cpp
@@ -150,7 +150,7 @@
 }
 
 void connectionAndMemoryLimits() {
-  Bounds oneConnection = kDefaultBounds;
+  GatewayLimits oneConnection = kDefaultLimits;
   oneConnection.maxNodeConnections = 1;
   oneConnection.maxBufferedBytes = 300;
   GatewayBench bench({.bounds = oneConnection});
@@ -172,7 +172,7 @@
   bench.sendFromClient(3, queryMessage(""));
   for (int i = 0; i < 4; ++i)
     std::cout << (bench.closeIdleClients() ? "closed a client\n" : "no idle client\n");
-  Bounds twoConnections = kDefaultBounds;
+  GatewayLimits twoConnections = kDefaultLimits;
   twoConnections.maxNodeConnections = 2;
   GatewayBench other({.bounds = twoConnections});
   other.describe("limit of two connections: of two idle ones the least recently used is closed first");
--- a/tests/gateway/process.cpp
+++ b/tests/gateway/process.cpp
@@ -24,10 +24,10 @@
   bench.sendFromClient(4, postgres::startup("worker", "catalog").substr(9) + readQuery("cc"));
   bench.answer(2, rowAnswer("body"));
   bench.advance(250);
-  std::cout << "finished: " << bench.finished() << "\n";
+  std::cout << "finished: " << bench.isFinished() << "\n";
   bench.answer(1, rowAnswer("body"));
   bench.advance(0);
-  std::cout << "finished: " << bench.finished() << "\n";
+  std::cout << "finished: " << bench.isFinished() << "\n";
 }
 
 void configReload() {
--- a/tests/levels.cpp
+++ b/tests/levels.cpp
@@ -318,9 +318,11 @@
 void status() {
   // Records attempts and rejections, and does nothing else.
   struct RecordingPeer final : transactions::DownstreamHandler, transactions::UpstreamTransport {
-    void committed(transactions::OwnerId, const transactions::ResultValue&) override {}
-    void rejected(transactions::OwnerId, Duration, unsigned level) override { ++rejections[level]; }
-    void rolledBack(transactions::OwnerId) override {}
+    void onTransactionCommitted(transactions::OwnerId, const transactions::ResultValue&) override {}
+    void onTransactionRejected(transactions::OwnerId, Duration, unsigned level) override {
+      ++rejections[level];
+    }
+    void onTransactionRolledBack(transactions::OwnerId) override {}
     void startAttempt(transactions::AttemptId attempt, const NodeId& node) override {
       attempts.emplace_back(attempt, node);
     }
@@ -473,7 +475,7 @@
     for (const std::size_t routers : routerCounts) {
       const auto withLevels = simulate(routers, LoadShedding::byLevels, minutes * 60, demand);
       const auto withoutLevels = simulate(routers, LoadShedding::byModule, minutes * 60, demand);
-      const auto withoutShedding = simulate(routers, LoadShedding::nobody, minutes * 60, demand);
+      const auto withoutShedding = simulate(routers, LoadShedding::none, minutes * 60, demand);
       std::cout << std::fixed << std::setprecision(2) << name << ", " << routers << ": " << withLevels.value
                 << " " << withoutLevels.value << " " << withoutShedding.value << "; "
                 << static_cast<double>(withLevels.levelChanges) / static_cast<double>(routers) / minutes
--- a/tests/maintenance.cpp
+++ b/tests/maintenance.cpp
@@ -26,7 +26,7 @@
 // Which voter starts rounds while transitions are due and no value is chosen.
 void nextVoterTakesOver(const Arguments&) {
   const Instant start = Instant::atMicros(1'000'000'000);
-  MaintenanceLeader first{Bounds()}, third{Bounds()};
+  MaintenanceLeader first{MaintenanceLimits()}, third{MaintenanceLimits()};
   for (const int second : {0, 4, 6, 11}) {
     const Instant now = start + Duration::millis(second * 1000);
     std::cout << second << " s: the first " << first.shouldLead(now, true, 0) << ", the third "
--- a/tests/maintenance/simulated_world.cpp
+++ b/tests/maintenance/simulated_world.cpp
@@ -50,8 +50,8 @@
 
 // --- Time and randomness
 
-Bounds SimulatedWorld::bounds() {
-  Bounds bounds;
+MaintenanceLimits SimulatedWorld::bounds() {
+  MaintenanceLimits bounds;
   bounds.fenceDuration = fenceDurationFor(kDeadline);
   bounds.warmUpDuration = Duration::millis(500);
   bounds.retryDelay = Duration::millis(1000);
--- a/tests/maintenance/simulated_world.h
+++ b/tests/maintenance/simulated_world.h
@@ -119,7 +119,7 @@
   };
 
   // --- Time and randomness
-  static Bounds bounds();
+  static MaintenanceLimits bounds();
   void schedule(Duration delay, std::function<void()> action);
   double randomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   std::size_t randomBelow(std::size_t count) { return random_() % count; }
@@ -193,7 +193,7 @@
   InjectedFault injectedFault_;
   Totals& totals_;
   ChosenValueMonitor monitor_;
-  Bounds bounds_;
+  MaintenanceLimits bounds_;
   Instant now_ = kStartTime;
   std::uint64_t eventNumber_ = 0, lastProcessId_ = 0;
   std::priority_queue<Event> events_;
--- a/tests/order.cpp
+++ b/tests/order.cpp
@@ -23,7 +23,7 @@
 struct World {
   Plan plan;
   FleetState fleet;
-  Bounds bounds;
+  MaintenanceLimits bounds;
 };
 
 struct FleetSize {
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -129,9 +129,9 @@
   for (const auto slice : slices) text += slice;
   try {
     const auto statement = postgres::readStatement(text);
-    return std::string(statement.writes ? "writes " : "reads ") + std::string(statement.key) + " id " +
+    return std::string(statement.isWrite ? "writes " : "reads ") + std::string(statement.key) + " id " +
            std::string(statement.id) + " type " + std::string(statement.typeName) + " timeout " +
-           std::to_string(statement.waitMs) + " group " + std::to_string(statement.group) + " after " +
+           std::to_string(statement.timeoutMs) + " group " + std::to_string(statement.group) + " after " +
            std::to_string(statement.afterMs.value_or(0));
   } catch (const postgres::InvalidStatement& error) {
     return "rejected: " + std::string(error.code()) + " " + error.what();
@@ -249,11 +249,11 @@
   const TransactionClass& transactionClass = deployment.routing.transactionClasses[0];
   std::cout << config.name << " on " << config.listen.host << " port " << config.listen.port << ", "
             << config.memoryBytes << " bytes, " << config.descriptors << " descriptors, seed " << config.seed
-            << ", endpoint list " << config.known.version << " with " << config.known.nodes.size()
-            << " node, type " << deployment.classNames[0] << " max staleness "
-            << transactionClass.maxStaleness.inMicros() << " priority weight "
-            << transactionClass.priorityWeight << ", idle timeout " << deployment.idleLimit.inMicros()
-            << ", connect timeout " << deployment.connectLimit.inMicros() << "\n";
+            << ", endpoint list " << config.initialEndpoints.version << " with "
+            << config.initialEndpoints.nodes.size() << " node, type " << deployment.classNames[0]
+            << " max staleness " << transactionClass.maxStaleness.inMicros() << " priority weight "
+            << transactionClass.priorityWeight << ", idle timeout " << deployment.idleTimeout.inMicros()
+            << ", connect timeout " << deployment.connectTimeout.inMicros() << "\n";
 }
 
 // Prints the error for each invalid change to a valid configuration.
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -78,9 +78,9 @@
     while (!bytes.empty()) {
       const auto chunk = bytes.substr(0, chunkSize);
       const auto done = event_loop::writeFrom(descriptor_.number(), {&chunk, 1});
-      if (done.status == event_loop::Io::failed) return;
+      if (done.status == event_loop::IoStatus::failed) return;
       bytes.remove_prefix(done.size);
-      if (done.status == event_loop::Io::wouldBlock) wait(POLLOUT);
+      if (done.status == event_loop::IoStatus::wouldBlock) wait(POLLOUT);
     }
   }
   // The following functions return once their effect has reached the remote end's kernel. Events that a test
@@ -122,9 +122,9 @@
     char bytes[700];
     for (;;) {
       const auto got = event_loop::readInto(descriptor_.number(), bytes);
-      if (got.status == event_loop::Io::some) buffer_.append(bytes, got.size);
-      reset_ = reset_ || got.status == event_loop::Io::failed;
-      if (got.status != event_loop::Io::wouldBlock) return got.status == event_loop::Io::some;
+      if (got.status == event_loop::IoStatus::ok) buffer_.append(bytes, got.size);
+      reset_ = reset_ || got.status == event_loop::IoStatus::failed;
+      if (got.status != event_loop::IoStatus::wouldBlock) return got.status == event_loop::IoStatus::ok;
       if (!wait(POLLIN)) return false;
     }
   }
@@ -152,7 +152,7 @@
   void startup() {
     while (buffer_.size() < 4 && readMore()) {}
     std::string_view bytes = buffer_;
-    while (!postgres::takeOpening(bytes) && readMore()) bytes = buffer_;
+    while (!postgres::takeStartupMessage(bytes) && readMore()) bytes = buffer_;
     buffer_.erase(0, buffer_.size() - bytes.size());
   }
   // A summary of all messages up to the next ReadyForQuery or the end of the stream.
@@ -215,7 +215,7 @@
       : listener_(listen(receiveBufferBytes)), accepting_([this, serve](std::stop_token stop) {
           while (!stop.stop_requested()) {
             Descriptor accepted;
-            if (event_loop::accept(listener_.number(), accepted) == event_loop::Io::some) {
+            if (event_loop::accept(listener_.number(), accepted) == event_loop::IoStatus::ok) {
               serving_.emplace_back(
                   [serve, peer = std::make_shared<Peer>(std::move(accepted))] { serve(*peer); });
             } else {
--- a/tests/poll_schedule.cpp
+++ b/tests/poll_schedule.cpp
@@ -22,13 +22,13 @@
     for (const int drainGrace : {2000, 1000, 500, 250, 0}) {
       PollSchedule schedule(isPolled, Duration::millis(drainGrace), 7);
       std::cout << (isPolled ? "polled" : "pushed") << ", drain grace " << drainGrace
-                << ": timeout of a list request " << inMillis(schedule.silence(false, false))
-                << ", of the rest of its answer " << inMillis(schedule.silence(false, true))
-                << ", of a watch " << inMillis(schedule.silence(true, false)) << ", of its next data "
-                << inMillis(schedule.silence(true, true)) << "; pauses";
-      for (int i = 0; i < 6; ++i) std::cout << " " << inMillis(schedule.pause());
-      schedule.answered();
-      std::cout << ", after an answer " << inMillis(schedule.pause()) << "\n";
+                << ": timeout of a list request " << inMillis(schedule.idleTimeout(false, false))
+                << ", of the rest of its answer " << inMillis(schedule.idleTimeout(false, true))
+                << ", of a watch " << inMillis(schedule.idleTimeout(true, false)) << ", of its next data "
+                << inMillis(schedule.idleTimeout(true, true)) << "; pauses";
+      for (int i = 0; i < 6; ++i) std::cout << " " << inMillis(schedule.nextBackoff());
+      schedule.resetBackoff();
+      std::cout << ", after an answer " << inMillis(schedule.nextBackoff()) << "\n";
     }
 }
 
@@ -55,7 +55,7 @@
         recentCalls.push_back(now);
         while (now - recentCalls.front() > Duration::millis(250)) recentCalls.pop_front();
         if (std::ssize(recentCalls) * 10 > routerCount)
-          due.push({now + schedules[static_cast<std::size_t>(i)].pause(), i});
+          due.push({now + schedules[static_cast<std::size_t>(i)].nextBackoff(), i});
         else
           lastAnsweredAt = now;
       }
--- a/tests/program.h
+++ b/tests/program.h
@@ -219,7 +219,7 @@
     peer.startup();
     events.signal("connection");
     if (number >= greeted_) events.waitFor("greet");
-    peer.send(postgres::welcome());
+    peer.send(postgres::startupAnswer());
     peer.waitUntilDelivered();
     events.signal("greeted");
     if (number >= read_) events.waitFor("read");
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -53,7 +53,7 @@
   }
   void applyUpdate(const NodeId& node, ListVersion version, bool isDraining) {
     std::cout << "update: " << node << (isDraining ? " draining at " : " live at ") << version
-              << (registry_.learn({node, version, isDraining}) ? ", changed" : ", unchanged") << "\n";
+              << (registry_.applyUpdate({node, version, isDraining}) ? ", changed" : ", unchanged") << "\n";
   }
 
  private:
@@ -83,7 +83,7 @@
   std::cout << "-- more nodes than are stored: the oldest are evicted\n";
   for (const char* node : {"d", "e", "f"}) drains.applyUpdate(node, 20, true);
   std::cout << "stored " << drains.registry().all().size() << ", b draining "
-            << drains.registry().isDraining("b") << ", newest list " << drains.registry().newest()
+            << drains.registry().isDraining("b") << ", newest list " << drains.registry().newestVersion()
             << ", evicted " << drains.evictedCount() << "\n";
 }
 
--- a/tests/returning.cpp
+++ b/tests/returning.cpp
@@ -73,8 +73,8 @@
   }
   void printStatus() {
     const auto group = stages_.statusOf(1);
-    std::cout << timestamp() << "  " << nameOf(group.stage) << (group.awaits.empty() ? "" : ", awaits ")
-              << group.awaits;
+    std::cout << timestamp() << "  " << nameOf(group.stage) << (group.waitingFor.empty() ? "" : ", awaits ")
+              << group.waitingFor;
     for (const auto& node : group.contenders) std::cout << " contested by " << node;
     std::cout << "; admits";
     for (std::size_t classIndex = 0; classIndex < 4; ++classIndex)
@@ -228,10 +228,10 @@
   std::cout << "-- the node restarted: earlier observations are discarded\n";
   peerObservations.observe(kStart, "a", {Role::replica, kStart, {}});
   std::cout << "position known " << peerObservations.knowsPosition("a") << ", own observations "
-            << peerObservations.firstHand(kStart).size();
+            << peerObservations.ownObservations(kStart).size();
   peerObservations.onListed("a", kStart + ms(1));
   std::cout << "; then " << peerObservations.knowsPosition("a") << ", "
-            << peerObservations.firstHand(kStart).size() << "\n";
+            << peerObservations.ownObservations(kStart).size() << "\n";
   std::cout << "-- observed before the list arrives: proven once it does; unlisted nodes are limited\n";
   observations.receive("r1", "b", Role::replica, -5);
   observations.receive("r2", "b", Role::replica, -5);
@@ -265,7 +265,7 @@
     Duration longestRetryAfter;
     for (int n = 0; n < load.requestsPerSecond; ++n) {
       const Instant now = kStart + ms(second * 1000 + n * 1000 / load.requestsPerSecond);
-      if (const auto retryAfter = ramp.rejectsWithRetryAfter(now)) {
+      if (const auto retryAfter = ramp.retryAfterIfRejected(now)) {
         longestRetryAfter = std::max(longestRetryAfter, *retryAfter);
         continue;
       }
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -36,7 +36,7 @@
   void closeClient(gateway::ClientId) override {}
   void stopListening() override {}
   void requestEndpointList() override {}
-  void followDiscovery(const std::string&) override {}
+  void setDiscoveryAddress(const std::string&) override {}
   void log(std::string) override {}
   int answers = 0;
 };
@@ -50,7 +50,7 @@
       levels, routing.transactionClasses, config.deployment.classNames);
   NoSockets sockets;
   gateway::Gateway router(routing, config.deployment.classNames, config.seed,
-                          {config.deployment.idleLimit, config.deployment.connectLimit, 16, 1 << 20, 32},
+                          {config.deployment.idleTimeout, config.deployment.connectTimeout, 16, 1 << 20, 32},
                           sockets);
   degradation_service::DegradationService service(
       router.transactions(), degradationConfig, config.deployment.classNames, config.seed,
--- a/tests/setups.cpp
+++ b/tests/setups.cpp
@@ -185,8 +185,8 @@
   std::string status() const {
     store::StoreStatistics disk;
     disk.fileBytes = 20480;
-    disk.lastFault = "disk I/O error";
-    return statusOf(transactions_.now(), *dispatcher_, &disk, {});
+    disk.lastError = "disk I/O error";
+    return statusDocument(transactions_.now(), *dispatcher_, &disk, {});
   }
 
  private:
--- a/tests/small.cpp
+++ b/tests/small.cpp
@@ -52,7 +52,7 @@
 // The durable state of a voter.
 struct Disk {
   std::vector<VoterIncarnation> ownStarts;
-  std::uint64_t newSince = 0;
+  std::uint64_t minValidStart = 0;
   bool isComplete = true;
   std::map<std::string, ClaimRecord> claims;
   std::map<std::string, VoterIncarnation> voterStarts;
@@ -213,7 +213,7 @@
     auto& voterState = state.voters[k];
     StoredState stored;
     stored.ownStarts = voterState.disk.ownStarts;
-    stored.newSince = voterState.disk.newSince;
+    stored.minValidStart = voterState.disk.minValidStart;
     stored.isComplete = voterState.disk.isComplete;
     stored.voterStarts = voterState.disk.voterStarts;
     for (std::size_t n = 0; n < kVoterCount; ++n) stored.voterLists.current.names.insert(voterName(n));
@@ -248,7 +248,7 @@
       if (const auto* claim = std::get_if<ClaimRecord>(&change)) disk.claims[claim->id] = *claim;
       if (const auto* removal = std::get_if<ClaimRemoval>(&change)) disk.claims.erase(removal->id);
       if (const auto* voting = std::get_if<VotingRecord>(&change))
-        disk.isComplete = voting->isComplete, disk.newSince = voting->newSince;
+        disk.isComplete = voting->isComplete, disk.minValidStart = voting->minValidStart;
       const auto* start = std::get_if<VoterStartRecord>(&change);
       if (!start) continue;
       if (start->voter.empty())
@@ -536,9 +536,9 @@
 
 int main(int argc, char** argv) {
   const std::string name = argc > 1 ? argv[1] : "";
-  // CI runs the cases that take seconds; `more` takes minutes.
+  // CI runs the cases that take seconds; `claim-orders-with-faults` takes minutes.
   if (name == "claim-orders") return exploreOrders({{0, 0, 0, 2}}), 0;
-  if (name == "more") return exploreOrders({{1, 0, 0, 0}, {0, 0, 1, 0}}), 0;
+  if (name == "claim-orders-with-faults") return exploreOrders({{1, 0, 0, 0}, {0, 0, 1, 0}}), 0;
   if (name == "built-in-bugs") return findBuiltInBugs(), 0;
   return 2;
 }
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -64,7 +64,7 @@
             Duration::millis(options.machineDelayMillis - Options().machineDelayMillis));
   }
   ~Soak() {
-    loop_.endTasks();
+    loop_.destroyTasks();
     routers_.clear();
     if (!options_.keep) std::filesystem::remove_all(folder_);
   }
@@ -119,7 +119,7 @@
     co_await loop_.sleepUntil(loop_.now() + Duration::millis(500));
     loop_.spawn(schedule_->run(until));
     while (!schedule_->finished()) co_await loop_.sleepUntil(loop_.now() + Duration::millis(20));
-    for (const auto& router : routers_) router->machine().heal();
+    for (const auto& router : routers_) router->machine().clearFaults();
     for (const auto& node : harness_.nodes()) clearFaults(*node);
     const Instant serviceDeadline = loop_.now() + kRecoveryTimeout;
     for (const auto& clients : clients_) loop_.spawn(clients->expectService(serviceDeadline));
@@ -143,10 +143,11 @@
   int writeReport() {
     std::map<std::string, std::uint64_t> violationsByRule, failedCalls;
     for (const auto& violation : history_.violations()) ++violationsByRule[violation.rule];
-    for (std::size_t kind = 0; kind < faults::kKinds; ++kind)
+    for (std::size_t kind = 0; kind < faults::kFaultKindCount; ++kind)
       for (const auto& router : routers_)
-        failedCalls[faults::kNames[kind]] += router->machine().fired(static_cast<faults::Kind>(kind));
-    for (const auto& router : routers_) failedCalls["wall-reads"] += router->machine().wallReads();
+        failedCalls[faults::kFaultNames[kind]] +=
+            router->machine().injectedCount(static_cast<faults::FaultKind>(kind));
+    for (const auto& router : routers_) failedCalls["wall-reads"] += router->machine().wallClockReads();
     nlohmann::ordered_json report;
     report["seed"] = options_.seed;
     report["seconds"] = options_.seconds;
--- a/tests/soak/nodes.cpp
+++ b/tests/soak/nodes.cpp
@@ -93,7 +93,7 @@
 event_loop::Task Node::accept(std::size_t router, std::shared_ptr<event_loop::Stream> listener) {
   for (;;) {
     event_loop::Descriptor accepted;
-    if (listener->accept(accepted) == event_loop::Io::some)
+    if (listener->accept(accepted) == event_loop::IoStatus::ok)
       harness_.loop().spawn(serve(router, std::move(accepted)));
     else
       co_await listener->changed();
@@ -112,13 +112,14 @@
     }
     const bool open = readAll(stream, received);
     std::string_view bytes = received;
-    if (!started && (started = postgres::takeOpening(bytes).has_value())) unsent += postgres::welcome();
+    if (!started && (started = postgres::takeStartupMessage(bytes).has_value()))
+      unsent += postgres::startupAnswer();
     while (started) {
       const auto message = postgres::takeMessage(bytes, kMaxMessageBytes);
       if (!message || message->type == 'X') break;
       if (message->type != 'Q') continue;
       auto body = message->body;
-      unsent += answer(router, postgres::takeText(body));
+      unsent += answer(router, postgres::takeString(body));
     }
     received.erase(0, received.size() - bytes.size());
     // A hanging node has received the statements and may have executed them; it delays its answers.
@@ -163,13 +164,13 @@
   const std::size_t classIndex = std::stoul(std::string(statement.typeName).substr(5));  // "type-N"
   const TransactionClass& transactionClass = harness_.transactionClass(classIndex);
   StatementArrival arrival{id,     id_,
-                           router, Duration::millis(static_cast<std::int64_t>(statement.waitMs)),
+                           router, Duration::millis(static_cast<std::int64_t>(statement.timeoutMs)),
                            false,  harness_.discoveryAgents()[router]->drainNotifiedAt(id_)};
   if (state == NodeState::draining) {
     harness_.history().recordArrival(now, arrival);
     return postgres::error("ERROR", "53300", "draining") + sessionState;
   }
-  if (statement.writes && !primary) {
+  if (statement.isWrite && !primary) {
     harness_.history().recordArrival(now, arrival);
     return postgres::error("ERROR", "25006", "no primary") + sessionState;
   }
@@ -237,7 +238,7 @@
 event_loop::Task DiscoveryAgent::accept(std::shared_ptr<event_loop::Stream> listener) {
   for (;;) {
     event_loop::Descriptor accepted;
-    if (listener->accept(accepted) == event_loop::Io::some)
+    if (listener->accept(accepted) == event_loop::IoStatus::ok)
       harness_.loop().spawn(serve(std::move(accepted)));
     else
       co_await listener->changed();
--- a/tests/soak/routers.cpp
+++ b/tests/soak/routers.cpp
@@ -16,7 +16,7 @@
     : program_(std::move(program)),
       folder_(std::move(folder)),
       index_(index),
-      machine_(std::make_unique<faults::Machine>(path("machine"), seed)) {}
+      machine_(std::make_unique<faults::FaultController>(path("machine"), seed)) {}
 
 RouterProcess::~RouterProcess() {
   if (!running) return;
--- a/tests/soak/routers.h
+++ b/tests/soak/routers.h
@@ -37,7 +37,7 @@
 
   unsigned short port() const { return port_.number(); }
   std::string lastLogLine() const;
-  faults::Machine& machine() { return *machine_; }
+  faults::FaultController& machine() { return *machine_; }
 
   bool running = false;
   bool terminating = false;  // SIGTERM was sent
@@ -53,7 +53,7 @@
   std::string program_, folder_;
   std::size_t index_;
   testing::Port port_;
-  std::unique_ptr<faults::Machine> machine_;
+  std::unique_ptr<faults::FaultController> machine_;
   pid_t child_ = 0;
   std::streamoff logSizeAtStart_ = 0;
   bool handlesSignals_ = false;
--- a/tests/soak/schedule.cpp
+++ b/tests/soak/schedule.cpp
@@ -91,17 +91,17 @@
 
 event_loop::Task Schedule::failSystemCalls(RouterProcess& router) {
   ++active_;
-  const auto kind = static_cast<faults::Kind>(random_() % faults::kKinds);
-  const bool resets = kind == faults::Kind::lost;
-  const bool slows = kind == faults::Kind::heldUp || kind == faults::Kind::memory;
-  router.machine().fail(
+  const auto kind = static_cast<faults::FaultKind>(random_() % faults::kFaultKindCount);
+  const bool resets = kind == faults::FaultKind::connectionLost;
+  const bool slows = kind == faults::FaultKind::delayedWait || kind == faults::FaultKind::outOfMemory;
+  router.machine().setFaultRate(
       kind, static_cast<std::uint32_t>(resets || slows ? 2 + random_() % 10 : 20 + random_() % 300));
   const Instant until = harness_.loop().now() + randomDuration(300, 2500);
   // A reset that was injected is noticed a little later.
   if (resets)
     router.resetsExpectedUntil = std::max(router.resetsExpectedUntil, until + Duration::millis(500));
   co_await harness_.loop().sleepUntil(until);
-  router.machine().fail(kind, 0);
+  router.machine().setFaultRate(kind, 0);
   --active_;
 }
 
--- a/tests/sockets.cpp
+++ b/tests/sockets.cpp
@@ -23,7 +23,7 @@
 // `until-the-end` is never answered.
 void node(Peer& peer) {
   peer.startup();
-  peer.send(postgres::welcome());
+  peer.send(postgres::startupAnswer());
   for (;;) {
     const auto [type, body] = peer.message();
     if (type != 'Q') return;
--- a/tests/store.cpp
+++ b/tests/store.cpp
@@ -74,7 +74,7 @@
     if (group == 7) changes.push_back(RouterStartRecord{"r4", {8, 71}});
     if (group == 8) changes.push_back(kSecondVoterListAlone);
     if (group == 9) changes.push_back(NodeDrainRecord{"n2", 0, false});
-    if (group == 5) changes.push_back(VotingRecord{.isComplete = false, .newSince = 4});
+    if (group == 5) changes.push_back(VotingRecord{.isComplete = false, .minValidStart = 4});
     commits.push_back(changes);
   }
   return commits;
@@ -88,7 +88,7 @@
   for (const auto& claim : state.claims)
     rows[claim.id] = claim.token.router + "/" + std::to_string(claim.token.number) +
                      (claim.isCommitted ? "=" + claim.value : "");
-  std::string out = (state.isComplete ? "votes " : "abstains ") + std::to_string(state.newSince);
+  std::string out = (state.isComplete ? "votes " : "abstains ") + std::to_string(state.minValidStart);
   for (const auto& own : state.ownStarts)
     out += " own" + std::to_string(own.number) + "/" + std::to_string(own.draw);
   for (const auto& [name, start] : state.voterStarts) out += " " + name + std::to_string(start.number);
@@ -111,7 +111,7 @@
   std::size_t durable = 0;
   try {
     Database database(kDatabaseFile, Database::OpenMode::writing);
-    if (database.isNew()) database.initialize("k1", {.isComplete = true, .newSince = 0});
+    if (database.isNew()) database.initialize("k1", {.isComplete = true, .minValidStart = 0});
     database.load();
     durable = 1;
     for (const Changes& changes : script) {
@@ -327,7 +327,7 @@
   std::cout << "damaged: " << (read(folder.path()).damage ? "detected" : "NOT DETECTED") << "\n";
   Store store(folder.path(), "k1", 13, kSingleVoterList);
   std::cout << "started on the damaged folder: " << describe(store.storedState())
-            << "; set aside: " << !store.setAside().empty() << "\n";
+            << "; set aside: " << !store.damagedFile().empty() << "\n";
 }
 
 // The disk is full for a time, simulated by a file size limit of this process: the store reports the failure
@@ -345,7 +345,7 @@
   std::cout << "full: " << write(store, {openClaim(2, 4)}) << ", " << write(store, {openClaim(3, 4)}) << "\n";
   const StoreStatistics statistics = store.statistics();
   std::cout << "queued " << statistics.queuedChanges << ", a fault is reported "
-            << !statistics.lastFault.empty() << "\n";
+            << !statistics.lastError.empty() << "\n";
   setrlimit(RLIMIT_FSIZE, &previousLimit);
   bool durable = false;
   for (int n = 0; n < 40 && !durable; ++n) durable = write(store, {openClaim(4, 4)});
@@ -414,13 +414,13 @@
               << maintenance::nameOf(machine.phase) << " since " << machine.phaseVersion << " ('"
               << machine.reason << "'), nodes: " << joined(machine.nodes)
               << ", routers: " << joined(machine.routers) << ", expected duration "
-              << machine.expectedDuration.inMicros() << " us, due within " << machine.wantedWithin.inMicros()
-              << " us, by " << machine.request << " of " << machine.requestedBy << ", attempts "
-              << machine.attempts << "\n";
+              << machine.expectedDuration.inMicros() << " us, due within "
+              << machine.completeWithin.inMicros() << " us, by " << machine.request << " of "
+              << machine.requestedBy << ", attempts " << machine.attempts << "\n";
 }
 
 void printState(const idempotency::StoredState& state) {
-  std::cout << "  " << (state.isComplete ? "complete" : "incomplete") << ", new since " << state.newSince
+  std::cout << "  " << (state.isComplete ? "complete" : "incomplete") << ", new since " << state.minValidStart
             << "\n";
   for (const auto& own : state.ownStarts) printIncarnation("own", own);
   for (const auto& [voter, incarnation] : state.voterStarts) printIncarnation("voter " + voter, incarnation);
@@ -485,20 +485,20 @@
   printState(contents.state);
   {
     Store store(folder.path(), "k1", 14, kStoredLists);
-    std::cout << "opened, set aside '" << store.setAside() << "'\n";
+    std::cout << "opened, set aside '" << store.damagedFile() << "'\n";
     printState(store.storedState());
     printVotes(store.storedState());
     Changes changes = furtherChanges(store.storedState());
     std::cout << "further changes: durable " << write(store, std::move(changes)) << "\n";
   }
   Store store(folder.path(), "k1", 15, kStoredLists);
-  std::cout << "opened again, set aside '" << store.setAside() << "'\n";
+  std::cout << "opened again, set aside '" << store.damagedFile() << "'\n";
   printState(store.storedState());
 }
 
 void printOpened(const Folder& folder) {
   Store store(folder.path(), "k1", 14, kStoredLists);
-  std::cout << "opened, set aside " << !store.setAside().empty() << "\n";
+  std::cout << "opened, set aside " << !store.damagedFile().empty() << "\n";
   printState(store.storedState());
   std::cout << "further changes: durable " << write(store, {committedClaim(1, 1)}) << "\n";
 }
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -128,7 +128,7 @@
     wakeups_.insert(now_ + after);
     if (after >= ms(1000)) out_ << " wake after " << after.inMicros() / 1000 << ";";
   }
-  void followEndpointList() override { out_ << " follow the endpoint list;"; }
+  void subscribeToEndpointList() override { out_ << " follow the endpoint list;"; }
   void forgetNode(const NodeId& node) override { out_ << " forget " << node << ";"; }
 
   Router router_;
--- a/tests/watches.cpp
+++ b/tests/watches.cpp
@@ -246,7 +246,7 @@
 // earlier.
 void drainBeforeGreeting() {
   const std::string folder = scratchFolder("watches");
-  faults::Machine machine(folder + "/machine", 1);
+  faults::FaultController machine(folder + "/machine", 1);
   FakeNode first({}, 0), second;
   FakeDiscovery discovery(bothNodesList(1, first, second, "up"));
   Program router(discovery.port(), bothNodesList(1, first, second, "up"), 20000, 256, 0, "",
